--- a/packages/control/src/configuration/judgeOrder.ts
+++ b/packages/control/src/configuration/judgeOrder.ts
@@ -1,5 +1,5 @@
 import type { Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { contentDigest } from "@cranetrack/core/configuration/contentDigest.js";
+import { contentDigest, contentKind } from "@cranetrack/core/configuration/contentDigest.js";
 import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
@@ -51,7 +51,9 @@
 }
 
 export function digestOf({ body, document }: Order): Uint8Array {
-  return document === undefined ? contentDigest("plan", body) : contentDigest("document", document);
+  return document === undefined
+    ? contentDigest(contentKind.configuration, body)
+    : contentDigest(contentKind.document, document);
 }
 
 /** What the store is asked for; the document comes on top where there is no record. */
@@ -73,9 +75,16 @@
 
 /** The content in force tells by itself; a plan sent alone asks for the plan, whatever document came with it. */
 function isSameAsHeld({ body, document }: Order, facts: OrderFacts): boolean {
-  if (document === undefined) return isEqual(contentDigest("plan", facts.plan!.value), contentDigest("plan", body));
+  if (document === undefined)
+    return isEqual(
+      contentDigest(contentKind.configuration, facts.plan!.value),
+      contentDigest(contentKind.configuration, body),
+    );
   const held = facts.document?.value;
-  return held !== undefined && isEqual(contentDigest("document", held), contentDigest("document", document));
+  return (
+    held !== undefined &&
+    isEqual(contentDigest(contentKind.document, held), contentDigest(contentKind.document, document))
+  );
 }
 
 function isEqual(a: Uint8Array, b: Uint8Array): boolean {
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -8,7 +8,7 @@
 import type { RandomSource } from "@cranetrack/core/runtime/random.js";
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
 import type { RpcEndpoint } from "@cranetrack/core/rpc/rpcEndpoint.js";
-import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
+import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { entryKind } from "./entryKind.js";
@@ -333,7 +333,8 @@
     this.#yieldedTerm = term;
     this.#tellVoters({ case: "yield", value: { term, sender, isSlow } }, sender);
     const ids = VoterSets.ids(this.members).filter((id) => id !== sender);
-    this.#electionAt = this.#clock.now() + Rendezvous.rank(String(term), ids).indexOf(this.id) * RaftNode.turnMs;
+    const rank = Rendezvous.rank(RendezvousKeys.electionAfter(term), ids).indexOf(this.id);
+    this.#electionAt = this.#clock.now() + rank * RaftNode.turnMs;
     return undefined;
   }
 
--- a/packages/control/src/membership/memberChanges.ts
+++ b/packages/control/src/membership/memberChanges.ts
@@ -1,7 +1,7 @@
 import type { Join, StoreMember } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { DrainKey } from "@cranetrack/core/keys/drainKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
+import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { Outcome } from "@cranetrack/core/store/storeClient.js";
 import type { RaftNode } from "../consensus/raftNode.js";
 import { VoterSets } from "../consensus/voterSets.js";
@@ -142,7 +142,7 @@
     const free = [...this.#joining.entries()]
       .filter(([name, one]) => this.#isFree(name, one.id, members))
       .map(([name]) => name);
-    const ranked = Rendezvous.rank("voter", free);
+    const ranked = Rendezvous.rank(RendezvousKeys.storeVoter, free);
     const first = [
       ...ranked.filter((name) => !zones.has(this.#zoneOf(name))),
       ...ranked.filter((name) => zones.has(this.#zoneOf(name))),
--- a/packages/core/src/configuration/contentDigest.ts
+++ b/packages/core/src/configuration/contentDigest.ts
@@ -1,11 +1,19 @@
 import { createHash } from "node:crypto";
 
+/**
+ * What a digest is of; the texts are hashed with the content. They rest in the store beside acknowledged versions and
+ * never change, whatever the code calls these contents.
+ */
+export const contentKind = { configuration: "plan", document: "document" } as const;
+
+export type ContentKind = (typeof contentKind)[keyof typeof contentKind];
+
 /**
  * SHA-256 over what an operator sent, in canonical form: equal for JSON texts that differ only in white space, the
  * order of an object's keys and the spelling of numbers and strings. What is no JSON is taken byte for byte.
  * A plan alone and a document about a plan never have the same digest.
  */
-export function contentDigest(kind: "plan" | "document", bytes: Uint8Array): Uint8Array {
+export function contentDigest(kind: ContentKind, bytes: Uint8Array): Uint8Array {
   return createHash("sha256").update(`${kind}\n`).update(canonicalOf(bytes)).digest();
 }
 
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -6,7 +6,7 @@
 import type { RpcEndpoint } from "../rpc/rpcEndpoint.js";
 import { FailureDetector } from "./failureDetector.js";
 import { MemberTable } from "./memberTable.js";
-import { Rendezvous } from "./rendezvous.js";
+import { Rendezvous, RendezvousKeys } from "./rendezvous.js";
 import { Rumours } from "./rumours.js";
 
 /**
@@ -347,7 +347,7 @@
         Rendezvous.spread(key, among, count).map((one) => this.find(one)!);
       this.#ownWatchers = chosen(name, this.#peers, Membership.watchers);
       const others = this.#peers.filter((member) => !this.#ownWatchers.includes(member));
-      this.#ownPartners = chosen(`partners of ${name}`, others, Membership.partners);
+      this.#ownPartners = chosen(RendezvousKeys.gossipPartners(name), others, Membership.partners);
     }
     return this.#peers;
   }
--- a/packages/core/src/membership/rendezvous.ts
+++ b/packages/core/src/membership/rendezvous.ts
@@ -50,3 +50,43 @@
     return createHash("sha1").update(topic).digest().readUInt32BE(0) % shards;
   },
 };
+
+/**
+ * The keys under which nodes are ranked by rendezvous hashing, one for each duty.
+ * Invariant: the texts never change. They are hashed, and nodes of different releases have to agree on the result;
+ * some are therefore older than the terms of the code around them.
+ */
+export const RendezvousKeys = {
+  /** In which order the replicas of a shard try to become its leader. */
+  shardLeader(shard: number): string {
+    return `holder ${shard}`;
+  },
+
+  /** Which storage node creates the replica set of a shard that has none. */
+  replicaSetCreation(shard: number): string {
+    return `found ${shard}`;
+  },
+
+  /** Which disks hold the replicas of a shard. */
+  replicaSet(shard: number): string {
+    return `replicas ${shard}`;
+  },
+
+  /** Which nearby replica of a shard an edge node reads from. */
+  nearbyReplica(edgeName: string): string {
+    return `near ${edgeName}`;
+  },
+
+  /** Which nodes a node gossips with, beside those that watch it. */
+  gossipPartners(nodeName: string): string {
+    return `partners of ${nodeName}`;
+  },
+
+  /** Which applicants become members of the metadata store. */
+  storeVoter: "voter",
+
+  /** In which order the store's members stand for election after the leader of a term resigned. */
+  electionAfter(term: number): string {
+    return String(term);
+  },
+} as const;
--- a/packages/edge/src/fanout/replicaFollow.ts
+++ b/packages/edge/src/fanout/replicaFollow.ts
@@ -1,6 +1,6 @@
 import type { Push } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
+import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import { fetchMessages, type Fetched } from "./fetchMessages.js";
 import { NumberedPushes } from "./numberedPushes.js";
 import type { FollowInit, ShardFollow } from "./shardFollow.js";
@@ -189,7 +189,7 @@
       .map(({ name }) => name);
     if (holder === "" || near.includes(holder)) return "";
     const alive = near.filter((name) => membership.isAlive(name) && !exchange.isMute(name));
-    return Rendezvous.rank(`near ${exchange.name}`, alive)[0] ?? "";
+    return Rendezvous.rank(RendezvousKeys.nearbyReplica(exchange.name), alive)[0] ?? "";
   }
 
   #now(): number {
--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -1,5 +1,6 @@
 import type { Member } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ShardSet } from "@cranetrack/core/feeds/shardSet.js";
+import { RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { Holder } from "../shards/holder.js";
 import type { Newcomers } from "./newcomers.js";
@@ -140,7 +141,7 @@
     const staying = members.filter((member) => member !== vacancy.out).map((member) => this.#locate(member));
     const storage = vacancy.candidates.filter((one) => one.isStorage);
     const pool = storage.length > 0 ? storage : vacancy.candidates;
-    const chosen = Placement.next(`replicas ${this.#replica.shard}`, staying, pool);
+    const chosen = Placement.next(RendezvousKeys.replicaSet(this.#replica.shard), staying, pool);
     if (chosen === undefined) return undefined;
     const { out, why, isUrgent } = vacancy;
     const change = { out, in: { id: chosen.disk, name: chosen.name, zone: chosen.zone }, why, isUrgent };
--- a/packages/log-storage/src/shards/claims.ts
+++ b/packages/log-storage/src/shards/claims.ts
@@ -1,4 +1,4 @@
-import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
+import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { HolderKey } from "@cranetrack/core/keys/holderKey.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
@@ -139,7 +139,7 @@
     const alive = members
       .filter((member) => member.id === this.#id || this.#isWell(member.name))
       .map((member) => member.id);
-    return Rendezvous.rank(`holder ${shard}`, alive).indexOf(this.#id);
+    return Rendezvous.rank(RendezvousKeys.shardLeader(shard), alive).indexOf(this.#id);
   }
 
   #isWell(name: string): boolean {
--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -4,7 +4,7 @@
 import type { Disk } from "@cranetrack/core/storage/disk.js";
 import { LeaseKeeper } from "@cranetrack/core/store/leaseKeeper.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
-import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
+import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { ShardService } from "./shards/shardService.js";
 import { Claims } from "./shards/claims.js";
 import { Placement } from "./repair/placement.js";
@@ -167,14 +167,14 @@
     if (parts.clock.now() - this.#foundAt < waitMs) return;
     const names = storage.map((member) => member.name);
     for (let shard = 0; shard < parts.settings.shards; shard += 1) {
-      const isOwnTurn = Rendezvous.rank(`found ${shard}`, names)[0] === parts.settings.name;
+      const isOwnTurn = Rendezvous.rank(RendezvousKeys.replicaSetCreation(shard), names)[0] === parts.settings.name;
       if (shards.find(shard).set === undefined && isOwnTurn) this.#foundSet(shard, storage);
     }
   }
 
   #foundSet(shard: number, storage: readonly Member[]): void {
     const { store, parts } = this.#node;
-    const picked = Placement.pick(`replicas ${shard}`, storage, parts.settings.replicas);
+    const picked = Placement.pick(RendezvousKeys.replicaSet(shard), storage, parts.settings.replicas);
     const members = picked.map(({ shelf, name, zone }) => ({ id: shelf, name, zone }));
     const key = ReplicasKey.of(shard);
     void store.txn({
--- a/packages/testkit/src/sabotage/orderSabotages.ts
+++ b/packages/testkit/src/sabotage/orderSabotages.ts
@@ -14,8 +14,8 @@
   {
     name: "a plan's document is not looked at",
     file: "control/dist/configuration/judgeOrder.js",
-    find: 'document === undefined ? contentDigest("plan", body) : contentDigest("document", document)',
-    put: 'contentDigest("plan", body)',
+    find: ": contentDigest(contentKind.document, document)",
+    put: ": contentDigest(contentKind.configuration, body)",
     test: `${sim}/orders.test.js`,
   },
   {
