--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -8,6 +8,7 @@
   type StoreMember,
   type Member,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
+import { logGroupNames } from "@cranetrack/core/replication/logGroups.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import type { Disk } from "@cranetrack/core/storage/disk.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
@@ -177,7 +178,7 @@
 
   /** Everyone starts from the same first entry: who the members are. */
   async #found(founding: string, members: ReadonlyArray<{ id: string; name: string }>): Promise<void> {
-    const log = new ReplicaLog(this.#disk, "store");
+    const log = new ReplicaLog(this.#disk, logGroupNames.store);
     if (log.lastIndex === 0) {
       const data = toBinary(MembersSchema, create(MembersSchema, { voters: [...members] as StoreMember[] }));
       await log.append([create(EntrySchema, { index: 1, term: 1, kind: entryKind.members, data })]);
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -1,4 +1,5 @@
 import { StorageNode } from "@cranetrack/log-storage/storageNode.js";
+import { logGroupNames } from "@cranetrack/core/replication/logGroups.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { Disk } from "@cranetrack/core/storage/disk.js";
@@ -52,7 +53,7 @@
 
   /** Says what is wrong with the data folder, if anything is. */
   load(): string | undefined {
-    return new ReplicaLog(this.#disk, "store").fault() ?? this.founding.fault() ?? this.anvil.load();
+    return new ReplicaLog(this.#disk, logGroupNames.store).fault() ?? this.founding.fault() ?? this.anvil.load();
   }
 
   async start(): Promise<void> {
@@ -103,7 +104,7 @@
 
   #begin(): void {
     const { exchange, groups, membership, parts } = this.node;
-    const log = new ReplicaLog(this.#disk, "store");
+    const log = new ReplicaLog(this.#disk, logGroupNames.store);
     this.#ledger = new RaftNode({
       id: this.founding.id,
       founding: this.founding.founding,
--- a/packages/core/src/replication/logGroups.ts
+++ b/packages/core/src/replication/logGroups.ts
@@ -8,6 +8,20 @@
   receipt(receipt: AppendReceipt, from: string): void;
 }
 
+/**
+ * The names of replicated logs. Invariant: they never change, for they are in every message about a log, and its keys
+ * on the disk begin with them.
+ */
+export const logGroupNames = {
+  /** The metadata store's log. */
+  store: "store",
+
+  /** The log of a shard. */
+  shard(shard: number): string {
+    return `shard${String(shard).padStart(3, "0")}`;
+  },
+} as const;
+
 /** Hands the messages of replicated logs to the log they are about. */
 export class LogGroups {
   readonly #groups = new Map<string, Group>();
--- a/packages/log-storage/src/replication/replica.ts
+++ b/packages/log-storage/src/replication/replica.ts
@@ -3,6 +3,7 @@
 import type { Entry, Pledge, ShardPull } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { FollowerLog } from "@cranetrack/core/replication/followerLog.js";
 import { LogCompaction, type CompactionBounds } from "@cranetrack/core/replication/logCompaction.js";
+import { logGroupNames } from "@cranetrack/core/replication/logGroups.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import { SnapshotSender } from "@cranetrack/core/replication/snapshotSender.js";
 import type { LogReplicator } from "@cranetrack/core/replication/logReplicator.js";
@@ -69,7 +70,7 @@
     this.shard = shard;
     this.id = id;
     this.#node = node;
-    this.log = new ReplicaLog(disk, `shard${String(shard).padStart(3, "0")}`);
+    this.log = new ReplicaLog(disk, logGroupNames.shard(shard));
     this.#compaction = new LogCompaction(this.log, Replica.compaction);
     this.#intake = new FollowerLog(
       this.log,
--- a/packages/testkit/src/golden/adapter.ts
+++ b/packages/testkit/src/golden/adapter.ts
@@ -22,6 +22,7 @@
 import { MembersKey } from "@cranetrack/core/keys/membersKey.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
+import { logGroupNames } from "@cranetrack/core/replication/logGroups.js";
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 import { LargeValues } from "@cranetrack/core/store/largeValues.js";
@@ -346,3 +347,6 @@
 
 /** The kinds of entries in the store's log, by number. */
 export const logEntryKinds = { command: entryKind.command, empty: entryKind.noop, members: entryKind.members };
+
+/** The names of replicated logs, on the wire and before their keys on the disk. */
+export const logNames = { store: logGroupNames.store as string, shard: (shard: number) => logGroupNames.shard(shard) };
--- a/packages/testkit/src/golden/hashed.test.ts
+++ b/packages/testkit/src/golden/hashed.test.ts
@@ -1,6 +1,15 @@
 import { describe, it } from "node:test";
 import { expect } from "earl";
-import { digestKinds, digestText, logEntryKinds, ranking, rankingKeys, seededDraws, streamNames } from "./adapter.js";
+import {
+  digestKinds,
+  digestText,
+  logEntryKinds,
+  logNames,
+  ranking,
+  rankingKeys,
+  seededDraws,
+  streamNames,
+} from "./adapter.js";
 
 // The ranks, weights, shards and digests were computed from their definitions by another program.
 const names = ["node-1", "node-2", "node-3", "node-4", "node-5"];
@@ -97,6 +106,12 @@
   });
 });
 
+void describe("names of replicated logs", () => {
+  it("are the store's, and a shard's number in three digits", () => {
+    expect([logNames.store, logNames.shard(7), logNames.shard(1234)]).toEqual(["store", "shard007", "shard1234"]);
+  });
+});
+
 void describe("kinds of entries in the store's log", () => {
   it("have these numbers", () => {
     expect(logEntryKinds).toEqual({ command: 0, empty: 1, members: 2 });
