--- /dev/null
+++ b/packages/testkit/src/golden/diskBounds.ts
@@ -0,0 +1,4 @@
+/** Loaded into the programs before they start when golden data folders are made: snapshots after a few entries. */
+import { lowerSnapshotBounds } from "./diskAdapter.js";
+
+lowerSnapshotBounds();
