--- a/packages/testkit/src/golden/diskContent.ts
+++ b/packages/testkit/src/golden/diskContent.ts
@@ -76,17 +76,24 @@
     low: stream.number(4),
     messages: stream
       .messages(5)
-      .map((one) => [one.number(1), one.text(2), one.number(3), one.text(4), one.number(5), one.text(6)]),
+      .map((message) => [
+        message.number(1),
+        message.text(2),
+        message.number(3),
+        message.text(4),
+        message.number(5),
+        message.text(6),
+      ]),
     trims: stream.messages(6).map((trim) => [trim.text(1), trim.number(2)]),
     publishers: stream
       .messages(7)
-      .map((one) => [
-        one.text(1),
-        one.text(2),
-        one.number(3),
-        one.number(4),
-        digest(one.bytes(5)),
-        digest(one.bytes(6)),
+      .map((publisher) => [
+        publisher.text(1),
+        publisher.text(2),
+        publisher.number(3),
+        publisher.number(4),
+        digest(publisher.bytes(5)),
+        digest(publisher.bytes(6)),
       ]),
   };
 }
--- a/packages/testkit/src/golden/diskFleet.ts
+++ b/packages/testkit/src/golden/diskFleet.ts
@@ -86,7 +86,7 @@
   }
 
   /** Calls again while the fleet says that it cannot answer yet. */
-  async settledCall(node: NodeKind, method: string, path: string, body?: string): Promise<Reply> {
+  async callUntilAnswered(node: NodeKind, method: string, path: string, body?: string): Promise<Reply> {
     let reply: Reply | undefined;
     await until(`${method} ${path} is answered`, async () => {
       reply = await this.call(node, method, path, body);
--- a/packages/testkit/src/golden/diskMake.ts
+++ b/packages/testkit/src/golden/diskMake.ts
@@ -36,7 +36,7 @@
     for (const topic of topics) {
       const message = { topic, number, payload: `${topic} message ${number}` };
       const path = `/v1/sessions/${session}/messages`;
-      const reply = await fleet.settledCall("edge", "POST", path, JSON.stringify(message));
+      const reply = await fleet.callUntilAnswered("edge", "POST", path, JSON.stringify(message));
       if (reply.status !== 200) throw new Error(`not published: ${reply.text}`);
       published.push({ ...message, sender: session, cursor: String(reply.body["place"]) });
     }
@@ -49,7 +49,7 @@
   const connection = await fleet.connect(session, {});
   for (const topic of topics) {
     const path = `/v1/sessions/${session}/subscriptions`;
-    const reply = await fleet.settledCall("edge", "POST", path, JSON.stringify({ topic }));
+    const reply = await fleet.callUntilAnswered("edge", "POST", path, JSON.stringify({ topic }));
     if (reply.status !== 200) throw new Error(`not subscribed: ${reply.text}`);
   }
   await until("all subscriptions are confirmed", () => {
@@ -61,7 +61,7 @@
 
 async function useFleet(fleet: DiskFleet): Promise<ClientExpectation> {
   for (const text of configurations) {
-    const reply = await fleet.settledCall("control", "PUT", "/v1/plan", text);
+    const reply = await fleet.callUntilAnswered("control", "PUT", "/v1/plan", text);
     if (reply.status !== 200) throw new Error(`configuration not accepted: ${reply.text}`);
   }
   await until("the configuration is at all nodes", async () => {
--- a/packages/testkit/src/golden/diskNodes.test.ts
+++ b/packages/testkit/src/golden/diskNodes.test.ts
@@ -47,7 +47,7 @@
 
     async function publish(session: string, message: object): Promise<Record<string, unknown>> {
       const path = `/v1/sessions/${session}/messages`;
-      const reply = await fleet.settledCall("edge", "POST", path, JSON.stringify(message));
+      const reply = await fleet.callUntilAnswered("edge", "POST", path, JSON.stringify(message));
       expect(reply.status).toEqual(200);
       return reply.body;
     }
@@ -64,19 +64,19 @@
 
     void it("give back the configuration in force, byte for byte, on every node", async () => {
       for (const node of DiskFleet.nodes)
-        expect((await fleet.settledCall(node, "GET", "/v1/plan")).text).toEqual(inForce);
+        expect((await fleet.callUntilAnswered(node, "GET", "/v1/plan")).text).toEqual(inForce);
       expect(versionOf(inForce)).toEqual(5);
       expect(readFileSync(join(folder, "control/plans/plan.json"), "utf8")).toEqual(inForce);
     });
 
     void it("acknowledge every acknowledged configuration again, and no other under its version", async () => {
       for (const configuration of configurations) {
-        const reply = await fleet.settledCall("control", "PUT", "/v1/plan", configuration);
+        const reply = await fleet.callUntilAnswered("control", "PUT", "/v1/plan", configuration);
         expect([reply.status, reply.body["mark"]]).toEqual([200, versionOf(configuration)]);
         const other = JSON.stringify({ ...(JSON.parse(configuration) as object), limits: { subscriptions: 7 } });
-        expect((await fleet.settledCall("control", "PUT", "/v1/plan", other)).status).toEqual(409);
+        expect((await fleet.callUntilAnswered("control", "PUT", "/v1/plan", other)).status).toEqual(409);
       }
-      expect((await fleet.settledCall("edge", "GET", "/v1/plan")).text).toEqual(inForce);
+      expect((await fleet.callUntilAnswered("edge", "GET", "/v1/plan")).text).toEqual(inForce);
     });
 
     void it("give a subscriber with an old cursor what follows it, in order, once", async () => {
