--- a/packages/control/src/configuration/planArchive.test.ts
+++ b/packages/control/src/configuration/configurationArchive.test.ts
@@ -4,12 +4,12 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { expect } from "earl";
-import { BirthsKey } from "@cranetrack/core/keys/birthsKey.js";
-import { PlanView } from "@cranetrack/core/configuration/planView.js";
+import { BirthsKey } from "@cranetrack/core/keys/incarnationsKey.js";
+import { PlanView } from "@cranetrack/core/configuration/configurationView.js";
 import type { Change } from "@cranetrack/core/feeds/feedFollower.js";
 import { ChangeJournal } from "@cranetrack/core/feeds/changeJournal.js";
 import { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
-import { PlanArchive } from "./planArchive.js";
+import { PlanArchive } from "./configurationArchive.js";
 
 const textOf = (mark: number): string => JSON.stringify({ mark, spaces: [] });
 
--- a/packages/control/src/configuration/planArchive.ts
+++ b/packages/control/src/configuration/configurationArchive.ts
@@ -3,7 +3,7 @@
 import { join } from "node:path";
 import git from "isomorphic-git";
 import PQueue from "p-queue";
-import type { PlanView } from "@cranetrack/core/configuration/planView.js";
+import type { PlanView } from "@cranetrack/core/configuration/configurationView.js";
 import type { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 
 /**
--- a/packages/control/src/configuration/planCapacity.ts
+++ b/packages/control/src/configuration/configurationCapacity.ts
@@ -1,4 +1,4 @@
-import type { Plan, PlanFault } from "@cranetrack/core/configuration/plan.js";
+import type { Plan, PlanFault } from "@cranetrack/core/configuration/configuration.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
 /** What the capacity is judged by. */
--- a/packages/control/src/configuration/putPlan.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -1,6 +1,6 @@
 import type { Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { Plans, type Plan, type PlanFault, type PlanRead } from "@cranetrack/core/configuration/plan.js";
-import { PlanSchema } from "@cranetrack/core/configuration/planSchema.js";
+import { Plans, type Plan, type PlanFault, type PlanRead } from "@cranetrack/core/configuration/configuration.js";
+import { PlanSchema } from "@cranetrack/core/configuration/configurationSchema.js";
 import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
@@ -8,7 +8,7 @@
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { JsonBody } from "@cranetrack/core/http/jsonBody.js";
 import { digestOf, judgeOrder, OrderFactKeys, type Order, type OrderFacts } from "./judgeOrder.js";
-import { planCapacity } from "./planCapacity.js";
+import { planCapacity } from "./configurationCapacity.js";
 
 /** Of an order that loses a race again and again, each time to another one that was taken. */
 const mostTries = 8;
--- a/packages/control/src/configuration/startUp.test.ts
+++ b/packages/control/src/configuration/startUp.test.ts
@@ -19,6 +19,6 @@
   expect(load("../controlNode.js")).toEqual("");
   expect(load("readDocument.js")).toEqual("");
   expect(load("putPlan.js")).toEqual("");
-  expect(load("../../../core/dist/configuration/planSchema.js")).toEqual("");
+  expect(load("../../../core/dist/configuration/configurationSchema.js")).toEqual("");
   expect(load("../../../core/dist/runtime/settings.js")).toEqual("arktype is loaded");
 });
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -7,7 +7,7 @@
 import { ApiReplies } from "@cranetrack/core/http/apiReply.js";
 import { DrainMachine } from "./drain/drainMachine.js";
 import { getRollout } from "./configuration/getRollout.js";
-import { putPlan } from "./configuration/putPlan.js";
+import { putPlan } from "./configuration/proposeConfiguration.js";
 import { readPlan } from "./configuration/readDocument.js";
 import { Founding } from "./consensus/founding.js";
 import { RaftNode } from "./consensus/raftNode.js";
--- a/packages/control/src/lathe.ts
+++ b/packages/control/src/cranetrack-control.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 import { join } from "node:path";
 import { Program } from "@cranetrack/core/runtime/program.js";
-import { PlanArchive } from "./configuration/planArchive.js";
+import { PlanArchive } from "./configuration/configurationArchive.js";
 import { ControlNode } from "./controlNode.js";
 
 await new Program("lathe", ["plan", "shards/", "machines/"], ({ node, disk, router }) => {
--- a/packages/control/src/drain/drainMachine.ts
+++ b/packages/control/src/drain/drainMachine.ts
@@ -1,6 +1,6 @@
 import type { Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { DrainKey } from "@cranetrack/core/keys/drainKey.js";
-import { HolderKey } from "@cranetrack/core/keys/holderKey.js";
+import { HolderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
 import { MembersKey } from "@cranetrack/core/keys/membersKey.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
--- a/packages/control/src/store/acceptedOrders.ts
+++ b/packages/control/src/store/acceptedOrders.ts
@@ -1,7 +1,7 @@
 import { create } from "@bufbuild/protobuf";
 import { KvSchema, type Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
-import { BirthsKey } from "@cranetrack/core/keys/birthsKey.js";
+import { BirthsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
 
 /** The keys of the state machine, for reading. */
--- a/packages/control/src/store/metadata.ts
+++ b/packages/control/src/store/metadata.ts
@@ -8,7 +8,7 @@
   type Members,
   type Txn,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { BirthsKey } from "@cranetrack/core/keys/birthsKey.js";
+import { BirthsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
 import { PackedValue } from "@cranetrack/core/store/packedValue.js";
 import { AcceptedOrders } from "./acceptedOrders.js";
--- a/packages/core/src/configuration/plan.test.ts
+++ b/packages/core/src/configuration/configuration.test.ts
@@ -2,11 +2,11 @@
 import { expect } from "earl";
 import type { Change } from "../feeds/feedFollower.js";
 import { ChangeJournal } from "../feeds/changeJournal.js";
-import { BirthsKey } from "../keys/birthsKey.js";
-import { Plans, type Plan } from "./plan.js";
-import { PlanReader } from "./planReader.js";
-import { PlanSchema } from "./planSchema.js";
-import { PlanView } from "./planView.js";
+import { BirthsKey } from "../keys/incarnationsKey.js";
+import { Plans, type Plan } from "./configuration.js";
+import { PlanReader } from "./configurationReader.js";
+import { PlanSchema } from "./configurationSchema.js";
+import { PlanView } from "./configurationView.js";
 
 const owe = { keep: 60, order: "sender" as const, fault_budget: { machines: 1 } };
 const plan: Plan = {
--- a/packages/core/src/configuration/planReader.ts
+++ b/packages/core/src/configuration/configurationReader.ts
@@ -1,4 +1,4 @@
-import type { Plan, PlanFault, PlanRead } from "./plan.js";
+import type { Plan, PlanFault, PlanRead } from "./configuration.js";
 
 type Check = (value: unknown, path: string) => PlanFault | undefined;
 
--- a/packages/core/src/configuration/planSchema.ts
+++ b/packages/core/src/configuration/configurationSchema.ts
@@ -1,6 +1,6 @@
 import * as v from "valibot";
-import { Plans, type PlanFault, type PlanRead, type Space } from "./plan.js";
-import { PlanReader } from "./planReader.js";
+import { Plans, type PlanFault, type PlanRead, type Space } from "./configuration.js";
+import { PlanReader } from "./configurationReader.js";
 
 /** Versions are exact in a double. */
 const mostMark = Number.MAX_SAFE_INTEGER;
--- a/packages/core/src/configuration/planView.ts
+++ b/packages/core/src/configuration/configurationView.ts
@@ -1,11 +1,11 @@
 import { EventEmitter } from "node:events";
 import type { Change } from "../feeds/feedFollower.js";
 import type { ChangeJournal } from "../feeds/changeJournal.js";
-import { BirthsKey, type BirthsRecord } from "../keys/birthsKey.js";
-import type { Plan } from "./plan.js";
+import { BirthsKey, type BirthsRecord } from "../keys/incarnationsKey.js";
+import type { Plan } from "./configuration.js";
 import { PlanKey } from "../keys/configurationKey.js";
 import type { InvariantMonitor } from "../runtime/invariantMonitor.js";
-import { PlanReader } from "./planReader.js";
+import { PlanReader } from "./configurationReader.js";
 import { Streams, type StreamRoute } from "./streams.js";
 
 /**
--- a/packages/core/src/configuration/keepsNothing.ts
+++ b/packages/core/src/configuration/keepsNothing.ts
@@ -1,4 +1,4 @@
-import { Plans, type Plan } from "./plan.js";
+import { Plans, type Plan } from "./configuration.js";
 import { Streams } from "./streams.js";
 
 /** Whether a stream lives in its holder's memory alone: all that the plan owes in it is kept for no time. */
--- a/packages/core/src/configuration/streams.test.ts
+++ b/packages/core/src/configuration/streams.test.ts
@@ -1,9 +1,9 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { BirthsKey, type BirthsRecord } from "../keys/birthsKey.js";
-import type { Order, Plan } from "./plan.js";
+import { BirthsKey, type BirthsRecord } from "../keys/incarnationsKey.js";
+import type { Order, Plan } from "./configuration.js";
 import { PlanKey } from "../keys/configurationKey.js";
-import { PlanReader } from "./planReader.js";
+import { PlanReader } from "./configurationReader.js";
 import { Streams, type StreamRoute } from "./streams.js";
 
 type Spaces = Record<string, Order>;
--- a/packages/core/src/configuration/streams.ts
+++ b/packages/core/src/configuration/streams.ts
@@ -1,6 +1,6 @@
-import type { BirthsRecord } from "../keys/birthsKey.js";
+import type { BirthsRecord } from "../keys/incarnationsKey.js";
 import { PrefixIndex } from "./prefixIndex.js";
-import { Plans, type Order, type Plan } from "./plan.js";
+import { Plans, type Order, type Plan } from "./configuration.js";
 
 /** Where a topic's messages go: a pure function of its space, the space's order and its birth. */
 export interface StreamRoute {
--- a/packages/core/src/feeds/shardsView.ts
+++ b/packages/core/src/feeds/shardsView.ts
@@ -2,7 +2,7 @@
 import type { Clock } from "../runtime/clock.js";
 import type { Change } from "./feedFollower.js";
 import type { ChangeJournal } from "./changeJournal.js";
-import { HolderKey } from "../keys/holderKey.js";
+import { HolderKey } from "../keys/shardLeaderKey.js";
 import { ReplicasKey } from "../keys/replicasKey.js";
 import type { ShardSet } from "./shardSet.js";
 
--- a/packages/core/src/http/router.ts
+++ b/packages/core/src/http/router.ts
@@ -1,5 +1,5 @@
 import { ApiReplies, type ApiReply } from "./apiReply.js";
-import { Plans } from "../configuration/plan.js";
+import { Plans } from "../configuration/configuration.js";
 import type { ClusterNode } from "../runtime/clusterNode.js";
 import { Rendezvous } from "../membership/rendezvous.js";
 import { mayRepeat, type CallInit } from "../rpc/callKinds.js";
--- a/packages/core/src/keys/configurationKey.ts
+++ b/packages/core/src/keys/configurationKey.ts
@@ -1,4 +1,4 @@
-import { Plans } from "../configuration/plan.js";
+import { Plans } from "../configuration/configuration.js";
 
 /** What a plan's spaces are to those who need not know their contracts. */
 export interface SpaceOutline {
--- a/packages/core/src/keys/keys.test.ts
+++ b/packages/core/src/keys/keys.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { HolderKey } from "./holderKey.js";
+import { HolderKey } from "./shardLeaderKey.js";
 import { ReplicasKey } from "./replicasKey.js";
 
 const bytes = (value: unknown): Uint8Array => Buffer.from(typeof value === "string" ? value : JSON.stringify(value));
--- a/packages/core/src/runtime/invariantMonitor.test.ts
+++ b/packages/core/src/runtime/invariantMonitor.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { ConfigurationWitness } from "../configuration/configurationWitness.js";
+import { ConfigurationWitness } from "../configuration/configurationVerifier.js";
 import { InvariantMonitor } from "./invariantMonitor.js";
 
 interface Logged {
--- a/packages/core/src/store/leaseKeeper.test.ts
+++ b/packages/core/src/store/leaseKeepAlive.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { LeaseKeeper } from "./leaseKeeper.js";
+import { LeaseKeeper } from "./leaseKeepAlive.js";
 import type { Outcome } from "./storeClient.js";
 
 interface Due {
--- a/packages/edge/src/connections/connections.ts
+++ b/packages/edge/src/connections/clientEndpoint.ts
@@ -1,4 +1,4 @@
-import type { ClientLink } from "./clientLink.js";
+import type { ClientLink } from "./clientConnection.js";
 
 /** What a front that speaks to clients in its own way stands on, inside the process. Outcomes are values. */
 export interface Connections {
--- a/packages/edge/src/connections/edgeConnections.ts
+++ b/packages/edge/src/connections/edgeClientEndpoint.ts
@@ -1,8 +1,8 @@
 import { SessionConnection } from "../sessions/sessionConnection.js";
-import type { ClientLink } from "./clientLink.js";
+import type { ClientLink } from "./clientConnection.js";
 import { countTopic } from "../fanout/countTopic.js";
 import { AdmitSession } from "../sessions/admitSession.js";
-import type { Connected, Connections, Counted } from "./connections.js";
+import type { Connected, Connections, Counted } from "./clientEndpoint.js";
 import type { EdgeParts } from "../edgeParts.js";
 
 /** The in-process interface of an edge for fronts that clients connect to. */
--- a/packages/edge/src/connections/httpLink.ts
+++ b/packages/edge/src/connections/httpConnection.ts
@@ -1,5 +1,5 @@
 import type { ServerResponse } from "node:http";
-import type { ClientLink } from "./clientLink.js";
+import type { ClientLink } from "./clientConnection.js";
 
 /** The answer of a link request, kept open: one JSON line after the other. */
 export class HttpLink implements ClientLink {
--- a/packages/edge/src/vise.ts
+++ b/packages/edge/src/cranetrack-edge.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 import { Program } from "@cranetrack/core/runtime/program.js";
-import { HttpLink } from "./connections/httpLink.js";
+import { HttpLink } from "./connections/httpConnection.js";
 import { EdgeNode } from "./edgeNode.js";
 import { EdgeCalls } from "./edgeCalls.js";
 
--- a/packages/edge/src/edgeCalls.ts
+++ b/packages/edge/src/edgeCalls.ts
@@ -1,10 +1,10 @@
 import { type } from "arktype";
-import { Plans } from "@cranetrack/core/configuration/plan.js";
+import { Plans } from "@cranetrack/core/configuration/configuration.js";
 import type { ApiCall, Router } from "@cranetrack/core/http/router.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { BodyReader } from "@cranetrack/core/http/bodyReader.js";
-import type { ClientLink } from "./connections/clientLink.js";
-import { enrolLink } from "./sessions/enrolLink.js";
+import type { ClientLink } from "./connections/clientConnection.js";
+import { enrolLink } from "./sessions/openConnection.js";
 import { publishCall } from "./publishing/publishCall.js";
 import { readOwner } from "./sessions/readOwner.js";
 import { subscribeTopics } from "./subscriptions/subscribeTopics.js";
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -1,12 +1,12 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
-import { LeaseKeeper } from "@cranetrack/core/store/leaseKeeper.js";
+import { LeaseKeeper } from "@cranetrack/core/store/leaseKeepAlive.js";
 import type { Router } from "@cranetrack/core/http/router.js";
-import type { ClientLink } from "./connections/clientLink.js";
+import type { ClientLink } from "./connections/clientConnection.js";
 import { SubscriptionKey } from "./sessions/subscriptionKey.js";
 import type { Session } from "./sessions/session.js";
 import { Sessions } from "./sessions/sessions.js";
-import { PlanCheck } from "./publishing/planCheck.js";
+import { PlanCheck } from "./publishing/configurationCheck.js";
 import { StreamTable } from "./fanout/streamTable.js";
 import type { EdgeParts } from "./edgeParts.js";
 
--- a/packages/edge/src/edgeParts.ts
+++ b/packages/edge/src/edgeParts.ts
@@ -1,10 +1,10 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { LeaseKeeper } from "@cranetrack/core/store/leaseKeeper.js";
+import type { LeaseKeeper } from "@cranetrack/core/store/leaseKeepAlive.js";
 import type { Router } from "@cranetrack/core/http/router.js";
-import type { ClientLink } from "./connections/clientLink.js";
+import type { ClientLink } from "./connections/clientConnection.js";
 import type { Session } from "./sessions/session.js";
 import type { Sessions } from "./sessions/sessions.js";
-import type { PlanCheck } from "./publishing/planCheck.js";
+import type { PlanCheck } from "./publishing/configurationCheck.js";
 import type { StreamTable } from "./fanout/streamTable.js";
 
 /** What the requests of an edge work with. */
--- a/packages/edge/src/publishing/planCheck.test.ts
+++ b/packages/edge/src/publishing/configurationCheck.test.ts
@@ -3,7 +3,7 @@
 import { KvSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { Outcome } from "@cranetrack/core/store/storeClient.js";
 import { expect } from "earl";
-import { PlanCheck } from "./planCheck.js";
+import { PlanCheck } from "./configurationCheck.js";
 
 const planOf = (revision: number, ...prefixes: string[]): Outcome => {
   const value = Buffer.from(
--- a/packages/edge/src/publishing/publishCall.ts
+++ b/packages/edge/src/publishing/publishCall.ts
@@ -1,5 +1,5 @@
 import { type } from "arktype";
-import { Plans } from "@cranetrack/core/configuration/plan.js";
+import { Plans } from "@cranetrack/core/configuration/configuration.js";
 import type { ApiCall } from "@cranetrack/core/http/router.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { BodyReader } from "@cranetrack/core/http/bodyReader.js";
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -1,8 +1,8 @@
 import type { MessageInitShape } from "@bufbuild/protobuf";
-import { Plans } from "@cranetrack/core/configuration/plan.js";
+import { Plans } from "@cranetrack/core/configuration/configuration.js";
 import { mayRepeat, type CallInit } from "@cranetrack/core/rpc/callKinds.js";
 import type { PublishReceipt, PublishSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { Places } from "../subscriptions/place.js";
+import { Places } from "../subscriptions/cursor.js";
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
 
--- a/packages/edge/src/sessions/admitSession.ts
+++ b/packages/edge/src/sessions/admitSession.ts
@@ -1,4 +1,4 @@
-import type { ClientLink } from "../connections/clientLink.js";
+import type { ClientLink } from "../connections/clientConnection.js";
 import type { Session } from "./session.js";
 import type { EdgeParts } from "../edgeParts.js";
 
--- a/packages/edge/src/sessions/enrolLink.ts
+++ b/packages/edge/src/sessions/openConnection.ts
@@ -1,9 +1,9 @@
 import { type } from "arktype";
-import { Plans } from "@cranetrack/core/configuration/plan.js";
+import { Plans } from "@cranetrack/core/configuration/configuration.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { BodyReader } from "@cranetrack/core/http/bodyReader.js";
-import type { ClientLink } from "../connections/clientLink.js";
-import { Places } from "../subscriptions/place.js";
+import type { ClientLink } from "../connections/clientConnection.js";
+import { Places } from "../subscriptions/cursor.js";
 import type { Session } from "./session.js";
 import type { EdgeParts } from "../edgeParts.js";
 import { AdmitSession } from "./admitSession.js";
--- a/packages/edge/src/sessions/session.ts
+++ b/packages/edge/src/sessions/session.ts
@@ -1,6 +1,6 @@
-import type { ClientLink } from "../connections/clientLink.js";
+import type { ClientLink } from "../connections/clientConnection.js";
 import type { StreamCursor } from "../subscriptions/streamCursor.js";
-import type { Place } from "../subscriptions/place.js";
+import type { Place } from "../subscriptions/cursor.js";
 import { PublishNumbers } from "../publishing/publishNumbers.js";
 
 /**
--- a/packages/edge/src/sessions/sessionConnection.ts
+++ b/packages/edge/src/sessions/sessionConnection.ts
@@ -1,8 +1,8 @@
-import { Plans } from "@cranetrack/core/configuration/plan.js";
-import type { ClientLink } from "../connections/clientLink.js";
-import { Places } from "../subscriptions/place.js";
+import { Plans } from "@cranetrack/core/configuration/configuration.js";
+import type { ClientLink } from "../connections/clientConnection.js";
+import { Places } from "../subscriptions/cursor.js";
 import type { TopicFault } from "../publishing/topicFault.js";
-import type { Connection, Subscribed } from "../connections/connections.js";
+import type { Connection, Subscribed } from "../connections/clientEndpoint.js";
 import type { Session } from "./session.js";
 import type { EdgeParts } from "../edgeParts.js";
 import { findStarts, type Start } from "../subscriptions/findStarts.js";
--- a/packages/edge/src/sessions/sessions.ts
+++ b/packages/edge/src/sessions/sessions.ts
@@ -1,7 +1,7 @@
 import { EventEmitter } from "node:events";
 import type { Kv, Pull, PullReceipt } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { LeaseKeeper } from "@cranetrack/core/store/leaseKeeper.js";
+import type { LeaseKeeper } from "@cranetrack/core/store/leaseKeepAlive.js";
 import type { Body, BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { OwnerKey } from "./ownerKey.js";
 import { SubscriptionKey } from "./subscriptionKey.js";
--- a/packages/edge/src/sessions/subscriptionKey.ts
+++ b/packages/edge/src/sessions/subscriptionKey.ts
@@ -1,4 +1,4 @@
-import { Places, type Place } from "../subscriptions/place.js";
+import { Places, type Place } from "../subscriptions/cursor.js";
 
 /** The keys of a session's subscriptions: each topic with the place from which it is owed. */
 export const SubscriptionKey = {
--- a/packages/edge/src/subscriptions/findStarts.ts
+++ b/packages/edge/src/subscriptions/findStarts.ts
@@ -1,8 +1,8 @@
 import { Grouped } from "@cranetrack/core/store/grouped.js";
 import type { TopicStart } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { Plans } from "@cranetrack/core/configuration/plan.js";
+import { Plans } from "@cranetrack/core/configuration/configuration.js";
 import type { StreamRoute } from "@cranetrack/core/configuration/streams.js";
-import { Places, type Place } from "./place.js";
+import { Places, type Place } from "./cursor.js";
 import type { TopicFault } from "../publishing/topicFault.js";
 import type { Session } from "../sessions/session.js";
 import type { StreamTail } from "../fanout/streamTail.js";
--- a/packages/edge/src/subscriptions/joinStreams.ts
+++ b/packages/edge/src/subscriptions/joinStreams.ts
@@ -1,5 +1,5 @@
 import { Grouped } from "@cranetrack/core/store/grouped.js";
-import type { ClientLink } from "../connections/clientLink.js";
+import type { ClientLink } from "../connections/clientConnection.js";
 import { StreamCursor } from "./streamCursor.js";
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
--- a/packages/edge/src/subscriptions/streamCursor.ts
+++ b/packages/edge/src/subscriptions/streamCursor.ts
@@ -1,11 +1,11 @@
 import type { StreamMessage } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { Plans, type Plan } from "@cranetrack/core/configuration/plan.js";
+import { Plans, type Plan } from "@cranetrack/core/configuration/configuration.js";
 import type { Beat, Clock } from "@cranetrack/core/runtime/clock.js";
 import { PublisherOrder } from "../fanout/publisherOrder.js";
-import { Places, type Place } from "./place.js";
+import { Places, type Place } from "./cursor.js";
 import type { StreamTable } from "../fanout/streamTable.js";
 import type { StreamTail } from "../fanout/streamTail.js";
-import type { ClientLink } from "../connections/clientLink.js";
+import type { ClientLink } from "../connections/clientConnection.js";
 
 interface CursorParts {
   table: StreamTable;
--- a/packages/edge/src/subscriptions/subscribeTopics.ts
+++ b/packages/edge/src/subscriptions/subscribeTopics.ts
@@ -1,8 +1,8 @@
-import { Plans } from "@cranetrack/core/configuration/plan.js";
-import type { ClientLink } from "../connections/clientLink.js";
+import { Plans } from "@cranetrack/core/configuration/configuration.js";
+import type { ClientLink } from "../connections/clientConnection.js";
 import type { StreamCursor } from "./streamCursor.js";
 import { OwnerKey } from "../sessions/ownerKey.js";
-import { Places } from "./place.js";
+import { Places } from "./cursor.js";
 import { SubscriptionKey } from "../sessions/subscriptionKey.js";
 import type { TopicFault } from "../publishing/topicFault.js";
 import type { Session } from "../sessions/session.js";
--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -2,7 +2,7 @@
 import type { ShardSet } from "@cranetrack/core/feeds/shardSet.js";
 import { RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { Holder } from "../shards/holder.js";
+import type { Holder } from "../shards/shardLeader.js";
 import type { Newcomers } from "./newcomers.js";
 import { Placement, type Location } from "./placement.js";
 
--- a/packages/log-storage/src/repair/replicaRepair.ts
+++ b/packages/log-storage/src/repair/replicaRepair.ts
@@ -1,8 +1,8 @@
-import { HolderKey } from "@cranetrack/core/keys/holderKey.js";
+import { HolderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import type { ShardSet } from "@cranetrack/core/feeds/shardSet.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { Holder } from "../shards/holder.js";
+import type { Holder } from "../shards/shardLeader.js";
 import type { Replica } from "../replication/replica.js";
 import type { Newcomers } from "./newcomers.js";
 import { ReplicaChoice, type ReplicaChange } from "./replicaChoice.js";
--- a/packages/log-storage/src/shards/claims.ts
+++ b/packages/log-storage/src/shards/shardLeadership.ts
@@ -1,11 +1,11 @@
 import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import { HolderKey } from "@cranetrack/core/keys/holderKey.js";
+import { HolderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import type { ShardSet } from "@cranetrack/core/feeds/shardSet.js";
-import type { LeaseKeeper } from "@cranetrack/core/store/leaseKeeper.js";
+import type { LeaseKeeper } from "@cranetrack/core/store/leaseKeepAlive.js";
 import { ShardService } from "./shardService.js";
-import { Holder } from "./holder.js";
+import { Holder } from "./shardLeader.js";
 import { Newcomers } from "../repair/newcomers.js";
 import { ReplicaRepair } from "../repair/replicaRepair.js";
 import { CommitNotices } from "../replication/commitNotices.js";
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -12,7 +12,7 @@
   type StartAsk,
   type TrimStreamSchema,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { Plans, type Owe, type Plan } from "@cranetrack/core/configuration/plan.js";
+import { Plans, type Owe, type Plan } from "@cranetrack/core/configuration/configuration.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
@@ -23,7 +23,7 @@
 import { StreamLog, type Verdict } from "./streamLog.js";
 import { fetchFrom } from "../follows/fetchFrom.js";
 import { Follows } from "../follows/follows.js";
-import type { Holder } from "./holder.js";
+import type { Holder } from "./shardLeader.js";
 import { MemoryStreams } from "./memoryStreams.js";
 import type { PushTurn } from "../follows/pushTurn.js";
 import type { Replica } from "../replication/replica.js";
--- a/packages/log-storage/src/shards/streamStandings.ts
+++ b/packages/log-storage/src/shards/streamStandings.ts
@@ -1,5 +1,5 @@
 import { keepsNothing } from "@cranetrack/core/configuration/keepsNothing.js";
-import { Plans } from "@cranetrack/core/configuration/plan.js";
+import { Plans } from "@cranetrack/core/configuration/configuration.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
--- a/packages/testkit/src/checker/checker.ts
+++ b/packages/testkit/src/checker/checker.ts
@@ -1,7 +1,7 @@
-import { Plans, type Owe } from "@cranetrack/core/configuration/plan.js";
+import { Plans, type Owe } from "@cranetrack/core/configuration/configuration.js";
 import type { Seen } from "./history.js";
 import { OrderGraph } from "./orderGraph.js";
-import { PlanHistory } from "./planHistory.js";
+import { PlanHistory } from "./configurationHistory.js";
 
 export interface Breach {
   rule: string;
--- a/packages/testkit/src/checker/planHistory.ts
+++ b/packages/testkit/src/checker/configurationHistory.ts
@@ -1,5 +1,5 @@
-import { Plans, type Owe, type Plan } from "@cranetrack/core/configuration/plan.js";
-import { PlanSchema } from "@cranetrack/core/configuration/planSchema.js";
+import { Plans, type Owe, type Plan } from "@cranetrack/core/configuration/configuration.js";
+import { PlanSchema } from "@cranetrack/core/configuration/configurationSchema.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 import type { Seen } from "./history.js";
 
--- a/packages/testkit/src/fleet/deployments.ts
+++ b/packages/testkit/src/fleet/deployments.ts
@@ -1,5 +1,5 @@
 import type { Settings } from "@cranetrack/core/runtime/settings.js";
-import type { Plan } from "@cranetrack/core/configuration/plan.js";
+import type { Plan } from "@cranetrack/core/configuration/configuration.js";
 
 export interface Machine {
   name: string;
--- a/packages/testkit/src/fleet/fleet.test.ts
+++ b/packages/testkit/src/fleet/fleet.test.ts
@@ -195,7 +195,7 @@
   "spanner: status, plans, rollouts and runbooks against a fleet, with exit codes that say " + "what happened",
   async () => {
     const spanner = (...args: string[]): Promise<Ran> =>
-      run("spanner", ...args, "--node", `127.0.0.1:9,${fleet.httpOf("anvil-1")}`);
+      run("cranetrackctl", ...args, "--node", `127.0.0.1:9,${fleet.httpOf("anvil-1")}`);
     const status = await spanner("status");
     expect([status.status, status.out.includes("lathe-3"), status.out.includes("holds")]).toEqual([0, true, true]);
     const plan = join(folder, "plan.json");
--- a/packages/testkit/src/fleet/programOf.ts
+++ b/packages/testkit/src/fleet/programOf.ts
@@ -1,15 +1,15 @@
 import { fileURLToPath } from "node:url";
 
-/** The package that carries each role's program; the programs keep their names. */
-const packages: Record<string, string> = {
-  lathe: "control",
-  anvil: "log-storage",
-  vise: "edge",
-  spanner: "cli",
-  jig: "testkit",
+/** Where the program of each role is built, and of the command line and this test kit. */
+const programs: Record<string, string> = {
+  lathe: "control/cranetrack-control",
+  anvil: "log-storage/cranetrack-storage",
+  vise: "edge/cranetrack-edge",
+  cranetrackctl: "cli/cranetrackctl",
+  "cranetrack-lab": "testkit/cranetrack-lab",
 };
 
-/** The built program of a role, as a path that node can run. */
+/** The built program of a role (or tool), as a path that node can run. */
 export function programOf(role: string): string {
-  return fileURLToPath(import.meta.resolve(`@cranetrack/${packages[role] ?? role}/${role}.js`));
+  return fileURLToPath(import.meta.resolve(`@cranetrack/${programs[role] ?? role}.js`));
 }
--- a/packages/testkit/src/fleet/soakOperators.ts
+++ b/packages/testkit/src/fleet/soakOperators.ts
@@ -1,5 +1,5 @@
 import type { AcceptedChange, ConfigurationRead } from "../checker/configurationReads.js";
-import type { Plan } from "@cranetrack/core/configuration/plan.js";
+import type { Plan } from "@cranetrack/core/configuration/configuration.js";
 import type { History } from "../checker/history.js";
 import type { SimRandom } from "../sim/simRandom.js";
 import { Deployments } from "./deployments.js";
--- a/packages/testkit/src/sabotage/configurationSabotages.ts
+++ b/packages/testkit/src/sabotage/configurationSabotages.ts
@@ -97,9 +97,9 @@
   },
   {
     name: "an edge takes every plan for the one that it read last",
-    file: "edge/dist/publishing/planCheck.js",
+    file: "edge/dist/publishing/configurationCheck.js",
     find: "this.#latest?.revision === revision",
     put: "this.#latest !== undefined",
-    test: "edge/dist/publishing/planCheck.test.js",
+    test: "edge/dist/publishing/configurationCheck.test.js",
   },
 ];
--- a/packages/testkit/src/sabotage/incidentSabotages.ts
+++ b/packages/testkit/src/sabotage/incidentSabotages.ts
@@ -42,17 +42,17 @@
   },
   {
     name: "a read older than what was seen is believed",
-    file: "core/dist/configuration/configurationWitness.js",
+    file: "core/dist/configuration/configurationVerifier.js",
     find: "if (revision < bound)",
     put: "if (false)",
     test: "core/dist/runtime/invariantMonitor.test.js",
   },
   {
     name: "a configuration that goes back is not counted",
-    file: "core/dist/configuration/planView.js",
+    file: "core/dist/configuration/configurationView.js",
     find: "if (next.plan.mark < this.mark)",
     put: "if (false)",
-    test: "core/dist/configuration/plan.test.js",
+    test: "core/dist/configuration/configuration.test.js",
   },
   {
     name: "entries that diverge from committed ones are not counted",
--- a/packages/testkit/src/sabotage/logSabotages.ts
+++ b/packages/testkit/src/sabotage/logSabotages.ts
@@ -172,17 +172,17 @@
   },
   {
     name: "the archive of plans grows for ever",
-    file: "control/dist/configuration/planArchive.js",
+    file: "control/dist/configuration/configurationArchive.js",
     find: "await this.#turnWhenFull();",
     put: "",
-    test: "control/dist/configuration/planArchive.test.js",
+    test: "control/dist/configuration/configurationArchive.test.js",
   },
   {
     name: "any number of plans wait for the archive",
-    file: "control/dist/configuration/planArchive.js",
+    file: "control/dist/configuration/configurationArchive.js",
     find: "if (this.#waiting.length > _a.mostWaiting)",
     put: "if (false)",
-    test: "control/dist/configuration/planArchive.test.js",
+    test: "control/dist/configuration/configurationArchive.test.js",
   },
   {
     name: "a compaction without room stops all writes",
--- a/packages/testkit/src/sabotage/repairSabotages.ts
+++ b/packages/testkit/src/sabotage/repairSabotages.ts
@@ -55,7 +55,7 @@
   },
   {
     name: "a plan may ask for more losses than replicas survive",
-    file: "control/dist/configuration/planCapacity.js",
+    file: "control/dist/configuration/configurationCapacity.js",
     find: "if (replicas < needed)",
     put: "if (false)",
     test: `${sim}/planCapacity.test.js`,
--- a/packages/testkit/src/sim/catchUp.ts
+++ b/packages/testkit/src/sim/catchUp.ts
@@ -1,11 +1,11 @@
 import { createCipheriv } from "node:crypto";
-import { putPlan } from "@cranetrack/control/configuration/putPlan.js";
+import { putPlan } from "@cranetrack/control/configuration/proposeConfiguration.js";
 import type { RaftNode } from "@cranetrack/control/consensus/raftNode.js";
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
-import { SimPlans, type SimSpaces } from "./simPlans.js";
+import { SimPlans, type SimSpaces } from "./simConfigurations.js";
 
 /** How a member of the metadata store comes back: with its disk, with an empty one, or as another machine. */
 export type Comeback = "restarted" | "blank" | "new";
--- a/packages/testkit/src/sim/planCapacity.test.ts
+++ b/packages/testkit/src/sim/configurationCapacity.test.ts
@@ -5,7 +5,7 @@
 import { served } from "./hand.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
-import { SimPlans } from "./simPlans.js";
+import { SimPlans } from "./simConfigurations.js";
 
 /** So many machines with a disk: lathes that store topic logs too. */
 const machines = (disks: number, replicas = 3): Machine[] =>
--- a/packages/testkit/src/sim/connections.test.ts
+++ b/packages/testkit/src/sim/connections.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
-import type { ClientLink } from "@cranetrack/edge/connections/clientLink.js";
-import type { Connection } from "@cranetrack/edge/connections/connections.js";
-import { EdgeConnections } from "@cranetrack/edge/connections/edgeConnections.js";
+import type { ClientLink } from "@cranetrack/edge/connections/clientConnection.js";
+import type { Connection } from "@cranetrack/edge/connections/clientEndpoint.js";
+import { EdgeConnections } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
 import { expect } from "earl";
 import { served } from "./hand.js";
 import type { SimFleet } from "./simFleet.js";
--- a/packages/testkit/src/sim/faultActs.ts
+++ b/packages/testkit/src/sim/faultActs.ts
@@ -1,7 +1,7 @@
 import type { SimRandom } from "./simRandom.js";
 import type { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
-import { SimPlans } from "./simPlans.js";
+import { SimPlans } from "./simConfigurations.js";
 
 type Act = (name: string, ms: number) => number;
 
--- a/packages/testkit/src/sim/freshness.test.ts
+++ b/packages/testkit/src/sim/freshness.test.ts
@@ -6,7 +6,7 @@
 import { expect } from "earl";
 import { served } from "./hand.js";
 import type { SimFleet } from "./simFleet.js";
-import { SimPlans } from "./simPlans.js";
+import { SimPlans } from "./simConfigurations.js";
 import { accepted, actingOnOld, boundMs } from "./staleNodes.js";
 
 const inForceAt = (fleet: SimFleet, name: string): number => {
--- a/packages/testkit/src/sim/hand.ts
+++ b/packages/testkit/src/sim/hand.ts
@@ -2,7 +2,7 @@
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
-import { SimPlans } from "./simPlans.js";
+import { SimPlans } from "./simConfigurations.js";
 
 export type Line = Record<string, unknown>;
 
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -1,10 +1,10 @@
 import { test } from "node:test";
-import type { Connection, Published } from "@cranetrack/edge/connections/connections.js";
-import { EdgeConnections } from "@cranetrack/edge/connections/edgeConnections.js";
+import type { Connection, Published } from "@cranetrack/edge/connections/clientEndpoint.js";
+import { EdgeConnections } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
 import { expect } from "earl";
 import { Hand, served, type Served } from "./hand.js";
 import type { SimFleet } from "./simFleet.js";
-import { SimPlans } from "./simPlans.js";
+import { SimPlans } from "./simConfigurations.js";
 
 async function settled<T>(fleet: SimFleet, call: Promise<T>): Promise<T> {
   let answer: { value: T } | undefined;
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { MemoryStreams } from "@cranetrack/log-storage/shards/memoryStreams.js";
 import type { ShardService } from "@cranetrack/log-storage/shards/shardService.js";
-import type { Holder } from "@cranetrack/log-storage/shards/holder.js";
+import type { Holder } from "@cranetrack/log-storage/shards/shardLeader.js";
 import type { PublishReceipt } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Wire, type Body } from "@cranetrack/core/rpc/wire.js";
 import { countTopic, type Count } from "@cranetrack/edge/fanout/countTopic.js";
--- a/packages/testkit/src/sim/orderActs.ts
+++ b/packages/testkit/src/sim/orderActs.ts
@@ -1,6 +1,6 @@
 import { Acts, type Act } from "./acts.js";
 import { SimLoad } from "./simLoad.js";
-import { SimPlans } from "./simPlans.js";
+import { SimPlans } from "./simConfigurations.js";
 import type { GivenAnswer } from "./simPort.js";
 
 /** What befalls operators' orders, and machines just after they acknowledged something. */
--- a/packages/testkit/src/sim/replicaSets.test.ts
+++ b/packages/testkit/src/sim/replicaSets.test.ts
@@ -6,7 +6,7 @@
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
-import { SimPlans } from "./simPlans.js";
+import { SimPlans } from "./simConfigurations.js";
 
 const founders = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"] as const;
 
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -1,12 +1,12 @@
-import { Plans, type Plan } from "@cranetrack/core/configuration/plan.js";
-import { PlanSchema } from "@cranetrack/core/configuration/planSchema.js";
+import { Plans, type Plan } from "@cranetrack/core/configuration/configuration.js";
+import { PlanSchema } from "@cranetrack/core/configuration/configurationSchema.js";
 import { SimClock } from "./simClock.js";
 import type { SimFleet } from "./simFleet.js";
 import { SimRandom } from "./simRandom.js";
 import { Caller } from "../callers/caller.js";
 import { PassingCallers } from "../callers/passingCallers.js";
 import { Probe } from "../fleet/probe.js";
-import { SimPlans } from "./simPlans.js";
+import { SimPlans } from "./simConfigurations.js";
 import { History } from "../checker/history.js";
 
 /** Callers and operators against a simulated fleet. */
--- a/packages/testkit/src/sim/simNode.ts
+++ b/packages/testkit/src/sim/simNode.ts
@@ -1,5 +1,5 @@
 // Loaded before the world runs: what a node loads late would take real time there.
-import "@cranetrack/core/configuration/planSchema.js";
+import "@cranetrack/core/configuration/configurationSchema.js";
 import { StorageNode } from "@cranetrack/log-storage/storageNode.js";
 import { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
--- a/packages/testkit/src/sim/simOperator.ts
+++ b/packages/testkit/src/sim/simOperator.ts
@@ -1,4 +1,4 @@
-import { putPlan } from "@cranetrack/control/configuration/putPlan.js";
+import { putPlan } from "@cranetrack/control/configuration/proposeConfiguration.js";
 import { readDocument } from "@cranetrack/control/configuration/readDocument.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -1,4 +1,4 @@
-import type { ClientLink } from "@cranetrack/edge/connections/clientLink.js";
+import type { ClientLink } from "@cranetrack/edge/connections/clientConnection.js";
 import type { CallerPort, PortLink, PortReceipt } from "../callers/callerPort.js";
 import type { SimNode } from "./simNode.js";
 import type { SimWorld } from "./simWorld.js";
--- a/packages/testkit/src/sim/store.test.ts
+++ b/packages/testkit/src/sim/store.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
 import { Wire } from "@cranetrack/core/rpc/wire.js";
-import { putPlan } from "@cranetrack/control/configuration/putPlan.js";
+import { putPlan } from "@cranetrack/control/configuration/proposeConfiguration.js";
 import { readDocument } from "@cranetrack/control/configuration/readDocument.js";
 import { expect } from "earl";
 import { Scenario } from "./scenario.js";
--- a/packages/testkit/src/slopes/nodeSlopes.ts
+++ b/packages/testkit/src/slopes/nodeSlopes.ts
@@ -1,7 +1,7 @@
 import { create, toBinary } from "@bufbuild/protobuf";
 import { KvSchema, MemberSchema, type Member } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { HolderKey } from "@cranetrack/core/keys/holderKey.js";
-import { PlanReader } from "@cranetrack/core/configuration/planReader.js";
+import { HolderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
+import { PlanReader } from "@cranetrack/core/configuration/configurationReader.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import { ShardsView } from "@cranetrack/core/feeds/shardsView.js";
 import type { Change } from "@cranetrack/core/feeds/feedFollower.js";
--- a/packages/testkit/src/slopes/slopeRecord.ts
+++ b/packages/testkit/src/slopes/slopeRecord.ts
@@ -5,7 +5,7 @@
 import { slopeRuns, type SlopeRun } from "./slopeRuns.js";
 
 const path = fileURLToPath(new URL("../../slopes.json", import.meta.url));
-const jig = fileURLToPath(new URL("../jig.js", import.meta.url));
+const jig = fileURLToPath(new URL("../cranetrack-lab.js", import.meta.url));
 
 /** The one file that the capacity page's figures come from. */
 export const SlopeRecord = {
