--- a/packages/cli/src/cli.ts
+++ b/packages/cli/src/cli.ts
@@ -1,6 +1,6 @@
 import { cac, type CAC } from "cac";
 import { runbooks } from "./runbooks/runbooks.js";
-import { FleetClient, type FleetReceipt } from "./fleetClient.js";
+import { FleetClient, type FleetReply } from "./fleetClient.js";
 import { RunbookRunner } from "./runbooks/runbookRunner.js";
 import { StatusText } from "./statusText.js";
 
@@ -82,29 +82,29 @@
 
   async #call(
     options: Options,
-    ask: (client: FleetClient) => Promise<FleetReceipt>,
+    ask: (client: FleetClient) => Promise<FleetReply>,
     text: (body: Record<string, unknown>, raw: string) => string,
   ): Promise<number> {
     const client = this.#client(options);
-    const receipt = await ask(client);
+    const reply = await ask(client);
     await client.close();
-    if (receipt.status === 200) {
-      this.#out.write(options.json === true ? `${receipt.text}\n` : text(receipt.body, receipt.text));
+    if (reply.status === 200) {
+      this.#out.write(options.json === true ? `${reply.text}\n` : text(reply.body, reply.text));
       return Cli.exits.done;
     }
-    return this.#refuse(receipt, options);
+    return this.#refuse(reply, options);
   }
 
-  #refuse(receipt: FleetReceipt, options: Options): number {
-    const fault = receipt.body["error"] as
+  #refuse(reply: FleetReply, options: Options): number {
+    const fault = reply.body["error"] as
       { code: string; message: string; problems?: Array<{ path: string; problem: string }> } | undefined;
-    if (options.json === true) this.#err.write(`${receipt.text || JSON.stringify(receipt.body)}\n`);
+    if (options.json === true) this.#err.write(`${reply.text || JSON.stringify(reply.body)}\n`);
     else {
-      this.#err.write(`spanner: ${fault?.message ?? receipt.text} (${fault?.code ?? receipt.status})\n`);
+      this.#err.write(`spanner: ${fault?.message ?? reply.text} (${fault?.code ?? reply.status})\n`);
       for (const { path, problem } of fault?.problems ?? []) this.#err.write(`  ${path}: ${problem}\n`);
-      if (receipt.comeBack !== undefined) this.#err.write(`  come back in ${receipt.comeBack} s\n`);
+      if (reply.comeBack !== undefined) this.#err.write(`  come back in ${reply.comeBack} s\n`);
     }
-    return receipt.status === 0 || receipt.status >= 500 ? Cli.exits.away : Cli.exits.refused;
+    return reply.status === 0 || reply.status >= 500 ? Cli.exits.away : Cli.exits.refused;
   }
 
   async #plan(action: string, file: string | undefined, options: Options): Promise<number> {
--- a/packages/cli/src/fleetChecks.ts
+++ b/packages/cli/src/fleetChecks.ts
@@ -14,8 +14,8 @@
 }
 
 async function status(context: RunbookContext): Promise<{ members: MemberState[]; shards: ShardState[] } | undefined> {
-  const receipt = await context.client.call("GET", "/v1/status");
-  return receipt.status === 200 ? (receipt.body as { members: MemberState[]; shards: ShardState[] }) : undefined;
+  const reply = await context.client.call("GET", "/v1/status");
+  return reply.status === 200 ? (reply.body as { members: MemberState[]; shards: ShardState[] }) : undefined;
 }
 
 /** What runbooks ask of a fleet. Each answers undefined where all is well. */
@@ -52,11 +52,11 @@
   }) satisfies Check,
 
   planTakenUp: (async (context) => {
-    const receipt = await context.client.call("GET", "/v1/plan/rollout");
-    if (receipt.status === 404) return undefined;
-    if (receipt.status !== 200) return "the rollout cannot be read";
+    const reply = await context.client.call("GET", "/v1/plan/rollout");
+    if (reply.status === 404) return undefined;
+    if (reply.status !== 200) return "the rollout cannot be read";
     const late = (
-      receipt.body["nodes"] as Array<{ name: string; hasTakenUp: boolean; isAlive: boolean; why?: string }>
+      reply.body["nodes"] as Array<{ name: string; hasTakenUp: boolean; isAlive: boolean; why?: string }>
     ).filter((node) => node.isAlive && !node.hasTakenUp);
     return late.length === 0 ? undefined : late.map((node) => `${node.name} ${node.why ?? "is behind"}`).join(", ");
   }) satisfies Check,
@@ -98,9 +98,9 @@
   }) satisfies Check,
 
   isEmpty: (async (context) => {
-    const receipt = await context.client.call("GET", `/v1/machines/${context.args["machine"]}/emptying`);
-    if (receipt.status !== 200) return `progress cannot be read (${receipt.status})`;
-    return receipt.body["isEmpty"] === true ? undefined : `${String(receipt.body["shardsLeft"])} shards left`;
+    const reply = await context.client.call("GET", `/v1/machines/${context.args["machine"]}/emptying`);
+    if (reply.status !== 200) return `progress cannot be read (${reply.status})`;
+    return reply.body["isEmpty"] === true ? undefined : `${String(reply.body["shardsLeft"])} shards left`;
   }) satisfies Check,
 
   /** Every check in turn; the first that finds something says it. */
--- a/packages/cli/src/fleetClient.test.ts
+++ b/packages/cli/src/fleetClient.test.ts
@@ -28,11 +28,11 @@
     await new Promise<void>((resolve) => void server.listen(0, "127.0.0.1", () => resolve()));
   const [one, two] = servers.map((server) => `127.0.0.1:${(server.address() as AddressInfo).port}`);
   const client = new FleetClient([first === undefined ? nowhere : one!, two!]);
-  const receipt = await client.call(method, path, method === "GET" ? undefined : "{}");
+  const reply = await client.call(method, path, method === "GET" ? undefined : "{}");
   await client.close();
   for (const server of servers) server.close();
-  const fault = receipt.body["error"] as { code: string } | undefined;
-  return [receipt.status, fault?.code ?? "", counts];
+  const fault = reply.body["error"] as { code: string } | undefined;
+  return [reply.status, fault?.code ?? "", counts];
 }
 
 const drain = "/v1/machines/anvil-1/emptying";
--- a/packages/cli/src/fleetClient.ts
+++ b/packages/cli/src/fleetClient.ts
@@ -3,7 +3,7 @@
 import { RetryPolicy, type Method, type Unanswered } from "./retryPolicy.js";
 
 /** What the last node that was asked answered. */
-export interface FleetReceipt {
+export interface FleetReply {
   /** The HTTP status; 0 where no node answered. */
   status: number;
   text: string;
@@ -25,16 +25,11 @@
     return readFileSync(path === "-" ? 0 : path, "utf8");
   }
 
-  async call(
-    method: Method,
-    path: string,
-    body?: string,
-    nodes: readonly string[] = this.#nodes,
-  ): Promise<FleetReceipt> {
+  async call(method: Method, path: string, body?: string, nodes: readonly string[] = this.#nodes): Promise<FleetReply> {
     let last = FleetClient.#noAnswer("unreachable", `no node answers: ${nodes.join(", ")}`);
     for (const node of nodes) {
       const attempt = await this.#attempt(node, method, path, body);
-      if (attempt.kind === "answered") last = attempt.receipt;
+      if (attempt.kind === "answered") last = attempt.reply;
       if (RetryPolicy.mayGoOn(attempt, method, path)) continue;
       if (attempt.kind === "unknown")
         last = FleetClient.#noAnswer("unsure", `${node} may or may not have carried it out; look before you ask again`);
@@ -48,7 +43,7 @@
     method: Method,
     path: string,
     body: string | undefined,
-  ): Promise<Unanswered | { kind: "answered"; status: number; receipt: FleetReceipt }> {
+  ): Promise<Unanswered | { kind: "answered"; status: number; reply: FleetReply }> {
     try {
       const answer = await request(`http://${node}${path}`, {
         method,
@@ -59,13 +54,13 @@
       const text = await answer.body.text();
       const retryAfter = answer.headers["retry-after"];
       const comeBack = retryAfter === undefined ? undefined : Number(retryAfter);
-      return { kind: "answered", status, receipt: { status, text, body: FleetClient.#parse(text), comeBack } };
+      return { kind: "answered", status, reply: { status, text, body: FleetClient.#parse(text), comeBack } };
     } catch (error) {
       return RetryPolicy.unansweredFor(error);
     }
   }
 
-  static #noAnswer(code: string, message: string): FleetReceipt {
+  static #noAnswer(code: string, message: string): FleetReply {
     return { status: 0, text: "", body: { error: { code, message } }, comeBack: undefined };
   }
 
--- a/packages/cli/src/runbooks/runbooks.ts
+++ b/packages/cli/src/runbooks/runbooks.ts
@@ -10,9 +10,9 @@
   path: string,
   body?: string,
 ): Promise<string | undefined> {
-  const receipt = await context.client.call(method, path, body);
-  const fault = receipt.body["error"] as { message: string } | undefined;
-  return receipt.status === 200 ? undefined : `${receipt.status}: ${fault?.message ?? receipt.text}`;
+  const reply = await context.client.call(method, path, body);
+  const fault = reply.body["error"] as { message: string } | undefined;
+  return reply.status === 200 ? undefined : `${reply.status}: ${fault?.message ?? reply.text}`;
 }
 
 /** Waits for somebody's hands: the node named must leave and come back with a new start. */
--- a/packages/control/src/configuration/getRollout.ts
+++ b/packages/control/src/configuration/getRollout.ts
@@ -21,7 +21,7 @@
   );
   const newest = new Map<string, FeedState>();
   for (const body of asked) {
-    for (const feed of body?.case === "storeReceipt" ? body.value.feeds : []) {
+    for (const feed of body?.case === "storeReply" ? body.value.feeds : []) {
       const known = newest.get(feed.name);
       if (known === undefined || feed.age < known.age) newest.set(feed.name, feed);
     }
--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -25,15 +25,15 @@
   if (Math.max(body.length, document?.length ?? 0) > Plans.mostBytes)
     return ApiReplies.fault(413, "too-large", `a plan and its document may have ${Plans.mostBytes} bytes each`);
   const json = JsonBody.read(body);
-  if ("receipt" in json) return json.receipt;
+  if ("reply" in json) return json.reply;
   const read = PlanSchema.read(json.value);
   const mark = "plan" in read ? read.plan.mark : PlanKey.markOf(body);
   // With a document the body is this node's translation, and its faults may be those of this node's settings.
   if ("faults" in read && (document === undefined || mark === 0)) return invalid(read.faults);
   const order = { version: mark, body, document };
   for (let tries = 0; tries < mostTries; tries += 1) {
-    const receipt = await tryOrder(node, order, read);
-    if (receipt !== "conflict") return receipt;
+    const reply = await tryOrder(node, order, read);
+    if (reply !== "conflict") return reply;
   }
   return ApiReplies.unsure("other plans came between; the same plan again settles it");
 }
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -4,7 +4,7 @@
   EntrySchema,
   MembersSchema,
   type Founded,
-  type FoundingAsk,
+  type FoundingRequest,
   type StoreMember,
   type Member,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
@@ -60,7 +60,7 @@
       kept === undefined
         ? { id: node.parts.chance.identity(), founding: "", agreed: "", members: [], mayFound }
         : (JSON.parse(Buffer.from(kept.value).toString()) as Identity);
-    node.exchange.serve("foundingAsk", (ask) => this.#agree(ask));
+    node.exchange.serve("foundingRequest", (ask) => this.#agree(ask));
     node.exchange.serve("founded", (founded) => this.#accept(founded));
   }
 
@@ -134,29 +134,29 @@
       this.#identity.agreed !== "" && JSON.stringify(this.#identity.members) === JSON.stringify(members)
         ? this.#identity.agreed
         : this.#node.parts.chance.identity();
-    const ask: BodyInit = { case: "foundingAsk", value: { founding, members } };
-    const own = await this.#agree({ founding, members: members as StoreMember[] } as FoundingAsk);
+    const ask: BodyInit = { case: "foundingRequest", value: { founding, members } };
+    const own = await this.#agree({ founding, members: members as StoreMember[] } as FoundingRequest);
     const others = members.filter((member) => member.id !== this.id);
-    const receipts = await Promise.all(others.map((member) => this.#node.exchange.call(member.name, ask, 1000)));
-    const refused = others.filter((_, i) => !(receipts[i]?.case === "foundingReceipt" && receipts[i].value.isAgreed));
+    const replies = await Promise.all(others.map((member) => this.#node.exchange.call(member.name, ask, 1000)));
+    const refused = others.filter((_, i) => !(replies[i]?.case === "foundingReply" && replies[i].value.isAgreed));
     this.missing =
       refused.length > 0 ? `founding waits: no agreement of ${refused.map((one) => one.name).join(", ")}` : "";
-    const isOwn = own.case === "foundingReceipt" && own.value.isAgreed === true;
+    const isOwn = own.case === "foundingReply" && own.value.isAgreed === true;
     if (refused.length > 0 || !isOwn || this.#identity.agreed !== founding) return;
     await this.#found(founding, members);
     for (const member of others)
       this.#node.exchange.tell(member.name, { case: "founded", value: { founding, members } });
   }
 
-  async #agree(ask: FoundingAsk): Promise<BodyInit> {
-    if (this.founding !== "") return { case: "foundingReceipt", value: { isAgreed: false, veto: this.founding } };
+  async #agree(ask: FoundingRequest): Promise<BodyInit> {
+    if (this.founding !== "") return { case: "foundingReply", value: { isAgreed: false, veto: this.founding } };
     const isMeant =
       this.#isReady &&
       this.#isFounder &&
       ask.members.length === this.#expected &&
       ask.members.some((one) => one.id === this.id) &&
       ask.members.every((one) => this.#isNamed(this.#node.membership.find(one.name)?.address));
-    if (!isMeant) return { case: "foundingReceipt", value: { isAgreed: false, veto: "" } };
+    if (!isMeant) return { case: "foundingReply", value: { isAgreed: false, veto: "" } };
     const before = this.#identity.agreed;
     this.#identity = {
       ...this.#identity,
@@ -165,7 +165,7 @@
     };
     if (before !== ask.founding) await this.#keep();
     return {
-      case: "foundingReceipt",
+      case: "foundingReply",
       value: { isAgreed: this.#identity.agreed === ask.founding && this.founding === "", veto: "" },
     };
   }
--- a/packages/control/src/consensus/ownMessages.ts
+++ b/packages/control/src/consensus/ownMessages.ts
@@ -8,8 +8,8 @@
   return {
     append: (append, from) => (append.receiver === id ? group.append(append, from) : undefined),
     snapshot: (snapshot, from) => (snapshot.receiver === id ? group.snapshot(snapshot, from) : undefined),
-    receipt: (receipt, from) => {
-      if (receipt.receiver === id && isTrusted(receipt.sender)) group.receipt(receipt, from);
+    onReply: (reply, from) => {
+      if (reply.receiver === id && isTrusted(reply.sender)) group.onReply(reply, from);
     },
   };
 }
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -1,5 +1,5 @@
 import { EventEmitter } from "node:events";
-import type { StoreMember, Members, Vote, VoteReceipt, Yield } from "@cranetrack/core/gen/cranetrack_pb.js";
+import type { StoreMember, Members, Vote, VoteReply, Yield } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { FollowerLog } from "@cranetrack/core/replication/followerLog.js";
 import { LogCompaction } from "@cranetrack/core/replication/logCompaction.js";
 import type { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
@@ -109,12 +109,12 @@
     this.#exchange.serve("vote", (vote, frame) =>
       parts.isTrusted(vote.candidate) ? this.#vote(vote, frame.from) : undefined,
     );
-    this.#exchange.serve("voteReceipt", (got) => (parts.isTrusted(got.voter) ? this.#count(got) : undefined));
+    this.#exchange.serve("voteReply", (got) => (parts.isTrusted(got.voter) ? this.#count(got) : undefined));
     this.#exchange.serve("yield", (yielded) => this.#succeed(yielded));
     const group: Group = {
       append: (append, from) => this.#take(append, from, () => this.#intake.take(append, this.#commit)),
       snapshot: (snapshot, from) => this.#take(snapshot, from, () => this.#intake.takeSnapshot(snapshot, this.#commit)),
-      receipt: (receipt) => this.#spread?.take(receipt),
+      onReply: (reply) => this.#spread?.take(reply),
     };
     parts.groups.enlist(this.#log.group, ownMessages(this.id, parts.isTrusted, group));
     this.#rearm();
@@ -260,21 +260,21 @@
     // Whoever lacks the entry that names the candidate answers it too: the candidate knows whose word counts.
     await this.#log.termSynced();
     this.#exchange.tell(from, {
-      case: "voteReceipt",
+      case: "voteReply",
       value: { term: isGranted ? vote.term : this.#log.term, isGranted, voter: this.id, isPre: vote.isPre },
     });
     return undefined;
   }
 
-  #count(receipt: VoteReceipt): undefined {
-    if (!Number.isSafeInteger(receipt.term) || !VoterSets.isVoter(this.members, receipt.voter)) return undefined;
-    if (!receipt.isGranted && receipt.term > this.#log.term && this.#spread === undefined) {
-      void this.#log.promise(receipt.term, "");
+  #count(reply: VoteReply): undefined {
+    if (!Number.isSafeInteger(reply.term) || !VoterSets.isVoter(this.members, reply.voter)) return undefined;
+    if (!reply.isGranted && reply.term > this.#log.term && this.#spread === undefined) {
+      void this.#log.promise(reply.term, "");
       // Nobody grants a term that is over: the next one is asked for at once.
       if (this.#asking !== 0) this.#ask(true);
     }
-    if (receipt.isGranted && this.#asking === receipt.term && receipt.isPre === this.#isPre) {
-      this.#votes.add(receipt.voter);
+    if (reply.isGranted && this.#asking === reply.term && reply.isPre === this.#isPre) {
+      this.#votes.add(reply.voter);
       this.#tally();
     }
     return undefined;
--- a/packages/control/src/membership/membershipStatus.ts
+++ b/packages/control/src/membership/membershipStatus.ts
@@ -28,7 +28,7 @@
     const join = { id, name: node.parts.settings.name };
     const call = { case: "join" as const, value: join };
     const body = await node.exchange.call(lathe, { case: "storeCall", value: { call } }, 1000);
-    return body?.case === "storeReceipt" ? body.value.outcome : "away";
+    return body?.case === "storeReply" ? body.value.outcome : "away";
   }
 
   async #beat(): Promise<void> {
--- a/packages/control/src/store/storeService.ts
+++ b/packages/control/src/store/storeService.ts
@@ -51,12 +51,12 @@
       return outcome === "done" ? revision : undefined;
     });
     node.exchange.serve("storeCall", async (call): Promise<BodyInit> => ({
-      case: "storeReceipt",
+      case: "storeReply",
       value: await this.run(call),
     }));
     node.exchange.serve("storeBatch", async ({ calls }): Promise<BodyInit> => ({
-      case: "storeBatchReceipt",
-      value: { receipts: await this.#runAll(calls) },
+      case: "storeBatchReply",
+      value: { replies: await this.#runAll(calls) },
     }));
     this.#memberChanges = new MemberChanges(node, ledger);
   }
@@ -152,19 +152,19 @@
   async #pass(calls: StoreCall[]): Promise<Outcome[]> {
     const all = (outcome: Outcome): Outcome[] => calls.map(() => outcome);
     const proposer = this.#ledger.leaderName;
-    if (calls.some((call) => call.isPassed) || proposer === "" || proposer === this.#node.exchange.name)
+    if (calls.some((call) => call.isForwarded) || proposer === "" || proposer === this.#node.exchange.name)
       return all({ outcome: "away", comeBack: 1, reason: "no proposer is known" });
     const kinds = new Set(calls.map((call) => call.call.case));
     const isRepeatable = calls.every((call) => mayRepeatStoreCall(call.call.case));
     const passed = this.#node.exchange.call(
       proposer,
-      { case: "storeBatch", value: { calls: calls.map(({ call }) => ({ call, isPassed: true })) } },
+      { case: "storeBatch", value: { calls: calls.map(({ call }) => ({ call, isForwarded: true })) } },
       kinds.has("renew") ? 800 : 450,
     );
     // What may be repeated may as well be asked of the next proposer, once there is one.
     const body = await (isRepeatable ? this.#unlessLed(passed) : passed);
     if (body === "led") return this.#runAll(calls);
-    if (body?.case === "storeBatchReceipt" && body.value.receipts.length === calls.length) return body.value.receipts;
+    if (body?.case === "storeBatchReply" && body.value.replies.length === calls.length) return body.value.replies;
     return all({ outcome: "unsure", comeBack: 0.5 });
   }
 
--- a/packages/core/src/http/bodyReader.ts
+++ b/packages/core/src/http/bodyReader.ts
@@ -4,13 +4,13 @@
 
 export const BodyReader = {
   /** The checked body, or the receipt that says what is wrong with it and where. */
-  read<T>(body: Uint8Array, shape: Type<T>): { value: T } | { receipt: ApiReply } {
+  read<T>(body: Uint8Array, shape: Type<T>): { value: T } | { reply: ApiReply } {
     const json = JsonBody.read(body);
-    if ("receipt" in json) return json;
+    if ("reply" in json) return json;
     const checked = shape(json.value) as unknown;
     if (checked instanceof type.errors) {
       const problems = [...checked].map((fault) => ({ path: fault.path.join("."), problem: fault.message }));
-      return { receipt: ApiReplies.fault(400, "malformed", problems[0]!.problem, { problems }) };
+      return { reply: ApiReplies.fault(400, "malformed", problems[0]!.problem, { problems }) };
     }
     return { value: checked as T };
   },
--- a/packages/core/src/http/httpServer.ts
+++ b/packages/core/src/http/httpServer.ts
@@ -24,8 +24,8 @@
       const path = request.url.split("?")[0]!;
       const body = (request.body as Uint8Array | undefined) ?? new Uint8Array();
       if (stream !== undefined && request.method === "POST" && stream.pattern.test(path)) {
-        const receipt = await stream.open(path, body, reply);
-        return receipt === undefined ? reply : HttpServer.#answer(reply, receipt);
+        const apiReply = await stream.open(path, body, reply);
+        return apiReply === undefined ? reply : HttpServer.#answer(reply, apiReply);
       }
       return HttpServer.#answer(reply, await router.run(request.method, path, body));
     });
@@ -39,12 +39,12 @@
   async close(): Promise<void> {
     await this.#app.close();
   }
-  static #answer(reply: FastifyReply, receipt: ApiReply): FastifyReply {
-    if (receipt.comeBack !== undefined)
-      void reply.header("Retry-After", String(Math.max(1, Math.ceil(receipt.comeBack))));
-    const type = typeof receipt.body === "string" ? "text/plain; charset=utf-8" : "application/json; charset=utf-8";
+  static #answer(reply: FastifyReply, apiReply: ApiReply): FastifyReply {
+    if (apiReply.comeBack !== undefined)
+      void reply.header("Retry-After", String(Math.max(1, Math.ceil(apiReply.comeBack))));
+    const type = typeof apiReply.body === "string" ? "text/plain; charset=utf-8" : "application/json; charset=utf-8";
     const bytes =
-      typeof receipt.body === "string" ? Buffer.from(receipt.body) : Buffer.from(Router.encode(receipt.body));
-    return reply.code(receipt.status).header("Content-Type", type).send(bytes);
+      typeof apiReply.body === "string" ? Buffer.from(apiReply.body) : Buffer.from(Router.encode(apiReply.body));
+    return reply.code(apiReply.status).header("Content-Type", type).send(bytes);
   }
 }
--- a/packages/core/src/http/jsonBody.ts
+++ b/packages/core/src/http/jsonBody.ts
@@ -2,11 +2,11 @@
 
 export const JsonBody = {
   /** Whatever JSON the body is, or the receipt that says that it is none. */
-  read(body: Uint8Array): { value: unknown } | { receipt: ApiReply } {
+  read(body: Uint8Array): { value: unknown } | { reply: ApiReply } {
     try {
       return { value: JSON.parse(new TextDecoder("utf8", { fatal: true }).decode(body)) as unknown };
     } catch (cause) {
-      return { receipt: ApiReplies.fault(400, "malformed", `the body is not JSON: ${(cause as Error).message}`) };
+      return { reply: ApiReplies.fault(400, "malformed", `the body is not JSON: ${(cause as Error).message}`) };
     }
   },
 };
--- a/packages/core/src/http/router.ts
+++ b/packages/core/src/http/router.ts
@@ -10,7 +10,7 @@
   path: string;
   params: string[];
   body: Uint8Array;
-  isPassed: boolean;
+  isForwarded: boolean;
 }
 export type Operation = (call: ApiCall) => Promise<ApiReply> | ApiReply;
 interface Route {
@@ -26,7 +26,7 @@
   static readonly mostBody = 1_200_000;
   /** Of a plan; a little more than it may have, so that one beyond its bound is told what that is. */
   static readonly mostPlanBody = Plans.mostBytes + 200_000;
-  static readonly passDue = 2500;
+  static readonly forwardDue = 2500;
 
   readonly #node: ClusterNode;
   readonly #routes: Route[] = [];
@@ -38,11 +38,11 @@
 
   constructor(node: ClusterNode) {
     this.#node = node;
-    node.exchange.serve("pass", async (pass): Promise<BodyInit> => {
-      const receipt = await this.run(pass.method, pass.path, pass.body, true);
+    node.exchange.serve("forward", async (pass): Promise<BodyInit> => {
+      const reply = await this.run(pass.method, pass.path, pass.body, true);
       return {
-        case: "passReceipt",
-        value: { status: receipt.status, body: Router.encode(receipt.body), comeBack: receipt.comeBack ?? 0 },
+        case: "forwardReply",
+        value: { status: reply.status, body: Router.encode(reply.body), comeBack: reply.comeBack ?? 0 },
       };
     });
   }
@@ -55,16 +55,16 @@
     this.#routes.push({ method, pattern, run });
   }
 
-  async run(method: string, path: string, body: Uint8Array, isPassed = false): Promise<ApiReply> {
+  async run(method: string, path: string, body: Uint8Array, isForwarded = false): Promise<ApiReply> {
     const most = path === "/v1/plan" ? Router.mostPlanBody : Router.mostBody;
     if (body.length > most) return ApiReplies.fault(413, "too-large", `a body may have ${most} bytes`);
     const matching = this.#routes.filter((route) => route.pattern.test(path));
     const route = matching.find((one) => one.method === method);
     if (route !== undefined)
-      return route.run({ method, path, body, isPassed, params: Router.#params(route.pattern, path) });
+      return route.run({ method, path, body, isForwarded, params: Router.#params(route.pattern, path) });
     if (matching.length > 0) return ApiReplies.fault(405, "method-not-allowed", `${method} is not for ${path}`);
     const role = this.#elsewhere.find((one) => one.pattern.test(path))?.role;
-    if (role === undefined || role === this.#node.parts.settings.role || isPassed)
+    if (role === undefined || role === this.#node.parts.settings.role || isForwarded)
       return ApiReplies.fault(404, "unknown-path", `there is no ${path}`);
     return this.#passToRole(role, { method, path, body });
   }
@@ -76,26 +76,26 @@
     const ranked = Rendezvous.rank(exchange.name, alive);
     const heard = ranked.filter((name) => !exchange.isMute(name));
     for (const name of [...new Set([...heard, ...ranked])].slice(0, 2)) {
-      const receipt = await this.passTo(name, call.method, call.path, call.body);
-      if (receipt !== undefined) return receipt;
-      if (!mayRepeat({ case: "pass", value: call }))
+      const reply = await this.forwardTo(name, call.method, call.path, call.body);
+      if (reply !== undefined) return reply;
+      if (!mayRepeat({ case: "forward", value: call }))
         return ApiReplies.unsure(`${name} did not answer; the same call again settles it`);
     }
     return ApiReplies.away(`no ${role} answers`);
   }
 
-  async passTo(
+  async forwardTo(
     name: string,
     method: string,
     path: string,
     body: Uint8Array,
-    due = Router.passDue,
+    due = Router.forwardDue,
   ): Promise<ApiReply | undefined> {
-    const pass: CallInit = { case: "pass", value: { method, path, body } };
-    const receipt = await this.#node.exchange.call(name, pass, due);
-    if (receipt?.case !== "passReceipt") return undefined;
-    const { status, comeBack } = receipt.value;
-    return { status, body: receipt.value.body, comeBack: comeBack > 0 ? comeBack : undefined };
+    const pass: CallInit = { case: "forward", value: { method, path, body } };
+    const reply = await this.#node.exchange.call(name, pass, due);
+    if (reply?.case !== "forwardReply") return undefined;
+    const { status, comeBack } = reply.value;
+    return { status, body: reply.value.body, comeBack: comeBack > 0 ? comeBack : undefined };
   }
 
   static #params(pattern: RegExp, path: string): string[] {
--- a/packages/core/src/replication/followerLog.test.ts
+++ b/packages/core/src/replication/followerLog.test.ts
@@ -3,7 +3,7 @@
 import { create, type MessageInitShape } from "@bufbuild/protobuf";
 import { expect } from "earl";
 import {
-  AppendReceiptSchema,
+  AppendReplySchema,
   AppendSchema,
   EntrySchema,
   SnapshotSchema,
@@ -98,7 +98,7 @@
 function watch(answer: Promise<BodyInit>): { got: unknown } {
   const seen: { got: unknown } = { got: undefined };
   void answer.then((body) => {
-    if (body.case === "appendReceipt") seen.got = [body.value.isTaken, body.value.match, body.value.term];
+    if (body.case === "appendReply") seen.got = [body.value.isAccepted, body.value.match, body.value.term];
   });
   return seen;
 }
@@ -240,8 +240,8 @@
   });
   replicator.enlist([["a", "b", "c"]], []);
   for (now = 0; now < 5000; now += 500) replicator.beat();
-  const refusal = { group: "g", sender: "b", receiver: "a", term: 2, isTaken: false, match: 10, round: 0 };
-  replicator.take(create(AppendReceiptSchema, refusal));
+  const refusal = { group: "g", sender: "b", receiver: "a", term: 2, isAccepted: false, match: 10, round: 0 };
+  replicator.take(create(AppendReplySchema, refusal));
   expect(new Set(sent.map((body) => body.case))).toEqual(new Set(["append"]));
   const last = sent.at(-1)!;
   expect(last.case === "append" && [last.value.prevIndex, last.value.entries?.length]).toEqual([10, 10]);
--- a/packages/core/src/replication/followerLog.ts
+++ b/packages/core/src/replication/followerLog.ts
@@ -39,17 +39,17 @@
   }
 
   async take(append: Append, commit: number): Promise<BodyInit> {
-    if (append.term < this.#log.term || !FollowerLog.#isSane(append)) return this.#receipt(append, false, 0);
+    if (append.term < this.#log.term || !FollowerLog.#isSane(append)) return this.#replyTo(append, false, 0);
     this.#promise(append.term);
     if (this.#isConflicting(append, commit))
-      return this.#receipt(append, false, this.#conflictHint(append.prevIndex, commit));
+      return this.#replyTo(append, false, this.#conflictHint(append.prevIndex, commit));
     this.#assembly.drop();
     const match = append.prevIndex + append.entries.length;
     this.#agree(append.term, match);
     const synced = this.#log.agree(append.prevIndex, append.entries);
     this.#onCommit(Math.min(append.commit, match));
     await synced;
-    return this.#receipt(append, true, match);
+    return this.#replyTo(append, true, match);
   }
 
   /**
@@ -60,22 +60,22 @@
   async takeSnapshot(piece: Snapshot, commit: number): Promise<BodyInit> {
     const { term, index, indexTerm } = piece;
     const isSane = [term, index, indexTerm].every(FollowerLog.#isCount);
-    if (term < this.#log.term || !isSane) return this.#receipt(piece, false, 0);
+    if (term < this.#log.term || !isSane) return this.#replyTo(piece, false, 0);
     this.#promise(term);
     if (index <= commit || this.#log.termAt(index) === indexTerm) {
       this.#agree(term, index);
       this.#onCommit(index);
       await this.#log.syncedUpTo(index);
-      return this.#receipt(piece, true, index);
+      return this.#replyTo(piece, true, index);
     }
     const outcome = this.#assembly.take(piece);
-    if (outcome.kind !== "whole") return this.#receipt(piece, false, 0, outcome.received);
-    if (!this.#isReadable(outcome.state)) return this.#receipt(piece, false, 0);
+    if (outcome.kind !== "whole") return this.#replyTo(piece, false, 0, outcome.received);
+    if (!this.#isReadable(outcome.state)) return this.#replyTo(piece, false, 0);
     this.#agree(term, index);
     const installed = this.#log.install(index, indexTerm, outcome.state);
     this.#onSnapshot(index, outcome.state);
     await installed;
-    return this.#receipt(piece, true, index);
+    return this.#replyTo(piece, true, index);
   }
 
   /** The sender of a term has committed its log up to an index. */
@@ -132,21 +132,21 @@
   }
 
   /** Resolves once the term it names is synced; what was taken in an earlier term is not taken in that one. */
-  async #receipt(
+  async #replyTo(
     to: { group: string; term: number; round: number; sender: string; index?: number },
-    isTaken: boolean,
+    isAccepted: boolean,
     match: number,
     received = 0,
   ): Promise<BodyInit> {
     await this.#log.termSynced();
     return {
-      case: "appendReceipt",
+      case: "appendReply",
       value: {
         group: to.group,
         term: this.#log.term,
         sender: this.#self,
         receiver: to.sender,
-        isTaken: isTaken && to.term === this.#log.term,
+        isAccepted: isAccepted && to.term === this.#log.term,
         match,
         round: to.round,
         snapshotIndex: to.index ?? 0,
--- a/packages/core/src/replication/logGroups.ts
+++ b/packages/core/src/replication/logGroups.ts
@@ -1,11 +1,11 @@
-import type { Append, AppendReceipt, Snapshot } from "../gen/cranetrack_pb.js";
+import type { Append, AppendReply, Snapshot } from "../gen/cranetrack_pb.js";
 import type { RpcEndpoint } from "../rpc/rpcEndpoint.js";
 import type { BodyInit } from "../rpc/wire.js";
 
 export interface Group {
   append(append: Append, from: string): Promise<BodyInit | undefined> | undefined;
   snapshot(snapshot: Snapshot, from: string): Promise<BodyInit | undefined> | undefined;
-  receipt(receipt: AppendReceipt, from: string): void;
+  onReply(onReply: AppendReply, from: string): void;
 }
 
 /**
@@ -29,8 +29,8 @@
   constructor(exchange: RpcEndpoint) {
     exchange.serve("append", (append, frame) => this.#groups.get(append.group)?.append(append, frame.from));
     exchange.serve("snapshot", (snapshot, frame) => this.#groups.get(snapshot.group)?.snapshot(snapshot, frame.from));
-    exchange.serve("appendReceipt", (receipt, frame) => {
-      this.#groups.get(receipt.group)?.receipt(receipt, frame.from);
+    exchange.serve("appendReply", (onReply, frame) => {
+      this.#groups.get(onReply.group)?.onReply(onReply, frame.from);
       return undefined;
     });
   }
--- a/packages/core/src/replication/logReplicator.ts
+++ b/packages/core/src/replication/logReplicator.ts
@@ -1,5 +1,5 @@
 import { EventEmitter } from "node:events";
-import type { AppendReceipt } from "../gen/cranetrack_pb.js";
+import type { AppendReply } from "../gen/cranetrack_pb.js";
 import type { Clock } from "../runtime/clock.js";
 import type { BodyInit } from "../rpc/wire.js";
 import type { ReplicaLog } from "./replicaLog.js";
@@ -167,24 +167,24 @@
     });
   }
 
-  take(receipt: AppendReceipt): void {
-    const peer = this.#peers.get(receipt.sender);
-    if (peer === undefined || ![receipt.term, receipt.round, receipt.match].every(Number.isSafeInteger)) return;
-    if (receipt.term > this.#term) {
-      this.emit("deposed", receipt.term);
+  take(reply: AppendReply): void {
+    const peer = this.#peers.get(reply.sender);
+    if (peer === undefined || ![reply.term, reply.round, reply.match].every(Number.isSafeInteger)) return;
+    if (reply.term > this.#term) {
+      this.emit("deposed", reply.term);
       return;
     }
-    if (receipt.term !== this.#term || this.#isOver) return;
+    if (reply.term !== this.#term || this.#isOver) return;
     peer.heardAt = this.#clock.now();
-    this.#heedRound(peer, receipt.round);
-    if (!receipt.isTaken || receipt.match >= peer.awaited) peer.isWaiting = false;
+    this.#heedRound(peer, reply.round);
+    if (!reply.isAccepted || reply.match >= peer.awaited) peer.isWaiting = false;
     const before = peer.next;
-    const isPieceTaken = LogReplicator.#learn(peer, receipt);
+    const isPieceTaken = LogReplicator.#learn(peer, reply);
     this.#advance();
     this.#settleRounds();
     // A refusal that taught nothing new is not answered at once, or two nodes could keep each other busy for ever.
-    const hasMore = receipt.isTaken ? peer.next <= this.#log.lastIndex : isPieceTaken || peer.next !== before;
-    if (hasMore && !peer.isWaiting) this.#sendTo(receipt.sender, peer);
+    const hasMore = reply.isAccepted ? peer.next <= this.#log.lastIndex : isPieceTaken || peer.next !== before;
+    if (hasMore && !peer.isWaiting) this.#sendTo(reply.sender, peer);
   }
 
   #heedRound(peer: Peer, round: number): void {
@@ -195,15 +195,15 @@
   }
 
   /** Takes in what a reply says of a replica's log; true where the next piece of a snapshot may go. */
-  static #learn(peer: Peer, receipt: AppendReceipt): boolean {
-    if (receipt.isTaken) {
-      peer.match = Math.max(peer.match, receipt.match);
+  static #learn(peer: Peer, reply: AppendReply): boolean {
+    if (reply.isAccepted) {
+      peer.match = Math.max(peer.match, reply.match);
       peer.next = Math.max(peer.next, peer.match + 1);
       if (peer.transfer !== undefined && peer.match >= peer.transfer.image.index) peer.transfer = undefined;
       return false;
     }
-    if (peer.transfer !== undefined) return peer.transfer.acknowledge(receipt.snapshotIndex, receipt.received);
-    if (receipt.snapshotIndex === 0) peer.next = Math.max(peer.match + 1, Math.min(peer.next - 1, receipt.match + 1));
+    if (peer.transfer !== undefined) return peer.transfer.acknowledge(reply.snapshotIndex, reply.received);
+    if (reply.snapshotIndex === 0) peer.next = Math.max(peer.match + 1, Math.min(peer.next - 1, reply.match + 1));
     return false;
   }
 
--- a/packages/core/src/replication/replication.test.ts
+++ b/packages/core/src/replication/replication.test.ts
@@ -2,11 +2,11 @@
 import { create } from "@bufbuild/protobuf";
 import { expect } from "earl";
 import {
-  AppendReceiptSchema,
+  AppendReplySchema,
   AppendSchema,
   EntrySchema,
   type Append,
-  type AppendReceipt,
+  type AppendReply,
   type Entry,
 } from "../gen/cranetrack_pb.js";
 import type { BodyInit } from "../rpc/wire.js";
@@ -47,8 +47,8 @@
 const clock = { now: () => 0, once: () => ({ stop: () => undefined }), every: () => ({ stop: () => undefined }) };
 const entry = (index: number, term: number): Entry =>
   create(EntrySchema, { index, term, data: new Uint8Array([index]) });
-const receipt = (sender: string, match: number, term = 2): ReturnType<typeof create<typeof AppendReceiptSchema>> =>
-  create(AppendReceiptSchema, { group: "g", sender, receiver: "a", term, isTaken: true, match, round: 0 });
+const reply = (sender: string, match: number, term = 2): ReturnType<typeof create<typeof AppendReplySchema>> =>
+  create(AppendReplySchema, { group: "g", sender, receiver: "a", term, isAccepted: true, match, round: 0 });
 
 function spreadOver(log: ReplicaLog, term: number): LogReplicator {
   return new LogReplicator({ log, clock, self: "a", term, commit: 0, send: () => undefined });
@@ -60,7 +60,7 @@
   const spread = spreadOver(log, 2);
   spread.enlist([["a", "b", "c"]], []);
   void log.append([entry(1, 2)]).then(() => spread.kick());
-  spread.take(receipt("b", 1));
+  spread.take(reply("b", 1));
   expect(spread.commit).toEqual(0);
   await disk.sync();
   expect(spread.commit).toEqual(1);
@@ -73,12 +73,12 @@
   await disk.sync();
   const spread = spreadOver(log, 2);
   spread.enlist([["a", "b", "c"]], []);
-  spread.take(receipt("b", 1));
-  spread.take(receipt("c", 1));
+  spread.take(reply("b", 1));
+  spread.take(reply("c", 1));
   expect(spread.commit).toEqual(0);
   void log.append([entry(2, 2)]);
   await disk.sync();
-  spread.take(receipt("b", 2));
+  spread.take(reply("b", 2));
   expect(spread.commit).toEqual(2);
 });
 
@@ -95,9 +95,9 @@
   );
   void log.append([entry(1, 2)]);
   await disk.sync();
-  spread.take(receipt("c", 1));
+  spread.take(reply("c", 1));
   expect(spread.commit).toEqual(0);
-  spread.take(receipt("d", 1));
+  spread.take(reply("d", 1));
   expect(spread.commit).toEqual(1);
 });
 
@@ -113,7 +113,7 @@
   const append = (term: number, prevIndex: number, prevTerm: number, entries: Entry[]): Promise<unknown> =>
     intake
       .take(create(AppendSchema, { group: "g", term, sender: "a", receiver: "b", prevIndex, prevTerm, entries }), 0)
-      .then((body) => (body.case === "appendReceipt" ? [body.value.isTaken, body.value.match, body.value.term] : []));
+      .then((body) => (body.case === "appendReply" ? [body.value.isAccepted, body.value.match, body.value.term] : []));
   let answered: unknown;
   void append(2, 0, 0, [entry(1, 1), entry(2, 1)]).then((got) => (answered = got));
   await new Promise((resolve) => setImmediate(resolve));
@@ -159,7 +159,7 @@
         create(AppendSchema, { group: "g", term: 2, sender: "a", receiver: "b", ...wrong }),
         0,
       );
-      expect(body.case === "appendReceipt" && body.value.isTaken).toEqual(false);
+      expect(body.case === "appendReply" && body.value.isAccepted).toEqual(false);
     }
     expect([log.lastIndex, log.term]).toEqual([0, 0]);
   },
@@ -203,13 +203,13 @@
   void log.append([entry(1, 2)]).then(() => spread.kick());
   await disk.sync();
   expect(sent).toEqual(["b", "c"]);
-  spread.take(receipt("b", 1));
+  spread.take(reply("b", 1));
   expect(spread.commit).toEqual(1);
   // One has not heard of the commit, the other has not answered.
   expect(beatAt(100)).toEqual("b,c");
-  spread.take(receipt("b", 1));
+  spread.take(reply("b", 1));
   expect(beatAt(200)).toEqual("c");
-  spread.take(receipt("c", 1));
+  spread.take(reply("c", 1));
   expect(beatAt(300)).toEqual("");
   expect(beatAt(400)).toEqual("b");
   expect(beatAt(500)).toEqual("b,c");
@@ -225,11 +225,11 @@
   spread.beat();
   now = 400;
   expect(spread.answerMs).toEqual(400);
-  spread.take(receipt("b", 0));
+  spread.take(reply("b", 0));
   now = 500;
   expect(spread.answerMs).toEqual(400);
   spread.beat();
-  spread.take(receipt("c", 0));
+  spread.take(reply("c", 0));
   expect(spread.answerMs).toEqual(400);
 });
 
@@ -251,17 +251,17 @@
   spread.enlist([["a", "b", "c"]], []);
   void log.append([entry(1, 2)]).then(() => spread.kick());
   await disk.sync();
-  for (const id of ["b", "c"]) spread.take(receipt(id, 1));
+  for (const id of ["b", "c"]) spread.take(reply(id, 1));
   sent.length = 0;
   return { log, spread, sent, at: (ms) => (now = ms) };
 }
 
 /** What a replica answers that has synced up to an index, and no further for now. */
-const answersOf = (sent: readonly Append[], synced: number): AppendReceipt[] =>
+const answersOf = (sent: readonly Append[], synced: number): AppendReply[] =>
   sent
     .filter(({ prevIndex, entries }) => prevIndex + entries.length <= synced)
     .map(({ receiver, prevIndex, entries, round }) =>
-      create(AppendReceiptSchema, { ...receipt(receiver, prevIndex + entries.length), round }),
+      create(AppendReplySchema, { ...reply(receiver, prevIndex + entries.length), round }),
     );
 
 test("a read is confirmed by the others' word while their disks still write", async () => {
@@ -347,12 +347,12 @@
   void log.append([entry(1, 2)]).then(() => spread.kick());
   await disk.sync();
   expect(spread.untold()).toEqual([]);
-  spread.take(receipt("b", 1));
+  spread.take(reply("b", 1));
   expect(spread.untold()).toEqual(["b", "c"]);
   expect(spread.untold()).toEqual([]);
   void log.append([entry(2, 2)]).then(() => spread.kick());
   await disk.sync();
-  spread.take(receipt("b", 2));
+  spread.take(reply("b", 2));
   spread.beat();
   expect(spread.untold()).toEqual([]);
 });
--- a/packages/core/src/replication/snapshotPieces.test.ts
+++ b/packages/core/src/replication/snapshotPieces.test.ts
@@ -2,7 +2,7 @@
 import { crc32 } from "node:zlib";
 import { create } from "@bufbuild/protobuf";
 import { expect } from "earl";
-import { AppendReceiptSchema, AppendSchema, EntrySchema, SnapshotSchema, type Snapshot } from "../gen/cranetrack_pb.js";
+import { AppendReplySchema, AppendSchema, EntrySchema, SnapshotSchema, type Snapshot } from "../gen/cranetrack_pb.js";
 import type { BodyInit } from "../rpc/wire.js";
 import type { Disk } from "../storage/disk.js";
 import { FollowerLog } from "./followerLog.js";
@@ -98,7 +98,7 @@
       if (body.case === "append") answer = await this.follower.take(create(AppendSchema, body.value), this.commit);
       if (body.case === "snapshot")
         answer = await this.follower.takeSnapshot(create(SnapshotSchema, body.value), this.commit);
-      if (answer?.case === "appendReceipt") this.replicator.take(create(AppendReceiptSchema, answer.value));
+      if (answer?.case === "appendReply") this.replicator.take(create(AppendReplySchema, answer.value));
       await turn();
     }
   }
@@ -229,8 +229,8 @@
     const answers: unknown[] = [];
     for (const offset of [0, step, 2 * step]) {
       const body = await follower.takeSnapshot(pieceAt(offset), 0);
-      if (body.case === "appendReceipt")
-        answers.push([body.value.isTaken, body.value.match, body.value.received, log.lastIndex]);
+      if (body.case === "appendReply")
+        answers.push([body.value.isAccepted, body.value.match, body.value.received, log.lastIndex]);
     }
     const last = isReadable ? [true, 9, 0, 9] : [false, 0, 0, 1];
     expect(answers).toEqual([[false, 0, step, 1], [false, 0, 2 * step, 1], last]);
--- a/packages/core/src/rpc/callKinds.ts
+++ b/packages/core/src/rpc/callKinds.ts
@@ -22,40 +22,40 @@
 /** Every kind of frame. A new kind does not compile until it is judged here. */
 export const frameKinds = {
   ping: { kind: "call", replies: ["done", "fault"], repetition: changesNothing },
-  foundingAsk: {
+  foundingRequest: {
     kind: "call",
-    replies: ["foundingReceipt"],
+    replies: ["foundingReply"],
     repetition: repeatable("the founding's identity: the same agreement is kept again"),
   },
-  storeCall: { kind: "call", replies: ["storeReceipt"], repetition: { kind: "byContent" } },
-  storeBatch: { kind: "call", replies: ["storeBatchReceipt"], repetition: { kind: "byContent" } },
+  storeCall: { kind: "call", replies: ["storeReply"], repetition: { kind: "byContent" } },
+  storeBatch: { kind: "call", replies: ["storeBatchReply"], repetition: { kind: "byContent" } },
   pledge: {
     kind: "call",
-    replies: ["pledgeReceipt"],
+    replies: ["pledgeReply"],
     repetition: repeatable("the epoch, which only one holder has: the same promise is kept again"),
   },
-  shardPull: { kind: "call", replies: ["shardPullReceipt"], repetition: changesNothing },
+  shardPull: { kind: "call", replies: ["shardPullReply"], repetition: changesNothing },
   publish: {
     kind: "call",
-    replies: ["publishReceipt"],
+    replies: ["publishReply"],
     repetition: repeatable("session, topic and number: the log has each once and answers with its place"),
   },
   follow: {
     kind: "call",
-    replies: ["followReceipt"],
+    replies: ["followReply"],
     repetition: repeatable("the follow's identity and its serial: what is not newer is not heeded"),
   },
   followBeats: {
     kind: "call",
-    replies: ["followBeatsReceipt"],
+    replies: ["followBeatsReply"],
     repetition: repeatable("each beat's follow and serial: what is not newer is not heeded"),
   },
-  fetch: { kind: "call", replies: ["fetchReceipt"], repetition: changesNothing },
-  startAsk: { kind: "call", replies: ["startReceipt"], repetition: changesNothing },
-  countAsk: { kind: "call", replies: ["countReceipt"], repetition: changesNothing },
+  fetch: { kind: "call", replies: ["fetchReply"], repetition: changesNothing },
+  startRequest: { kind: "call", replies: ["startReply"], repetition: changesNothing },
+  countRequest: { kind: "call", replies: ["countReply"], repetition: changesNothing },
   pull: {
     kind: "call",
-    replies: ["pullReceipt"],
+    replies: ["pullReply"],
     repetition: repeatable(
       "the owner key's revision: what was shipped under it is kept and shipped again, then told as lost",
     ),
@@ -65,31 +65,31 @@
     replies: ["done", "fault"],
     repetition: repeatable("the feed's identity: opened again it begins anew"),
   },
-  pass: { kind: "call", replies: ["passReceipt"], repetition: { kind: "byContent" } },
+  forward: { kind: "call", replies: ["forwardReply"], repetition: { kind: "byContent" } },
 
   done: { kind: "reply" },
   fault: { kind: "reply" },
   otherLife: { kind: "reply" },
-  foundingReceipt: { kind: "reply" },
-  storeReceipt: { kind: "reply" },
-  storeBatchReceipt: { kind: "reply" },
-  pledgeReceipt: { kind: "reply" },
-  shardPullReceipt: { kind: "reply" },
-  publishReceipt: { kind: "reply" },
-  followReceipt: { kind: "reply" },
-  fetchReceipt: { kind: "reply" },
-  startReceipt: { kind: "reply" },
-  followBeatsReceipt: { kind: "reply" },
-  countReceipt: { kind: "reply" },
-  pullReceipt: { kind: "reply" },
-  passReceipt: { kind: "reply" },
+  foundingReply: { kind: "reply" },
+  storeReply: { kind: "reply" },
+  storeBatchReply: { kind: "reply" },
+  pledgeReply: { kind: "reply" },
+  shardPullReply: { kind: "reply" },
+  publishReply: { kind: "reply" },
+  followReply: { kind: "reply" },
+  fetchReply: { kind: "reply" },
+  startReply: { kind: "reply" },
+  followBeatsReply: { kind: "reply" },
+  countReply: { kind: "reply" },
+  pullReply: { kind: "reply" },
+  forwardReply: { kind: "reply" },
 
   gossip: { kind: "message" },
   founded: { kind: "message" },
   vote: { kind: "message" },
-  voteReceipt: { kind: "message" },
+  voteReply: { kind: "message" },
   append: { kind: "message" },
-  appendReceipt: { kind: "message" },
+  appendReply: { kind: "message" },
   snapshot: { kind: "message" },
   yield: { kind: "message" },
   feedPush: { kind: "message" },
@@ -138,7 +138,7 @@
       return mayRepeatStoreCall(call.value.call?.case);
     case "storeBatch":
       return (call.value.calls ?? []).every((one) => mayRepeatStoreCall(one.call?.case));
-    case "pass":
+    case "forward":
       return call.value.method === "GET";
     default: {
       const kind = call.case === undefined ? undefined : frameKinds[call.case];
--- a/packages/core/src/rpc/rpcEndpoint.test.ts
+++ b/packages/core/src/rpc/rpcEndpoint.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { create } from "@bufbuild/protobuf";
 import { expect } from "earl";
-import { DoneSchema, StoreCallSchema, StoreReceiptSchema, type Frame } from "../gen/cranetrack_pb.js";
+import { DoneSchema, StoreCallSchema, StoreReplySchema, type Frame } from "../gen/cranetrack_pb.js";
 import type { CallInit } from "./callKinds.js";
 import { RpcEndpoint } from "./rpcEndpoint.js";
 import { Wire, type Body, type BodyInit } from "./wire.js";
@@ -104,7 +104,7 @@
   const served = { count: 0 };
   endpoint.serve("storeCall", () => {
     served.count += 1;
-    return { case: "storeReceipt", value: { outcome: endpoint.name, revision: served.count } };
+    return { case: "storeReply", value: { outcome: endpoint.name, revision: served.count } };
   });
   return served;
 }
@@ -113,7 +113,7 @@
 function watch(call: Promise<Body | undefined>): { outcome: string } {
   const watched = { outcome: "open" };
   void call.then((body) => {
-    watched.outcome = body?.case === "storeReceipt" ? body.value.outcome : (body?.case ?? "nothing");
+    watched.outcome = body?.case === "storeReply" ? body.value.outcome : (body?.case ?? "nothing");
   });
   return watched;
 }
@@ -178,8 +178,8 @@
   const asked = watch(a.call("b", read, 1000));
   const [call] = network.take() as [Sent];
   const { id, caller } = Wire.decode(call.bytes)!;
-  const body: BodyInit = { case: "storeReceipt", value: create(StoreReceiptSchema, { outcome: "forged" }) };
-  const forged = { id, isReceipt: true, from: "b", to: "a", body };
+  const body: BodyInit = { case: "storeReply", value: create(StoreReplySchema, { outcome: "forged" }) };
+  const forged = { id, isReply: true, from: "b", to: "a", body };
   await network.deliver([{ from: "c", to: "a", bytes: Wire.encode(forged) }]);
   expect([asked.outcome, a.dropped.otherLife]).toEqual(["open", 1]);
   // D gives C a frame to carry that says it is B's.
@@ -313,7 +313,7 @@
   let served = 0;
   b.serve("storeBatch", ({ calls }) => {
     served += 1;
-    return { case: "storeBatchReceipt", value: { receipts: calls.map(() => ({ outcome: "done" })) } };
+    return { case: "storeBatchReply", value: { replies: calls.map(() => ({ outcome: "done" })) } };
   });
   await acquaint(network, a, b);
   const calls = [read, txn].map((one) => create(StoreCallSchema, (one as { value: object }).value));
--- a/packages/core/src/rpc/rpcEndpoint.ts
+++ b/packages/core/src/rpc/rpcEndpoint.ts
@@ -25,7 +25,7 @@
 /** What a frame says of the call that it belongs to; a message has the number 0. */
 interface Part {
   id: number;
-  isReceipt: boolean;
+  isReply: boolean;
   body: BodyInit;
   caller?: number;
   callee?: number;
@@ -121,17 +121,17 @@
   }
 
   tell(to: string, body: BodyInit): void {
-    this.#send(to, { id: 0, isReceipt: false, body });
+    this.#send(to, { id: 0, isReply: false, body });
   }
 
   /** To whoever is at an address, or to a name that must be there. */
   tellAddress(address: string, body: BodyInit, to = ""): void {
-    this.#net.send(address, this.#encode(to, { id: 0, isReceipt: false, body }));
+    this.#net.send(address, this.#encode(to, { id: 0, isReply: false, body }));
   }
 
   /** The same, of what will be said again soon. */
   tellInBackground(address: string, body: BodyInit, to = ""): void {
-    this.#net.send(address, this.#encode(to, { id: 0, isReceipt: false, body }), "background");
+    this.#net.send(address, this.#encode(to, { id: 0, isReply: false, body }), "background");
   }
 
   call(to: string, body: CallInit, due: number): Promise<Body | undefined> {
@@ -158,7 +158,7 @@
     waiting.callee = waiting.isOnce ? (this.#lives.get(waiting.to) ?? 0) : 0;
     this.#waiting.set(waiting.id, waiting);
     const { id, body, callee } = waiting;
-    this.#send(waiting.to, { id, isReceipt: false, body, caller: this.#life, callee });
+    this.#send(waiting.to, { id, isReply: false, body, caller: this.#life, callee });
   }
 
   #silent(waiting: Waiting): void {
@@ -222,7 +222,7 @@
     if (relay === undefined || relayAddress === undefined) return this.#net.send(address, frame);
     this.#net.send(
       relayAddress,
-      this.#encode(relay, { id: 0, isReceipt: false, body: { case: "relay", value: { to, frame } } }),
+      this.#encode(relay, { id: 0, isReply: false, body: { case: "relay", value: { to, frame } } }),
     );
   }
 
@@ -244,7 +244,7 @@
     else if (this.#clock.now() - (this.#proven.get(frame.from) ?? -Infinity) > RpcEndpoint.provenMs)
       this.#unanswered(frame.from);
     if (frame.body.case === "relay") return this.#carry(frame.from, frame.body.value.to, frame.body.value.frame);
-    if (frame.isReceipt) return this.#settle(frame);
+    if (frame.isReply) return this.#settle(frame);
     if (isCall(frame.body) && frame.caller !== 0) this.#lives.set(frame.from, frame.caller);
     if (!isCall(frame.body) || mayRepeat(frame.body)) return this.#run(frame);
     if (frame.id !== 0 && frame.callee !== this.#life) return this.#reply(frame, { case: "otherLife", value: {} });
@@ -258,7 +258,7 @@
   }
 
   #reply({ id, caller, from, fromAddress }: Frame, body: BodyInit): void {
-    const part = { id, isReceipt: true, body, caller, callee: this.#life };
+    const part = { id, isReply: true, body, caller, callee: this.#life };
     if (this.addressOf(from) !== undefined) return this.#send(from, part);
     this.#net.send(fromAddress, this.#encode(from, part));
   }
--- a/packages/core/src/rpc/wire.ts
+++ b/packages/core/src/rpc/wire.ts
@@ -9,7 +9,7 @@
 export type Envelope = Pick<Frame, "from" | "to" | "fromAddress">;
 
 /** Tags of a frame's first fields, in the order of their bytes. */
-const tags = { id: 0x09, isReceipt: 0x10, envelope: [0x1a, 0x22, 0x2a], hops: 0x30 } as const;
+const tags = { id: 0x09, isReply: 0x10, envelope: [0x1a, 0x22, 0x2a], hops: 0x30 } as const;
 
 /** The number and the message of each kind of body. */
 const bodies = new Map<string, { number: number; message: DescMessage }>(
@@ -25,11 +25,11 @@
 
   /** As protobuf has it, written here: its own writer looks at every kind of body there is. */
   encode(frame: MessageInitShape<typeof FrameSchema>): Uint8Array {
-    const { id = 0, isReceipt = false, from = "", to = "", fromAddress = "", hops = 0, body } = frame;
+    const { id = 0, isReply = false, from = "", to = "", fromAddress = "", hops = 0, body } = frame;
     const { caller = 0, callee = 0 } = frame;
     const writer = new BinaryWriter();
     if (id !== 0) writer.tag(1, WireType.Bit64).double(id);
-    if (isReceipt) writer.tag(2, WireType.Varint).bool(true);
+    if (isReply) writer.tag(2, WireType.Varint).bool(true);
     [from, to, fromAddress].forEach((text, i) => {
       if (text !== "") writer.tag(3 + i, WireType.LengthDelimited).bytes(Buffer.from(text));
     });
@@ -66,7 +66,7 @@
   envelopeIn(bytes: Uint8Array): [start: number, end: number] | undefined {
     let at = 4;
     if (bytes[at] === tags.id) at += 9;
-    if (bytes[at] === tags.isReceipt) at += 2;
+    if (bytes[at] === tags.isReply) at += 2;
     const start = at;
     for (const tag of tags.envelope) {
       if (bytes[at] !== tag) continue;
--- a/packages/core/src/store/leaseKeepAlive.ts
+++ b/packages/core/src/store/leaseKeepAlive.ts
@@ -66,11 +66,11 @@
     const call: StoreChange = isNew
       ? { case: "grant", value: { lease, length: this.#length } }
       : { case: "renew", value: { lease } };
-    const receipt = await this.#store.call(call, Math.max(300, this.#length * 0.6));
+    const reply = await this.#store.call(call, Math.max(300, this.#length * 0.6));
     this.#isAsking = false;
     if (this.#isEnded || (!isNew && this.lease !== lease)) return;
-    if (receipt.outcome === "lost") return this.#lose();
-    if (receipt.outcome !== "done") return this.#again();
+    if (reply.outcome === "lost") return this.#lose();
+    if (reply.outcome !== "done") return this.#again();
     if (!isNew && !this.isHeld) return;
     this.lease = lease;
     this.#until = Math.max(this.#until, sentAt + this.#length * 0.9);
--- a/packages/core/src/store/storeClient.test.ts
+++ b/packages/core/src/store/storeClient.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { create } from "@bufbuild/protobuf";
 import { expect } from "earl";
-import { GossipSchema, StoreBatchReceiptSchema, StoreReceiptSchema, type Frame } from "../gen/cranetrack_pb.js";
+import { GossipSchema, StoreBatchReplySchema, StoreReplySchema, type Frame } from "../gen/cranetrack_pb.js";
 import { RpcEndpoint } from "../rpc/rpcEndpoint.js";
 import { Membership } from "../membership/membership.js";
 import { StoreClient, type StoreChange } from "./storeClient.js";
@@ -56,8 +56,8 @@
   };
 }
 
-const receipt = (revision: number): ReturnType<typeof create<typeof StoreReceiptSchema>> =>
-  create(StoreReceiptSchema, { outcome: "done", revision });
+const reply = (revision: number): ReturnType<typeof create<typeof StoreReplySchema>> =>
+  create(StoreReplySchema, { outcome: "done", revision });
 
 test("calls of one turn go to a lathe in the store in a frame for each kind, each with its own answer", async () => {
   const { store, frames, turn, answer } = client();
@@ -70,10 +70,10 @@
     ["lathe-2", "storeCall"],
   ]);
   answer(frames[0]!, {
-    case: "storeBatchReceipt",
-    value: create(StoreBatchReceiptSchema, { receipts: [receipt(1), receipt(2), receipt(3)] }),
+    case: "storeBatchReply",
+    value: create(StoreBatchReplySchema, { replies: [reply(1), reply(2), reply(3)] }),
   });
-  answer(frames[1]!, { case: "storeReceipt", value: receipt(4) });
+  answer(frames[1]!, { case: "storeReply", value: reply(4) });
   expect((await Promise.all([...reads, written])).map((one) => one.revision)).toEqual([1, 2, 3, 4]);
 });
 
@@ -87,7 +87,7 @@
     turn();
     const frame = calls().at(-1)!;
     if (outcome === "silent") silence();
-    else answer(frame, { case: "storeReceipt", value: create(StoreReceiptSchema, { outcome }) });
+    else answer(frame, { case: "storeReply", value: create(StoreReplySchema, { outcome }) });
   }
   const { outcome } = await settled;
   return { asked: new Set(calls().map(({ to }) => to)).size, outcome };
--- a/packages/core/src/store/storeClient.ts
+++ b/packages/core/src/store/storeClient.ts
@@ -1,4 +1,4 @@
-import type { StoreReceipt } from "../gen/cranetrack_pb.js";
+import type { StoreReply } from "../gen/cranetrack_pb.js";
 import type { MessageInitShape } from "@bufbuild/protobuf";
 import type { StoreCallSchema, TxnSchema } from "../gen/cranetrack_pb.js";
 import type { Clock } from "../runtime/clock.js";
@@ -10,12 +10,12 @@
 
 export type StoreChange = NonNullable<MessageInitShape<typeof StoreCallSchema>["call"]>;
 export type Outcome = { outcome: string } & Partial<
-  Pick<StoreReceipt, "revision" | "kvs" | "comeBack" | "reason" | "feeds" | "proposer">
+  Pick<StoreReply, "revision" | "kvs" | "comeBack" | "reason" | "feeds" | "proposer">
 >;
 
 interface Asked {
   call: StoreChange;
-  settle: (receipt: StoreReceipt | undefined) => void;
+  settle: (reply: StoreReply | undefined) => void;
 }
 
 /** Calls on the metadata store. Any lathe takes any call and passes it on. */
@@ -79,12 +79,12 @@
     for (const name of this.#order()) {
       const left = end - this.#clock.now();
       if (left <= 20) break;
-      const receipt = await this.#timed(name, call, Math.min(left, mostMs));
-      if (receipt !== undefined && receipt.outcome !== "away" && receipt.outcome !== "unsure") {
+      const reply = await this.#timed(name, call, Math.min(left, mostMs));
+      if (reply !== undefined && reply.outcome !== "away" && reply.outcome !== "unsure") {
         this.#favourite = name;
-        return receipt;
+        return reply;
       }
-      if (receipt?.outcome === "away") continue;
+      if (reply?.outcome === "away") continue;
       isUnknown = true;
       if (!mayRepeatStoreCall(call.case)) break;
     }
@@ -92,15 +92,15 @@
     return { outcome: "away", comeBack: 1, reason: "no majority of lathes answers" };
   }
 
-  async #timed(name: string, call: StoreChange, due: number): Promise<StoreReceipt | undefined> {
+  async #timed(name: string, call: StoreChange, due: number): Promise<StoreReply | undefined> {
     const id = ++this.#lastCall;
     this.#open.set(id, { name, at: this.#clock.now() });
-    const receipt = await this.#ask(name, call, due);
+    const reply = await this.#ask(name, call, due);
     this.#open.delete(id);
-    return receipt;
+    return reply;
   }
 
-  #ask(name: string, call: StoreChange, due: number): Promise<StoreReceipt | undefined> {
+  #ask(name: string, call: StoreChange, due: number): Promise<StoreReply | undefined> {
     const key = `${name} ${call.case} ${due}`;
     const batch = this.#batches.get(key) ?? [];
     if (batch.length === 0)
@@ -120,9 +120,9 @@
       calls.length === 1 ? { case: "storeCall", value: calls[0]! } : { case: "storeBatch", value: { calls } },
       due,
     );
-    if (body?.case === "storeReceipt") return batch[0]!.settle(body.value);
-    const receipts = body?.case === "storeBatchReceipt" ? body.value.receipts : [];
-    batch.forEach(({ settle }, i) => settle(receipts[i]));
+    if (body?.case === "storeReply") return batch[0]!.settle(body.value);
+    const replies = body?.case === "storeBatchReply" ? body.value.replies : [];
+    batch.forEach(({ settle }, i) => settle(replies[i]));
   }
 
   #order(): string[] {
--- a/packages/edge/src/edgeCalls.ts
+++ b/packages/edge/src/edgeCalls.ts
@@ -37,7 +37,7 @@
 
   async #subscribe(session: Session, body: Uint8Array): Promise<ApiReply> {
     const read = BodyReader.read(body, subscriptionsBody);
-    if ("receipt" in read) return read.receipt;
+    if ("reply" in read) return read.reply;
     if (!Plans.isTopic(read.value.topic))
       return ApiReplies.fault(400, "malformed", "a topic is space/name", {
         problems: [{ path: "topic", problem: "must be space/name" }],
@@ -56,11 +56,11 @@
   async #onOwner(call: ApiCall, act: (session: Session) => Promise<ApiReply>): Promise<ApiReply> {
     const session = this.#vise.sessions.find(call.params[0]!);
     if (session !== undefined) return act(session);
-    const owner = call.isPassed ? undefined : (await readOwner(this.#vise.node.store, call.params[0]!))?.owner;
+    const owner = call.isForwarded ? undefined : (await readOwner(this.#vise.node.store, call.params[0]!))?.owner;
     if (owner === undefined || owner.node === "" || owner.node === this.#vise.node.exchange.name)
       return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { comeBack: 0.3 });
     return (
-      (await this.#vise.router.passTo(owner.node, call.method, call.path, call.body)) ??
+      (await this.#vise.router.forwardTo(owner.node, call.method, call.path, call.body)) ??
       ApiReplies.unsure("the session's owner did not answer")
     );
   }
--- a/packages/edge/src/fanout/countTopic.ts
+++ b/packages/edge/src/fanout/countTopic.ts
@@ -25,11 +25,11 @@
     if (holder !== "") {
       const ask = exchange.call(
         holder,
-        { case: "countAsk", value: { shard, topics: [topic] } },
+        { case: "countRequest", value: { shard, topics: [topic] } },
         Math.min(callMs, left),
       );
-      const receipt = await Promise.race([ask, shards.moved(shard, holder, parts.clock, left)]);
-      const found = receipt?.case === "countReceipt" ? receipt.value.counts[0] : undefined;
+      const reply = await Promise.race([ask, shards.moved(shard, holder, parts.clock, left)]);
+      const found = reply?.case === "countReply" ? reply.value.counts[0] : undefined;
       // A holder that does not know the space is behind, or this edge is: which it is shows in a moment.
       if (found?.fault === "") return { outcome: "counted", count: found.count };
     }
--- a/packages/edge/src/fanout/fetchMessages.ts
+++ b/packages/edge/src/fanout/fetchMessages.ts
@@ -20,9 +20,9 @@
   fetch: MessageInitShape<typeof FetchSchema> & { birth: string },
 ): Promise<Fetched | undefined> {
   if (server === "") return undefined;
-  const receipt = await node.exchange.call(server, { case: "fetch", value: { ...fetch, limit } }, dueMs);
-  if (receipt?.case !== "fetchReceipt") return undefined;
-  const { outcome, low, batch, trims } = receipt.value;
+  const reply = await node.exchange.call(server, { case: "fetch", value: { ...fetch, limit } }, dueMs);
+  if (reply?.case !== "fetchReply") return undefined;
+  const { outcome, low, batch, trims } = reply.value;
   if ((outcome !== "done" && outcome !== "trimmed") || batch?.birth !== fetch.birth) return undefined;
   return { outcome, low, messages: batch.messages, trims: new Map(trims.map(({ topic, seq }) => [topic, seq])) };
 }
--- a/packages/edge/src/fanout/replicaFollow.ts
+++ b/packages/edge/src/fanout/replicaFollow.ts
@@ -98,11 +98,11 @@
       isAtReplica: true,
       serial: ++this.#serial,
     };
-    const receipt = await this.#node.exchange.call(near, { case: "follow", value }, 800);
+    const reply = await this.#node.exchange.call(near, { case: "follow", value }, 800);
     if (turn !== this.#turn) return;
     this.#isAsking = false;
-    if (receipt?.case !== "followReceipt" || receipt.value.outcome !== "done") return this.fail();
-    for (const { stream, birth, from, fault } of receipt.value.heads) {
+    if (reply?.case !== "followReply" || reply.value.outcome !== "done") return this.fail();
+    for (const { stream, birth, from, fault } of reply.value.heads) {
       const tail = this.#tails.get(stream);
       if (tail === undefined) continue;
       if (fault !== "" || !tail.isKnown || tail.birth !== birth)
@@ -114,7 +114,7 @@
         this.#atHolder.quieten(tail);
       }
     }
-    const early = this.#pushes.opened(isFull ? receipt.value.number : undefined);
+    const early = this.#pushes.opened(isFull ? reply.value.number : undefined);
     for (const push of early) this.take(push);
     void this.tend();
   }
--- a/packages/edge/src/fanout/shardFollow.test.ts
+++ b/packages/edge/src/fanout/shardFollow.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { create } from "@bufbuild/protobuf";
 import {
-  FollowReceiptSchema,
+  FollowReplySchema,
   PushSchema,
   StreamMessageSchema,
   type Push,
@@ -36,11 +36,11 @@
         if (body.case !== "follow" || body.value.isFull !== true) return Promise.resolve(undefined);
         fulls += 1;
         const heads = [{ stream, birth, from: 0, low: 0 }];
-        const value = create(FollowReceiptSchema, { outcome: "done", epoch: 7, number: 0, heads });
-        const receipt = Promise.resolve<Body>({ case: "followReceipt", value });
+        const value = create(FollowReplySchema, { outcome: "done", epoch: 7, number: 0, heads });
+        const reply = Promise.resolve<Body>({ case: "followReply", value });
         // One piece of the net's: the receipt settles its promise, the push is handed on before anybody saw that.
         follow.take(push(body.value.follow!, 1, owed));
-        return receipt;
+        return reply;
       },
     } as object as ClusterNode["exchange"],
   };
@@ -81,8 +81,8 @@
         new Promise((resolve) => {
           const streams = body.case === "follow" ? (body.value.streams ?? []).map((at) => at.stream ?? "") : [];
           const answer = (heads: object[]): Promise<void> => {
-            const value = create(FollowReceiptSchema, { outcome: "done", epoch: 7, number: 0, heads });
-            resolve({ case: "followReceipt", value });
+            const value = create(FollowReplySchema, { outcome: "done", epoch: 7, number: 0, heads });
+            resolve({ case: "followReply", value });
             return turn();
           };
           asked.push({ streams, answer });
--- a/packages/edge/src/fanout/shardFollow.ts
+++ b/packages/edge/src/fanout/shardFollow.ts
@@ -121,7 +121,7 @@
     for (const tail of wanted) this.#asked.delete(tail);
     const { follow, seen } = this.#pushes;
     const turn = this.#turn;
-    const receipt = await this.#node.exchange.call(
+    const reply = await this.#node.exchange.call(
       this.holder,
       {
         case: "follow",
@@ -131,8 +131,8 @@
     );
     if (turn !== this.#turn) return;
     this.#isAsking = false;
-    const isDone = receipt?.case === "followReceipt" && receipt.value.outcome === "done";
-    const early = this.#pushes.opened(isFull && isDone ? receipt.value.number : undefined);
+    const isDone = reply?.case === "followReply" && reply.value.outcome === "done";
+    const early = this.#pushes.opened(isFull && isDone ? reply.value.number : undefined);
     if (!isDone) {
       this.#isStale = true;
       for (const tail of wanted) if (this.#streams.has(tail.stream)) this.#asked.add(tail);
@@ -142,9 +142,9 @@
     }
     if (isFull) {
       this.#isStale = false;
-      this.#epoch = receipt.value.epoch;
+      this.#epoch = reply.value.epoch;
     }
-    for (const head of receipt.value.heads) this.#learn(head);
+    for (const head of reply.value.heads) this.#learn(head);
     this.#learned();
     for (const push of early) this.take(push);
     // What changed while this was asked.
@@ -154,7 +154,7 @@
     }
     if (this.#asked.size > 0) void this.tend();
     // Who has not heard of the newest plan, this node or the holder, is given until the next beat.
-    for (const { fault, stream } of receipt.value.heads) {
+    for (const { fault, stream } of reply.value.heads) {
       const tail = this.#streams.get(stream);
       if (fault === "behind" && tail !== undefined) this.#asked.add(tail);
     }
@@ -217,8 +217,8 @@
     while (this.#counted.size > 0) {
       const beat = this.#isAsking || this.#isStale ? undefined : this.beat();
       if (beat === undefined) break;
-      const receipt = await this.#node.exchange.call(this.holder, { case: "follow", value: beat }, 700);
-      await this.beaten(beat, receipt?.case === "followReceipt" ? receipt.value.outcome : undefined);
+      const reply = await this.#node.exchange.call(this.holder, { case: "follow", value: beat }, 700);
+      await this.beaten(beat, reply?.case === "followReply" ? reply.value.outcome : undefined);
     }
     this.#isTelling = false;
   }
--- a/packages/edge/src/fanout/streamTable.ts
+++ b/packages/edge/src/fanout/streamTable.ts
@@ -160,9 +160,8 @@
 
   async #beatServer(server: string, list: readonly Beaten[]): Promise<void> {
     const beats = list.map(({ beat }) => beat);
-    const receipt = await this.#node.exchange.call(server, { case: "followBeats", value: { beats } }, 700);
-    const { outcomes, applied } =
-      receipt?.case === "followBeatsReceipt" ? receipt.value : { outcomes: [], applied: [] };
+    const reply = await this.#node.exchange.call(server, { case: "followBeats", value: { beats } }, 700);
+    const { outcomes, applied } = reply?.case === "followBeatsReply" ? reply.value : { outcomes: [], applied: [] };
     for (const [i, { heed }] of list.entries()) heed(outcomes[i], applied[i] ?? 0);
   }
 
--- a/packages/edge/src/publishing/publishCall.ts
+++ b/packages/edge/src/publishing/publishCall.ts
@@ -23,7 +23,7 @@
 /** A publish over HTTP, from its body to its receipt. */
 export async function publishCall(vise: EdgeParts, call: ApiCall): Promise<ApiReply> {
   const read = BodyReader.read(call.body, messageBody);
-  if ("receipt" in read) return read.receipt;
+  if ("reply" in read) return read.reply;
   const { topic, number, payload } = read.value;
   if (!Plans.isTopic(topic))
     return ApiReplies.fault(400, "malformed", "a topic is space/name", {
@@ -48,10 +48,10 @@
 
 /** The call came in at a node that does not own the session. */
 async function passOn(vise: EdgeParts, id: string, topic: string, call: ApiCall): Promise<ApiReply> {
-  const owner = call.isPassed ? undefined : (await readOwner(vise.node.store, id))?.owner;
+  const owner = call.isForwarded ? undefined : (await readOwner(vise.node.store, id))?.owner;
   if (owner === undefined || owner.node === "" || owner.node === vise.node.exchange.name)
     return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { comeBack: 0.3 });
   const due = 1.4 * publishDue(vise, topic);
-  const receipt = await vise.router.passTo(owner.node, "POST", call.path, call.body, due);
-  return receipt ?? ApiReplies.unsure("the session's owner did not answer; the same number again settles it");
+  const reply = await vise.router.forwardTo(owner.node, "POST", call.path, call.body, due);
+  return reply ?? ApiReplies.unsure("the session's owner did not answer; the same number again settles it");
 }
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -1,7 +1,7 @@
 import type { MessageInitShape } from "@bufbuild/protobuf";
 import { Plans } from "@cranetrack/core/configuration/configuration.js";
 import { mayRepeat, type CallInit } from "@cranetrack/core/rpc/callKinds.js";
-import type { PublishReceipt, PublishSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
+import type { PublishReply, PublishSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Places } from "../subscriptions/cursor.js";
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
@@ -44,14 +44,14 @@
   const { spaceBirth } = route;
   const publish = { shard, session: session.id, ownerEpoch: session.epoch, spaceBirth, number, topic };
   const content = { payload: Buffer.from(payload), mayBeRepeat: isDoubtful };
-  const receipt = await atHolder(vise, shard, end, { ...publish, ...content });
-  if (receipt === undefined)
+  const reply = await atHolder(vise, shard, end, { ...publish, ...content });
+  if (reply === undefined)
     return { outcome: "unsure", reason: "the topic's holder did not answer; the same number again", comeBack: 0.2 };
-  if (receipt !== "mute" && receipt.outcome === "unsure")
-    return { outcome: "unsure", reason: receipt.reason, comeBack: receipt.comeBack };
-  if (!isDoubtful || (receipt !== "mute" && receipt.outcome === "accepted")) session.numbers.settled(topic, number);
-  if (receipt === "mute") return givenUp("the topic's holder does not answer", 0.2);
-  const { outcome, code, reason, comeBack, birth, seq } = receipt;
+  if (reply !== "mute" && reply.outcome === "unsure")
+    return { outcome: "unsure", reason: reply.reason, comeBack: reply.comeBack };
+  if (!isDoubtful || (reply !== "mute" && reply.outcome === "accepted")) session.numbers.settled(topic, number);
+  if (reply === "mute") return givenUp("the topic's holder does not answer", 0.2);
+  const { outcome, code, reason, comeBack, birth, seq } = reply;
   if (outcome === "accepted") return { outcome: "accepted", place: Places.write(birth, seq) };
   if (outcome === "refused") return { outcome: "refused", code, reason };
   return givenUp(reason || "the topic is changing hands", comeBack || 0.5, code || undefined);
@@ -80,7 +80,7 @@
   shard: number,
   end: number,
   publish: MessageInitShape<typeof PublishSchema>,
-): Promise<PublishReceipt | "mute" | undefined> {
+): Promise<PublishReply | "mute" | undefined> {
   const { exchange, membership, shards, parts } = vise.node;
   let isOpen = false;
   for (let left = end - parts.clock.now(); left > 0; left = end - parts.clock.now()) {
@@ -93,15 +93,14 @@
       exchange.call(holder, call, vise.publishDue),
       shards.moved(shard, holder, parts.clock, left),
     ]);
-    const receipt = body?.case === "publishReceipt" ? body.value : undefined;
+    const reply = body?.case === "publishReply" ? body.value : undefined;
     // Behind a try that nobody answered only what the log says for good is an answer to both.
-    const isFinal =
-      receipt?.outcome === "accepted" || (receipt?.outcome === "refused" && receipt.code !== "unknown-topic");
-    if (isFinal || (receipt !== undefined && !isOpen && receipt.reason !== "")) return receipt;
-    if (receipt === undefined) isOpen = true;
+    const isFinal = reply?.outcome === "accepted" || (reply?.outcome === "refused" && reply.code !== "unknown-topic");
+    if (isFinal || (reply !== undefined && !isOpen && reply.reason !== "")) return reply;
+    if (reply === undefined) isOpen = true;
     const isMoved = shards.find(shard).holder !== holder;
-    if (receipt === undefined && !(isMoved && mayRepeat(call))) return undefined;
-    if (!(await isHeld(vise, shard, end))) return isOpen ? undefined : receipt;
+    if (reply === undefined && !(isMoved && mayRepeat(call))) return undefined;
+    if (!(await isHeld(vise, shard, end))) return isOpen ? undefined : reply;
     // Whoever has just claimed it does not serve yet.
     if (!isMoved) await new Promise<void>((resolve) => void parts.clock.once(againMs, resolve));
   }
--- a/packages/edge/src/sessions/openConnection.ts
+++ b/packages/edge/src/sessions/openConnection.ts
@@ -30,7 +30,7 @@
       { problems: [{ path: "session", problem: "is malformed" }] },
     );
   const read = BodyReader.read(body.length === 0 ? Buffer.from("{}") : body, linkBody);
-  if ("receipt" in read) return read.receipt;
+  if ("reply" in read) return read.reply;
   const faulty = (read.value.subscriptions ?? []).findIndex((wish) => !Plans.isTopic(wish.topic));
   if (faulty !== -1)
     return ApiReplies.fault(400, "malformed", "a topic is space/name", {
--- a/packages/edge/src/sessions/sessions.ts
+++ b/packages/edge/src/sessions/sessions.ts
@@ -1,5 +1,5 @@
 import { EventEmitter } from "node:events";
-import type { Kv, Pull, PullReceipt } from "@cranetrack/core/gen/cranetrack_pb.js";
+import type { Kv, Pull, PullReply } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { LeaseKeeper } from "@cranetrack/core/store/leaseKeepAlive.js";
 import type { Body, BodyInit } from "@cranetrack/core/rpc/wire.js";
@@ -142,7 +142,7 @@
     id: string,
     owner: Owner,
     lease: string,
-  ): Promise<{ state: PullReceipt } | { comeBack: number; reason: string } | "freed" | undefined> {
+  ): Promise<{ state: PullReply } | { comeBack: number; reason: string } | "freed" | undefined> {
     if (owner.node === this.#node.exchange.name && owner.lease !== lease) {
       // This very process, or one before it at the same address, held that lease and is gone from it.
       this.#orphans.set(id, this.#node.parts.clock.now());
@@ -151,16 +151,16 @@
     }
     if (owner.node === this.#node.exchange.name) return undefined;
     this.emit("step", "pull", id);
-    const receipt = await this.#ask(id, owner);
-    if (receipt?.case !== "pullReceipt") return this.#unanswered(id, owner);
-    if (receipt.value.outcome !== "shipped")
+    const reply = await this.#ask(id, owner);
+    if (reply?.case !== "pullReply") return this.#unanswered(id, owner);
+    if (reply.value.outcome !== "shipped")
       return {
-        comeBack: receipt.value.comeBack || 0.3,
-        reason: `the owner ${owner.node} says ${receipt.value.outcome}`,
+        comeBack: reply.value.comeBack || 0.3,
+        reason: `the owner ${owner.node} says ${reply.value.outcome}`,
       };
     this.emit("step", "shipped", id);
-    if (receipt.value.isLost) this.#orphans.set(id, this.#node.parts.clock.now());
-    return { state: receipt.value };
+    if (reply.value.isLost) this.#orphans.set(id, this.#node.parts.clock.now());
+    return { state: reply.value };
   }
 
   /** Asks the owner for the session; one known to be mute is not asked, only waited for where its lease ends soon. */
@@ -200,7 +200,7 @@
     this.#table.delete(session.id);
     const subscriptions = [...session.allPlaces()].map(([topic, { birth, seq }]) => ({ topic, birth, cursor: seq }));
     const numbers = session.numbers.records();
-    const body: BodyInit = { case: "pullReceipt", value: { outcome: "shipped", subscriptions, numbers } };
+    const body: BodyInit = { case: "pullReply", value: { outcome: "shipped", subscriptions, numbers } };
     this.#shipped.set(`${session.id}@${session.epoch}`, { body, at: this.#node.parts.clock.now() });
     return body;
   }
@@ -212,8 +212,8 @@
   #shipNothing(pull: Pull): BodyInit {
     const owner = this.#table.get(pull.session);
     if (owner !== undefined || this.#claiming.has(pull.session))
-      return { case: "pullReceipt", value: { outcome: "owned under another revision", comeBack: 0.3 } };
-    return { case: "pullReceipt", value: { outcome: "shipped", isLost: true } };
+      return { case: "pullReply", value: { outcome: "owned under another revision", comeBack: 0.3 } };
+    return { case: "pullReply", value: { outcome: "shipped", isLost: true } };
   }
 
   /** A write whose outcome is unknown: what does the key say now? */
@@ -224,7 +224,7 @@
     return owner?.node === this.#node.exchange.name && owner.lease === lease ? owner.revision : 0;
   }
 
-  #fill(session: Session, kvs: Kv[], shipped: PullReceipt | undefined): void {
+  #fill(session: Session, kvs: Kv[], shipped: PullReply | undefined): void {
     for (const kv of kvs) {
       const place = SubscriptionKey.read(kv.value);
       if (place !== undefined) session.places.set(kv.key.slice(SubscriptionKey.prefix(session.id).length), place);
--- a/packages/edge/src/subscriptions/askStarts.ts
+++ b/packages/edge/src/subscriptions/askStarts.ts
@@ -17,10 +17,10 @@
   for (let left = mostMs; left > 0; left = end - parts.clock.now()) {
     const { holder } = shards.find(shard);
     if (holder !== "") {
-      const ask = exchange.call(holder, { case: "startAsk", value: { shard, places } }, Math.min(callMs, left));
-      const receipt = await Promise.race([ask, shards.moved(shard, holder, parts.clock, left)]);
-      if (receipt?.case === "startReceipt" && receipt.value.outcome === "done")
-        return new Map(receipt.value.starts.map((start) => [start.topic, start]));
+      const ask = exchange.call(holder, { case: "startRequest", value: { shard, places } }, Math.min(callMs, left));
+      const reply = await Promise.race([ask, shards.moved(shard, holder, parts.clock, left)]);
+      if (reply?.case === "startReply" && reply.value.outcome === "done")
+        return new Map(reply.value.starts.map((start) => [start.topic, start]));
     }
     await new Promise<void>((resolve) => void parts.clock.once(againMs, resolve));
   }
--- a/packages/log-storage/src/follows/fetchFrom.ts
+++ b/packages/log-storage/src/follows/fetchFrom.ts
@@ -7,7 +7,7 @@
 export function fetchFrom(log: StreamLog, fetch: Fetch): BodyInit {
   const { birth, low, head } = log;
   if (birth !== fetch.birth)
-    return { case: "fetchReceipt", value: { outcome: "another-birth", low, head, batch: { birth } } };
+    return { case: "fetchReply", value: { outcome: "another-birth", low, head, batch: { birth } } };
   const messages = Follows.slice(log.messages, low, fetch.after, fetch.limit);
   const isTrimmed = fetch.after < low;
   const trims = isTrimmed
@@ -15,5 +15,5 @@
     : [];
   const prev = (messages[0]?.seq ?? head + 1) - 1;
   const batch = { stream: fetch.stream, birth, prev, messages };
-  return { case: "fetchReceipt", value: { outcome: isTrimmed ? "trimmed" : "done", low, head, batch, trims } };
+  return { case: "fetchReply", value: { outcome: isTrimmed ? "trimmed" : "done", low, head, batch, trims } };
 }
--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -73,8 +73,8 @@
 
   /** Answers in the same event-loop turn, so that no push overtakes the answer. */
   follow(follow: Follow, edge: string): BodyInit {
-    if (!this.isOpen) return { case: "followReceipt", value: { outcome: "away" } };
-    if (this.#follows.isLate(follow)) return { case: "followReceipt", value: { outcome: "resync" } };
+    if (!this.isOpen) return { case: "followReply", value: { outcome: "away" } };
+    if (this.#follows.isLate(follow)) return { case: "followReply", value: { outcome: "resync" } };
     const followed = follow.streams.filter((at) => this.#isHere(at));
     const { heads, number } = this.#follows.enrol(follow, followed, edge);
     const found = new Set(heads.map((head) => head.stream));
@@ -82,7 +82,7 @@
       found.has(stream) ? [] : [create(StreamHeadSchema, { stream, fault: "behind" })],
     );
     for (const stream of found) this.#heed(stream);
-    return { case: "followReceipt", value: { outcome: "done", heads: [...heads, ...missing], number } };
+    return { case: "followReply", value: { outcome: "done", heads: [...heads, ...missing], number } };
   }
 
   beaten(follow: Follow): string {
@@ -92,7 +92,7 @@
 
   fetch(fetch: Fetch): BodyInit {
     const log = this.#find(fetch.stream);
-    if (!this.isOpen || log === undefined) return { case: "fetchReceipt", value: { outcome: "away" } };
+    if (!this.isOpen || log === undefined) return { case: "fetchReply", value: { outcome: "away" } };
     return fetchFrom(log, fetch);
   }
 
--- a/packages/log-storage/src/replication/replica.test.ts
+++ b/packages/log-storage/src/replication/replica.test.ts
@@ -3,11 +3,11 @@
 import { expect } from "earl";
 import {
   EntrySchema,
-  ShardPullReceiptSchema,
+  ShardPullReplySchema,
   ShardPullSchema,
   ShardSnapshotSchema,
   type Entry,
-  type ShardPullReceipt,
+  type ShardPullReply,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { LogGroups } from "@cranetrack/core/replication/logGroups.js";
 import { RpcEndpoint } from "@cranetrack/core/rpc/rpcEndpoint.js";
@@ -51,13 +51,13 @@
 function pull(
   into: Replica,
   from: Replica,
-  change: (answer: ShardPullReceipt, asked: number) => ShardPullReceipt | undefined = (answer) => answer,
+  change: (answer: ShardPullReply, asked: number) => ShardPullReply | undefined = (answer) => answer,
 ): { run: Promise<boolean>; asked: Array<[after: number, offset: number]> } {
   const asked: Array<[number, number]> = [];
-  const ask = (after: number, offset: number): Promise<ShardPullReceipt | undefined> => {
+  const ask = (after: number, offset: number): Promise<ShardPullReply | undefined> => {
     asked.push([after, offset]);
     const body = from.pull(create(ShardPullSchema, { epoch: 9, after, offset }));
-    const answer = body?.case === "shardPullReceipt" ? create(ShardPullReceiptSchema, body.value) : undefined;
+    const answer = body?.case === "shardPullReply" ? create(ShardPullReplySchema, body.value) : undefined;
     return Promise.resolve(answer === undefined ? undefined : change(answer, asked.length));
   };
   return { run: new LogPull(into, 9, ask).run(from.log.lastIndex), asked };
@@ -102,10 +102,10 @@
 });
 
 test("what is pulled altered, out of order or never replaces nothing", async () => {
-  const changes: Array<(answer: ShardPullReceipt) => ShardPullReceipt | undefined> = [
-    (answer) => create(ShardPullReceiptSchema, { ...answer, snapshot: new Uint8Array(answer.snapshot.length) }),
-    (answer) => create(ShardPullReceiptSchema, { ...answer, size: 1e12 }),
-    (answer) => create(ShardPullReceiptSchema, { ...answer, isWhole: false, entries: [noop(7, 2)] }),
+  const changes: Array<(answer: ShardPullReply) => ShardPullReply | undefined> = [
+    (answer) => create(ShardPullReplySchema, { ...answer, snapshot: new Uint8Array(answer.snapshot.length) }),
+    (answer) => create(ShardPullReplySchema, { ...answer, size: 1e12 }),
+    (answer) => create(ShardPullReplySchema, { ...answer, isWhole: false, entries: [noop(7, 2)] }),
     () => undefined,
   ];
   for (const change of changes) {
--- a/packages/log-storage/src/replication/replica.ts
+++ b/packages/log-storage/src/replication/replica.ts
@@ -90,8 +90,8 @@
         snapshot.receiver === this.id
           ? this.#take(snapshot.term, snapshot.index, from, () => this.#intake.takeSnapshot(snapshot, this.applied))
           : undefined,
-      receipt: (receipt) => {
-        if (receipt.receiver === this.id) this.spread?.take(receipt);
+      onReply: (reply) => {
+        if (reply.receiver === this.id) this.spread?.take(reply);
       },
     });
   }
@@ -129,12 +129,12 @@
   /** A claimant asks for the promise to refuse all lower epochs. */
   async pledge(pledge: Pledge): Promise<BodyInit> {
     if (pledge.epoch < this.log.term || !Number.isSafeInteger(pledge.epoch))
-      return { case: "pledgeReceipt", value: { isPledged: false, epoch: this.log.term } };
+      return { case: "pledgeReply", value: { isPledged: false, epoch: this.log.term } };
     this.#outbid(pledge.epoch);
     if (pledge.epoch > this.log.term) await this.log.promise(pledge.epoch, "");
     else await this.log.append([]);
     return {
-      case: "pledgeReceipt",
+      case: "pledgeReply",
       value: {
         isPledged: pledge.epoch === this.log.term,
         epoch: this.log.term,
@@ -150,10 +150,10 @@
     const { baseIndex, snapshotIndex, snapshotTerm, snapshot } = this.log;
     const isWhole = pull.after < baseIndex || this.log.termAt(pull.after) === undefined;
     if (!isWhole)
-      return { case: "shardPullReceipt", value: { isWhole, entries: this.log.after(pull.after, Replica.pullBytes) } };
+      return { case: "shardPullReply", value: { isWhole, entries: this.log.after(pull.after, Replica.pullBytes) } };
     if (this.#pulled?.snapshot !== snapshot) this.#pulled = { snapshot, checksum: crc32(snapshot) };
     return {
-      case: "shardPullReceipt",
+      case: "shardPullReply",
       value: {
         isWhole,
         baseIndex: snapshotIndex,
@@ -209,9 +209,9 @@
     this.#outbid(term);
     const taken = take();
     if (term === this.log.term) this.#hear(term, commit);
-    const receipt = await taken;
+    const reply = await taken;
     this.emit("appended");
-    this.#node.exchange.tell(from, receipt);
+    this.#node.exchange.tell(from, reply);
     return undefined;
   }
 }
--- a/packages/log-storage/src/shards/logPull.ts
+++ b/packages/log-storage/src/shards/logPull.ts
@@ -1,10 +1,10 @@
 import { create } from "@bufbuild/protobuf";
-import { SnapshotSchema, type ShardPullReceipt } from "@cranetrack/core/gen/cranetrack_pb.js";
+import { SnapshotSchema, type ShardPullReply } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { SnapshotAssembly } from "@cranetrack/core/replication/snapshotAssembly.js";
 import type { Replica } from "../replication/replica.js";
 
 /** Asks the replica with the better log for what follows an index, or for its snapshot from a byte on. */
-export type AskForLog = (after: number, offset: number) => Promise<ShardPullReceipt | undefined>;
+export type AskForLog = (after: number, offset: number) => Promise<ShardPullReply | undefined>;
 
 /**
  * Brings a new holder's log up to that of the best replica that pledged: entries, behind a snapshot in pieces where
@@ -40,7 +40,7 @@
     return true;
   }
 
-  async #answer(): Promise<ShardPullReceipt | undefined> {
+  async #answer(): Promise<ShardPullReply | undefined> {
     for (let tries = 0; tries < LogPull.tries; tries += 1) {
       const answer = await this.#ask(this.#after, this.#offset);
       if (answer !== undefined) return answer;
@@ -48,7 +48,7 @@
     return undefined;
   }
 
-  async #takeEntries({ entries }: ShardPullReceipt): Promise<boolean> {
+  async #takeEntries({ entries }: ShardPullReply): Promise<boolean> {
     if (entries.length === 0 || entries.some((entry, i) => entry.index !== this.#after + 1 + i)) return false;
     await this.#replica.takePulled(entries);
     this.#after = entries.at(-1)!.index;
@@ -61,7 +61,7 @@
     snapshot,
     size,
     checksum,
-  }: ShardPullReceipt): Promise<boolean> {
+  }: ShardPullReply): Promise<boolean> {
     if (this.#replica.hasSnapshot(index, indexTerm)) return this.#goOnFrom(index);
     const piece = { term: this.#epoch, index, indexTerm, state: snapshot, offset: this.#offset, size, checksum };
     const outcome = this.#assembly.take(create(SnapshotSchema, piece));
--- a/packages/log-storage/src/shards/publishOutcomes.ts
+++ b/packages/log-storage/src/shards/publishOutcomes.ts
@@ -1,21 +1,21 @@
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import type { Verdict } from "./streamLog.js";
 
-export type PublishOutcome = Extract<BodyInit, { case: "publishReceipt" }>;
+export type PublishOutcome = Extract<BodyInit, { case: "publishReply" }>;
 
 /** Receipts of publishes. */
 export const PublishOutcomes = {
   refused(code: string, reason: string): PublishOutcome {
-    return { case: "publishReceipt", value: { outcome: "refused", code, reason } };
+    return { case: "publishReply", value: { outcome: "refused", code, reason } };
   },
 
   /** It may have been done. */
   unsure(reason: string): PublishOutcome {
-    return { case: "publishReceipt", value: { outcome: "unsure", code: "unsure", reason, comeBack: 0.5 } };
+    return { case: "publishReply", value: { outcome: "unsure", code: "unsure", reason, comeBack: 0.5 } };
   },
 
   of(verdict: Verdict): PublishOutcome {
     if (verdict.outcome === "refused") return PublishOutcomes.refused(verdict.code, verdict.reason);
-    return { case: "publishReceipt", value: { outcome: "accepted", birth: verdict.birth, seq: verdict.seq } };
+    return { case: "publishReply", value: { outcome: "accepted", birth: verdict.birth, seq: verdict.seq } };
   },
 };
--- a/packages/log-storage/src/shards/shardLeader.ts
+++ b/packages/log-storage/src/shards/shardLeader.ts
@@ -91,7 +91,7 @@
         { case: "pledge", value: { group: replica.log.group, epoch: this.epoch, receiver: member.id } },
         900,
       );
-      return body?.case === "pledgeReceipt" && body.value.isPledged ? { member, ...body.value } : undefined;
+      return body?.case === "pledgeReply" && body.value.isPledged ? { member, ...body.value } : undefined;
     });
     await own;
     const pledged = await this.#enough(asked, Math.floor(this.#set.members.length / 2));
@@ -215,7 +215,7 @@
         { case: "shardPull", value: { group: log.group, epoch: this.epoch, after, offset, receiver: member.id } },
         Holder.pullMs,
       );
-      return body?.case === "shardPullReceipt" && !this.#isOver ? body.value : undefined;
+      return body?.case === "shardPullReply" && !this.#isOver ? body.value : undefined;
     });
     return pull.run(lastIndex);
   }
--- a/packages/log-storage/src/shards/shardLeadership.ts
+++ b/packages/log-storage/src/shards/shardLeadership.ts
@@ -159,15 +159,15 @@
     if (set === undefined) return;
     const key = HolderKey.of(shard);
     const value = HolderKey.write({ name: this.#node.exchange.name, id: this.#id, lease });
-    const receipt = await this.#node.store.txn({
+    const reply = await this.#node.store.txn({
       checks: [
         { key, revision: 0 },
         { key: ReplicasKey.of(shard), revision: setRevision },
       ],
       puts: [{ key, value, lease }],
     });
-    if (receipt.outcome !== "done" || this.#lease.lease !== lease) return;
-    await this.#hold(replica, set, receipt.revision!, lease);
+    if (reply.outcome !== "done" || this.#lease.lease !== lease) return;
+    await this.#hold(replica, set, reply.revision!, lease);
   }
 
   /** The store names this disk the holder under an epoch: serves once a majority has pledged it. */
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -5,11 +5,11 @@
   TopicCountSchema,
   TopicStartSchema,
   type Accept,
-  type CountAsk,
+  type CountRequest,
   type Fetch,
   type Follow,
   type Publish,
-  type StartAsk,
+  type StartRequest,
   type TrimStreamSchema,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Plans, type Owe, type Plan } from "@cranetrack/core/configuration/configuration.js";
@@ -92,10 +92,10 @@
     const now = this.#node.parts.clock.now();
     if (this.#heldBack.isBehind(topic, session, number, now))
       return this.#away("an earlier number is to be sent again", 0.2);
-    const receipt = await this.#judge(publish);
-    const isAway = receipt.value.outcome === "away" || receipt.value.outcome === "busy";
+    const reply = await this.#judge(publish);
+    const isAway = reply.value.outcome === "away" || reply.value.outcome === "busy";
     this.#heldBack.note(topic, session, number, isAway, now);
-    return receipt;
+    return reply;
   }
 
   async #judge(publish: Publish): Promise<PublishOutcome> {
@@ -117,7 +117,7 @@
       return this.#standings.isInMemory(stream) ? this.#inMemory(stream, known) : PublishOutcomes.of(known);
     if (this.#holder.occupancy > ShardService.mostPending)
       return {
-        case: "publishReceipt",
+        case: "publishReply",
         value: { outcome: "busy", code: "busy", reason: "too many publishes are waiting for the disk", comeBack: 0.5 },
       };
     const refusal = ShardService.#refusal(plan, owed, publish);
@@ -181,28 +181,28 @@
     return this.#follows.beat(follow) ? "done" : "resync";
   }
 
-  count({ topics }: CountAsk): BodyInit {
+  count({ topics }: CountRequest): BodyInit {
     const isEarly = this.#node.parts.clock.now() - this.#servesSince < ShardService.countMs;
-    if (!this.isOpen || isEarly) return { case: "countReceipt", value: { outcome: "away" } };
+    if (!this.isOpen || isEarly) return { case: "countReply", value: { outcome: "away" } };
     const counts = topics.map((topic) => {
       const route = this.#node.plan.route(topic);
       if (route === undefined) return create(TopicCountSchema, { topic, fault: "behind" });
       return create(TopicCountSchema, { topic, count: this.#follows.countOf(route.stream, topic) });
     });
-    return { case: "countReceipt", value: { outcome: "done", counts } };
+    return { case: "countReply", value: { outcome: "done", counts } };
   }
 
   async follow(follow: Follow, edge: string): Promise<BodyInit> {
-    if (!this.isOpen) return { case: "followReceipt", value: { outcome: "away" } };
+    if (!this.isOpen) return { case: "followReply", value: { outcome: "away" } };
     if (follow.streams.length === 0 && !follow.isFull)
-      return { case: "followReceipt", value: { outcome: this.beaten(follow), epoch: this.#holder.epoch } };
+      return { case: "followReply", value: { outcome: this.beaten(follow), epoch: this.#holder.epoch } };
     const standings = follow.streams.map(({ stream, spaceBirth }) => this.#standings.of(stream, spaceBirth));
     const followed = follow.streams.filter((_, i) => standings[i] === "ours");
     await Promise.all(followed.map(({ stream, spaceBirth }) => this.#birthOf(stream, spaceBirth)));
     // A head may become somebody's start only if nobody has taken over meanwhile.
     if (!this.isOpen || !(await this.#holder.confirm()) || !this.isOpen)
-      return { case: "followReceipt", value: { outcome: "away" } };
-    if (this.#follows.isLate(follow)) return { case: "followReceipt", value: { outcome: "resync" } };
+      return { case: "followReply", value: { outcome: "away" } };
+    if (this.#follows.isLate(follow)) return { case: "followReply", value: { outcome: "resync" } };
     const { heads, number } = this.#follows.enrol(follow, followed, edge);
     const found = new Set(heads.map((head) => head.stream));
     const missing = follow.streams.flatMap(({ stream }, i) =>
@@ -214,14 +214,14 @@
       if (this.isOpen) this.#follows.push(found);
     });
     return {
-      case: "followReceipt",
+      case: "followReply",
       value: { outcome: "done", heads: [...heads, ...missing], epoch: this.#holder.epoch, number },
     };
   }
 
   /** Where subscriptions start. Only what the committed head contradicts is an unknown place. */
-  async start(ask: StartAsk): Promise<BodyInit> {
-    const away: BodyInit = { case: "startReceipt", value: { outcome: "away" } };
+  async start(ask: StartRequest): Promise<BodyInit> {
+    const away: BodyInit = { case: "startReply", value: { outcome: "away" } };
     if (!this.isOpen) return away;
     const asked = ask.places.map((place) => {
       const route = this.#node.plan.route(place.topic);
@@ -241,14 +241,14 @@
         return create(TopicStartSchema, { topic: place.topic, outcome: "behind" });
       return this.#standings.isInMemory(stream) ? startInMemory(log, place) : startOf(log, place);
     });
-    return { case: "startReceipt", value: { outcome: "done", starts } };
+    return { case: "startReply", value: { outcome: "done", starts } };
   }
 
   fetch(fetch: Fetch): BodyInit {
-    if (!this.isOpen) return { case: "fetchReceipt", value: { outcome: "away" } };
+    if (!this.isOpen) return { case: "fetchReply", value: { outcome: "away" } };
     const log = this.#find(fetch.stream);
     if (log === undefined || this.#standings.of(fetch.stream, log.spaceBirth) !== "ours")
-      return { case: "fetchReceipt", value: { outcome: "unknown-topic" } };
+      return { case: "fetchReply", value: { outcome: "unknown-topic" } };
     return fetchFrom(log, fetch);
   }
 
@@ -362,7 +362,7 @@
 
   #away(reason = "", comeBack = 0.5): PublishOutcome {
     const { holder } = this.#node.shards.find(this.#replica.shard);
-    return { case: "publishReceipt", value: { outcome: "away", holder, comeBack, reason } };
+    return { case: "publishReply", value: { outcome: "away", holder, comeBack, reason } };
   }
 
   static #refusal(plan: Plan | undefined, owed: Owe, publish: Publish): { code: string; reason: string } | undefined {
--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -82,13 +82,13 @@
       "publish",
       async (publish) =>
         (await this.#bench(publish.shard)?.publish(publish)) ?? {
-          case: "publishReceipt",
+          case: "publishReply",
           value: { outcome: "away", holder: this.#node.shards.find(publish.shard).holder },
         },
     );
     exchange.serve("follow", (follow, frame) => {
       const away: BodyInit = {
-        case: "followReceipt",
+        case: "followReply",
         value: { outcome: "away", holder: this.#node.shards.find(follow.shard).holder },
       };
       if (follow.isAtReplica) return this.#reads[follow.shard]?.follow(follow, frame.from) ?? away;
@@ -98,16 +98,16 @@
       "fetch",
       (fetch) =>
         (fetch.isAtReplica ? this.#reads[fetch.shard] : this.#bench(fetch.shard))?.fetch(fetch) ?? {
-          case: "fetchReceipt",
+          case: "fetchReply",
           value: { outcome: "away" },
         },
     );
     exchange.serve(
-      "startAsk",
-      async (ask) => (await this.#bench(ask.shard)?.start(ask)) ?? { case: "startReceipt", value: { outcome: "away" } },
+      "startRequest",
+      async (ask) => (await this.#bench(ask.shard)?.start(ask)) ?? { case: "startReply", value: { outcome: "away" } },
     );
     exchange.serve("followBeats", ({ beats }) => ({
-      case: "followBeatsReceipt",
+      case: "followBeatsReply",
       value: {
         outcomes: beats.map(
           (beat) => (beat.isAtReplica ? this.#reads[beat.shard] : this.#bench(beat.shard))?.beaten(beat) ?? "away",
@@ -121,8 +121,8 @@
       return undefined;
     });
     exchange.serve(
-      "countAsk",
-      (ask) => this.#bench(ask.shard)?.count(ask) ?? { case: "countReceipt", value: { outcome: "away" } },
+      "countRequest",
+      (ask) => this.#bench(ask.shard)?.count(ask) ?? { case: "countReply", value: { outcome: "away" } },
     );
     this.#claims = new Claims(this.#node, this.#lease, this.#replicas, this.#id, this.#turn);
     this.#lease.start();
--- a/packages/testkit/src/callers/caller.ts
+++ b/packages/testkit/src/callers/caller.ts
@@ -1,5 +1,5 @@
 import type { Beat, Clock } from "@cranetrack/core/runtime/clock.js";
-import type { CallerPort, PortLink, PortReceipt } from "./callerPort.js";
+import type { CallerPort, PortLink, PortReply } from "./callerPort.js";
 import type { History } from "../checker/history.js";
 
 interface CallerParts {
@@ -115,27 +115,27 @@
       history.add({ kind: "tried", at: this.#now, sender: this.session, topic, number, payload });
       const body = JSON.stringify({ topic, number, payload });
       const asked = port.call(node, "POST", `/v1/sessions/${this.session}/messages`, body);
-      const receipt = await Promise.race([asked, this.#cutLink()]);
+      const reply = await Promise.race([asked, this.#cutLink()]);
       const about = { at: this.#now, sender: this.session, topic, number };
-      if (receipt.status === 200) {
-        history.add({ kind: "accepted", ...about, place: String(receipt.body["place"]) });
+      if (reply.status === 200) {
+        history.add({ kind: "accepted", ...about, place: String(reply.body["place"]) });
         return true;
       }
-      const code = String((receipt.body["error"] as { code?: string } | undefined)?.code ?? "");
-      if (receipt.status === 504 || receipt.status === 0) history.add({ kind: "unsure", ...about });
+      const code = String((reply.body["error"] as { code?: string } | undefined)?.code ?? "");
+      if (reply.status === 504 || reply.status === 0) history.add({ kind: "unsure", ...about });
       else history.add({ kind: "refused", ...about, code });
-      const isFinal = receipt.status !== 504 && receipt.status !== 0 && receipt.status !== 503 && code !== "no-link";
+      const isFinal = reply.status !== 504 && reply.status !== 0 && reply.status !== 503 && code !== "no-link";
       if (isFinal) return false;
       await new Promise<void>(
         (resolve) =>
-          void clock.once(Math.min(1000, (receipt.comeBack ?? 0.3) * 1000 * (0.5 + this.#parts.draw() * 0.5)), resolve),
+          void clock.once(Math.min(1000, (reply.comeBack ?? 0.3) * 1000 * (0.5 + this.#parts.draw() * 0.5)), resolve),
       );
     }
     return false;
   }
 
   /** Settles when the present link breaks: what was asked over it is asked again on the next, under its number. */
-  #cutLink(): Promise<PortReceipt> {
+  #cutLink(): Promise<PortReply> {
     return new Promise((resolve) => {
       this.#whenCut.push(() => resolve({ status: 0, body: {}, comeBack: 0 }));
       if (this.#whenCut.length > 200) this.#whenCut.shift();
--- a/packages/testkit/src/callers/callerPort.ts
+++ b/packages/testkit/src/callers/callerPort.ts
@@ -1,4 +1,4 @@
-export interface PortReceipt {
+export interface PortReply {
   status: number;
   body: Record<string, unknown>;
   comeBack: number | undefined;
@@ -15,6 +15,6 @@
     session: string,
     body: object,
     heed: { line(line: Record<string, unknown>): void; closed(): void },
-  ): Promise<PortLink | PortReceipt>;
-  call(node: string, method: string, path: string, body: string | undefined): Promise<PortReceipt>;
+  ): Promise<PortLink | PortReply>;
+  call(node: string, method: string, path: string, body: string | undefined): Promise<PortReply>;
 }
--- a/packages/testkit/src/callers/httpPort.ts
+++ b/packages/testkit/src/callers/httpPort.ts
@@ -1,5 +1,5 @@
 import { Agent, request } from "undici";
-import type { CallerPort, PortLink, PortReceipt } from "./callerPort.js";
+import type { CallerPort, PortLink, PortReply } from "./callerPort.js";
 
 /** Calls over HTTP/1.1, as a caller of the service makes them. */
 export class HttpPort implements CallerPort {
@@ -15,7 +15,7 @@
     session: string,
     body: object,
     heed: { line(line: Record<string, unknown>): void; closed(): void },
-  ): Promise<PortLink | PortReceipt> {
+  ): Promise<PortLink | PortReply> {
     const giveUp = new AbortController();
     try {
       const answer = await request(`http://${this.#addressOf(node)}/v1/sessions/${session}/link`, {
@@ -26,7 +26,7 @@
         signal: giveUp.signal,
         headersTimeout: 1500,
       });
-      if (answer.statusCode !== 200) return HttpPort.#receipt(answer.statusCode, await answer.body.text());
+      if (answer.statusCode !== 200) return HttpPort.#reply(answer.statusCode, await answer.body.text());
       let rest = "";
       answer.body.setEncoding("utf8");
       answer.body.on("data", (chunk: string) => {
@@ -42,7 +42,7 @@
     }
   }
 
-  async call(node: string, method: string, path: string, body: string | undefined): Promise<PortReceipt> {
+  async call(node: string, method: string, path: string, body: string | undefined): Promise<PortReply> {
     try {
       const answer = await request(`http://${this.#addressOf(node)}${path}`, {
         method: method as "GET",
@@ -50,7 +50,7 @@
         ...(body === undefined ? {} : { body, headers: { "Content-Type": "application/json" } }),
         headersTimeout: 2500,
       });
-      return HttpPort.#receipt(answer.statusCode, await answer.body.text());
+      return HttpPort.#reply(answer.statusCode, await answer.body.text());
     } catch (fault) {
       const isNeverSent = (fault as { code?: string }).code === "ECONNREFUSED";
       return {
@@ -65,7 +65,7 @@
     return this.#agent.destroy();
   }
 
-  static #receipt(status: number, text: string): PortReceipt {
+  static #reply(status: number, text: string): PortReply {
     let body: Record<string, unknown>;
     try {
       body = JSON.parse(text) as Record<string, unknown>;
--- a/packages/testkit/src/callers/pipelinedPublisher.ts
+++ b/packages/testkit/src/callers/pipelinedPublisher.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
 import type { History } from "../checker/history.js";
 import type { Caller } from "./caller.js";
-import type { CallerPort, PortReceipt } from "./callerPort.js";
+import type { CallerPort, PortReply } from "./callerPort.js";
 
 interface PublisherParts {
   /** Whose session it publishes under, and at whose node. */
@@ -59,17 +59,17 @@
         await this.#wait();
         continue;
       }
-      const receipt = await this.#try(message);
+      const reply = await this.#try(message);
       const about = { at: clock.now(), sender: caller.session, topic, number };
-      if (receipt.status === 200) return history.add({ kind: "accepted", ...about, place: "" });
-      if (receipt.status !== 0 && receipt.status !== 504)
-        return history.add({ kind: "refused", ...about, code: codeOf(receipt) });
+      if (reply.status === 200) return history.add({ kind: "accepted", ...about, place: "" });
+      if (reply.status !== 0 && reply.status !== 504)
+        return history.add({ kind: "refused", ...about, code: codeOf(reply) });
       history.add({ kind: "unsure", ...about });
       await this.#wait();
     }
   }
 
-  #try({ topic, number, payload }: Message): Promise<PortReceipt> {
+  #try({ topic, number, payload }: Message): Promise<PortReply> {
     const { caller, port, history, clock } = this.#parts;
     const { session, node } = caller;
     history.add({ kind: "tried", at: clock.now(), sender: session, topic, number, payload });
@@ -81,6 +81,6 @@
   }
 }
 
-function codeOf({ body }: PortReceipt): string {
+function codeOf({ body }: PortReply): string {
   return String((body["error"] as { code?: string } | undefined)?.code ?? "");
 }
--- a/packages/testkit/src/checker/checker.test.ts
+++ b/packages/testkit/src/checker/checker.test.ts
@@ -194,12 +194,12 @@
   const cut = (isOwn: boolean): Seen => ({ kind: "closed", at: 30, subscriber: "a", isOwn });
   const again: Seen[] = [{ kind: "linked", at: 2900, subscriber: "a", node: "m" }];
   const history = (isOwn: boolean): Seen[] => [...joins("a"), tried(10, 1), cut(isOwn), ...again, got(3010, 1)];
-  expect(Lateness.receipts(history(false)).map((receipt) => receipt.delay)).toEqual([3000]);
-  expect(Lateness.receipts(history(true))).toEqual([]);
-  const receipts = Lateness.receipts(history(false));
+  expect(Lateness.deliveries(history(false)).map((delivery) => delivery.delay)).toEqual([3000]);
+  expect(Lateness.deliveries(history(true))).toEqual([]);
+  const deliveries = Lateness.deliveries(history(false));
   const kill = { what: "kill", from: 5, to: 2500 };
-  expect([...Lateness.byCause(receipts, [kill])]).toEqual([["kill", { count: 1, worst: 3000 }]]);
-  expect([...Lateness.byCause(receipts, [{ ...kill, to: 9 }])]).toEqual([["nothing", { count: 1, worst: 3000 }]]);
+  expect([...Lateness.byCause(deliveries, [kill])]).toEqual([["kill", { count: 1, worst: 3000 }]]);
+  expect([...Lateness.byCause(deliveries, [{ ...kill, to: 9 }])]).toEqual([["nothing", { count: 1, worst: 3000 }]]);
 });
 
 test(
--- a/packages/testkit/src/checker/configurationHistory.ts
+++ b/packages/testkit/src/checker/configurationHistory.ts
@@ -14,7 +14,7 @@
   /** So long a plan may take until it is in effect everywhere. */
   static readonly takeUpMs = 3000;
   /** A receipt is on its way for so long at the most, after what it tells of. */
-  static readonly receiptMs = 1000;
+  static readonly acknowledgementMs = 1000;
 
   readonly #accepted: Put[] = [];
   readonly #tried = new Map<string, Put>();
@@ -51,7 +51,7 @@
       .reduce<Put | undefined>((a, b) => (a === undefined || b.plan.mark > a.plan.mark ? b : a), undefined);
     if (settled === undefined) return undefined;
     const later = [...this.#tried.values(), ...this.#accepted].filter(
-      ({ plan, at }) => plan.mark > settled.plan.mark && at <= to + PlanHistory.receiptMs,
+      ({ plan, at }) => plan.mark > settled.plan.mark && at <= to + PlanHistory.acknowledgementMs,
     );
     return [settled.plan, ...later.map((put) => put.plan)];
   }
--- a/packages/testkit/src/checker/lateness.ts
+++ b/packages/testkit/src/checker/lateness.ts
@@ -1,6 +1,6 @@
 import type { Seen } from "./history.js";
 
-export interface Receipt {
+export interface Delivery {
   subscriber: string;
   topic: string;
   id: string;
@@ -19,10 +19,10 @@
    * Receipts by subscribers that were confirmed when the message was first tried and have not dropped off of
    * their own accord since. A link that broke, or a node that fell silent, excuses nothing.
    */
-  receipts(seen: readonly Seen[]): Receipt[] {
+  deliveries(seen: readonly Seen[]): Delivery[] {
     const first = new Map<string, number>();
     const confirmed = new Map<string, Map<string, number>>();
-    const receipts: Receipt[] = [];
+    const deliveries: Delivery[] = [];
     const topicsOf = (subscriber: string): Map<string, number> => {
       const topics = confirmed.get(subscriber) ?? new Map<string, number>();
       confirmed.set(subscriber, topics);
@@ -43,24 +43,30 @@
         const id = `${one.sender}#${one.number}`;
         const triedAt = first.get(`${topic} ${id}`) ?? -Infinity;
         const since = confirmed.get(subscriber)?.get(topic) ?? Infinity;
-        if (triedAt >= since) receipts.push({ subscriber, topic, id, triedAt, at, delay: at - triedAt });
+        if (triedAt >= since) deliveries.push({ subscriber, topic, id, triedAt, at, delay: at - triedAt });
       }
     }
-    return receipts;
+    return deliveries;
   },
 
-  figures(delays: readonly number[]): { receipts: number; p50: number; p99: number; max: number; above2000: number } {
+  figures(delays: readonly number[]): { deliveries: number; p50: number; p99: number; max: number; above2000: number } {
     const sorted = [...delays].sort((a, b) => a - b);
     const rank = (share: number): number =>
       Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0);
     const above2000 = sorted.filter((delay) => delay > Lateness.mostMs).length;
-    return { receipts: sorted.length, p50: rank(0.5), p99: rank(0.99), max: Math.round(sorted.at(-1) ?? 0), above2000 };
+    return {
+      deliveries: sorted.length,
+      p50: rank(0.5),
+      p99: rank(0.99),
+      max: Math.round(sorted.at(-1) ?? 0),
+      above2000,
+    };
   },
 
   /** Late receipts counted by what was going on between the try and the receipt; nothing is a cause of its own. */
-  byCause(receipts: readonly Receipt[], causes: ReadonlyArray<{ what: string; from: number; to: number }>) {
+  byCause(deliveries: readonly Delivery[], causes: ReadonlyArray<{ what: string; from: number; to: number }>) {
     const counts = new Map<string, { count: number; worst: number }>();
-    for (const { triedAt, at, delay } of receipts) {
+    for (const { triedAt, at, delay } of deliveries) {
       if (delay <= Lateness.mostMs) continue;
       const active = causes.filter(({ from, to }) => from <= at && to >= triedAt).map(({ what }) => what);
       const cause = active.length === 0 ? "nothing" : [...new Set(active)].sort().join("+");
--- a/packages/testkit/src/explore/callers.ts
+++ b/packages/testkit/src/explore/callers.ts
@@ -66,7 +66,7 @@
       if (!member.isUp) return;
       if (reply === undefined) return this.#coverage.count("event: call unanswered");
       this.#coverage.count("event: call answered");
-      const answer = reply.case === "storeReceipt" ? reply.value.reason : reply.case;
+      const answer = reply.case === "storeReply" ? reply.value.reason : reply.case;
       this.#observer.keep(() => {
         if (answer !== `${to} ${token}`)
           throw new Violation("replies reach their call", `${member.name} asked ${to} ${token} and got ${answer}`);
@@ -84,7 +84,7 @@
           throw new Violation("calls run at most once", `${member.name} carries ${token} out again`);
       });
       this.#carriedOut.add(token);
-      return { case: "storeReceipt", value: { outcome: "done", reason: `${member.name} ${token}` } };
+      return { case: "storeReply", value: { outcome: "done", reason: `${member.name} ${token}` } };
     });
   }
 
--- a/packages/testkit/src/explore/contactWatch.ts
+++ b/packages/testkit/src/explore/contactWatch.ts
@@ -28,7 +28,7 @@
     const { raft, clock } = this.#member;
     if (body.case === "append" && body.value.term >= raft.term)
       this.#word = { at: clock.now(), commit: body.value.commit };
-    if (body.case === "appendReceipt" && body.value.term === raft.term)
+    if (body.case === "appendReply" && body.value.term === raft.term)
       this.#answeredAt.set(body.value.sender, clock.now());
   }
 
--- a/packages/testkit/src/explore/observer.ts
+++ b/packages/testkit/src/explore/observer.ts
@@ -86,14 +86,14 @@
       if (!isKept && disk.term <= body.value.term) this.#unsynced(machine, `its vote for itself in ${body.value.term}`);
       this.#voted(machine, body.value.term, machine.name);
     }
-    if (body.case === "voteReceipt" && body.value.isGranted && !body.value.isPre) {
+    if (body.case === "voteReply" && body.value.isGranted && !body.value.isPre) {
       const { term } = body.value;
       const isKept = disk.term === term && disk.vote.startsWith(`${to}#`);
       if (!isKept && disk.term <= term) this.#unsynced(machine, `a vote for ${to} in ${term}`);
       this.#voted(machine, term, to);
     }
-    if (body.case !== "appendReceipt") return;
-    const { term, isTaken, match } = body.value;
+    if (body.case !== "appendReply") return;
+    const { term, isAccepted: isTaken, match } = body.value;
     if (disk.term < term) this.#unsynced(machine, `an answer in term ${term}, with ${disk.term} synced`);
     if (isTaken && disk.lastIndex < match)
       this.#unsynced(machine, `entries up to ${match}, with ${disk.lastIndex} synced`);
--- a/packages/testkit/src/fleet/drill.ts
+++ b/packages/testkit/src/fleet/drill.ts
@@ -16,7 +16,7 @@
 export interface StepDelays {
   what: string;
   backMs: number;
-  receipts: number;
+  deliveries: number;
   p50: number;
   p99: number;
   max: number;
@@ -156,9 +156,9 @@
 
   /** What readers waited during each step, from its cause until service was back. */
   delays(seen: readonly Seen[]): StepDelays[] {
-    const receipts = Lateness.receipts(seen);
+    const deliveries = Lateness.deliveries(seen);
     return this.steps.map(({ what, from, to, backMs }) => {
-      const delays = receipts.filter(({ triedAt }) => triedAt >= from && triedAt <= to).map(({ delay }) => delay);
+      const delays = deliveries.filter(({ triedAt }) => triedAt >= from && triedAt <= to).map(({ delay }) => delay);
       return { what, backMs, ...Lateness.figures(delays) };
     });
   }
--- a/packages/testkit/src/fleet/fleet.test.ts
+++ b/packages/testkit/src/fleet/fleet.test.ts
@@ -5,7 +5,7 @@
 import { after, before, test } from "node:test";
 import { expect } from "earl";
 import { Deployments } from "./deployments.js";
-import type { PortReceipt } from "../callers/callerPort.js";
+import type { PortReply } from "../callers/callerPort.js";
 import { Drill } from "./drill.js";
 import { Fleet } from "./fleet.js";
 import { Load } from "./load.js";
@@ -17,7 +17,7 @@
   folder,
   Deployments.machines(Deployments.find("small")).map((machine) => machine.name),
 );
-const codeOf = (receipt: PortReceipt): unknown => (receipt.body["error"] as { code?: unknown } | undefined)?.code;
+const codeOf = (reply: PortReply): unknown => (reply.body["error"] as { code?: unknown } | undefined)?.code;
 interface Ran {
   status: number | null;
   out: string;
@@ -117,11 +117,11 @@
     };
     let link = await connect();
     while (!isOpen) link = await connect();
-    const publish = (body: string, node = edge, session = "guest"): Promise<PortReceipt> =>
+    const publish = (body: string, node = edge, session = "guest"): Promise<PortReply> =>
       fleet.call(node, "POST", `/v1/sessions/${session}/messages`, body);
     const message = { topic: "notes/t1", number: 1, payload: "x" };
     const whole = JSON.stringify(message);
-    const cases: Array<[Promise<PortReceipt>, number, string]> = [
+    const cases: Array<[Promise<PortReply>, number, string]> = [
       [publish("{"), 400, "malformed"],
       [publish(whole.slice(0, -3)), 400, "malformed"],
       [publish(JSON.stringify({ ...message, number: "1" })), 400, "malformed"],
@@ -155,8 +155,8 @@
       [fleet.call("lathe-2", "PUT", "/v1/machines/nobody/emptying"), 404, "unknown-machine"],
     ];
     for (const [asked, status, code] of cases) {
-      const receipt = await asked;
-      expect([receipt.status, codeOf(receipt)]).toEqual([status, code]);
+      const reply = await asked;
+      expect([reply.status, codeOf(reply)]).toEqual([status, code]);
     }
     expect((await publish(JSON.stringify({ ...message, number: 3 }), other)).status).toEqual(200);
     while (!lines.some((line) => line["kind"] === "message")) await fleet.call(edge, "GET", "/healthz");
@@ -183,7 +183,7 @@
         fleet.port.link("vise-1", `crowd-${i}`, {}, { line: () => undefined, closed: () => undefined }),
       ),
     );
-    const full = links.find((link) => !("close" in link)) as PortReceipt;
+    const full = links.find((link) => !("close" in link)) as PortReply;
     expect([full.status, codeOf(full)]).toEqual([503, "full"]);
     for (const link of links) if ("close" in link) link.close();
     writeFileSync(path, good);
@@ -240,7 +240,7 @@
       expect(fleet.fallen).toEqual([]);
       expect(drill.steps.filter((step) => step.backMs > Drill.backMs)).toEqual([]);
       expect(report.accepted).toEqual(report.sent);
-      expect(report.receipts > report.accepted).toEqual(true);
+      expect(report.deliveries > report.accepted).toEqual(true);
     } finally {
       load.halt();
     }
--- a/packages/testkit/src/fleet/fleet.ts
+++ b/packages/testkit/src/fleet/fleet.ts
@@ -4,7 +4,7 @@
 import { createServer } from "node:net";
 import { join } from "node:path";
 import { HttpPort } from "../callers/httpPort.js";
-import type { PortReceipt } from "../callers/callerPort.js";
+import type { PortReply } from "../callers/callerPort.js";
 import { TcpRelay } from "./tcpRelay.js";
 import { Deployments, type Deployment, type Machine } from "./deployments.js";
 import { programOf } from "./programOf.js";
@@ -189,7 +189,7 @@
     await this.port.close();
   }
 
-  call(name: string, method: string, path: string, body?: string): Promise<PortReceipt> {
+  call(name: string, method: string, path: string, body?: string): Promise<PortReply> {
     return this.port.call(name, method, path, body);
   }
 
@@ -237,7 +237,7 @@
     const asked = await Promise.all(
       [...this.withRole("anvil"), ...this.withRole("vise")].map((name) => this.call(name, "GET", "/v1/status")),
     );
-    return asked.reduce((sum, receipt) => sum + Number(receipt.body["leasesLost"] ?? 0), 0);
+    return asked.reduce((sum, reply) => sum + Number(reply.body["leasesLost"] ?? 0), 0);
   }
 
   /** Resident megabytes of the largest process of each role. */
--- a/packages/testkit/src/fleet/load.ts
+++ b/packages/testkit/src/fleet/load.ts
@@ -12,7 +12,7 @@
   sent: number;
   accepted: number;
   /** Of readers that were confirmed when the message was first tried. */
-  receipts: number;
+  deliveries: number;
   reconnects: number;
   p50: number;
   p99: number;
@@ -42,9 +42,9 @@
     const text = JSON.stringify(plan);
     this.history.add({ kind: "planTried", at: this.#clock.now(), mark: plan.mark, text });
     for (;;) {
-      const receipt = await this.#fleet.call(this.#fleet.withRole("vise")[0]!, "PUT", "/v1/plan", text);
-      if (receipt.status === 200) break;
-      if (receipt.status < 500) throw new Error(`the plan was refused: ${JSON.stringify(receipt.body)}`);
+      const reply = await this.#fleet.call(this.#fleet.withRole("vise")[0]!, "PUT", "/v1/plan", text);
+      if (reply.status === 200) break;
+      if (reply.status < 500) throw new Error(`the plan was refused: ${JSON.stringify(reply.body)}`);
       await this.#wait(300);
     }
     this.history.add({ kind: "planAccepted", at: this.#clock.now(), mark: plan.mark, text });
@@ -168,7 +168,7 @@
 
   static report(history: History, endAt: number, callers: readonly Caller[]): LoadReport {
     const { seen } = history;
-    const delays = Lateness.receipts(seen).map(({ delay }) => delay);
+    const delays = Lateness.deliveries(seen).map(({ delay }) => delay);
     const sent = seen.flatMap((one) => (one.kind === "tried" ? [`${one.sender} ${one.topic} ${one.number}`] : []));
     return {
       sent: new Set(sent).size,
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -88,7 +88,7 @@
       breaches: this.#breaches,
       troubles: troubles.done,
       accepted: report.accepted,
-      received: report.receipts,
+      received: report.deliveries,
       passed: passing?.received ?? 0,
       changes: operators.accepted.length,
       reads: operators.reads.length,
--- a/packages/testkit/src/golden/diskAdapter.ts
+++ b/packages/testkit/src/golden/diskAdapter.ts
@@ -65,9 +65,9 @@
 }
 
 const programs: Record<NodeKind, string> = {
-  control: "@cranetrack/control/lathe.js",
-  storage: "@cranetrack/log-storage/anvil.js",
-  edge: "@cranetrack/edge/vise.js",
+  control: "@cranetrack/control/cranetrack-control.js",
+  storage: "@cranetrack/log-storage/cranetrack-storage.js",
+  edge: "@cranetrack/edge/cranetrack-edge.js",
 };
 const roles: Record<NodeKind, string> = { control: "lathe", storage: "anvil", edge: "vise" };
 
--- a/packages/testkit/src/sabotage/callSabotages.ts
+++ b/packages/testkit/src/sabotage/callSabotages.ts
@@ -121,7 +121,7 @@
   {
     name: "an order that was passed on is passed on again after a silence",
     file: "core/dist/http/router.js",
-    find: 'if (!mayRepeat({ case: "pass", value: call }))',
+    find: 'if (!mayRepeat({ case: "forward", value: call }))',
     put: "if (false)",
     test: `${sim}/calls.test.js`,
   },
@@ -149,7 +149,7 @@
   {
     name: "a session that is given up without its state counts as whole",
     file: "edge/dist/sessions/sessions.js",
-    find: "if (receipt.value.isLost)",
+    find: "if (reply.value.isLost)",
     put: "if (false)",
     test: `${sim}/calls.test.js`,
   },
--- a/packages/testkit/src/sabotage/electionSabotages.ts
+++ b/packages/testkit/src/sabotage/electionSabotages.ts
@@ -15,8 +15,8 @@
   {
     name: "votes are asked for in a term that is over",
     file,
-    find: "this.#ask(true);\n        }\n        if (receipt.isGranted",
-    put: "void 0;\n        }\n        if (receipt.isGranted",
+    find: "this.#ask(true);\n        }\n        if (reply.isGranted",
+    put: "void 0;\n        }\n        if (reply.isGranted",
     test,
   },
 ];
--- a/packages/testkit/src/sabotage/logSabotages.ts
+++ b/packages/testkit/src/sabotage/logSabotages.ts
@@ -19,8 +19,8 @@
   {
     name: "what was taken in an earlier term counts in a later one",
     file: "core/dist/replication/followerLog.js",
-    find: "isTaken: isTaken && to.term === this.#log.term",
-    put: "isTaken",
+    find: "isAccepted: isAccepted && to.term === this.#log.term",
+    put: "isAccepted",
     test: "core/dist/replication/followerLog.test.js",
   },
   {
@@ -194,7 +194,7 @@
   {
     name: "a heartbeat's answer counts as that of the entries",
     file: "core/dist/replication/logReplicator.js",
-    find: "if (!receipt.isTaken || receipt.match >= peer.awaited)",
+    find: "if (!reply.isAccepted || reply.match >= peer.awaited)",
     put: "if (true)",
     test: "core/dist/replication/replication.test.js",
   },
--- a/packages/testkit/src/sabotage/repairSabotages.ts
+++ b/packages/testkit/src/sabotage/repairSabotages.ts
@@ -58,6 +58,6 @@
     file: "control/dist/configuration/configurationCapacity.js",
     find: "if (replicas < needed)",
     put: "if (false)",
-    test: `${sim}/planCapacity.test.js`,
+    test: `${sim}/configurationCapacity.test.js`,
   },
 ];
--- a/packages/testkit/src/sim/callModel.ts
+++ b/packages/testkit/src/sim/callModel.ts
@@ -79,10 +79,10 @@
     endpoint.addressOf = (other) => `${other}:1`;
     endpoint.relaysFor = (other) => CallModel.names.filter((one) => one !== other && one !== name);
     endpoint.serve("ping", () => ({ case: "done", value: {} }));
-    endpoint.serve("fetch", ({ stream }) => ({ case: "fetchReceipt", value: { batch: { stream, birth: name } } }));
-    endpoint.serve("pass", ({ path }) => {
+    endpoint.serve("fetch", ({ stream }) => ({ case: "fetchReply", value: { batch: { stream, birth: name } } }));
+    endpoint.serve("forward", ({ path }) => {
       this.#ran(path);
-      return { case: "passReceipt", value: { body: Buffer.from(`${path} ${name}`) } };
+      return { case: "forwardReply", value: { body: Buffer.from(`${path} ${name}`) } };
     });
     this.#lives.set(name, { body, endpoint, number });
     clock.every(CallModel.callEveryMs, () => void this.#call(name, number, endpoint));
@@ -95,7 +95,7 @@
     const reply = await endpoint.call(
       to,
       isOnce
-        ? { case: "pass", value: { method: "POST", path: text } }
+        ? { case: "forward", value: { method: "POST", path: text } }
         : { case: "fetch", value: { stream: text, limit: 1 } },
       CallModel.dueMs,
     );
@@ -106,8 +106,8 @@
   }
 
   static #textOf(reply: Frame["body"]): string {
-    if (reply.case === "passReceipt") return Buffer.from(reply.value.body).toString();
-    if (reply.case === "fetchReceipt") return `${reply.value.batch?.stream} ${reply.value.batch?.birth}`;
+    if (reply.case === "forwardReply") return Buffer.from(reply.value.body).toString();
+    if (reply.case === "fetchReply") return `${reply.value.batch?.stream} ${reply.value.batch?.birth}`;
     return reply.case ?? FrameSchema.name;
   }
 
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -38,12 +38,12 @@
   let passed = 0;
   fleet.wires.mutate = (_from, _to, bytes) => {
     const frame = Wire.decode(bytes);
-    if (frame?.body.case === "pass" && frame.body.value.method === "PUT") passed += 1;
-    return frame?.body.case === "passReceipt" ? [] : undefined;
+    if (frame?.body.case === "forward" && frame.body.value.method === "PUT") passed += 1;
+    return frame?.body.case === "forwardReply" ? [] : undefined;
   };
   const mark = load.nextMark;
-  const receipt = await ask("vise-1", "PUT", "/v1/plan", JSON.stringify(SimLoad.plan(mark)));
-  expect([passed, receipt["status"]]).toEqual([1, 504]);
+  const reply = await ask("vise-1", "PUT", "/v1/plan", JSON.stringify(SimLoad.plan(mark)));
+  expect([passed, reply["status"]]).toEqual([1, 504]);
   fleet.wires.mutate = undefined;
   const inForce = await ask("vise-2", "GET", "/v1/plan");
   expect((JSON.parse(String(inForce["raw"])) as { mark: number }).mark).toEqual(mark);
@@ -78,15 +78,15 @@
   fleet.wires.mutate = (from, _to, bytes) => {
     const body = Wire.decode(bytes)?.body;
     const calls = body?.case === "storeBatch" ? body.value.calls : [];
-    for (const { call, isPassed } of calls) if (isPassed) passed.push(call.case!);
-    return body?.case === "storeBatchReceipt" && from === fleet.addressOf(old) ? [] : undefined;
+    for (const { call, isForwarded } of calls) if (isForwarded) passed.push(call.case!);
+    return body?.case === "storeBatchReply" && from === fleet.addressOf(old) ? [] : undefined;
   };
   const other = fleet.withRole("lathe").find((name) => name !== old)!;
   const { exchange } = fleet.find("vise-1")!.node;
   const outcomes: string[] = [];
   const ask = (call: StoreChange): void => {
     const heed = (body: Body | undefined): void =>
-      void outcomes.push(`${call.case} ${body?.case === "storeReceipt" ? body.value.outcome : "silent"}`);
+      void outcomes.push(`${call.case} ${body?.case === "storeReply" ? body.value.outcome : "silent"}`);
     void exchange.call(other, { case: "storeCall", value: { call } }, 3000).then(heed);
   };
   await fleet.run(20);
--- a/packages/testkit/src/sim/configurationCapacity.test.ts
+++ b/packages/testkit/src/sim/configurationCapacity.test.ts
@@ -14,17 +14,17 @@
     settings: one.role === "lathe" ? { stores: true, replicas } : { replicas },
   }));
 
-type Receipt = { status: number; paths: string[] };
+type Reply = { status: number; paths: string[] };
 
-async function put(fleet: SimFleet, mark: number, spaces = SimPlans.usual()): Promise<Receipt> {
-  let receipt: Receipt | undefined;
+async function put(fleet: SimFleet, mark: number, spaces = SimPlans.usual()): Promise<Reply> {
+  let reply: Reply | undefined;
   const body = JSON.stringify(SimPlans.write(mark, spaces, ["notes", "notices"]));
   void fleet.port.call("lathe-2", "PUT", "/v1/plan", body).then((got) => {
     const { problems = [] } = (got.body["error"] ?? {}) as { problems?: Array<{ path: string }> };
-    receipt = { status: got.status, paths: problems.map(({ path }) => path) };
+    reply = { status: got.status, paths: problems.map(({ path }) => path) };
   });
-  expect(await fleet.until(() => receipt !== undefined, 6000)).toEqual(true);
-  return receipt!;
+  expect(await fleet.until(() => reply !== undefined, 6000)).toEqual(true);
+  return reply!;
 }
 
 async function withDisks(seed: number, count: number, replicas = 3): Promise<SimFleet> {
@@ -73,7 +73,7 @@
   const spaces = SimPlans.usual();
   spaces["notes"]![0]!.owe["fault_budget"] = { machines: 2 };
   const refused = { status: 503, paths: ["spaces.0.program.0.owe.fault_budget.machines"] };
-  for (const [seed, disks, replicas, receipt] of [
+  for (const [seed, disks, replicas, reply] of [
     [95, 5, 5, { status: 200, paths: [] }],
     [96, 4, 5, refused],
     [97, 5, 3, refused],
@@ -81,7 +81,7 @@
     const fleet = await withDisks(seed, disks, replicas);
     // Fewer machines than replicas are waited for a while, before smaller sets are named.
     await fleet.run(4000);
-    expect(await put(fleet, 1, spaces)).toEqual({ ...receipt, paths: [...receipt.paths] });
+    expect(await put(fleet, 1, spaces)).toEqual({ ...reply, paths: [...reply.paths] });
     expect(fleet.find("vise-1")!.node.shards.find(0).set!.members.length).toEqual(Math.min(disks, replicas));
   }
 });
--- a/packages/testkit/src/sim/configurationStorm.test.ts
+++ b/packages/testkit/src/sim/configurationStorm.test.ts
@@ -8,7 +8,7 @@
 import { SimFleet } from "./simFleet.js";
 
 /** What carries a configuration: to the store, among its members, and from there to every node. */
-const carriers = new Set(["storeCall", "storeBatch", "storeReceipt", "storeBatchReceipt", "append", "feedPush"]);
+const carriers = new Set(["storeCall", "storeBatch", "storeReply", "storeBatchReply", "append", "feedPush"]);
 
 interface Written {
   plan: string;
--- a/packages/testkit/src/sim/faultActs.ts
+++ b/packages/testkit/src/sim/faultActs.ts
@@ -13,7 +13,7 @@
   readonly #fleet: SimFleet;
   readonly #load: SimLoad;
   readonly #chance: SimRandom;
-  #passed = 0;
+  #forwarded = 0;
 
   constructor(fleet: SimFleet, load: SimLoad, chance: SimRandom) {
     this.#fleet = fleet;
@@ -184,8 +184,8 @@
 
   /** An edge that nobody knew comes, and is gone for good a few seconds later. */
   #passing(): number {
-    this.#passed += 1;
-    const name = `vise-passing-${this.#passed}`;
+    this.#forwarded += 1;
+    const name = `vise-passing-${this.#forwarded}`;
     const zone = this.#fleet.zoneOf(this.#chance.pick(this.#fleet.names));
     this.#fleet.enlist({ name, role: "vise", zone });
     this.#fleet.start(name);
--- a/packages/testkit/src/sim/freshness.test.ts
+++ b/packages/testkit/src/sim/freshness.test.ts
@@ -135,7 +135,7 @@
     const value = { shard, topic: "notes/t1", session: "direct", number, payload: Buffer.from("x"), spaceBirth };
     let outcome: string | undefined;
     void node.exchange.call(holder, { case: "publish", value }, 800).then((body) => {
-      outcome = body?.case === "publishReceipt" ? body.value.outcome : "nothing";
+      outcome = body?.case === "publishReply" ? body.value.outcome : "nothing";
     });
     await fleet.until(() => outcome !== undefined, 2000);
     return outcome;
--- a/packages/testkit/src/sim/hand.ts
+++ b/packages/testkit/src/sim/hand.ts
@@ -10,14 +10,14 @@
 export class Hand {
   readonly lines: Line[] = [];
   isClosed = false;
-  receipt: Line | undefined;
+  reply: Line | undefined;
   close: () => void = () => undefined;
 
   constructor(fleet: SimFleet, node: string, session: string, body: object) {
     const heed = { line: (line: Line) => void this.lines.push(line), closed: () => void (this.isClosed = true) };
     void fleet.port.link(node, session, body, heed).then((got) => {
       if ("close" in got) this.close = () => got.close();
-      else this.receipt = { status: got.status, ...got.body, comeBack: got.comeBack };
+      else this.reply = { status: got.status, ...got.body, comeBack: got.comeBack };
     });
   }
 
@@ -53,12 +53,12 @@
   expect(await fleet.until(isHeld, 10_000)).toEqual(true);
   await fleet.run(1000);
   const ask: Served["ask"] = async (node, method, path, body) => {
-    let receipt: Line | undefined;
+    let reply: Line | undefined;
     void fleet.port
       .call(node, method, path, body)
-      .then((got) => (receipt = { status: got.status, ...got.body, comeBack: got.comeBack }));
-    expect(await fleet.until(() => receipt !== undefined, 6000)).toEqual(true);
-    return receipt!;
+      .then((got) => (reply = { status: got.status, ...got.body, comeBack: got.comeBack }));
+    expect(await fleet.until(() => reply !== undefined, 6000)).toEqual(true);
+    return reply!;
   };
   const publish: Served["publish"] = (session, number, node = "vise-1", topic = "notes/t1") => {
     const body = JSON.stringify({ topic, number, payload: `p${number}` });
--- a/packages/testkit/src/sim/hostile.test.ts
+++ b/packages/testkit/src/sim/hostile.test.ts
@@ -63,7 +63,7 @@
   "storeCall",
   "pledge",
   "founded",
-  "pass",
+  "forward",
   "publish",
 ]);
 
@@ -113,7 +113,7 @@
         fleet.addressOf(chance.pick(fleet.names)),
         Wire.encode({
           id: i % 7,
-          isReceipt: i % 5 === 0,
+          isReply: i % 5 === 0,
           from: chance.pick(["nobody", "vise-1", "lathe-1"]),
           to: "",
           fromAddress: "10.9.9.9:1",
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -2,7 +2,7 @@
 import { MemoryStreams } from "@cranetrack/log-storage/shards/memoryStreams.js";
 import type { ShardService } from "@cranetrack/log-storage/shards/shardService.js";
 import type { Holder } from "@cranetrack/log-storage/shards/shardLeader.js";
-import type { PublishReceipt } from "@cranetrack/core/gen/cranetrack_pb.js";
+import type { PublishReply } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Wire, type Body } from "@cranetrack/core/rpc/wire.js";
 import { countTopic, type Count } from "@cranetrack/edge/fanout/countTopic.js";
 import { expect } from "earl";
@@ -11,11 +11,11 @@
 /** A fleet whose space `notes` keeps nothing, and so does `extra`, which has one order. */
 async function keepingNothing(seed: number): Promise<Served> {
   const all = await served(seed);
-  const receipt = await all.plan(["notes", "notices", "extra"], (spaces) => {
+  const reply = await all.plan(["notes", "notices", "extra"], (spaces) => {
     spaces["notes"]![0]!.owe["keep"] = 0;
     spaces["extra"]![0]!.owe["keep"] = 0;
   });
-  expect(receipt["status"]).toEqual(200);
+  expect(reply["status"]).toEqual(200);
   await all.fleet.run(1000);
   return all;
 }
@@ -56,10 +56,10 @@
   await linked(all, "vise-2", "pen", []);
   const before = logged(all);
   for (let number = 1; number <= 5; number += 1) {
-    const receipt = await publish("pen", number, "vise-2");
-    expect(receipt["receipt"]).toEqual("accepted");
+    const reply = await publish("pen", number, "vise-2");
+    expect(reply["receipt"]).toEqual("accepted");
     // Sent again it is the same message.
-    expect((await publish("pen", number, "vise-2"))["place"]).toEqual(receipt["place"]);
+    expect((await publish("pen", number, "vise-2"))["place"]).toEqual(reply["place"]);
   }
   expect((await publish("pen", 1, "vise-2", "extra/t0"))["receipt"]).toEqual("accepted");
   expect(await fleet.until(() => readers[1]!.got().length === 6, 2000)).toEqual(true);
@@ -106,12 +106,12 @@
   ).toEqual(true);
   // Whoever had no receipt for these sends them again, to a holder that knows nothing of them.
   for (const number of [2, 3, 4, 5]) {
-    let receipt = await publish("pen", number, "vise-2");
-    for (let tries = 0; receipt["receipt"] !== "accepted" && tries < 20; tries += 1) {
+    let reply = await publish("pen", number, "vise-2");
+    for (let tries = 0; reply["receipt"] !== "accepted" && tries < 20; tries += 1) {
       await fleet.run(200);
-      receipt = await publish("pen", number, "vise-2");
+      reply = await publish("pen", number, "vise-2");
     }
-    expect(receipt["receipt"]).toEqual("accepted");
+    expect(reply["receipt"]).toEqual("accepted");
   }
   expect(await fleet.until(() => reader.got().length >= 5, 4000)).toEqual(true);
   await fleet.run(2000);
@@ -155,14 +155,14 @@
     const { name, shard } = holderOf(all, topic);
     const { exchange, plan } = fleet.find("vise-1")!.node;
     const publish = { shard, session: "sender-1", ownerEpoch: 9, topic, spaceBirth: plan.route(topic)!.spaceBirth };
-    const receipts: PublishReceipt[] = [];
-    const heed = (body: Body | undefined): void => void (body?.case === "publishReceipt" && receipts.push(body.value));
+    const replies: PublishReply[] = [];
+    const heed = (body: Body | undefined): void => void (body?.case === "publishReply" && replies.push(body.value));
     for (let number = 1; number <= 8; number += 1)
       void exchange.call(name, { case: "publish", value: { ...publish, number } }, 3000).then(heed);
-    expect(await fleet.until(() => receipts.length === 8, 4000)).toEqual(true);
-    expect(receipts.map(({ outcome }) => outcome)).toEqual(Array.from({ length: 8 }, () => "accepted"));
-    const first = receipts[0]!.seq;
-    expect(receipts.map(({ seq }) => seq - first)).toEqual([0, 1, 2, 3, 4, 5, 6, 7]);
+    expect(await fleet.until(() => replies.length === 8, 4000)).toEqual(true);
+    expect(replies.map(({ outcome }) => outcome)).toEqual(Array.from({ length: 8 }, () => "accepted"));
+    const first = replies[0]!.seq;
+    expect(replies.map(({ seq }) => seq - first)).toEqual([0, 1, 2, 3, 4, 5, 6, 7]);
   }
 });
 
@@ -200,12 +200,12 @@
   const pen = fleet.addressOf("vise-2");
   // Number 1 is taken and pushed, and its receipt is lost.
   fleet.wires.mutate = (_from, to, bytes) =>
-    to === pen && Wire.decode(bytes)?.body.case === "publishReceipt" ? [] : undefined;
-  let receipt: Record<string, unknown> | undefined;
+    to === pen && Wire.decode(bytes)?.body.case === "publishReply" ? [] : undefined;
+  let reply: Record<string, unknown> | undefined;
   const body = JSON.stringify({ topic, number: 1, payload: "p1" });
   void fleet.port
     .call("vise-2", "POST", "/v1/sessions/pen/messages", body)
-    .then((got) => (receipt = { status: got.status, ...got.body }));
+    .then((got) => (reply = { status: got.status, ...got.body }));
   expect(await fleet.until(() => reader.got().length === 1, 1000)).toEqual(true);
   // Its holder gives the shard up; number 2 is at the next holder before number 1 comes again.
   fleet.wires.mutate = (from, _to, bytes) =>
@@ -228,9 +228,9 @@
   expect(await fleet.until(() => second !== "", 1000)).toEqual(true);
   expect(second).toEqual("accepted");
   fleet.wires.mutate = undefined;
-  expect(await fleet.until(() => receipt !== undefined, 4000)).toEqual(true);
+  expect(await fleet.until(() => reply !== undefined, 4000)).toEqual(true);
   // Delivered already: whoever is told that it never will be publishes it a second time.
-  expect(receipt!["status"]).toEqual(504);
+  expect(reply!["status"]).toEqual(504);
   const again = await all.publish("pen", 1, "vise-2");
   expect(again["status"]).toEqual(504);
 });
@@ -256,12 +256,12 @@
   expect(await fleet.until(() => ![name, ""].includes(next()), 9000)).toEqual(true);
   // Its publisher had no receipt for it.
   for (const number of [2, 3]) {
-    let receipt = await publish("pen", number, "vise-2");
-    for (let tries = 0; receipt["receipt"] !== "accepted" && tries < 20; tries += 1) {
+    let reply = await publish("pen", number, "vise-2");
+    for (let tries = 0; reply["receipt"] !== "accepted" && tries < 20; tries += 1) {
       await fleet.run(200);
-      receipt = await publish("pen", number, "vise-2");
+      reply = await publish("pen", number, "vise-2");
     }
-    expect(receipt["receipt"]).toEqual("accepted");
+    expect(reply["receipt"]).toEqual("accepted");
   }
   expect(await fleet.until(() => again.got(topic).includes(3), 3000)).toEqual(true);
   expect(again.got(topic)).toEqual([2, 3]);
@@ -279,7 +279,7 @@
   // One edge is given both messages; the other one's pushes are lost, and so are the receipts.
   fleet.wires.mutate = (_from, to, bytes) => {
     const kind = Wire.decode(bytes)?.body.case;
-    const isLost = (to === far && (kind === "push" || kind === "pushes")) || (to === near && kind === "publishReceipt");
+    const isLost = (to === far && (kind === "push" || kind === "pushes")) || (to === near && kind === "publishReply");
     return isLost ? [] : undefined;
   };
   for (const pen of pens) {
@@ -296,10 +296,10 @@
   // Both come again, the second one's first.
   for (const pen of [...pens].reverse()) await all.publish(pen, 1, "vise-2", topic);
   for (const pen of pens) {
-    let receipt = await all.publish(pen, 2, "vise-2", topic);
-    for (let tries = 0; receipt["receipt"] !== "accepted" && tries < 20; tries += 1) {
+    let reply = await all.publish(pen, 2, "vise-2", topic);
+    for (let tries = 0; reply["receipt"] !== "accepted" && tries < 20; tries += 1) {
       await fleet.run(200);
-      receipt = await all.publish(pen, 2, "vise-2", topic);
+      reply = await all.publish(pen, 2, "vise-2", topic);
     }
   }
   const ordersOf = (): string[][] =>
@@ -355,11 +355,8 @@
   await linked(all, "vise-2", "pen", []);
   let number = 0;
   for (const keep of [120, 0, 120, 0]) {
-    const receipt = await all.plan(
-      ["notes", "notices", "extra"],
-      (spaces) => (spaces["notes"]![0]!.owe["keep"] = keep),
-    );
-    expect(receipt["status"]).toEqual(200);
+    const reply = await all.plan(["notes", "notices", "extra"], (spaces) => (spaces["notes"]![0]!.owe["keep"] = keep));
+    expect(reply["status"]).toEqual(200);
     await fleet.run(2000);
     for (let i = 0; i < 3; i += 1)
       expect((await publish("pen", (number += 1), "vise-2"))["receipt"]).toEqual("accepted");
--- a/packages/testkit/src/sim/oldState.test.ts
+++ b/packages/testkit/src/sim/oldState.test.ts
@@ -74,7 +74,7 @@
 test("who was elected serves nothing before an entry of its own term is committed", async () => {
   const { fleet, load, lathes } = await founded(721);
   const mark = await change(fleet, load, 2);
-  fleet.wires.mutate = (_from, _to, bytes) => (Wire.decode(bytes)?.body.case === "appendReceipt" ? [] : undefined);
+  fleet.wires.mutate = (_from, _to, bytes) => (Wire.decode(bytes)?.body.case === "appendReply" ? [] : undefined);
   const alive = lathes.filter((name) => name !== fleet.proposer);
   fleet.kill(fleet.proposer!);
   let wasElected = false;
--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -85,7 +85,7 @@
     const breach = (rule: string, text: string): void => void breaches.push({ rule, at: fleet.world.now, text });
     const report = (backMs: number): ScenarioReport => {
       const causes = faults.spans.map(({ what, from, to }) => ({ what, from, to: to + Scenario.backMs }));
-      const late = [...Lateness.byCause(Lateness.receipts(history.seen), causes)];
+      const late = [...Lateness.byCause(Lateness.deliveries(history.seen), causes)];
       const unexcused = late.find(([cause]) => cause === "nothing")?.[1];
       if (unexcused !== undefined)
         breach(
--- a/packages/testkit/src/sim/sessions.test.ts
+++ b/packages/testkit/src/sim/sessions.test.ts
@@ -66,13 +66,13 @@
     fleet.isolate("vise-1", fleet.names, "both");
     const askedAt = fleet.world.now;
     const second = new Hand(fleet, "vise-2", "desk", wish);
-    expect(await fleet.until(() => second.receipt !== undefined, 3000)).toEqual(true);
-    expect(second.receipt!["status"]).toEqual(503);
-    expect(Number(second.receipt!["comeBack"]) > 0).toEqual(true);
+    expect(await fleet.until(() => second.reply !== undefined, 3000)).toEqual(true);
+    expect(second.reply!["status"]).toEqual(503);
+    expect(Number(second.reply!["comeBack"]) > 0).toEqual(true);
     expect(fleet.world.now - askedAt < 1500).toEqual(true);
     let last = second;
     const took = await fleet.until(() => {
-      if (last.receipt !== undefined) last = new Hand(fleet, "vise-2", "desk", wish);
+      if (last.reply !== undefined) last = new Hand(fleet, "vise-2", "desk", wish);
       return last.of("confirmed").length === 1;
     }, 12_000);
     expect(took).toEqual(true);
@@ -95,9 +95,9 @@
     let next = first;
     let comeAt = cutAt + 900;
     const isServed = (): boolean => {
-      const { receipt } = next;
-      if (receipt !== undefined) comeAt = Math.min(comeAt, fleet.world.now) + Number(receipt["comeBack"]) * 1000;
-      if (receipt !== undefined || next === first) {
+      const { reply } = next;
+      if (reply !== undefined) comeAt = Math.min(comeAt, fleet.world.now) + Number(reply["comeBack"]) * 1000;
+      if (reply !== undefined || next === first) {
         if (fleet.world.now < comeAt) return false;
         next = new Hand(fleet, "vise-2", "desk", wish);
       }
@@ -143,7 +143,7 @@
   const open = hands.filter((hand) => hand.of("confirmed").length > 0 && !hand.isClosed);
   expect(open.length).toEqual(1);
   for (const hand of hands.filter((one) => one !== open[0]))
-    expect(hand.receipt?.["status"] === 503 || hand.of("goodbye").length === 1).toEqual(true);
+    expect(hand.reply?.["status"] === 503 || hand.of("goodbye").length === 1).toEqual(true);
 });
 
 test(
@@ -246,10 +246,10 @@
       .node.shards.find(fleet.find("vise-1")!.vise!.streams.shardOf("6:notes/t1"));
     fleet.isolate("vise-1", [holder], ways);
     for (let number = 1; number <= 5; number += 1) {
-      let receipt = await publish("desk", number);
-      for (let tries = 0; receipt["receipt"] !== "accepted" && tries < 4; tries += 1)
-        receipt = await publish("desk", number);
-      expect(receipt["receipt"]).toEqual("accepted");
+      let reply = await publish("desk", number);
+      for (let tries = 0; reply["receipt"] !== "accepted" && tries < 4; tries += 1)
+        reply = await publish("desk", number);
+      expect(reply["receipt"]).toEqual("accepted");
     }
     expect(await fleet.until(() => hand.of("message").length === 5, 3000)).toEqual(true);
     expect(hand.of("message").map((line) => line["number"])).toEqual([1, 2, 3, 4, 5]);
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -79,7 +79,7 @@
   path: string,
 ): Promise<{ status: number; body: Record<string, unknown> }> {
   let got: { status: number; body: Record<string, unknown> } | undefined;
-  void fleet.port.call("vise-1", method, path, undefined).then((receipt) => (got = receipt));
+  void fleet.port.call("vise-1", method, path, undefined).then((reply) => (got = reply));
   expect(await fleet.until(() => got !== undefined, 6000)).toEqual(true);
   return got!;
 }
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -52,12 +52,12 @@
     for (let tries = 0; tries < 100; tries += 1) {
       this.history.add({ kind: "planTried", at: this.#clock.now(), mark, text });
       const drawn = this.#chance.pick(this.#fleet.names);
-      const receipt = await this.#fleet.port.call(tries === 0 ? (first ?? drawn) : drawn, "PUT", "/v1/plan", text);
+      const reply = await this.#fleet.port.call(tries === 0 ? (first ?? drawn) : drawn, "PUT", "/v1/plan", text);
       const at = this.#clock.now();
-      if (receipt.status === 200) this.history.add({ kind: "planAccepted", at, mark, text });
-      else if (receipt.status === 409) this.history.add({ kind: "planSuperseded", at, mark, text });
-      else if (receipt.status === 422) this.history.add({ kind: "planRefused", at, mark, text });
-      if (receipt.status !== 503 && receipt.status !== 504 && receipt.status !== 0) return receipt.status;
+      if (reply.status === 200) this.history.add({ kind: "planAccepted", at, mark, text });
+      else if (reply.status === 409) this.history.add({ kind: "planSuperseded", at, mark, text });
+      else if (reply.status === 422) this.history.add({ kind: "planRefused", at, mark, text });
+      if (reply.status !== 503 && reply.status !== 504 && reply.status !== 0) return reply.status;
       await new Promise<void>((resolve) => void this.#clock.once(300, resolve));
     }
     return 0;
@@ -190,10 +190,10 @@
   async #planInForce(): Promise<Plan | undefined> {
     for (let tries = 0; tries < 50; tries += 1) {
       const node = this.#chance.pick(this.#fleet.names);
-      const receipt = await this.#fleet.port.call(node, "GET", "/v1/plan", undefined);
-      if (receipt.status !== 200) await new Promise<void>((resolve) => void this.#clock.once(300, resolve));
+      const reply = await this.#fleet.port.call(node, "GET", "/v1/plan", undefined);
+      if (reply.status !== 200) await new Promise<void>((resolve) => void this.#clock.once(300, resolve));
       else {
-        const read = PlanSchema.read(JSON.parse(String(receipt.body["raw"])));
+        const read = PlanSchema.read(JSON.parse(String(reply.body["raw"])));
         return "plan" in read ? read.plan : undefined;
       }
     }
@@ -249,10 +249,10 @@
   async #read(): Promise<void> {
     for (let tries = 0; tries < 30; tries += 1) {
       const running = this.#fleet.names.filter((name) => this.#fleet.find(name) !== undefined);
-      const receipt = await this.#fleet.port.call(this.#chance.pick(running), "GET", "/v1/plan", undefined);
-      if (receipt.status === 200)
-        return this.history.add({ kind: "planRead", at: this.#clock.now(), text: String(receipt.body["raw"]) });
-      if (receipt.status === 404) break;
+      const reply = await this.#fleet.port.call(this.#chance.pick(running), "GET", "/v1/plan", undefined);
+      if (reply.status === 200)
+        return this.history.add({ kind: "planRead", at: this.#clock.now(), text: String(reply.body["raw"]) });
+      if (reply.status === 404) break;
       await new Promise<void>((resolve) => void this.#clock.once(500, resolve));
     }
     this.history.add({ kind: "planLost", at: this.#clock.now(), why: "the plan could not be read back" });
--- a/packages/testkit/src/sim/simOperator.ts
+++ b/packages/testkit/src/sim/simOperator.ts
@@ -2,7 +2,7 @@
 import { readDocument } from "@cranetrack/control/configuration/readDocument.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { PortReceipt } from "../callers/callerPort.js";
+import type { PortReply } from "../callers/callerPort.js";
 import type { Operation } from "../checker/linearizability.js";
 import type { OrderInput, OrderOutput } from "../checker/versionedRegister.js";
 import type { SimFleet } from "./simFleet.js";
@@ -56,9 +56,9 @@
     const operation: OrderOperation = { calledAt: world.now, returnedAt: Infinity, input, output: undefined };
     this.#history.operations.push(operation);
     const answered = port.run(name, ({ node }) => carryOut(node, input));
-    const receipt = await Promise.race([answered, this.#pause(SimOperator.silenceMs)]);
+    const reply = await Promise.race([answered, this.#pause(SimOperator.silenceMs)]);
     const isLost = this.#random.draw() < this.#lossOfAnswers;
-    const output = receipt === undefined || isLost ? undefined : outputOf(input, receipt);
+    const output = reply === undefined || isLost ? undefined : outputOf(input, reply);
     if (output === undefined) return undefined;
     operation.returnedAt = world.now;
     operation.output = output;
@@ -87,7 +87,7 @@
   return ApiReplies.done(read.outcome === "none" ? { version: 0, content: "" } : read.document);
 }
 
-function outputOf(input: OrderInput, { status, body }: PortReceipt): OrderOutput | undefined {
+function outputOf(input: OrderInput, { status, body }: PortReply): OrderOutput | undefined {
   if (status === 0 || status >= 500) return undefined;
   if (input.kind === "read")
     return { kind: "content", version: Number(body["version"]), content: String(body["content"]) };
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -1,11 +1,11 @@
 import type { ClientLink } from "@cranetrack/edge/connections/clientConnection.js";
-import type { CallerPort, PortLink, PortReceipt } from "../callers/callerPort.js";
+import type { CallerPort, PortLink, PortReply } from "../callers/callerPort.js";
 import type { SimNode } from "./simNode.js";
 import type { SimWorld } from "./simWorld.js";
 import { Router } from "@cranetrack/core/http/router.js";
 import type { ApiReply } from "@cranetrack/core/http/apiReply.js";
 
-const away: PortReceipt = { status: 503, body: { error: { code: "unreachable" } }, comeBack: 0.3 };
+const away: PortReply = { status: 503, body: { error: { code: "unreachable" } }, comeBack: 0.3 };
 
 /** The machines that callers reach. */
 interface ReachedNodes {
@@ -45,7 +45,7 @@
     session: string,
     body: object,
     heed: { line(line: Record<string, unknown>): void; closed(): void },
-  ): Promise<PortLink | PortReceipt> {
+  ): Promise<PortLink | PortReply> {
     const simNode = this.#nodes.find(name);
     if (simNode?.vise === undefined) return this.#later(away);
     const state = { isOpen: false, isClientGone: false, isServerGone: false, whenClosed: (): void => undefined };
@@ -87,7 +87,7 @@
         state.whenClosed();
       });
     };
-    return this.#ask<PortLink | PortReceipt>(
+    return this.#ask<PortLink | PortReply>(
       simNode,
       (settle) => {
         forget = simNode.onFall(closeClient);
@@ -97,10 +97,10 @@
             settle({ close });
             return link;
           })
-          .then((receipt) => {
-            if (receipt === undefined) return;
+          .then((reply) => {
+            if (reply === undefined) return;
             forget();
-            settle(SimPort.#read(receipt));
+            settle(SimPort.#read(reply));
           });
       },
       () => {
@@ -110,12 +110,12 @@
     );
   }
 
-  call(name: string, method: string, path: string, body: string | undefined): Promise<PortReceipt> {
+  call(name: string, method: string, path: string, body: string | undefined): Promise<PortReply> {
     const answered = this.run(name, async (simNode) => {
-      const receipt = await simNode.router.run(method, path, Buffer.from(body ?? ""));
+      const reply = await simNode.router.run(method, path, Buffer.from(body ?? ""));
       if (!simNode.body.isDead)
-        for (const tell of this.onAnswer) tell({ name, method, path, status: receipt.status, text: body ?? "" });
-      return receipt;
+        for (const tell of this.onAnswer) tell({ name, method, path, status: reply.status, text: body ?? "" });
+      return reply;
     });
     const isOrder = method !== "GET" && method !== "POST";
     if (!isOrder || this.answerLoss === 0 || this.#nodes.world.chance.draw() >= this.answerLoss) return answered;
@@ -124,29 +124,29 @@
   }
 
   /** A call on what runs on a node, carried there and back as `call` is. */
-  run(name: string, act: (simNode: SimNode) => Promise<ApiReply>): Promise<PortReceipt> {
+  run(name: string, act: (simNode: SimNode) => Promise<ApiReply>): Promise<PortReply> {
     const simNode = this.#nodes.find(name);
     if (simNode === undefined) return this.#later(away);
-    return this.#ask<PortReceipt>(
+    return this.#ask<PortReply>(
       simNode,
-      (settle) => void act(simNode).then((receipt) => settle(SimPort.#read(receipt))),
+      (settle) => void act(simNode).then((reply) => settle(SimPort.#read(reply))),
       SimPort.#broken,
     );
   }
 
-  static #broken(): PortReceipt {
+  static #broken(): PortReply {
     return { status: 0, body: { error: { code: "broken" } }, comeBack: 0.3 };
   }
 
-  static #read(receipt: ApiReply): PortReceipt {
-    const raw = typeof receipt.body === "string" ? receipt.body : Buffer.from(Router.encode(receipt.body)).toString();
+  static #read(reply: ApiReply): PortReply {
+    const raw = typeof reply.body === "string" ? reply.body : Buffer.from(Router.encode(reply.body)).toString();
     let body: Record<string, unknown> = {};
     try {
       body = JSON.parse(raw) as Record<string, unknown>;
     } catch {
       body = {};
     }
-    return { status: receipt.status, body: { ...body, raw }, comeBack: receipt.comeBack };
+    return { status: reply.status, body: { ...body, raw }, comeBack: reply.comeBack };
   }
 
   /** Carries a question over and its answer back; a fall or a long silence ends it without one. */
--- a/packages/testkit/src/sim/store.test.ts
+++ b/packages/testkit/src/sim/store.test.ts
@@ -113,7 +113,7 @@
   let status = 0;
   void fleet.port
     .call(other, "PUT", "/v1/plan", JSON.stringify(SimLoad.plan(mark)))
-    .then((receipt) => (status = receipt.status));
+    .then((reply) => (status = reply.status));
   await fleet.until(() => status !== 0, 4000);
   expect(status).toEqual(200);
   const read = await asked;
@@ -136,8 +136,8 @@
         put("anvil-1", SimLoad.plan(7, ["extra"])),
       ]),
     );
-    expect(rivals.map((receipt) => receipt.status).sort()).toEqual([200, 409, 409]);
-    const won = rivals.findIndex((receipt) => receipt.status === 200);
+    expect(rivals.map((reply) => reply.status).sort()).toEqual([200, 409, 409]);
+    const won = rivals.findIndex((reply) => reply.status === 200);
     const again = await settled(fleet, put("lathe-2", SimLoad.plan(7, [["notes"], ["notices"], ["extra"]][won])));
     expect([again.status, again.body["revision"]]).toEqual([200, rivals[won]!.body["revision"]]);
     const stale = await settled(fleet, put("lathe-3", SimLoad.plan(6)));
@@ -285,7 +285,7 @@
   const { fleet } = await founded(63);
   const old = fleet.proposer!;
   fleet.wires.mutate = (from, _to, bytes) =>
-    from === fleet.addressOf(old) && Wire.decode(bytes)?.body.case === "storeBatchReceipt" ? [] : undefined;
+    from === fleet.addressOf(old) && Wire.decode(bytes)?.body.case === "storeBatchReply" ? [] : undefined;
   const others = lathes(fleet).filter((name) => name !== old);
   const answered = new Map<string, string | undefined>();
   for (const name of others)
@@ -296,7 +296,7 @@
         { case: "storeCall", value: { call: { case: "renew", value: { lease: "none" } } } },
         2000,
       )
-      .then((body) => answered.set(name, body?.case === "storeReceipt" ? body.value.outcome : undefined));
+      .then((body) => answered.set(name, body?.case === "storeReply" ? body.value.outcome : undefined));
   await fleet.run(50);
   fleet.find(old)!.lathe!.ledger!.resign();
   expect(await fleet.until(() => fleet.proposer !== undefined, 400)).toEqual(true);
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -94,7 +94,7 @@
   const there = await linked(all, "vise-2", "other", ["notes/t1"]);
   // From now on the second edge hears nothing of the topic any more: no push, and no look at what it missed.
   const late = fleet.addressOf("vise-2");
-  fleet.wires.mutate = (_from, to, bytes) => (to === late && isKind(bytes, "push", "followReceipt") ? [] : undefined);
+  fleet.wires.mutate = (_from, to, bytes) => (to === late && isKind(bytes, "push", "followReply") ? [] : undefined);
   for (let number = 1; number <= 3; number += 1) expect((await publish("desk", number))["receipt"]).toEqual("accepted");
   expect(await fleet.until(() => here.got().length === 3, 2000)).toEqual(true);
   expect(there.got()).toEqual([]);
@@ -184,7 +184,7 @@
   const reader = await linked(all, "vise-1", "desk", ["notes/t1"]);
   await linked(all, "vise-2", "pen", []);
   const late = fleet.addressOf("vise-1");
-  fleet.wires.mutate = (_from, to, bytes) => (to === late && isKind(bytes, "push", "followReceipt") ? [] : undefined);
+  fleet.wires.mutate = (_from, to, bytes) => (to === late && isKind(bytes, "push", "followReply") ? [] : undefined);
   for (let number = 1; number <= 350; number += 1)
     expect((await publish("pen", number, "vise-2"))["receipt"]).toEqual("accepted");
   fleet.wires.heal();
@@ -235,7 +235,7 @@
   await linked(all, "vise-1", "desk", ["notes/t1"]);
   const late = fleet.addressOf("vise-1");
   fleet.wires.mutate = (_from, to, bytes) =>
-    to === late && isKind(bytes, "followReceipt") ? [{ bytes, delay: 400 }] : undefined;
+    to === late && isKind(bytes, "followReply") ? [{ bytes, delay: 400 }] : undefined;
   const reader = await linked(all, "vise-1", "reader", [other]);
   await fleet.run(50);
   expect((await publish("pen", 1, "vise-2", other))["receipt"]).toEqual("accepted");
--- a/packages/testkit/src/slopes/nodeSlopes.ts
+++ b/packages/testkit/src/slopes/nodeSlopes.ts
@@ -123,7 +123,7 @@
   /** What an idle fleet's feeds cost, and its leases with what lathes pass on to one another. */
   feedIdleBytes: (edges: number): Promise<number> => idleBytes(edges, ["feedPush", "feedAck"]),
   leaseIdleBytes: (edges: number): Promise<number> =>
-    idleBytes(edges, ["storeCall", "storeReceipt", "storeBatch", "storeBatchReceipt"]),
+    idleBytes(edges, ["storeCall", "storeReply", "storeBatch", "storeBatchReply"]),
 
   /** All frames of an idle fleet of twelve, by how many shards it has. */
   async shardIdleBytes(shards: number): Promise<number> {
--- a/packages/testkit/src/slopes/storeSlopes.ts
+++ b/packages/testkit/src/slopes/storeSlopes.ts
@@ -160,7 +160,7 @@
       age: 120,
     });
     const feeds = Array.from({ length: count }, (_, i) => create(FeedStateSchema, state(i)));
-    const body: BodyInit = { case: "storeReceipt", value: { outcome: "done", feeds } };
+    const body: BodyInit = { case: "storeReply", value: { outcome: "done", feeds } };
     return Wire.encode({ id: 1, from: "lathe-1", to: "lathe-2", fromAddress: "10.0.0.1:7000", body }).length;
   },
 };
