--- a/packages/control/src/configuration/configurationArchive.test.ts
+++ b/packages/control/src/configuration/configurationArchive.test.ts
@@ -4,7 +4,7 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { expect } from "earl";
-import { BirthsKey } from "@cranetrack/core/keys/incarnationsKey.js";
+import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { PlanView } from "@cranetrack/core/configuration/configurationView.js";
 import type { Change } from "@cranetrack/core/feeds/feedFollower.js";
 import { ChangeJournal } from "@cranetrack/core/feeds/changeJournal.js";
@@ -21,7 +21,7 @@
     const log = new LogBuffer("test", () => undefined);
     const archive = new PlanArchive(folder, new PlanView(journal), log);
     const accept = (mark: number, text = textOf(mark)): void => {
-      journal.append({ key: BirthsKey.name, value: BirthsKey.write({ mark, spaces: {} }), revision: mark });
+      journal.append({ key: IncarnationsKey.name, value: IncarnationsKey.write({ mark, spaces: {} }), revision: mark });
       journal.append({ key: "plan", value: Buffer.from(text), revision: mark });
     };
     accept(1);
@@ -53,7 +53,7 @@
   const archive = new PlanArchive(folder, new PlanView(journal), log, mostBytes);
   const sizes: number[] = [];
   for (let mark = 1; mark <= 3 * PlanArchive.lookEach + 5; mark += 1) {
-    journal.append({ key: BirthsKey.name, value: BirthsKey.write({ mark, spaces: {} }), revision: mark });
+    journal.append({ key: IncarnationsKey.name, value: IncarnationsKey.write({ mark, spaces: {} }), revision: mark });
     const filler = [...randomBytes(24_000)].map((byte) => (byte < 128 ? " " : "\t")).join("");
     const text = `${textOf(mark)}${filler}`;
     journal.append({ key: "plan", value: Buffer.from(text), revision: mark });
@@ -75,7 +75,7 @@
   const journal = new ChangeJournal<Change>();
   const archive = new PlanArchive(folder, new PlanView(journal), new LogBuffer("test", () => undefined));
   for (let mark = 1; mark <= 50; mark += 1) {
-    journal.append({ key: BirthsKey.name, value: BirthsKey.write({ mark, spaces: {} }), revision: mark });
+    journal.append({ key: IncarnationsKey.name, value: IncarnationsKey.write({ mark, spaces: {} }), revision: mark });
     journal.append({ key: "plan", value: Buffer.from(textOf(mark)), revision: mark });
   }
   await archive.settled();
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -89,7 +89,7 @@
     this.#identity = { ...this.#identity, name: settings.name, starts: (this.#identity.starts ?? 0) + 1 };
     await this.#keep();
     const { self } = this.#node.membership;
-    self.life = String(incarnation);
+    self.processIncarnation = String(incarnation);
     self.diskStarts = this.#identity.starts!;
     this.#isReady = true;
     if (this.founding !== "") return void this.emit("founded");
--- a/packages/control/src/membership/diskWatch.test.ts
+++ b/packages/control/src/membership/diskWatch.test.ts
@@ -15,8 +15,8 @@
     on: (_event: "changed", heed: () => void) => void (changed = heed),
   };
   const watch = new DiskWatch(membership);
-  const tell = (name: string, disk: string, diskStarts: number, life: string): void => {
-    records.set(name, create(MemberSchema, { name, disk, diskStarts, life }));
+  const tell = (name: string, disk: string, diskStarts: number, processIncarnation: string): void => {
+    records.set(name, create(MemberSchema, { name, disk, diskStarts, processIncarnation }));
     changed();
   };
   return { watch, tell, down };
@@ -25,13 +25,13 @@
 test("a disk that is started again and again counts", () => {
   const { watch, tell } = watching();
   expect(watch.isTrusted("d")).toEqual(true);
-  for (const [starts, life] of [
+  for (const [starts, processIncarnation] of [
     [1, "a"],
     [1, "a"],
     [2, "b"],
     [5, "c"],
   ] as const) {
-    tell("one", "d", starts, life);
+    tell("one", "d", starts, processIncarnation);
     expect(watch.isTrusted("d")).toEqual(true);
   }
 });
--- a/packages/control/src/membership/diskWatch.ts
+++ b/packages/control/src/membership/diskWatch.ts
@@ -9,7 +9,7 @@
 
 interface Seen {
   starts: number;
-  life: string;
+  processIncarnation: string;
   /** Two lives were said to be the same start of the disk. */
   isTwofold: boolean;
 }
@@ -49,10 +49,10 @@
     }
   }
 
-  #note({ disk, diskStarts, life }: Member): void {
+  #note({ disk, diskStarts, processIncarnation }: Member): void {
     const seen = this.#seen.get(disk);
     if (seen === undefined || diskStarts > seen.starts)
-      this.#seen.set(disk, { starts: diskStarts, life, isTwofold: false });
-    else if (diskStarts === seen.starts && life !== seen.life) seen.isTwofold = true;
+      this.#seen.set(disk, { starts: diskStarts, processIncarnation, isTwofold: false });
+    else if (diskStarts === seen.starts && processIncarnation !== seen.processIncarnation) seen.isTwofold = true;
   }
 }
--- a/packages/control/src/store/acceptedOrders.ts
+++ b/packages/control/src/store/acceptedOrders.ts
@@ -1,7 +1,7 @@
 import { create } from "@bufbuild/protobuf";
 import { KvSchema, type Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
-import { BirthsKey } from "@cranetrack/core/keys/incarnationsKey.js";
+import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
 
 /** The keys of the state machine, for reading. */
@@ -50,8 +50,8 @@
 
 /** The version of the configuration in force where that has no record; else 0. */
 function unrecordedVersion(keys: KeyReader): number {
-  const births = keys.get(BirthsKey.name);
-  const version = (births === undefined ? undefined : BirthsKey.read(births.value)?.mark) ?? 0;
+  const incarnations = keys.get(IncarnationsKey.name);
+  const version = (incarnations === undefined ? undefined : IncarnationsKey.read(incarnations.value)?.mark) ?? 0;
   return version === 0 || keys.get(AcceptedOrderKey.of(version)) !== undefined ? 0 : version;
 }
 
--- a/packages/control/src/store/metadata.ts
+++ b/packages/control/src/store/metadata.ts
@@ -8,7 +8,7 @@
   type Members,
   type Txn,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { BirthsKey } from "@cranetrack/core/keys/incarnationsKey.js";
+import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
 import { PackedValue } from "@cranetrack/core/store/packedValue.js";
 import { AcceptedOrders } from "./acceptedOrders.js";
@@ -107,7 +107,7 @@
       return { outcome: "lost", revision: index, kvs: [], changes };
     if (!txn.puts.every((kv) => this.#unpack(kv))) return { outcome: "rebase", revision: index, kvs: [], changes };
     if (AcceptedOrders.isTooOld(this, txn.puts)) return { outcome: "conflict", revision: index, kvs: [], changes };
-    const puts = this.#withBirths(AcceptedOrders.withFloor(this, txn.puts));
+    const puts = this.#withIncarnations(AcceptedOrders.withFloor(this, txn.puts));
     for (const key of txn.deletes) this.#remove(key, index, changes);
     this.#putAll(puts, index, changes);
     const surplus = AcceptedOrders.surplus(this, puts);
@@ -140,14 +140,17 @@
   }
 
   /** A plan is kept with its spaces' births, which follow from the plan before it and from nothing else. */
-  #withBirths(puts: readonly Kv[]): readonly Kv[] {
+  #withIncarnations(puts: readonly Kv[]): readonly Kv[] {
     if (!puts.some((kv) => kv.key === PlanKey.name)) return puts;
     return puts.flatMap((kv) => {
       const outline = kv.key === PlanKey.name ? PlanKey.outline(kv.value) : undefined;
       if (outline === undefined) return [kv];
-      const before = this.#keys.get(BirthsKey.name);
-      const births = BirthsKey.next(before === undefined ? undefined : BirthsKey.read(before.value), outline);
-      return [create(KvSchema, { key: BirthsKey.name, value: BirthsKey.write(births) }), kv];
+      const before = this.#keys.get(IncarnationsKey.name);
+      const incarnations = IncarnationsKey.next(
+        before === undefined ? undefined : IncarnationsKey.read(before.value),
+        outline,
+      );
+      return [create(KvSchema, { key: IncarnationsKey.name, value: IncarnationsKey.write(incarnations) }), kv];
     });
   }
 
--- a/packages/core/src/configuration/configuration.test.ts
+++ b/packages/core/src/configuration/configuration.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import type { Change } from "../feeds/feedFollower.js";
 import { ChangeJournal } from "../feeds/changeJournal.js";
-import { BirthsKey } from "../keys/incarnationsKey.js";
+import { IncarnationsKey } from "../keys/incarnationsKey.js";
 import { Plans, type Plan } from "./configuration.js";
 import { PlanReader } from "./configurationReader.js";
 import { PlanSchema } from "./configurationSchema.js";
@@ -62,8 +62,8 @@
   const journal = new ChangeJournal<Change>();
   const view = new PlanView(journal);
   const put = (value: { mark: number; spaces: unknown[]; newer?: boolean }, revision: number): void => {
-    const births = BirthsKey.write({ mark: value.mark, spaces: { "clips/": 3 } });
-    journal.append({ key: BirthsKey.name, value: births, revision });
+    const incarnations = IncarnationsKey.write({ mark: value.mark, spaces: { "clips/": 3 } });
+    journal.append({ key: IncarnationsKey.name, value: incarnations, revision });
     journal.append({ key: "plan", value: Buffer.from(JSON.stringify(value)), revision });
   };
   put(plan, 1);
@@ -75,7 +75,7 @@
   expect([view.mark, view.fault]).toEqual([10, ""]);
   expect(view.route("clips/live/7")).toEqual(undefined);
   put({ ...plan, mark: 11 }, 5);
-  expect(view.route("clips/live/7")).toEqual({ stream: "6:clips/live/7", space: "clips/", spaceBirth: 3 });
+  expect(view.route("clips/live/7")).toEqual({ stream: "6:clips/live/7", space: "clips/", spaceIncarnation: 3 });
 });
 
 test("a configuration of a lower version than the one in force is counted as a violation", () => {
@@ -87,7 +87,7 @@
     [2, 8],
     [4, 9],
   ] as const) {
-    journal.append({ key: BirthsKey.name, value: BirthsKey.write({ mark, spaces: {} }), revision });
+    journal.append({ key: IncarnationsKey.name, value: IncarnationsKey.write({ mark, spaces: {} }), revision });
     journal.append({ key: "plan", value: Buffer.from(JSON.stringify({ mark, spaces: [] })), revision });
   }
   expect([violated, view.mark, view.revision]).toEqual([["configurationVersion 2"], 4, 9]);
--- a/packages/core/src/configuration/configurationView.ts
+++ b/packages/core/src/configuration/configurationView.ts
@@ -1,7 +1,7 @@
 import { EventEmitter } from "node:events";
 import type { Change } from "../feeds/feedFollower.js";
 import type { ChangeJournal } from "../feeds/changeJournal.js";
-import { BirthsKey, type BirthsRecord } from "../keys/incarnationsKey.js";
+import { IncarnationsKey, type IncarnationsRecord } from "../keys/incarnationsKey.js";
 import type { Plan } from "./configuration.js";
 import { PlanKey } from "../keys/configurationKey.js";
 import type { InvariantMonitor } from "../runtime/invariantMonitor.js";
@@ -19,10 +19,10 @@
   revision = 0;
   /** Why the newest plan is not in force here; empty when it is. */
   fault = "";
-  #births: BirthsRecord | undefined;
+  #incarnations: IncarnationsRecord | undefined;
   readonly #invariants: Pick<InvariantMonitor, "violated"> | undefined;
   #next: { plan: Plan; text: string; revision: number } | undefined;
-  #nextBirths: BirthsRecord | undefined;
+  #nextIncarnations: IncarnationsRecord | undefined;
 
   constructor(journal: ChangeJournal<Change>, invariants?: Pick<InvariantMonitor, "violated">) {
     super();
@@ -37,17 +37,17 @@
 
   /** Where a topic's messages go; undefined where this node knows no such space. */
   route(topic: string): StreamRoute | undefined {
-    return Streams.route(this.plan, this.#births, topic);
+    return Streams.route(this.plan, this.#incarnations, topic);
   }
 
   /** The space's birth that a stream must have to be in force; undefined where the plan has no such stream. */
-  spaceBirthOf(stream: string): number | undefined {
-    return Streams.spaceBirthIn(this.plan, this.#births, stream);
+  spaceIncarnationOf(stream: string): number | undefined {
+    return Streams.spaceIncarnationIn(this.plan, this.#incarnations, stream);
   }
 
   #fold(change: Change): void {
     if (change.value === undefined) return;
-    if (change.key === BirthsKey.name) this.#nextBirths = BirthsKey.read(change.value);
+    if (change.key === IncarnationsKey.name) this.#nextIncarnations = IncarnationsKey.read(change.value);
     else if (change.key === PlanKey.name) this.#read(Buffer.from(change.value).toString(), change.revision);
     else return;
     this.#takeUp();
@@ -61,8 +61,8 @@
 
   #takeUp(): void {
     const next = this.#next;
-    const births = this.#nextBirths;
-    if (next === undefined || births?.mark !== next.plan.mark) return;
+    const incarnations = this.#nextIncarnations;
+    if (next === undefined || incarnations?.mark !== next.plan.mark) return;
     if (next.plan.mark < this.mark)
       this.#invariants?.violated("configurationVersion", { inForce: this.mark, told: next.plan.mark });
     if (next.plan.mark <= this.mark) return;
@@ -70,7 +70,7 @@
     this.plan = next.plan;
     this.text = next.text;
     this.revision = next.revision;
-    this.#births = births;
+    this.#incarnations = incarnations;
     this.emit("changed");
   }
 }
--- a/packages/core/src/configuration/streams.test.ts
+++ b/packages/core/src/configuration/streams.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { BirthsKey, type BirthsRecord } from "../keys/incarnationsKey.js";
+import { IncarnationsKey, type IncarnationsRecord } from "../keys/incarnationsKey.js";
 import type { Order, Plan } from "./configuration.js";
 import { PlanKey } from "../keys/configurationKey.js";
 import { PlanReader } from "./configurationReader.js";
@@ -9,9 +9,9 @@
 type Spaces = Record<string, Order>;
 
 /** A plan and its births after the ones before; each plan is given as the orders of its prefixes. */
-class Life {
+class MemoryIncarnation {
   plan: Plan | undefined;
-  births: BirthsRecord | undefined;
+  incarnations: IncarnationsRecord | undefined;
 
   put(mark: number, spaces: Spaces): this {
     const owe = { keep: 60, fault_budget: {} };
@@ -21,30 +21,30 @@
     const value = Buffer.from(JSON.stringify({ mark, spaces: list }));
     const read = PlanReader.parse(value.toString());
     this.plan = "plan" in read ? read.plan : undefined;
-    const births = BirthsKey.next(this.births, PlanKey.outline(value)!);
-    this.births = BirthsKey.read(BirthsKey.write(births));
+    const incarnations = IncarnationsKey.next(this.incarnations, PlanKey.outline(value)!);
+    this.incarnations = IncarnationsKey.read(IncarnationsKey.write(incarnations));
     return this;
   }
 
   route(topic: string): StreamRoute | undefined {
-    return Streams.route(this.plan, this.births, topic);
+    return Streams.route(this.plan, this.incarnations, topic);
   }
 
-  birthOf(stream: string): number | undefined {
-    return Streams.spaceBirthIn(this.plan, this.births, stream);
+  incarnationOf(stream: string): number | undefined {
+    return Streams.spaceIncarnationIn(this.plan, this.incarnations, stream);
   }
 }
 
 test("a topic is a stream of its space's, and under order `space` the whole space is one", () => {
-  const life = new Life().put(1, { "a.": "topic", "b:": "space", "c/": "sender" });
-  expect(life.route("a.1:2")).toEqual({ stream: "2:a.1:2", space: "a.", spaceBirth: 1 });
-  expect(life.route("b:7")).toEqual({ stream: "2:b:", space: "b:", spaceBirth: 1 });
-  expect(life.route("c/")?.stream).toEqual("2:c/");
-  expect(life.route("d/1")).toEqual(undefined);
+  const incarnation = new MemoryIncarnation().put(1, { "a.": "topic", "b:": "space", "c/": "sender" });
+  expect(incarnation.route("a.1:2")).toEqual({ stream: "2:a.1:2", space: "a.", spaceIncarnation: 1 });
+  expect(incarnation.route("b:7")).toEqual({ stream: "2:b:", space: "b:", spaceIncarnation: 1 });
+  expect(incarnation.route("c/")?.stream).toEqual("2:c/");
+  expect(incarnation.route("d/1")).toEqual(undefined);
   expect(["2:a.1:2", "2:b:", "12:constructor/"].map(Streams.spaceOf)).toEqual(["a.", "b:", "constructor/"]);
   expect(["2:a.1:2", "2:b:"].map(Streams.topicOf)).toEqual(["a.1:2", "b:"]);
   expect(["", "x", ":", "99:a", "-1:a"].map(Streams.spaceOf)).toEqual(["", "", "", "a", ""]);
-  expect(["2:a.1", "1:a.1", "2:b:", "2:b:7", "2:d/"].map((one) => life.birthOf(one))).toEqual([
+  expect(["2:a.1", "1:a.1", "2:b:", "2:b:7", "2:d/"].map((one) => incarnation.incarnationOf(one))).toEqual([
     1,
     undefined,
     1,
@@ -54,15 +54,23 @@
 });
 
 test("a topic that a longer prefix takes and gives back has another stream or a later birth each time", () => {
-  const life = new Life().put(1, { "a/": "topic" });
-  const seen: Array<StreamRoute | undefined> = [life.route("a/b/1")];
-  seen.push(life.put(5, { "a/": "topic", "a/b/": "topic" }).route("a/b/1"));
-  expect([life.birthOf("2:a/b/1"), life.birthOf("4:a/b/1"), life.birthOf("2:a/c")]).toEqual([undefined, 5, 1]);
-  seen.push(life.put(9, { "a/": "topic" }).route("a/b/1"));
-  expect([life.birthOf("2:a/b/1"), life.birthOf("4:a/b/1"), life.birthOf("2:a/c")]).toEqual([9, undefined, 1]);
-  seen.push(life.put(12, { "a/": "topic", "a/b/": "topic" }).route("a/b/1"));
-  seen.push(life.put(13, { "a/": "topic", "a/b": "topic" }).route("a/b/1"));
-  expect(seen.map((one) => [one?.stream, one?.spaceBirth])).toEqual([
+  const incarnation = new MemoryIncarnation().put(1, { "a/": "topic" });
+  const seen: Array<StreamRoute | undefined> = [incarnation.route("a/b/1")];
+  seen.push(incarnation.put(5, { "a/": "topic", "a/b/": "topic" }).route("a/b/1"));
+  expect([
+    incarnation.incarnationOf("2:a/b/1"),
+    incarnation.incarnationOf("4:a/b/1"),
+    incarnation.incarnationOf("2:a/c"),
+  ]).toEqual([undefined, 5, 1]);
+  seen.push(incarnation.put(9, { "a/": "topic" }).route("a/b/1"));
+  expect([
+    incarnation.incarnationOf("2:a/b/1"),
+    incarnation.incarnationOf("4:a/b/1"),
+    incarnation.incarnationOf("2:a/c"),
+  ]).toEqual([9, undefined, 1]);
+  seen.push(incarnation.put(12, { "a/": "topic", "a/b/": "topic" }).route("a/b/1"));
+  seen.push(incarnation.put(13, { "a/": "topic", "a/b": "topic" }).route("a/b/1"));
+  expect(seen.map((one) => [one?.stream, one?.spaceIncarnation])).toEqual([
     ["2:a/b/1", 1],
     ["4:a/b/1", 5],
     ["2:a/b/1", 9],
@@ -72,16 +80,20 @@
 });
 
 test("a space that is one stream begins anew with topics that come back to it", () => {
-  const life = new Life().put(1, { "a/": "space" }).put(5, { "a/": "space", "a/b/": "topic" });
-  expect([life.birthOf("2:a/"), life.route("a/b/1")?.stream]).toEqual([1, "4:a/b/1"]);
-  expect(life.put(9, { "a/": "space" }).route("a/b/1")).toEqual({ stream: "2:a/", space: "a/", spaceBirth: 9 });
+  const incarnation = new MemoryIncarnation().put(1, { "a/": "space" }).put(5, { "a/": "space", "a/b/": "topic" });
+  expect([incarnation.incarnationOf("2:a/"), incarnation.route("a/b/1")?.stream]).toEqual([1, "4:a/b/1"]);
+  expect(incarnation.put(9, { "a/": "space" }).route("a/b/1")).toEqual({
+    stream: "2:a/",
+    space: "a/",
+    spaceIncarnation: 9,
+  });
 });
 
 test("while some plan has a topic its birth only rises, whatever plans come; and it changes with its stream", () => {
   const prefixes = ["a", "a/", "a/b", "a/b/", "a/b/c", "constructor", "__proto__"];
   const topics = ["a/b/c/d", "a/b/x", "a/y", "constructor", "__proto__"];
   let state = 7;
-  const life = new Life();
+  const incarnation = new MemoryIncarnation();
   const last = new Map<string, StreamRoute>();
   for (let mark = 1; mark <= 2000; mark += 1) {
     state = (state * 48271) % 2147483647;
@@ -89,35 +101,44 @@
     prefixes.forEach((prefix, i) => {
       if (((state >> i) & 1) === 1) orders[prefix] = i === 1 ? "space" : "topic";
     });
-    life.put(mark, orders);
+    incarnation.put(mark, orders);
     for (const topic of topics) {
       const before = last.get(topic);
-      const now = life.route(topic);
+      const now = incarnation.route(topic);
       if (now === undefined) continue;
-      expect(life.birthOf(now.stream)).toEqual(now.spaceBirth);
+      expect(incarnation.incarnationOf(now.stream)).toEqual(now.spaceIncarnation);
       if (before !== undefined) {
-        expect(now.spaceBirth >= before.spaceBirth).toEqual(true);
-        if (now.stream !== before.stream) expect(now.spaceBirth > before.spaceBirth).toEqual(true);
+        expect(now.spaceIncarnation >= before.spaceIncarnation).toEqual(true);
+        if (now.stream !== before.stream) expect(now.spaceIncarnation > before.spaceIncarnation).toEqual(true);
       }
       last.set(topic, now);
     }
   }
-  expect(Object.keys(life.births!.ended).length <= prefixes.length).toEqual(true);
+  expect(Object.keys(incarnation.incarnations!.ended).length <= prefixes.length).toEqual(true);
 });
 
 test("ended prefixes are bounded: beyond that the space that has their topics is born again", () => {
-  const life = new Life().put(1, { "a/": "topic" });
-  for (let i = 0; i <= BirthsKey.mostEnded; i += 1)
-    life.put(2 * i + 2, { "a/": "topic", [`a/${i}/`]: "topic" }).put(2 * i + 3, { "a/": "topic" });
-  const mark = 2 * BirthsKey.mostEnded + 3;
-  expect([life.route("a/0/x")?.spaceBirth, life.route("a/1/x")?.spaceBirth]).toEqual([mark, mark]);
-  life.put(mark + 1, { "a/": "topic" });
-  expect(Object.keys(life.births!.ended)).toEqual([]);
+  const incarnation = new MemoryIncarnation().put(1, { "a/": "topic" });
+  for (let i = 0; i <= IncarnationsKey.mostEnded; i += 1)
+    incarnation.put(2 * i + 2, { "a/": "topic", [`a/${i}/`]: "topic" }).put(2 * i + 3, { "a/": "topic" });
+  const mark = 2 * IncarnationsKey.mostEnded + 3;
+  expect([incarnation.route("a/0/x")?.spaceIncarnation, incarnation.route("a/1/x")?.spaceIncarnation]).toEqual([
+    mark,
+    mark,
+  ]);
+  incarnation.put(mark + 1, { "a/": "topic" });
+  expect(Object.keys(incarnation.incarnations!.ended)).toEqual([]);
 });
 
 test("births under keys that objects have by nature, and bytes that are no births", () => {
-  const life = new Life().put(3, JSON.parse(`{"constructor":"topic","__proto__":"topic"}`) as Spaces);
-  expect([life.route("constructor1")?.spaceBirth, life.route("__proto__1")?.spaceBirth]).toEqual([3, 3]);
+  const incarnation = new MemoryIncarnation().put(
+    3,
+    JSON.parse(`{"constructor":"topic","__proto__":"topic"}`) as Spaces,
+  );
+  expect([
+    incarnation.route("constructor1")?.spaceIncarnation,
+    incarnation.route("__proto__1")?.spaceIncarnation,
+  ]).toEqual([3, 3]);
   const broken = [
     "",
     "7",
@@ -129,7 +150,7 @@
     '{"mark":1,"spaces":{"a":"b"}}',
   ];
   for (const text of [...broken, '{"mark":1,"spaces":{},"ended":[]}'])
-    expect(BirthsKey.read(Buffer.from(text))).toEqual(undefined);
+    expect(IncarnationsKey.read(Buffer.from(text))).toEqual(undefined);
   for (const text of ["", "7", '{"mark":1,"spaces":[{}]}', '{"mark":1,"spaces":[null]}', '{"mark":"1","spaces":[]}'])
     expect(PlanKey.outline(Buffer.from(text))).toEqual(undefined);
 });
--- a/packages/core/src/configuration/streams.ts
+++ b/packages/core/src/configuration/streams.ts
@@ -1,4 +1,4 @@
-import type { BirthsRecord } from "../keys/incarnationsKey.js";
+import type { IncarnationsRecord } from "../keys/incarnationsKey.js";
 import { PrefixIndex } from "./prefixIndex.js";
 import { Plans, type Order, type Plan } from "./configuration.js";
 
@@ -7,7 +7,7 @@
   stream: string;
   /** The space's prefix. */
   space: string;
-  spaceBirth: number;
+  spaceIncarnation: number;
 }
 
 /**
@@ -30,32 +30,38 @@
   },
 
   /** Undefined where this plan has no space for the topic. */
-  route(plan: Plan | undefined, births: BirthsRecord | undefined, topic: string): StreamRoute | undefined {
+  route(plan: Plan | undefined, incarnations: IncarnationsRecord | undefined, topic: string): StreamRoute | undefined {
     const found = Plans.spaceOf(plan, topic);
     const order = found?.program[0]?.owe.order;
     if (found === undefined || order === undefined) return undefined;
     const space = Plans.prefixOf(found);
-    const spaceBirth = birthOf(births, space, topic);
-    return spaceBirth === undefined ? undefined : { stream: Streams.of(space, topic, order), space, spaceBirth };
+    const spaceIncarnation = incarnationOf(incarnations, space, topic);
+    return spaceIncarnation === undefined
+      ? undefined
+      : { stream: Streams.of(space, topic, order), space, spaceIncarnation };
   },
 
   /** The space's birth that a stream must have to be in force; undefined where the plan has no such stream. */
-  spaceBirthIn(plan: Plan | undefined, births: BirthsRecord | undefined, stream: string): number | undefined {
+  spaceIncarnationIn(
+    plan: Plan | undefined,
+    incarnations: IncarnationsRecord | undefined,
+    stream: string,
+  ): number | undefined {
     const space = Streams.spaceOf(stream);
     if (Plans.orderOf(plan, space) === "space")
-      return stream === Streams.of(space, "", "space") ? birthOf(births, space, space) : undefined;
-    const route = Streams.route(plan, births, Streams.topicOf(stream));
-    return route?.stream === stream ? route.spaceBirth : undefined;
+      return stream === Streams.of(space, "", "space") ? incarnationOf(incarnations, space, space) : undefined;
+    const route = Streams.route(plan, incarnations, Streams.topicOf(stream));
+    return route?.stream === stream ? route.spaceIncarnation : undefined;
   },
 
   /** A stream's birth: its space's, and something that no other stream and no later life of this one has. */
-  birth(spaceBirth: number, identity: string): string {
-    return `${spaceBirth.toString(16)}-${identity.slice(0, 10)}`;
+  incarnation(spaceIncarnation: number, identity: string): string {
+    return `${spaceIncarnation.toString(16)}-${identity.slice(0, 10)}`;
   },
 
   /** The birth of the space in a stream's birth; 0 where it is none of ours. */
-  spaceBirthOf(birth: string): number {
-    const found = /^([0-9a-f]{1,14})-[0-9a-f]{6,20}$/.exec(birth);
+  spaceIncarnationOf(incarnation: string): number {
+    const found = /^([0-9a-f]{1,14})-[0-9a-f]{6,20}$/.exec(incarnation);
     return found === null ? 0 : Number.parseInt(found[1]!, 16);
   },
 };
@@ -63,19 +69,20 @@
 type Ended = readonly [prefix: string, mark: number];
 
 /** Made at the first question about births. Invariant: births that were asked about are never changed. */
-const indexes = new WeakMap<BirthsRecord, PrefixIndex<Ended>>();
+const indexes = new WeakMap<IncarnationsRecord, PrefixIndex<Ended>>();
 
-function endedIn(births: BirthsRecord): PrefixIndex<Ended> {
-  const index = indexes.get(births) ?? new PrefixIndex<Ended>(Object.entries(births.ended), ([prefix]) => prefix);
-  indexes.set(births, index);
+function endedIn(incarnations: IncarnationsRecord): PrefixIndex<Ended> {
+  const index =
+    indexes.get(incarnations) ?? new PrefixIndex<Ended>(Object.entries(incarnations.ended), ([prefix]) => prefix);
+  indexes.set(incarnations, index);
   return index;
 }
 
 /** The space's birth as a topic has it: later where the topic came to the space later. */
-function birthOf(births: BirthsRecord | undefined, space: string, topic: string): number | undefined {
-  if (births === undefined || !Object.hasOwn(births.spaces, space)) return undefined;
-  let latest = births.spaces[space]!;
-  for (const [prefix, mark] of endedIn(births).all(topic))
+function incarnationOf(incarnations: IncarnationsRecord | undefined, space: string, topic: string): number | undefined {
+  if (incarnations === undefined || !Object.hasOwn(incarnations.spaces, space)) return undefined;
+  let latest = incarnations.spaces[space]!;
+  for (const [prefix, mark] of endedIn(incarnations).all(topic))
     if (mark > latest && prefix.length > space.length) latest = mark;
   return latest;
 }
--- a/packages/core/src/keys/incarnationsKey.ts
+++ b/packages/core/src/keys/incarnationsKey.ts
@@ -3,7 +3,7 @@
 import type { PlanOutline, SpaceOutline } from "./configurationKey.js";
 
 /** Marks of plans, by prefix. */
-export interface BirthsRecord {
+export interface IncarnationsRecord {
   /** The plan that this belongs to. */
   mark: number;
   /** For each space the mark of the plan in which it appeared, or appeared again. */
@@ -15,16 +15,16 @@
 type Marks = ReadonlyArray<readonly [prefix: string, mark: number]>;
 
 /** The key beside the plan that says when each of its spaces was born; written with the plan, in one step. */
-export const BirthsKey = {
+export const IncarnationsKey = {
   name: "plan/births",
   /** So many ended prefixes are told apart; for the eldest ones beyond, the space that has their topics is reborn. */
   mostEnded: 256,
 
-  write(record: Omit<BirthsRecord, "ended"> & Partial<BirthsRecord>): Uint8Array {
+  write(record: Omit<IncarnationsRecord, "ended"> & Partial<IncarnationsRecord>): Uint8Array {
     return JsonValue.write(record);
   },
 
-  read(value: Uint8Array): BirthsRecord | undefined {
+  read(value: Uint8Array): IncarnationsRecord | undefined {
     const record = JsonValue.read(value);
     const spaces = JsonValue.numbers(record?.["spaces"]);
     const ended = JsonValue.numbers(record?.["ended"] ?? {});
@@ -39,26 +39,27 @@
    * a longer prefix gives back begin anew, so a topic's birth only rises while some plan has it: one by one where
    * each is a stream, and with the whole space where that is one stream.
    */
-  next(before: BirthsRecord | undefined, { mark, spaces }: PlanOutline): BirthsRecord {
+  next(before: IncarnationsRecord | undefined, { mark, spaces }: PlanOutline): IncarnationsRecord {
     const present = new Set(spaces.map(({ prefix }) => prefix));
     const earlier = new Map(Object.entries(before?.spaces ?? {}));
-    const births = new Map(spaces.map(({ prefix }) => [prefix, earlier.get(prefix) ?? mark]));
+    const incarnations = new Map(spaces.map(({ prefix }) => [prefix, earlier.get(prefix) ?? mark]));
     const gone = [...earlier.keys()].filter((prefix) => !present.has(prefix));
     const index = new PrefixIndex(spaces, ({ prefix }) => prefix);
     for (const prefix of gone) {
       const heir = heirOf(index, prefix);
-      if (heir?.isWhole === true) births.set(heir.prefix, mark);
+      if (heir?.isWhole === true) incarnations.set(heir.prefix, mark);
     }
     const marks = new Map([...Object.entries(before?.ended ?? {}), ...gone.map((one) => [one, mark] as const)]);
     const all = [...marks].sort((a, b) => b[1] - a[1]);
     const later = new LaterPrefixes();
     const ended = all.filter((one) => {
-      const isKept = !present.has(one[0]) && isNeeded(later, one, index, births);
+      const isKept = !present.has(one[0]) && isNeeded(later, one, index, incarnations);
       later.add(one[0]);
       return isKept;
     });
-    for (const [prefix] of ended.splice(BirthsKey.mostEnded)) births.set(heirOf(index, prefix)!.prefix, mark);
-    return { mark, spaces: Object.fromEntries(births), ended: Object.fromEntries(ended) };
+    for (const [prefix] of ended.splice(IncarnationsKey.mostEnded))
+      incarnations.set(heirOf(index, prefix)!.prefix, mark);
+    return { mark, spaces: Object.fromEntries(incarnations), ended: Object.fromEntries(ended) };
   },
 };
 
@@ -87,9 +88,9 @@
   later: LaterPrefixes,
   [prefix, mark]: Marks[number],
   spaces: PrefixIndex<SpaceOutline>,
-  births: ReadonlyMap<string, number>,
+  incarnations: ReadonlyMap<string, number>,
 ): boolean {
   const heir = heirOf(spaces, prefix);
-  if (heir === undefined || heir.isWhole || births.get(heir.prefix)! >= mark) return false;
+  if (heir === undefined || heir.isWhole || incarnations.get(heir.prefix)! >= mark) return false;
   return !later.hasLonger(prefix, heir.prefix.length);
 }
--- a/packages/core/src/rpc/callKinds.ts
+++ b/packages/core/src/rpc/callKinds.ts
@@ -69,7 +69,7 @@
 
   done: { kind: "reply" },
   fault: { kind: "reply" },
-  otherLife: { kind: "reply" },
+  staleIncarnation: { kind: "reply" },
   foundingReply: { kind: "reply" },
   storeReply: { kind: "reply" },
   storeBatchReply: { kind: "reply" },
--- a/packages/core/src/rpc/rpcEndpoint.test.ts
+++ b/packages/core/src/rpc/rpcEndpoint.test.ts
@@ -23,7 +23,7 @@
   readonly #timers = new Set<{ at: number; ring: () => void }>();
   readonly dropped: string[] = [];
   #now = 0;
-  #lives = 0;
+  #incarnations = 0;
 
   /** A process's life at the address of its name; an earlier one there hears nothing more. */
   start(name: string, relays: string[] = []): RpcEndpoint {
@@ -44,14 +44,14 @@
       },
       every: () => ({ stop: () => undefined }),
     };
-    const life = (this.#lives += 1);
+    const incarnation = (this.#incarnations += 1);
     const endpoint = new RpcEndpoint(name, net, clock, {
       draw: () => {
         const [next = 0] = this.draws;
         this.draws.push(this.draws.shift() ?? 0);
         return next;
       },
-      identity: () => life.toString(16).padStart(20, "0").split("").reverse().join(""),
+      identity: () => incarnation.toString(16).padStart(20, "0").split("").reverse().join(""),
     });
     endpoint.addressOf = (other) => `at ${other}`;
     endpoint.relaysFor = () => relays;
@@ -141,10 +141,10 @@
   const own = network.take();
   await network.deliver(frozen);
   await network.settle();
-  expect([asked.outcome, second.dropped.otherLife]).toEqual(["open", 1]);
+  expect([asked.outcome, second.dropped.staleIncarnation]).toEqual(["open", 1]);
   await network.deliver(own);
   await network.settle();
-  expect([asked.outcome, second.dropped.otherLife]).toEqual(["b", 1]);
+  expect([asked.outcome, second.dropped.staleIncarnation]).toEqual(["b", 1]);
 });
 
 test("a reply settles only a call to whoever sends it, and only with a kind that answers it", async () => {
@@ -177,13 +177,13 @@
   const c = network.start("c");
   const asked = watch(a.call("b", read, 1000));
   const [call] = network.take() as [Sent];
-  const { id, caller } = Wire.decode(call.bytes)!;
+  const { id, callerIncarnation } = Wire.decode(call.bytes)!;
   const body: BodyInit = { case: "storeReply", value: create(StoreReplySchema, { outcome: "forged" }) };
   const forged = { id, isReply: true, from: "b", to: "a", body };
   await network.deliver([{ from: "c", to: "a", bytes: Wire.encode(forged) }]);
-  expect([asked.outcome, a.dropped.otherLife]).toEqual(["open", 1]);
+  expect([asked.outcome, a.dropped.staleIncarnation]).toEqual(["open", 1]);
   // D gives C a frame to carry that says it is B's.
-  const frame = Wire.encode({ ...forged, caller });
+  const frame = Wire.encode({ ...forged, callerIncarnation });
   const relay = Wire.encode({ from: "d", to: "c", body: { case: "relay", value: { to: "a", frame } } });
   await network.deliver([{ from: "d", to: "c", bytes: relay }]);
   expect([network.take(), asked.outcome, c.dropped.forged]).toEqual([[], "open", 1]);
@@ -270,8 +270,8 @@
   expect([served.count, later.count]).toEqual([1, 0]);
   const replies = network.take();
   // A reply in the name of another life than the one that was asked is none.
-  await network.deliver([again(replies[0]!, { callee: 77 })]);
-  expect([asked.outcome, a.dropped.otherLife]).toEqual(["open", 1]);
+  await network.deliver([again(replies[0]!, { calleeIncarnation: 77 })]);
+  expect([asked.outcome, a.dropped.staleIncarnation]).toEqual(["open", 1]);
   await network.deliver(replies);
   expect(asked.outcome).toEqual("b");
 });
--- a/packages/core/src/rpc/rpcEndpoint.ts
+++ b/packages/core/src/rpc/rpcEndpoint.ts
@@ -20,15 +20,15 @@
   /** It may not be repeated. */
   isOnce: boolean;
   /** The only life of the asked process that carries it out; 0 where that was not known, or does not matter. */
-  callee: number;
+  calleeIncarnation: number;
 }
 /** What a frame says of the call that it belongs to; a message has the number 0. */
 interface Part {
   id: number;
   isReply: boolean;
   body: BodyInit;
-  caller?: number;
-  callee?: number;
+  callerIncarnation?: number;
+  calleeIncarnation?: number;
 }
 
 /** Frames that were dropped since the start, by reason. */
@@ -36,7 +36,7 @@
   /** Replies to no open call: never asked, or settled before. */
   unasked: number;
   /** Replies to a call of another life of this process, or of an unexpected life of the asked one. */
-  otherLife: number;
+  staleIncarnation: number;
   /** Replies of somebody who was not asked. */
   otherSender: number;
   /** Replies of a kind that does not answer the call. */
@@ -81,13 +81,13 @@
   readonly #relays = new Map<string, string>();
   #lastId = 0;
   /** This process's life. */
-  readonly #life: number;
+  readonly #incarnation: number;
   /** Everybody's lives, as last heard. One that is over by now only makes a call fail. */
-  readonly #lives = new Map<string, number>();
+  readonly #incarnations = new Map<string, number>();
   readonly #begun = new ServedCalls();
   readonly dropped: DroppedFrames = {
     unasked: 0,
-    otherLife: 0,
+    staleIncarnation: 0,
     otherSender: 0,
     otherKind: 0,
     repeated: 0,
@@ -104,8 +104,8 @@
     this.#net = net;
     this.#clock = clock;
     this.#chance = chance;
-    this.#life = RpcEndpoint.#drawLife(chance);
-    this.#lives.set(name, this.#life);
+    this.#incarnation = RpcEndpoint.#drawIncarnation(chance);
+    this.#incarnations.set(name, this.#incarnation);
     net.onFrame((frame) => void this.#take(frame));
     net.onLost((address) => this.#lost(address));
   }
@@ -141,7 +141,7 @@
         this.#waiting.delete(waiting.id);
         resolve(reply);
       };
-      const waiting = { id: 0, settle, to, body, isOnce: !mayRepeat(body), callee: 0 };
+      const waiting = { id: 0, settle, to, body, isOnce: !mayRepeat(body), calleeIncarnation: 0 };
       const beat = this.#clock.once(due, () => this.#silent(waiting));
       this.#open(waiting);
     });
@@ -149,16 +149,16 @@
 
   /** Settles every open call to a node that is known to be gone, at once. */
   giveUp(name: string): void {
-    this.#lives.delete(name);
+    this.#incarnations.delete(name);
     for (const waiting of [...this.#waiting.values()]) if (waiting.to === name) this.#silent(waiting);
   }
 
   #open(waiting: Waiting): void {
     waiting.id = ++this.#lastId;
-    waiting.callee = waiting.isOnce ? (this.#lives.get(waiting.to) ?? 0) : 0;
+    waiting.calleeIncarnation = waiting.isOnce ? (this.#incarnations.get(waiting.to) ?? 0) : 0;
     this.#waiting.set(waiting.id, waiting);
-    const { id, body, callee } = waiting;
-    this.#send(waiting.to, { id, isReply: false, body, caller: this.#life, callee });
+    const { id, body, calleeIncarnation } = waiting;
+    this.#send(waiting.to, { id, isReply: false, body, callerIncarnation: this.#incarnation, calleeIncarnation });
   }
 
   #silent(waiting: Waiting): void {
@@ -167,7 +167,7 @@
   }
 
   /** Not 0, and exact in a double. */
-  static #drawLife(chance: RandomSource): number {
+  static #drawIncarnation(chance: RandomSource): number {
     return 1 + Number.parseInt(chance.identity().slice(0, 13), 16);
   }
 
@@ -175,7 +175,8 @@
   #lost(address: string): void {
     for (const waiting of [...this.#waiting.values()])
       if (this.addressOf(waiting.to) === address) this.#silent(waiting);
-    for (const name of [...this.#lives.keys()]) if (this.addressOf(name) === address) this.#lives.delete(name);
+    for (const name of [...this.#incarnations.keys()])
+      if (this.addressOf(name) === address) this.#incarnations.delete(name);
   }
 
   #unanswered(to: string): void {
@@ -245,10 +246,12 @@
       this.#unanswered(frame.from);
     if (frame.body.case === "relay") return this.#carry(frame.from, frame.body.value.to, frame.body.value.frame);
     if (frame.isReply) return this.#settle(frame);
-    if (isCall(frame.body) && frame.caller !== 0) this.#lives.set(frame.from, frame.caller);
+    if (isCall(frame.body) && frame.callerIncarnation !== 0)
+      this.#incarnations.set(frame.from, frame.callerIncarnation);
     if (!isCall(frame.body) || mayRepeat(frame.body)) return this.#run(frame);
-    if (frame.id !== 0 && frame.callee !== this.#life) return this.#reply(frame, { case: "otherLife", value: {} });
-    if (this.#begun.begin(frame.from, frame.caller, frame.id)) return this.#run(frame);
+    if (frame.id !== 0 && frame.calleeIncarnation !== this.#incarnation)
+      return this.#reply(frame, { case: "staleIncarnation", value: {} });
+    if (this.#begun.begin(frame.from, frame.callerIncarnation, frame.id)) return this.#run(frame);
     this.dropped.repeated += 1;
   }
 
@@ -257,22 +260,23 @@
     if (reply !== undefined && frame.id !== 0) this.#reply(frame, reply);
   }
 
-  #reply({ id, caller, from, fromAddress }: Frame, body: BodyInit): void {
-    const part = { id, isReply: true, body, caller, callee: this.#life };
+  #reply({ id, callerIncarnation, from, fromAddress }: Frame, body: BodyInit): void {
+    const part = { id, isReply: true, body, callerIncarnation, calleeIncarnation: this.#incarnation };
     if (this.addressOf(from) !== undefined) return this.#send(from, part);
     this.#net.send(fromAddress, this.#encode(from, part));
   }
 
   #settle(frame: Frame): void {
     const waiting = this.#waiting.get(frame.id);
-    if (frame.caller !== this.#life) this.dropped.otherLife += 1;
+    if (frame.callerIncarnation !== this.#incarnation) this.dropped.staleIncarnation += 1;
     else if (waiting === undefined) this.dropped.unasked += 1;
     else if (waiting.to !== frame.from || frame.to !== this.name) this.dropped.otherSender += 1;
-    else if (waiting.isOnce && frame.body.case === "otherLife") this.#refused(waiting, frame.callee);
-    else if (waiting.callee !== 0 && waiting.callee !== frame.callee) this.dropped.otherLife += 1;
+    else if (waiting.isOnce && frame.body.case === "staleIncarnation") this.#refused(waiting, frame.calleeIncarnation);
+    else if (waiting.calleeIncarnation !== 0 && waiting.calleeIncarnation !== frame.calleeIncarnation)
+      this.dropped.staleIncarnation += 1;
     else if (!isReplyTo(waiting.body.case, frame.body.case)) this.dropped.otherKind += 1;
     else {
-      this.#lives.set(frame.from, frame.callee);
+      this.#incarnations.set(frame.from, frame.calleeIncarnation);
       waiting.settle(frame.body);
     }
   }
@@ -281,9 +285,9 @@
    * A life does not carry a call out. One that named no life was carried out by none and never will be: it is sent to
    * this one. One that named another life may have been carried out there.
    */
-  #refused(waiting: Waiting, life: number): void {
-    this.#lives.set(waiting.to, life);
-    if (waiting.callee !== 0 || life === 0) return waiting.settle(undefined);
+  #refused(waiting: Waiting, incarnation: number): void {
+    this.#incarnations.set(waiting.to, incarnation);
+    if (waiting.calleeIncarnation !== 0 || incarnation === 0) return waiting.settle(undefined);
     this.#waiting.delete(waiting.id);
     this.#open(waiting);
   }
--- a/packages/core/src/rpc/servedCalls.ts
+++ b/packages/core/src/rpc/servedCalls.ts
@@ -7,28 +7,28 @@
   /** Numbers remembered for each life of a caller; older ones lie below the floor. */
   static readonly mostNumbers = 1024;
   /** Lives remembered; the one that called longest ago is forgotten first. */
-  static readonly mostLives = 4096;
+  static readonly maxIncarnations = 4096;
 
   readonly #lives = new Map<string, { floor: number; begun: Set<number> }>();
 
   /** True the first time that a call is seen; what comes too late to be told apart counts as seen. */
-  begin(from: string, caller: number, number: number): boolean {
-    const key = `${caller} ${from}`;
-    const life = this.#lives.get(key) ?? { floor: 0, begun: new Set<number>() };
+  begin(from: string, callerIncarnation: number, number: number): boolean {
+    const key = `${callerIncarnation} ${from}`;
+    const incarnation = this.#lives.get(key) ?? { floor: 0, begun: new Set<number>() };
     this.#lives.delete(key);
-    this.#lives.set(key, life);
-    if (this.#lives.size > ServedCalls.mostLives) this.#lives.delete(this.#lives.keys().next().value!);
-    if (number <= life.floor || life.begun.has(number)) return false;
-    life.begun.add(number);
-    if (life.begun.size > ServedCalls.mostNumbers) ServedCalls.#raiseFloor(life);
+    this.#lives.set(key, incarnation);
+    if (this.#lives.size > ServedCalls.maxIncarnations) this.#lives.delete(this.#lives.keys().next().value!);
+    if (number <= incarnation.floor || incarnation.begun.has(number)) return false;
+    incarnation.begun.add(number);
+    if (incarnation.begun.size > ServedCalls.mostNumbers) ServedCalls.#raiseFloor(incarnation);
     return true;
   }
 
   /** The lower half goes below the floor, so that this is done seldom. */
-  static #raiseFloor(life: { floor: number; begun: Set<number> }): void {
-    const numbers = [...life.begun].sort((a, b) => a - b);
+  static #raiseFloor(incarnation: { floor: number; begun: Set<number> }): void {
+    const numbers = [...incarnation.begun].sort((a, b) => a - b);
     const kept = numbers.splice(numbers.length >> 1);
-    life.floor = numbers.at(-1)!;
-    life.begun = new Set(kept);
+    incarnation.floor = numbers.at(-1)!;
+    incarnation.begun = new Set(kept);
   }
 }
--- a/packages/core/src/rpc/wire.test.ts
+++ b/packages/core/src/rpc/wire.test.ts
@@ -30,8 +30,17 @@
     { from: "a", body },
     { id: 7, from: "a", to: "b", fromAddress: "10.0.0.1:1", body },
     { id: 1.5, isReply: true, from: "ä".repeat(100), hops: 1, body: { case: "done", value: {} } },
-    { id: 7, from: "a", to: "b", fromAddress: "10.0.0.1:1", caller: 2 ** 52, callee: 3, body },
-    { id: 7, isReply: true, from: "a", to: "b", hops: 1, caller: 2 ** 52, callee: 2 ** 51 + 1, body },
+    { id: 7, from: "a", to: "b", fromAddress: "10.0.0.1:1", callerIncarnation: 2 ** 52, calleeIncarnation: 3, body },
+    {
+      id: 7,
+      isReply: true,
+      from: "a",
+      to: "b",
+      hops: 1,
+      callerIncarnation: 2 ** 52,
+      calleeIncarnation: 2 ** 51 + 1,
+      body,
+    },
     { from: "a", to: "b", body: { case: "gossip", value: { members: [{ name: "c", version: 2 }], isAsking: true } } },
   ];
   for (const one of frames)
--- a/packages/core/src/rpc/wire.ts
+++ b/packages/core/src/rpc/wire.ts
@@ -26,7 +26,7 @@
   /** As protobuf has it, written here: its own writer looks at every kind of body there is. */
   encode(frame: MessageInitShape<typeof FrameSchema>): Uint8Array {
     const { id = 0, isReply = false, from = "", to = "", fromAddress = "", hops = 0, body } = frame;
-    const { caller = 0, callee = 0 } = frame;
+    const { callerIncarnation = 0, calleeIncarnation = 0 } = frame;
     const writer = new BinaryWriter();
     if (id !== 0) writer.tag(1, WireType.Bit64).double(id);
     if (isReply) writer.tag(2, WireType.Varint).bool(true);
@@ -34,8 +34,8 @@
       if (text !== "") writer.tag(3 + i, WireType.LengthDelimited).bytes(Buffer.from(text));
     });
     if (hops !== 0) writer.tag(6, WireType.Varint).uint32(hops);
-    if (caller !== 0) writer.tag(7, WireType.Bit64).double(caller);
-    if (callee !== 0) writer.tag(8, WireType.Bit64).double(callee);
+    if (callerIncarnation !== 0) writer.tag(7, WireType.Bit64).double(callerIncarnation);
+    if (calleeIncarnation !== 0) writer.tag(8, WireType.Bit64).double(calleeIncarnation);
     const kind = body?.case === undefined ? undefined : bodies.get(body.case);
     if (kind !== undefined)
       writer
--- a/packages/core/src/store/storeClient.test.ts
+++ b/packages/core/src/store/storeClient.test.ts
@@ -52,7 +52,8 @@
     frames,
     turn: () => turns.splice(0).forEach((ring) => ring()),
     silence: () => dues.splice(0).forEach((ring) => ring()),
-    answer: (frame, body) => tell(body, { from: frame.to, id: frame.id, isReceipt: true, caller: frame.caller }),
+    answer: (frame, body) =>
+      tell(body, { from: frame.to, id: frame.id, isReceipt: true, caller: frame.callerIncarnation }),
   };
 }
 
--- a/packages/edge/src/fanout/fetchMessages.ts
+++ b/packages/edge/src/fanout/fetchMessages.ts
@@ -17,12 +17,12 @@
 export async function fetchMessages(
   node: ClusterNode,
   server: string,
-  fetch: MessageInitShape<typeof FetchSchema> & { birth: string },
+  fetch: MessageInitShape<typeof FetchSchema> & { incarnation: string },
 ): Promise<Fetched | undefined> {
   if (server === "") return undefined;
   const reply = await node.exchange.call(server, { case: "fetch", value: { ...fetch, limit } }, dueMs);
   if (reply?.case !== "fetchReply") return undefined;
   const { outcome, low, batch, trims } = reply.value;
-  if ((outcome !== "done" && outcome !== "trimmed") || batch?.birth !== fetch.birth) return undefined;
+  if ((outcome !== "done" && outcome !== "trimmed") || batch?.incarnation !== fetch.incarnation) return undefined;
   return { outcome, low, messages: batch.messages, trims: new Map(trims.map(({ topic, seq }) => [topic, seq])) };
 }
--- a/packages/edge/src/fanout/publisherOrder.test.ts
+++ b/packages/edge/src/fanout/publisherOrder.test.ts
@@ -39,7 +39,7 @@
 });
 
 test("a tail tells of disorder within one birth", () => {
-  const tail = new StreamTail({ stream: "0:t", space: "", spaceBirth: 1 }, 0);
+  const tail = new StreamTail({ stream: "0:t", space: "", spaceIncarnation: 1 }, 0);
   const faults: OrderFault[] = [];
   tail.on("disorder", (fault) => faults.push(fault));
   tail.learn("1-aaaaaa", 0, 0);
--- a/packages/edge/src/fanout/replicaFollow.ts
+++ b/packages/edge/src/fanout/replicaFollow.ts
@@ -55,16 +55,16 @@
   remove(tail: StreamTail): void {
     if (this.#tails.get(tail.stream) === tail) {
       this.#tails.delete(tail.stream);
-      if (tail.servedBirth !== "") this.#left.add(tail.stream);
+      if (tail.servedIncarnation !== "") this.#left.add(tail.stream);
     }
     this.#lacked.delete(tail);
-    tail.servedBirth = "";
+    tail.servedIncarnation = "";
   }
 
   /** From now on the holder pushes the stream again. */
   giveBack(tail: StreamTail): void {
-    if (tail.servedBirth === "") return;
-    tail.servedBirth = "";
+    if (tail.servedIncarnation === "") return;
+    tail.servedIncarnation = "";
     this.#left.add(tail.stream);
     this.#atHolder.add(tail);
   }
@@ -85,9 +85,9 @@
     }
     this.#isAsking = true;
     const turn = this.#turn;
-    const streams = wanted.map(({ route: { stream, spaceBirth }, birth, head }) => {
+    const streams = wanted.map(({ route: { stream, spaceIncarnation }, incarnation, head }) => {
       this.#left.delete(stream);
-      return { stream, spaceBirth, birth, after: head };
+      return { stream, spaceIncarnation, incarnation, after: head };
     });
     const value = {
       shard: this.#shard,
@@ -102,15 +102,15 @@
     if (turn !== this.#turn) return;
     this.#isAsking = false;
     if (reply?.case !== "followReply" || reply.value.outcome !== "done") return this.fail();
-    for (const { stream, birth, from, fault } of reply.value.heads) {
+    for (const { stream, incarnation, from, fault } of reply.value.heads) {
       const tail = this.#tails.get(stream);
       if (tail === undefined) continue;
-      if (fault !== "" || !tail.isKnown || tail.birth !== birth)
+      if (fault !== "" || !tail.isKnown || tail.incarnation !== incarnation)
         this.#lacked.set(tail, this.#now() + ReplicaFollow.lackedMs);
       else {
-        tail.servedBirth = birth;
+        tail.servedIncarnation = incarnation;
         // Where this edge is far behind it, the replica pushes from its own head on.
-        if (from > tail.head) tail.learn(birth, from, 0);
+        if (from > tail.head) tail.learn(incarnation, from, 0);
         this.#atHolder.quieten(tail);
       }
     }
@@ -146,13 +146,14 @@
     for (const batch of push.batches) {
       const tail = this.#tails.get(batch.stream);
       if (tail === undefined) continue;
-      if (batch.fault === "" && tail.isKnown && tail.birth === batch.birth) tail.extend(batch.birth, batch.messages);
+      if (batch.fault === "" && tail.isKnown && tail.incarnation === batch.incarnation)
+        tail.extend(batch.incarnation, batch.messages);
       else this.giveBack(tail);
     }
   }
 
-  fetch(stream: string, birth: string, after: number): Promise<Fetched | undefined> {
-    const fetch = { shard: this.#shard, stream, birth, after, isAtReplica: true };
+  fetch(stream: string, incarnation: string, after: number): Promise<Fetched | undefined> {
+    const fetch = { shard: this.#shard, stream, incarnation, after, isAtReplica: true };
     return fetchMessages(this.#node, this.#server, fetch);
   }
 
@@ -175,7 +176,7 @@
   }
 
   #isWanted(tail: StreamTail, now: number): boolean {
-    const isOurs = tail.isKnown && !tail.keepsNothing && tail.servedBirth !== tail.birth;
+    const isOurs = tail.isKnown && !tail.keepsNothing && tail.servedIncarnation !== tail.incarnation;
     return isOurs && now >= (this.#lacked.get(tail) ?? 0);
   }
 
--- a/packages/edge/src/fanout/shardFollow.test.ts
+++ b/packages/edge/src/fanout/shardFollow.test.ts
@@ -13,12 +13,12 @@
 import { ShardFollow } from "./shardFollow.js";
 import { StreamTail } from "./streamTail.js";
 
-const birth = "1-0123456789";
+const incarnation = "1-0123456789";
 const stream = "6:notes/t1";
 const message = (seq: number): StreamMessage =>
   create(StreamMessageSchema, { seq, session: "s", number: seq, topic: "notes/t1" });
 const push = (follow: string, number: number, seqs: number[]): Push =>
-  create(PushSchema, { follow, number, batches: [{ stream, birth, messages: seqs.map(message) }] });
+  create(PushSchema, { follow, number, batches: [{ stream, incarnation, messages: seqs.map(message) }] });
 
 /** A follow at a holder that answers a full follow and pushes what it owes in the same breath. */
 function followed(owed: number[]): { tail: StreamTail; follow: ShardFollow; asked: () => number } {
@@ -35,7 +35,7 @@
       call: (_to: string, body: BodyInit): Promise<Body | undefined> => {
         if (body.case !== "follow" || body.value.isFull !== true) return Promise.resolve(undefined);
         fulls += 1;
-        const heads = [{ stream, birth, from: 0, low: 0 }];
+        const heads = [{ stream, incarnation, from: 0, low: 0 }];
         const value = create(FollowReplySchema, { outcome: "done", epoch: 7, number: 0, heads });
         const reply = Promise.resolve<Body>({ case: "followReply", value });
         // One piece of the net's: the receipt settles its promise, the push is handed on before anybody saw that.
@@ -50,7 +50,7 @@
     () => new Map(),
     () => undefined,
   );
-  const tail = new StreamTail({ stream, space: "notes/", spaceBirth: 1 }, 0);
+  const tail = new StreamTail({ stream, space: "notes/", spaceIncarnation: 1 }, 0);
   follow.add(tail);
   for (const ring of turns.splice(0)) ring();
   return { tail, follow, asked: () => fulls };
@@ -96,13 +96,13 @@
     () => undefined,
   );
   const add = async (name: string): Promise<StreamTail> => {
-    const tail = new StreamTail({ stream: name, space: "notes/", spaceBirth: 1 }, 0);
+    const tail = new StreamTail({ stream: name, space: "notes/", spaceIncarnation: 1 }, 0);
     follow.add(tail);
     for (const ring of turns.splice(0)) ring();
     await turn();
     return tail;
   };
-  const head = (name: string, from: number): object => ({ stream: name, birth, from, low: 0 });
+  const head = (name: string, from: number): object => ({ stream: name, birth: incarnation, from, low: 0 });
   await add("6:notes/t0");
   await asked[0]!.answer([head("6:notes/t0", 0)]);
   const late = await add(stream);
--- a/packages/edge/src/fanout/shardFollow.ts
+++ b/packages/edge/src/fanout/shardFollow.ts
@@ -172,8 +172,8 @@
     });
     const left = [...this.#left];
     const quiet = [...this.#quiet]
-      .filter((tail) => tail.servedBirth === tail.birth)
-      .map(({ stream, birth }) => ({ stream, birth }));
+      .filter((tail) => tail.servedIncarnation === tail.incarnation)
+      .map(({ stream, incarnation }) => ({ stream, incarnation }));
     this.#quiet.clear();
     this.#counted.clear();
     this.#left.clear();
@@ -201,15 +201,15 @@
       const tail = this.#streams.get(batch.stream);
       if (tail === undefined) continue;
       if (batch.fault !== "") tail.end(batch.fault);
-      else if (tail.isKnown && tail.birth === batch.birth) tail.extend(batch.birth, batch.messages);
+      else if (tail.isKnown && tail.incarnation === batch.incarnation) tail.extend(batch.incarnation, batch.messages);
       // Overtook the receipt that tells of the stream: it counts as seen, so it has to be asked for.
       else this.add(tail);
     }
   }
 
   /** Messages after a place that the tail no longer has; undefined where the holder can't be asked now. */
-  fetch(stream: string, birth: string, after: number): Promise<Fetched | undefined> {
-    return fetchMessages(this.#node, this.holder, { shard: this.#shard, stream, birth, after });
+  fetch(stream: string, incarnation: string, after: number): Promise<Fetched | undefined> {
+    return fetchMessages(this.#node, this.holder, { shard: this.#shard, stream, incarnation, after });
   }
 
   /** One telling after the other, so that an older count never comes behind a newer one. */
@@ -224,13 +224,13 @@
   }
 
   #at(tail: StreamTail): MessageInitShape<typeof StreamAtSchema> {
-    const { route, birth, head, isWhole } = tail;
-    const { stream, spaceBirth } = route;
+    const { route, incarnation, head, isWhole } = tail;
+    const { stream, spaceIncarnation } = route;
     const present = [...this.#countsOf(stream)];
     this.#counted.delete(tail);
-    const isQuiet = birth !== "" && tail.servedBirth === birth;
+    const isQuiet = incarnation !== "" && tail.servedIncarnation === incarnation;
     this.#quiet.delete(tail);
-    const at = { stream, spaceBirth, birth, after: head, isQuiet };
+    const at = { stream, spaceIncarnation, incarnation, after: head, isQuiet };
     return isWhole
       ? { ...at, counts: present.map(([topic, count]) => ({ topic, count })) }
       : { ...at, count: present[0]?.[1] ?? 0 };
@@ -241,6 +241,6 @@
     if (tail === undefined) return;
     if (head.fault === "behind") return;
     if (head.fault !== "") tail.end(head.fault);
-    else tail.learn(head.birth, head.from, head.low);
+    else tail.learn(head.incarnation, head.from, head.low);
   }
 }
--- a/packages/edge/src/fanout/streamTable.ts
+++ b/packages/edge/src/fanout/streamTable.ts
@@ -72,17 +72,17 @@
 
   /** Who pushes a stream to this edge now. */
   serverOf(tail: StreamTail): string {
-    return tail.servedBirth !== "" ? this.#atReplicas[tail.shard]!.server : this.#follows[tail.shard]!.holder;
+    return tail.servedIncarnation !== "" ? this.#atReplicas[tail.shard]!.server : this.#follows[tail.shard]!.holder;
   }
 
   /** Messages after a place that the tail no longer has; the holder has them where the replica does not yet. */
-  async fetch(tail: StreamTail, birth: string, after: number): Promise<Fetched | undefined> {
+  async fetch(tail: StreamTail, incarnation: string, after: number): Promise<Fetched | undefined> {
     const { stream, shard } = tail;
-    if (tail.servedBirth === birth) {
-      const got = await this.#atReplicas[shard]!.fetch(stream, birth, after);
+    if (tail.servedIncarnation === incarnation) {
+      const got = await this.#atReplicas[shard]!.fetch(stream, incarnation, after);
       if (got !== undefined && (got.outcome === "trimmed" || got.messages.length > 0)) return got;
     }
-    return this.#follows[shard]!.fetch(stream, birth, after);
+    return this.#follows[shard]!.fetch(stream, incarnation, after);
   }
 
   /** Each take is paired with one `leave`. */
@@ -170,7 +170,7 @@
     for (const tail of this.#tails.values()) {
       tail.keepsNothing = keepsNothing(this.#node.plan.plan, tail.stream);
       if (tail.keepsNothing) this.#atReplicas[tail.shard]!.giveBack(tail);
-      if (this.#node.plan.spaceBirthOf(tail.stream) === tail.route.spaceBirth) continue;
+      if (this.#node.plan.spaceIncarnationOf(tail.stream) === tail.route.spaceIncarnation) continue;
       this.#remove(tail);
       tail.end("topic-gone");
     }
@@ -186,7 +186,7 @@
     this.#atReplicas[push.shard]?.take(push);
   }
 
-  static #key({ stream, spaceBirth }: StreamRoute): string {
-    return `${spaceBirth} ${stream}`;
+  static #key({ stream, spaceIncarnation }: StreamRoute): string {
+    return `${spaceIncarnation} ${stream}`;
   }
 }
--- a/packages/edge/src/fanout/streamTail.test.ts
+++ b/packages/edge/src/fanout/streamTail.test.ts
@@ -4,9 +4,9 @@
 import { expect } from "earl";
 import { StreamTail } from "./streamTail.js";
 
-const birth = "1-0123456789";
+const incarnation = "1-0123456789";
 const message = (seq: number): StreamMessage => create(StreamMessageSchema, { seq, session: "s", number: seq });
-const tailOf = (): StreamTail => new StreamTail({ stream: "6:notes/t1", space: "notes/", spaceBirth: 1 }, 0);
+const tailOf = (): StreamTail => new StreamTail({ stream: "6:notes/t1", space: "notes/", spaceIncarnation: 1 }, 0);
 
 /** The invariant that readers rest on: what is here ends at the head, without a gap. */
 function look(tail: StreamTail): void {
@@ -19,13 +19,13 @@
 
 test("a tail that ended and comes back in the same birth with a higher head has no gap before it", () => {
   const tail = tailOf();
-  tail.learn(birth, 0, 0);
-  tail.extend(birth, [message(1), message(2)]);
+  tail.learn(incarnation, 0, 0);
+  tail.extend(incarnation, [message(1), message(2)]);
   tail.end("topic-gone");
-  tail.learn(birth, 7, 0);
+  tail.learn(incarnation, 7, 0);
   look(tail);
   expect([tail.head, tail.after(1), tail.after(2)]).toEqual([7, undefined, undefined]);
-  tail.extend(birth, [message(8)]);
+  tail.extend(incarnation, [message(8)]);
   look(tail);
   expect(tail.after(7)?.seq).toEqual(8);
 });
@@ -39,11 +39,11 @@
       const before = tail.head;
       const first = next(30) + 1;
       const act = next(5);
-      if (act === 0) tail.learn(birth, next(900), 0);
+      if (act === 0) tail.learn(incarnation, next(900), 0);
       else if (act === 1) tail.end("topic-gone");
       else
         tail.extend(
-          birth,
+          incarnation,
           Array.from({ length: next(6) }, (_, i) => message(first + i)),
         );
       look(tail);
--- a/packages/edge/src/fanout/streamTail.ts
+++ b/packages/edge/src/fanout/streamTail.ts
@@ -24,14 +24,14 @@
 
   readonly route: StreamRoute;
   readonly shard: number;
-  birth = "";
+  incarnation = "";
   head = 0;
   low = 0;
   messages: StreamMessage[] = [];
   #bytes = 0;
   isKnown = false;
   /** In which birth a replica near this edge pushes it; empty where the holder does. */
-  servedBirth = "";
+  servedIncarnation = "";
   users = 0;
   /**
    * Whether the holder alone has the stream: then a new birth is the same stream at another holder, which knows
@@ -64,16 +64,16 @@
   }
 
   /** The holder pushes what comes after `from`. What lies before it and was not heard is for readers to fetch. */
-  learn(birth: string, from: number, low: number): void {
-    if (birth !== this.birth) this.#reborn(birth);
+  learn(incarnation: string, from: number, low: number): void {
+    if (incarnation !== this.incarnation) this.#reborn(incarnation);
     this.low = Math.max(low, this.low);
     if (from > this.head) this.#skipTo(from);
     this.isKnown = true;
     this.emit("grown");
   }
 
-  extend(birth: string, messages: readonly StreamMessage[]): void {
-    if (birth !== this.birth) return;
+  extend(incarnation: string, messages: readonly StreamMessage[]): void {
+    if (incarnation !== this.incarnation) return;
     const fresh = messages.filter((message) => message.seq > this.head);
     if (fresh.length === 0) return;
     if (fresh[0]!.seq !== this.head + 1) this.#clear();
@@ -94,9 +94,9 @@
     this.emit("ended", fault);
   }
 
-  #reborn(birth: string): void {
+  #reborn(incarnation: string): void {
     this.#order.clear();
-    this.birth = birth;
+    this.incarnation = incarnation;
     this.head = 0;
     this.low = 0;
     this.isKnown = false;
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -41,8 +41,8 @@
   const shard = vise.streams.shardOf(route.stream);
   if (!(await isHeld(vise, shard, end))) return givenUp("the topic has no holder just now", 0.1);
   session.numbers.opened(topic, number);
-  const { spaceBirth } = route;
-  const publish = { shard, session: session.id, ownerEpoch: session.epoch, spaceBirth, number, topic };
+  const { spaceIncarnation } = route;
+  const publish = { shard, session: session.id, ownerEpoch: session.epoch, spaceIncarnation, number, topic };
   const content = { payload: Buffer.from(payload), mayBeRepeat: isDoubtful };
   const reply = await atHolder(vise, shard, end, { ...publish, ...content });
   if (reply === undefined)
@@ -51,8 +51,8 @@
     return { outcome: "unsure", reason: reply.reason, comeBack: reply.comeBack };
   if (!isDoubtful || (reply !== "mute" && reply.outcome === "accepted")) session.numbers.settled(topic, number);
   if (reply === "mute") return givenUp("the topic's holder does not answer", 0.2);
-  const { outcome, code, reason, comeBack, birth, seq } = reply;
-  if (outcome === "accepted") return { outcome: "accepted", place: Places.write(birth, seq) };
+  const { outcome, code, reason, comeBack, incarnation, seq } = reply;
+  if (outcome === "accepted") return { outcome: "accepted", place: Places.write(incarnation, seq) };
   if (outcome === "refused") return { outcome: "refused", code, reason };
   return givenUp(reason || "the topic is changing hands", comeBack || 0.5, code || undefined);
 }
--- a/packages/edge/src/sessions/sessionConnection.ts
+++ b/packages/edge/src/sessions/sessionConnection.ts
@@ -48,8 +48,8 @@
     if (refusal !== undefined) return Promise.resolve(refusal);
     const cursor = this.#session.subscriptions.get(topic);
     if (cursor !== undefined) {
-      const { birth, seq } = cursor.placeOf(topic);
-      return Promise.resolve({ outcome: "confirmed", place: Places.write(birth, seq) });
+      const { incarnation, seq } = cursor.placeOf(topic);
+      return Promise.resolve({ outcome: "confirmed", place: Places.write(incarnation, seq) });
     }
     return this.#pending.get(topic)?.outcome ?? this.#ask(topic, after);
   }
@@ -119,7 +119,8 @@
     if (!this.#isCurrent) return { outcome: "moved", reason: "the session moved on meanwhile" };
     const start = starts.find((one) => one.topic === topic);
     if (start !== undefined && start.expired !== "") return { outcome: "expired", reason: start.expired };
-    if (start !== undefined) return { outcome: "confirmed", place: Places.write(start.place.birth, start.place.seq) };
+    if (start !== undefined)
+      return { outcome: "confirmed", place: Places.write(start.place.incarnation, start.place.seq) };
     const fault = faults.find((one) => one.topic === topic);
     const outcome = faultOutcomes.find((one) => one === fault?.code) ?? "away";
     return { outcome, reason: fault?.reason ?? "the topic could not be looked up", comeBack: fault?.comeBack };
--- a/packages/edge/src/sessions/sessions.ts
+++ b/packages/edge/src/sessions/sessions.ts
@@ -198,7 +198,11 @@
   #prepare(session: Session): BodyInit {
     session.isStopped = true;
     this.#table.delete(session.id);
-    const subscriptions = [...session.allPlaces()].map(([topic, { birth, seq }]) => ({ topic, birth, cursor: seq }));
+    const subscriptions = [...session.allPlaces()].map(([topic, { incarnation, seq }]) => ({
+      topic,
+      incarnation,
+      cursor: seq,
+    }));
     const numbers = session.numbers.records();
     const body: BodyInit = { case: "pullReply", value: { outcome: "shipped", subscriptions, numbers } };
     this.#shipped.set(`${session.id}@${session.epoch}`, { body, at: this.#node.parts.clock.now() });
@@ -229,8 +233,8 @@
       const place = SubscriptionKey.read(kv.value);
       if (place !== undefined) session.places.set(kv.key.slice(SubscriptionKey.prefix(session.id).length), place);
     }
-    for (const { topic, birth, cursor } of shipped?.subscriptions ?? [])
-      session.places.set(topic, { birth, seq: cursor });
+    for (const { topic, incarnation, cursor } of shipped?.subscriptions ?? [])
+      session.places.set(topic, { incarnation, seq: cursor });
     session.numbers.take(shipped?.numbers ?? []);
   }
 
--- a/packages/edge/src/sessions/subscriptionKey.ts
+++ b/packages/edge/src/sessions/subscriptionKey.ts
@@ -15,8 +15,8 @@
     return `session:${session}`;
   },
 
-  write({ birth, seq }: Place): Uint8Array {
-    return Buffer.from(Places.write(birth, seq));
+  write({ incarnation, seq }: Place): Uint8Array {
+    return Buffer.from(Places.write(incarnation, seq));
   },
 
   read(value: Uint8Array): Place | undefined {
--- a/packages/edge/src/subscriptions/cursor.ts
+++ b/packages/edge/src/subscriptions/cursor.ts
@@ -1,17 +1,17 @@
 export interface Place {
-  birth: string;
+  incarnation: string;
   seq: number;
 }
 
 /** A client's place in a topic: an opaque string to the client, stream's birth and sequence number to us. */
 export const Places = {
-  write(birth: string, seq: number): string {
-    return `${birth}.${seq}`;
+  write(incarnation: string, seq: number): string {
+    return `${incarnation}.${seq}`;
   },
 
   read(text: unknown): Place | undefined {
     if (typeof text !== "string") return undefined;
     const found = /^([0-9a-f]{1,14}-[0-9a-f]{6,20})\.(0|[1-9][0-9]{0,15})$/.exec(text);
-    return found === null ? undefined : { birth: found[1]!, seq: Number(found[2]) };
+    return found === null ? undefined : { incarnation: found[1]!, seq: Number(found[2]) };
   },
 };
--- a/packages/edge/src/subscriptions/findStarts.ts
+++ b/packages/edge/src/subscriptions/findStarts.ts
@@ -77,8 +77,9 @@
 /** What the tail shows by itself: a place it has passed in the same birth, of a topic that the plan owes. */
 function heardStart(vise: EdgeParts, { topic, tail, place }: Routed): Start | undefined {
   if (!tail.isKnown || Plans.owed(vise.node.plan.plan, topic) === undefined) return undefined;
-  if (place === undefined) return { topic, tail, place: { birth: tail.birth, seq: tail.head }, expired: "" };
-  const isHeard = place.birth === tail.birth && place.seq >= tail.low && place.seq <= tail.head;
+  if (place === undefined)
+    return { topic, tail, place: { incarnation: tail.incarnation, seq: tail.head }, expired: "" };
+  const isHeard = place.incarnation === tail.incarnation && place.seq >= tail.low && place.seq <= tail.head;
   return isHeard ? { topic, tail, place, expired: "" } : undefined;
 }
 
@@ -86,7 +87,11 @@
   const shards = Grouped.by(unsure, ({ tail }) => tail.shard);
   const judged = await Promise.all(
     [...shards].map(async ([shard, list]) => {
-      const places = list.map(({ topic, route: { spaceBirth }, place }) => ({ topic, spaceBirth, ...place }));
+      const places = list.map(({ topic, route: { spaceIncarnation }, place }) => ({
+        topic,
+        spaceIncarnation,
+        ...place,
+      }));
       const answers = await askStarts(vise, shard, places);
       return list.map((one) => settle(one, answers?.get(one.topic)));
     }),
@@ -100,12 +105,12 @@
 function settle({ topic, tail, isAsked }: Routed, answer: TopicStart | undefined): Start | TopicFault {
   const away = { topic, code: "unavailable", reason: "the topic's holder does not answer", comeBack: 0.5 };
   if (answer === undefined) return away;
-  const { outcome, birth, seq, reason } = answer;
+  const { outcome, incarnation, seq, reason } = answer;
   if (outcome === "behind") return { ...away, reason: "the topic's space is changing", comeBack: 0.3 };
   if (outcome === "unknown-topic")
     return { topic, code: outcome, reason: `the plan in force has no rule for ${topic}` };
   if (outcome === "unknown-place" && isAsked) return { topic, code: outcome, reason };
   // A kept place that the log does not know can only be of a log that is gone.
   const expired = outcome === "known" ? "" : reason;
-  return { topic, tail, place: { birth, seq }, expired };
+  return { topic, tail, place: { incarnation, seq }, expired };
 }
--- a/packages/edge/src/subscriptions/streamCursor.ts
+++ b/packages/edge/src/subscriptions/streamCursor.ts
@@ -33,7 +33,7 @@
   readonly #given = new Map<string, PublisherOrder>();
   readonly #grown = (): void => void this.#pump();
   readonly #ended = (fault: string): void => this.#endAll(fault);
-  birth = "";
+  incarnation = "";
   cursor = 0;
   #isPumping = false;
   #isStopped = false;
@@ -53,17 +53,17 @@
 
   /** Adds a topic from its place on; the cursor goes back to it where it must, and no other topic with it. */
   add(topic: string, start: Place): void {
-    if (this.#topics.size === 0 && this.birth === "") {
-      this.birth = start.birth;
+    if (this.#topics.size === 0 && this.incarnation === "") {
+      this.incarnation = start.incarnation;
       this.cursor = start.seq;
     }
-    const isBehind = start.birth === this.birth && start.seq < this.cursor;
+    const isBehind = start.incarnation === this.incarnation && start.seq < this.cursor;
     if (isBehind) {
       for (const [other, at] of this.#topics) this.#topics.set(other, Math.max(at, this.cursor));
       this.cursor = start.seq;
     }
     if (!this.#topics.has(topic)) this.#parts.table.counts.join(this.tail, topic);
-    this.#topics.set(topic, start.birth === this.birth ? start.seq : this.cursor);
+    this.#topics.set(topic, start.incarnation === this.incarnation ? start.seq : this.cursor);
   }
 
   start(): void {
@@ -76,7 +76,7 @@
   }
 
   placeOf(topic: string): Place {
-    return { birth: this.birth, seq: Math.max(this.#topics.get(topic) ?? 0, this.cursor) };
+    return { incarnation: this.incarnation, seq: Math.max(this.#topics.get(topic) ?? 0, this.cursor) };
   }
 
   remove(topic: string): void {
@@ -110,14 +110,14 @@
     this.#isPumping = true;
     const { tail } = this.#parts;
     while (!this.#isStopped && this.#parts.maySend()) {
-      if (tail.birth !== this.birth && tail.isKnown) this.#restart();
+      if (tail.incarnation !== this.incarnation && tail.isKnown) this.#restart();
       const before = this.cursor;
-      if (tail.birth !== this.birth || before >= tail.head) break;
+      if (tail.incarnation !== this.incarnation || before >= tail.head) break;
       const next = tail.after(before);
       if (next !== undefined) this.#deliver(next);
       else await this.#fetch();
       if (this.cursor > before) continue;
-      if (tail.keepsNothing && tail.birth === this.birth && tail.after(before) === undefined) {
+      if (tail.keepsNothing && tail.incarnation === this.incarnation && tail.after(before) === undefined) {
         // What neither the tail nor the holder has any more is owed to nobody.
         this.cursor = Math.max(before, (tail.messages[0]?.seq ?? tail.head + 1) - 1);
         if (this.cursor > before) continue;
@@ -136,9 +136,9 @@
 
   async #fetch(): Promise<void> {
     const { table, tail, maySend } = this.#parts;
-    const { birth, cursor } = this;
-    const got = await table.fetch(tail, birth, cursor);
-    if (got === undefined || this.#isStopped || this.birth !== birth || this.cursor !== cursor) return;
+    const { incarnation, cursor } = this;
+    const got = await table.fetch(tail, incarnation, cursor);
+    if (got === undefined || this.#isStopped || this.incarnation !== incarnation || this.cursor !== cursor) return;
     if (got.outcome === "trimmed") this.#skip(got.low, got.trims);
     for (const message of got.messages) {
       if (this.#isStopped || !maySend()) return;
@@ -152,7 +152,7 @@
     const { session, number, payload, seq, topic } = message;
     const from = this.#topics.get(topic);
     if (from === undefined || seq <= from || this.#isRepeat(message)) return;
-    const place = Places.write(this.birth, seq);
+    const place = Places.write(this.incarnation, seq);
     const text = Buffer.from(payload).toString();
     this.#parts.link.send({ kind: "message", topic, sender: session, number, place, payload: text });
   }
@@ -178,7 +178,7 @@
   /** The stream was made again: all of the new birth is news. Where nothing is kept that is no loss to tell of. */
   #restart(): void {
     const { tail } = this.#parts;
-    this.birth = tail.birth;
+    this.incarnation = tail.incarnation;
     this.cursor = tail.low;
     for (const topic of this.#topics.keys()) {
       if (tail.keepsNothing) this.#topics.set(topic, tail.low);
@@ -188,7 +188,7 @@
 
   #expire(topic: string, low: number, reason: string): void {
     this.#topics.set(topic, low);
-    this.#parts.link.send({ kind: "expired", topic, place: Places.write(this.birth, low), reason });
+    this.#parts.link.send({ kind: "expired", topic, place: Places.write(this.incarnation, low), reason });
   }
 
   #endAll(fault: string): void {
--- a/packages/edge/src/subscriptions/subscribeTopics.ts
+++ b/packages/edge/src/subscriptions/subscribeTopics.ts
@@ -36,7 +36,7 @@
   if (isKept && session.link === link)
     joinStreams(vise, session, link, starts, ({ topic, place, expired }, cursor) => {
       if (expired !== "")
-        link.send({ kind: "expired", topic, place: Places.write(place.birth, place.seq), reason: expired });
+        link.send({ kind: "expired", topic, place: Places.write(place.incarnation, place.seq), reason: expired });
       confirm(link, topic, cursor);
     });
   if (session.link === link) session.joining -= admitted.length;
@@ -63,6 +63,6 @@
 }
 
 function confirm(link: ClientLink, topic: string, cursor: StreamCursor): void {
-  const { birth, seq } = cursor.placeOf(topic);
-  link.send({ kind: "confirmed", topic, place: Places.write(birth, seq) });
+  const { incarnation, seq } = cursor.placeOf(topic);
+  link.send({ kind: "confirmed", topic, place: Places.write(incarnation, seq) });
 }
--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -109,12 +109,12 @@
   #find(stream: string): StreamLog | undefined {
     const log = this.#replica.state.streams.get(stream);
     if (log === undefined || this.#standings.isInMemory(stream)) return undefined;
-    return this.#standings.of(stream, log.spaceBirth) === "ours" ? log : undefined;
+    return this.#standings.of(stream, log.spaceIncarnation) === "ours" ? log : undefined;
   }
 
-  #isHere({ stream, birth, spaceBirth }: StreamAt): boolean {
+  #isHere({ stream, incarnation, spaceIncarnation }: StreamAt): boolean {
     const log = this.#find(stream);
-    return log !== undefined && log.birth === birth && log.spaceBirth === spaceBirth;
+    return log !== undefined && log.incarnation === incarnation && log.spaceIncarnation === spaceIncarnation;
   }
 
   /** A stream has news; or any may have, or be there no more in the birth that is followed, where it is none. */
@@ -132,7 +132,7 @@
     this.#fresh.clear();
     this.#isTurning = this.#mustLookAtAll = false;
     if (!this.isOpen) return this.#closeWhereMustBe();
-    this.#follows.askAgain(streams.filter((stream) => this.#follows.isOfAnotherBirth(stream)));
+    this.#follows.askAgain(streams.filter((stream) => this.#follows.isOfAnotherIncarnation(stream)));
     this.#follows.push(streams);
   }
 }
--- a/packages/log-storage/src/follows/follows.test.ts
+++ b/packages/log-storage/src/follows/follows.test.ts
@@ -8,12 +8,12 @@
 import type { PushTurn } from "./pushTurn.js";
 
 const stream = "6:notes/t1";
-const birth = "1-one";
+const incarnation = "1-one";
 const say = (more: MessageInitShape<typeof FollowSchema>): ReturnType<typeof create<typeof FollowSchema>> =>
   create(FollowSchema, { follow: "edge/1", ...more });
 
 function follows(): { table: Follows; pushed: Push[]; add: () => void } {
-  const log = new StreamLog(stream, birth);
+  const log = new StreamLog(stream, incarnation);
   const pushed: Push[] = [];
   const node = { parts: { clock: { now: () => 0 } } } as ClusterNode;
   const turn = { tell: (_edge: string, push: Push) => void pushed.push(push) } as PushTurn;
@@ -23,7 +23,7 @@
     log.messages.push(create(StreamMessageSchema, { seq: log.head, topic: "notes/t1" }));
     table.push([stream]);
   };
-  const at = { stream, birth, after: 0, spaceBirth: 1 };
+  const at = { stream, incarnation, after: 0, spaceIncarnation: 1 };
   table.enrol(say({ isFull: true, serial: 1, streams: [at] }), say({ streams: [at] }).streams, "edge");
   return { table, pushed, add };
 }
@@ -32,13 +32,13 @@
   const { table, pushed, add } = follows();
   add();
   expect(pushed.length).toEqual(1);
-  expect(table.beat(say({ serial: 2, seen: 1, quiet: [{ stream, birth: "1-other" }] }))).toEqual(true);
+  expect(table.beat(say({ serial: 2, seen: 1, quiet: [{ stream, incarnation: "1-other" }] }))).toEqual(true);
   add();
   expect(pushed.length).toEqual(2);
-  expect(table.beat(say({ serial: 3, seen: 2, quiet: [{ stream, birth }] }))).toEqual(true);
+  expect(table.beat(say({ serial: 3, seen: 2, quiet: [{ stream, incarnation }] }))).toEqual(true);
   add();
   expect(pushed.length).toEqual(2);
-  table.enrol(say({ serial: 4 }), say({ streams: [{ stream, birth, after: 2 }] }).streams, "edge");
+  table.enrol(say({ serial: 4 }), say({ streams: [{ stream, incarnation, after: 2 }] }).streams, "edge");
   add();
   expect(pushed[2]!.batches[0]!.messages.map(({ seq }) => seq)).toEqual([3, 4]);
 });
@@ -46,7 +46,7 @@
 test("a beat that was delayed or doubled on its way undoes nothing that was said after it", () => {
   const { table, pushed, add } = follows();
   expect(table.beat(say({ serial: 3, seen: 0 }))).toEqual(true);
-  expect(table.beat(say({ serial: 2, seen: 0, quiet: [{ stream, birth }] }))).toEqual(false);
+  expect(table.beat(say({ serial: 2, seen: 0, quiet: [{ stream, incarnation }] }))).toEqual(false);
   expect(table.beat(say({ serial: 3, seen: 0, left: [stream] }))).toEqual(false);
   expect(table.isLate(say({ serial: 3, isFull: true }))).toEqual(true);
   expect(table.isLate(say({ follow: "edge/2", serial: 1 }))).toEqual(true);
--- a/packages/log-storage/src/follows/follows.ts
+++ b/packages/log-storage/src/follows/follows.ts
@@ -13,7 +13,7 @@
 import type { PushTurn } from "./pushTurn.js";
 
 interface FollowedStream {
-  birth: string;
+  incarnation: string;
   sent: number;
   /** The edge's subscribers by topic, of a topic's own stream under "". */
   counts: Map<string, number>;
@@ -78,9 +78,9 @@
   }
 
   /** Whether the stream is there no more in a birth that somebody follows. */
-  isOfAnotherBirth(stream: string): boolean {
-    const birth = this.#parts.find(stream)?.birth;
-    return [...(this.#byStream.get(stream) ?? [])].some((one) => one.streams.get(stream)?.birth !== birth);
+  isOfAnotherIncarnation(stream: string): boolean {
+    const incarnation = this.#parts.find(stream)?.incarnation;
+    return [...(this.#byStream.get(stream) ?? [])].some((one) => one.streams.get(stream)?.incarnation !== incarnation);
   }
 
   /** Subscribers of a topic at all edges that are there. */
@@ -106,9 +106,9 @@
       else counts?.delete(topic);
     }
     for (const stream of follow.left) this.#leave(following, stream);
-    for (const { stream, birth } of follow.quiet) {
+    for (const { stream, incarnation } of follow.quiet) {
       const at = following.streams.get(stream);
-      if (at?.birth === birth && !this.#parts.isInMemory(stream)) at.isQuiet = true;
+      if (at?.incarnation === incarnation && !this.#parts.isInMemory(stream)) at.isQuiet = true;
     }
     return following.number === follow.seen;
   }
@@ -129,12 +129,12 @@
       const log = this.#parts.find(stream);
       if (log === undefined) continue;
       const sent = this.#sentTo(log, at);
-      const isQuiet = at.isQuiet && at.birth === log.birth && !this.#parts.isInMemory(stream);
-      following.streams.set(stream, { birth: log.birth, sent, counts: Follows.#countsOf(at), isQuiet });
+      const isQuiet = at.isQuiet && at.incarnation === log.incarnation && !this.#parts.isInMemory(stream);
+      following.streams.set(stream, { incarnation: log.incarnation, sent, counts: Follows.#countsOf(at), isQuiet });
       let followers = this.#byStream.get(stream);
       if (followers === undefined) this.#byStream.set(stream, (followers = new Set()));
       followers.add(following);
-      heads.push(create(StreamHeadSchema, { stream, birth: log.birth, from: sent, low: log.low }));
+      heads.push(create(StreamHeadSchema, { stream, incarnation: log.incarnation, from: sent, low: log.low }));
     }
     return { heads, number: following.number };
   }
@@ -194,9 +194,9 @@
     return this.#parts.node.parts.clock.now();
   }
 
-  #sentTo(log: StreamLog, { stream, birth, after }: StreamAt): number {
-    if (birth === log.birth && log.head - after <= Follows.mostBehind) return Math.max(after, log.low);
-    return birth !== "" && birth !== log.birth && this.#parts.isInMemory(stream) ? log.low : log.head;
+  #sentTo(log: StreamLog, { stream, incarnation, after }: StreamAt): number {
+    if (incarnation === log.incarnation && log.head - after <= Follows.mostBehind) return Math.max(after, log.low);
+    return incarnation !== "" && incarnation !== log.incarnation && this.#parts.isInMemory(stream) ? log.low : log.head;
   }
 
   #dismiss(streams: Iterable<string>, fault: string): void {
@@ -212,12 +212,18 @@
   #batch(following: Following, stream: string): StreamBatch | undefined {
     const at = following.streams.get(stream);
     const log = this.#parts.find(stream);
-    if (at === undefined || at.isQuiet || log === undefined || at.birth !== log.birth || at.sent >= log.head)
+    if (
+      at === undefined ||
+      at.isQuiet ||
+      log === undefined ||
+      at.incarnation !== log.incarnation ||
+      at.sent >= log.head
+    )
       return undefined;
     const messages = Follows.slice(log.messages, log.low, at.sent, Follows.mostMessages);
     const prev = (messages[0]?.seq ?? log.head + 1) - 1;
     at.sent = messages.at(-1)?.seq ?? log.head;
-    return create(StreamBatchSchema, { stream, birth: log.birth, prev, messages });
+    return create(StreamBatchSchema, { stream, incarnation: log.incarnation, prev, messages });
   }
 
   #send(following: Following, batches: StreamBatch[]): void {
--- a/packages/log-storage/src/replication/replica.test.ts
+++ b/packages/log-storage/src/replication/replica.test.ts
@@ -42,7 +42,7 @@
   toBinary(
     ShardSnapshotSchema,
     create(ShardSnapshotSchema, {
-      streams: Array.from({ length: streams }, (_, i) => ({ stream: `${i}${"s".repeat(1000)}`, birth: "1" })),
+      streams: Array.from({ length: streams }, (_, i) => ({ stream: `${i}${"s".repeat(1000)}`, incarnation: "1" })),
       at: 1,
     }),
   );
--- a/packages/log-storage/src/shards/memoryStreams.test.ts
+++ b/packages/log-storage/src/shards/memoryStreams.test.ts
@@ -12,7 +12,7 @@
 
 function say(streams: MemoryStreams, number: number, at = 0, bytes = 1): string {
   const log = streams.take(stream, 1, at)!;
-  const accept = { topic: stream, stream, birth: log.birth, session: "pen", number, at };
+  const accept = { topic: stream, stream, incarnation: log.incarnation, session: "pen", number, at };
   return streams.accept(create(AcceptSchema, { ...accept, payload: new Uint8Array(bytes) })).outcome;
 }
 
@@ -21,7 +21,7 @@
   const first = streams.take(stream, 1, 0)!;
   expect(streams.take(stream, 1, 0)).toEqual(first);
   const second = streams.take(stream, 2, 0)!;
-  expect(second.birth === first.birth).toEqual(false);
+  expect(second.incarnation === first.incarnation).toEqual(false);
   expect(streams.take(stream, 1, 0)).toEqual(undefined);
 });
 
@@ -56,11 +56,17 @@
   for (let number = 1; number <= 5; number += 1) say(streams, number);
   const log = streams.find(stream)!;
   log.trim(2);
-  const from = (birth: string, seq: number): unknown[] => {
-    const { outcome, seq: start } = startInMemory(log, create(TopicPlaceSchema, { topic: stream, birth, seq }));
+  const from = (incarnation: string, seq: number): unknown[] => {
+    const { outcome, seq: start } = startInMemory(log, create(TopicPlaceSchema, { topic: stream, incarnation, seq }));
     return [outcome, start];
   };
-  expect([from("", 0), from(log.birth, 3), from(log.birth, 1), from(log.birth, 99), from("2-0123456789", 1)]).toEqual([
+  expect([
+    from("", 0),
+    from(log.incarnation, 3),
+    from(log.incarnation, 1),
+    from(log.incarnation, 99),
+    from("2-0123456789", 1),
+  ]).toEqual([
     ["known", 5],
     ["known", 3],
     ["known", 2],
--- a/packages/log-storage/src/shards/memoryStreams.ts
+++ b/packages/log-storage/src/shards/memoryStreams.ts
@@ -44,15 +44,15 @@
   }
 
   /** The stream, made where there was none of this birth of its space; undefined where there is a later one. */
-  take(stream: string, spaceBirth: number, at: number): StreamLog | undefined {
+  take(stream: string, spaceIncarnation: number, at: number): StreamLog | undefined {
     let kept = this.#streams.get(stream);
-    if (kept === undefined || kept.log.spaceBirth < spaceBirth) {
-      const log = new StreamLog(stream, Streams.birth(spaceBirth, this.#identity()));
+    if (kept === undefined || kept.log.spaceIncarnation < spaceIncarnation) {
+      const log = new StreamLog(stream, Streams.incarnation(spaceIncarnation, this.#identity()));
       kept = { log, bornAt: at, usedAt: at };
       this.#streams.set(stream, kept);
     }
     kept.usedAt = Math.max(kept.usedAt, at);
-    return kept.log.spaceBirth === spaceBirth ? kept.log : undefined;
+    return kept.log.spaceIncarnation === spaceIncarnation ? kept.log : undefined;
   }
 
   /**
@@ -66,7 +66,7 @@
 
   accept(accept: Accept): Verdict {
     const log = this.find(accept.stream);
-    if (log === undefined || log.birth !== accept.birth)
+    if (log === undefined || log.incarnation !== accept.incarnation)
       return { outcome: "refused", code: "topic-gone", reason: "the topic was removed meanwhile" };
     return log.accept(accept);
   }
--- a/packages/log-storage/src/shards/publishOutcomes.ts
+++ b/packages/log-storage/src/shards/publishOutcomes.ts
@@ -16,6 +16,6 @@
 
   of(verdict: Verdict): PublishOutcome {
     if (verdict.outcome === "refused") return PublishOutcomes.refused(verdict.code, verdict.reason);
-    return { case: "publishReply", value: { outcome: "accepted", birth: verdict.birth, seq: verdict.seq } };
+    return { case: "publishReply", value: { outcome: "accepted", incarnation: verdict.incarnation, seq: verdict.seq } };
   },
 };
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -47,7 +47,7 @@
   readonly #follows: Follows;
   readonly #standings: StreamStandings;
   readonly #isHeld: () => boolean;
-  readonly #births = new Map<string, Promise<void>>();
+  readonly #incarnations = new Map<string, Promise<void>>();
   readonly #memory: MemoryStreams;
   readonly #heldBack = new HeldBack();
   readonly #turn: PushTurn;
@@ -100,10 +100,10 @@
 
   async #judge(publish: Publish): Promise<PublishOutcome> {
     if (!this.isOpen) return this.#away();
-    const { topic, session, number, spaceBirth } = publish;
+    const { topic, session, number, spaceIncarnation } = publish;
     const { plan } = this.#node.plan;
     const route = this.#node.plan.route(topic);
-    const standing = this.#standings.ofBirth(route?.spaceBirth, spaceBirth);
+    const standing = this.#standings.ofIncarnation(route?.spaceIncarnation, spaceIncarnation);
     // One of the two has not heard of the newest plan yet; a space that this node has seen removed may be back.
     if (route === undefined || standing !== "ours") return this.#away("the topic's space is changing", 0.2);
     const owed = Plans.owed(plan, topic);
@@ -112,7 +112,7 @@
     const { stream } = route;
     if (!this.#isOurs(stream) || !Number.isSafeInteger(number) || number < 1)
       return PublishOutcomes.refused("malformed", "the topic is another shard's, or the number is none");
-    const known = this.#knownNow(stream, spaceBirth, publish);
+    const known = this.#knownNow(stream, spaceIncarnation, publish);
     if (known !== undefined)
       return this.#standings.isInMemory(stream) ? this.#inMemory(stream, known) : PublishOutcomes.of(known);
     if (this.#holder.occupancy > ShardService.mostPending)
@@ -121,12 +121,12 @@
         value: { outcome: "busy", code: "busy", reason: "too many publishes are waiting for the disk", comeBack: 0.5 },
       };
     const refusal = ShardService.#refusal(plan, owed, publish);
-    const birth = await this.#birthOf(stream, spaceBirth);
-    if (birth === undefined || !this.isOpen) return this.#away();
+    const incarnation = await this.#incarnationOf(stream, spaceIncarnation);
+    if (incarnation === undefined || !this.isOpen) return this.#away();
     const accept = create(AcceptSchema, {
       topic,
       stream,
-      birth,
+      incarnation,
       session,
       number,
       ownerEpoch: publish.ownerEpoch,
@@ -196,9 +196,11 @@
     if (!this.isOpen) return { case: "followReply", value: { outcome: "away" } };
     if (follow.streams.length === 0 && !follow.isFull)
       return { case: "followReply", value: { outcome: this.beaten(follow), epoch: this.#holder.epoch } };
-    const standings = follow.streams.map(({ stream, spaceBirth }) => this.#standings.of(stream, spaceBirth));
+    const standings = follow.streams.map(({ stream, spaceIncarnation }) =>
+      this.#standings.of(stream, spaceIncarnation),
+    );
     const followed = follow.streams.filter((_, i) => standings[i] === "ours");
-    await Promise.all(followed.map(({ stream, spaceBirth }) => this.#birthOf(stream, spaceBirth)));
+    await Promise.all(followed.map(({ stream, spaceIncarnation }) => this.#incarnationOf(stream, spaceIncarnation)));
     // A head may become somebody's start only if nobody has taken over meanwhile.
     if (!this.isOpen || !(await this.#holder.confirm()) || !this.isOpen)
       return { case: "followReply", value: { outcome: "away" } };
@@ -225,19 +227,21 @@
     if (!this.isOpen) return away;
     const asked = ask.places.map((place) => {
       const route = this.#node.plan.route(place.topic);
-      const standing = this.#standings.ofBirth(route?.spaceBirth, place.spaceBirth);
+      const standing = this.#standings.ofIncarnation(route?.spaceIncarnation, place.spaceIncarnation);
       const owed = Plans.owed(this.#node.plan.plan, place.topic);
       const stream = route?.stream ?? "";
       const fault = standing !== "ours" ? "behind" : owed === undefined ? "unknown-topic" : "";
       return { place, stream, fault: fault === "" && !this.#isOurs(stream) ? "behind" : fault };
     });
-    const good = new Map(asked.filter(({ fault }) => fault === "").map((one) => [one.stream, one.place.spaceBirth]));
-    await Promise.all([...good].map(([stream, spaceBirth]) => this.#birthOf(stream, spaceBirth)));
+    const good = new Map(
+      asked.filter(({ fault }) => fault === "").map((one) => [one.stream, one.place.spaceIncarnation]),
+    );
+    await Promise.all([...good].map(([stream, spaceIncarnation]) => this.#incarnationOf(stream, spaceIncarnation)));
     if (!this.isOpen || !(await this.#holder.confirm()) || !this.isOpen) return away;
     const starts = asked.map(({ place, stream, fault }) => {
       const log = this.#find(stream);
       if (fault !== "") return create(TopicStartSchema, { topic: place.topic, outcome: fault });
-      if (log?.spaceBirth !== place.spaceBirth)
+      if (log?.spaceIncarnation !== place.spaceIncarnation)
         return create(TopicStartSchema, { topic: place.topic, outcome: "behind" });
       return this.#standings.isInMemory(stream) ? startInMemory(log, place) : startOf(log, place);
     });
@@ -247,7 +251,7 @@
   fetch(fetch: Fetch): BodyInit {
     if (!this.isOpen) return { case: "fetchReply", value: { outcome: "away" } };
     const log = this.#find(fetch.stream);
-    if (log === undefined || this.#standings.of(fetch.stream, log.spaceBirth) !== "ours")
+    if (log === undefined || this.#standings.of(fetch.stream, log.spaceIncarnation) !== "ours")
       return { case: "fetchReply", value: { outcome: "unknown-topic" } };
     return fetchFrom(log, fetch);
   }
@@ -256,7 +260,7 @@
   planChanged(): void {
     const logs = [...this.#replica.state.streams.values()];
     const inMemory = this.#memory.all();
-    const isGone = (log: StreamLog): boolean => this.#standings.of(log.stream, log.spaceBirth) === "gone";
+    const isGone = (log: StreamLog): boolean => this.#standings.of(log.stream, log.spaceIncarnation) === "gone";
     const gone = logs.filter(isGone);
     // A stream that moved between log and memory goes on in another birth.
     const left = inMemory.filter((log) => !this.#standings.isInMemory(log.stream));
@@ -284,14 +288,14 @@
     const { state } = this.#replica;
     const at = this.#holder.at;
     const streams = [...state.streams.values()].flatMap((log): Array<MessageInitShape<typeof TrimStreamSchema>> => {
-      const { stream, birth } = log;
-      const standing = this.#standings.of(stream, log.spaceBirth);
+      const { stream, incarnation } = log;
+      const standing = this.#standings.of(stream, log.spaceIncarnation);
       // Nothing of it is owed any more; should it be kept again, that is another birth.
-      if (standing === "ours" && this.#standings.isInMemory(stream)) return [{ stream, birth, isRemoved: true }];
-      if (standing !== "ours") return standing === "gone" ? [{ stream, birth, isRemoved: true }] : [];
+      if (standing === "ours" && this.#standings.isInMemory(stream)) return [{ stream, incarnation, isRemoved: true }];
+      if (standing !== "ours") return standing === "gone" ? [{ stream, incarnation, isRemoved: true }] : [];
       const old = log.messages.findIndex((message) => message.at >= at - this.#keepMs(message.topic));
       const low = old === -1 ? log.head : log.messages[old]!.seq - 1;
-      return low > log.low ? [{ stream, birth, low }] : [];
+      return low > log.low ? [{ stream, incarnation, low }] : [];
     });
     const forgetBefore = Math.max(0, at - ShardService.forgetMs);
     if (streams.length === 0 && !state.hasOlder(forgetBefore)) return;
@@ -310,30 +314,33 @@
   }
 
   /** The stream's birth, made where there was none of this birth of its space; undefined where it could not be. */
-  async #birthOf(stream: string, spaceBirth: number): Promise<string | undefined> {
-    if (this.#standings.isInMemory(stream)) return this.#memory.take(stream, spaceBirth, this.#holder.at)?.birth;
+  async #incarnationOf(stream: string, spaceIncarnation: number): Promise<string | undefined> {
+    if (this.#standings.isInMemory(stream))
+      return this.#memory.take(stream, spaceIncarnation, this.#holder.at)?.incarnation;
     const { streams } = this.#replica.state;
-    let birth = this.#births.get(stream);
-    if (birth === undefined && (streams.get(stream)?.spaceBirth ?? 0) < spaceBirth) {
+    let incarnation = this.#incarnations.get(stream);
+    if (incarnation === undefined && (streams.get(stream)?.spaceIncarnation ?? 0) < spaceIncarnation) {
       const value = {
         stream,
-        birth: Streams.birth(spaceBirth, this.#node.parts.chance.identity()),
+        incarnation: Streams.incarnation(spaceIncarnation, this.#node.parts.chance.identity()),
         at: this.#holder.at,
       };
       // Who comes when it was just made still waits behind those that have waited for it: in a stream's order of
       // arrival.
-      const forget = (): void => void this.#births.delete(stream);
-      birth = this.#holder.propose({ case: "birth", value }).then(() => void this.#node.parts.clock.once(0, forget));
-      this.#births.set(stream, birth);
+      const forget = (): void => void this.#incarnations.delete(stream);
+      incarnation = this.#holder
+        .propose({ case: "createStream", value })
+        .then(() => void this.#node.parts.clock.once(0, forget));
+      this.#incarnations.set(stream, incarnation);
     }
-    if (birth !== undefined) await birth;
+    if (incarnation !== undefined) await incarnation;
     const log = streams.get(stream);
-    return log?.spaceBirth === spaceBirth ? log.birth : undefined;
+    return log?.spaceIncarnation === spaceIncarnation ? log.incarnation : undefined;
   }
 
-  #knownNow(stream: string, spaceBirth: number, { topic, session, number }: Publish): Verdict | undefined {
+  #knownNow(stream: string, spaceIncarnation: number, { topic, session, number }: Publish): Verdict | undefined {
     const log = this.#find(stream);
-    return log?.spaceBirth === spaceBirth ? log.known(topic, session, number) : undefined;
+    return log?.spaceIncarnation === spaceIncarnation ? log.known(topic, session, number) : undefined;
   }
 
   #isOurs(stream: string): boolean {
@@ -351,7 +358,7 @@
         const { isOpen } = this;
         if (isOpen)
           this.#follows.push(
-            streams.filter((one) => this.#standings.of(one, this.#find(one)?.spaceBirth ?? 0) === "ours"),
+            streams.filter((one) => this.#standings.of(one, this.#find(one)?.spaceIncarnation ?? 0) === "ours"),
           );
         if (isOpen) this.#memory.trim(streams);
         resolve(isOpen);
--- a/packages/log-storage/src/shards/shardState.ts
+++ b/packages/log-storage/src/shards/shardState.ts
@@ -3,7 +3,7 @@
   ShardCommandSchema,
   ShardSnapshotSchema,
   type Accept,
-  type Birth,
+  type CreateStream,
   type ShardCommand,
   type Trim,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
@@ -58,31 +58,31 @@
   #apply(command: ShardCommand["command"]): Verdict | undefined {
     if (command.case === "accept") return this.#accept(command.value);
     if (command.case === "trim") return this.#trim(command.value);
-    if (command.case === "birth") return this.#birth(command.value);
+    if (command.case === "createStream") return this.#createStream(command.value);
     return undefined;
   }
 
-  #birth({ stream, birth, at }: Birth): undefined {
+  #createStream({ stream, incarnation, at }: CreateStream): undefined {
     this.at = Math.max(this.at, at);
     const log = this.streams.get(stream);
-    if (log === undefined || log.spaceBirth < Streams.spaceBirthOf(birth))
-      this.streams.set(stream, new StreamLog(stream, birth));
+    if (log === undefined || log.spaceIncarnation < Streams.spaceIncarnationOf(incarnation))
+      this.streams.set(stream, new StreamLog(stream, incarnation));
     return undefined;
   }
 
   #accept(accept: Accept): Verdict {
     this.at = Math.max(this.at, accept.at);
     const log = this.streams.get(accept.stream);
-    if (log === undefined || log.birth !== accept.birth)
+    if (log === undefined || log.incarnation !== accept.incarnation)
       return { outcome: "refused", code: "topic-gone", reason: "the topic was removed meanwhile" };
     return log.accept(accept);
   }
 
   #trim(trim: Trim): undefined {
     this.at = Math.max(this.at, trim.at);
-    for (const { stream, low, isRemoved, birth } of trim.streams) {
+    for (const { stream, low, isRemoved, incarnation } of trim.streams) {
       const log = this.streams.get(stream);
-      if (log?.birth !== birth) continue;
+      if (log?.incarnation !== incarnation) continue;
       if (isRemoved) this.streams.delete(stream);
       else log.trim(low);
     }
--- a/packages/log-storage/src/shards/startOf.ts
+++ b/packages/log-storage/src/shards/startOf.ts
@@ -4,13 +4,15 @@
 import type { StreamLog } from "./streamLog.js";
 
 /** Where a topic's subscription starts, judged by the committed log. Without a place it is the head. */
-export function startOf(log: StreamLog, { topic, birth, seq, spaceBirth }: TopicPlace): TopicStart {
+export function startOf(log: StreamLog, { topic, incarnation, seq, spaceIncarnation }: TopicPlace): TopicStart {
   const answer = (outcome: string, at: number, reason = ""): TopicStart =>
-    create(TopicStartSchema, { topic, outcome, birth: log.birth, seq: at, reason });
-  if (birth === "") return answer("known", log.head);
-  const isNone = Streams.spaceBirthOf(birth) === 0 || Streams.spaceBirthOf(birth) > spaceBirth;
-  if (isNone || (birth === log.birth && seq > log.head)) return answer("unknown-place", 0, "there is no such place");
-  if (birth !== log.birth) return answer("expired", log.low, "the place is of another birth of the topic");
+    create(TopicStartSchema, { topic, outcome, incarnation: log.incarnation, seq: at, reason });
+  if (incarnation === "") return answer("known", log.head);
+  const isNone =
+    Streams.spaceIncarnationOf(incarnation) === 0 || Streams.spaceIncarnationOf(incarnation) > spaceIncarnation;
+  if (isNone || (incarnation === log.incarnation && seq > log.head))
+    return answer("unknown-place", 0, "there is no such place");
+  if (incarnation !== log.incarnation) return answer("expired", log.low, "the place is of another birth of the topic");
   const isTrimmed = (log.trims.get(topic) ?? 0) > seq;
   return isTrimmed ? answer("expired", log.low, "older messages were trimmed") : answer("known", seq);
 }
@@ -19,12 +21,12 @@
  * The same in a stream that keeps nothing: a place of another birth, or one that is no place, starts at the head,
  * for nothing older is owed; one in the tail goes on from there.
  */
-export function startInMemory(log: StreamLog, { topic, birth, seq }: TopicPlace): TopicStart {
-  const isHere = birth === log.birth && seq <= log.head;
+export function startInMemory(log: StreamLog, { topic, incarnation, seq }: TopicPlace): TopicStart {
+  const isHere = incarnation === log.incarnation && seq <= log.head;
   return create(TopicStartSchema, {
     topic,
     outcome: "known",
-    birth: log.birth,
+    incarnation: log.incarnation,
     seq: isHere ? Math.max(seq, log.low) : log.head,
   });
 }
--- a/packages/log-storage/src/shards/streamLog.ts
+++ b/packages/log-storage/src/shards/streamLog.ts
@@ -14,7 +14,7 @@
   seqs: number[];
 }
 export type Verdict =
-  | { outcome: "accepted"; stream: string; birth: string; seq: number; isFresh: boolean }
+  | { outcome: "accepted"; stream: string; incarnation: string; seq: number; isFresh: boolean }
   | { outcome: "refused"; code: string; reason: string };
 
 /**
@@ -29,7 +29,7 @@
   static readonly wentBackwards = "number-went-backwards";
 
   readonly stream: string;
-  readonly birth: string;
+  readonly incarnation: string;
   readonly trims = new Map<string, number>();
   /** By topic, then by session. */
   readonly #known = new Map<string, Map<string, Known>>();
@@ -37,13 +37,13 @@
   low = 0;
   messages: StreamMessage[] = [];
 
-  constructor(stream: string, birth: string) {
+  constructor(stream: string, incarnation: string) {
     this.stream = stream;
-    this.birth = birth;
+    this.incarnation = incarnation;
   }
 
-  get spaceBirth(): number {
-    return Streams.spaceBirthOf(this.birth);
+  get spaceIncarnation(): number {
+    return Streams.spaceIncarnationOf(this.incarnation);
   }
 
   /** How many sessions' numbers are kept, over all topics. */
@@ -64,7 +64,7 @@
     }
     if (seq === 0)
       return { outcome: "refused", code: "refused-before", reason: `number ${number} was refused for good` };
-    return { outcome: "accepted", stream: this.stream, birth: this.birth, seq, isFresh: false };
+    return { outcome: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: false };
   }
 
   accept(accept: Accept): Verdict {
@@ -89,7 +89,7 @@
     }
     this.#sessions(topic).set(session, record);
     if (accept.isVoid) return { outcome: "refused", code: "refused", reason: "refused for good" };
-    return { outcome: "accepted", stream: this.stream, birth: this.birth, seq, isFresh: true };
+    return { outcome: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: true };
   }
 
   trim(low: number): void {
@@ -115,16 +115,16 @@
   }
 
   snapshot(): object {
-    const { stream, birth, head, low, messages } = this;
+    const { stream, incarnation, head, low, messages } = this;
     const trims = [...this.trims].map(([topic, seq]) => ({ topic, seq }));
     const dedups = [...this.#known].flatMap(([topic, sessions]) =>
       [...sessions].map(([session, record]) => ({ topic, session, ...record })),
     );
-    return { stream, birth, head, low, messages, trims, dedups };
+    return { stream, birth: incarnation, head, low, messages, trims, dedups };
   }
 
   static from(snapshot: StreamSnapshot): StreamLog {
-    const log = new StreamLog(snapshot.stream, snapshot.birth);
+    const log = new StreamLog(snapshot.stream, snapshot.incarnation);
     log.head = snapshot.head;
     log.low = snapshot.low;
     log.messages = snapshot.messages;
--- a/packages/log-storage/src/shards/streamStandings.ts
+++ b/packages/log-storage/src/shards/streamStandings.ts
@@ -20,17 +20,17 @@
    * What this node's plan, in which a topic's space has the birth `present`, says of another birth of it: whether
    * it is in force, was removed, is older than the one in force, or newer than all that this node has heard of.
    */
-  ofBirth(present: number | undefined, spaceBirth: number): "ours" | "behind" | "older" | "gone" {
-    if (this.#node.plan.mark < spaceBirth) return "behind";
-    if (present === spaceBirth) return "ours";
+  ofIncarnation(present: number | undefined, spaceIncarnation: number): "ours" | "behind" | "older" | "gone" {
+    if (this.#node.plan.mark < spaceIncarnation) return "behind";
+    if (present === spaceIncarnation) return "ours";
     if (present === undefined) return "gone";
-    return spaceBirth < present ? "older" : "behind";
+    return spaceIncarnation < present ? "older" : "behind";
   }
 
   /** The same for a stream, which is gone too where no rule owes its topic, or another space or order has it. */
-  of(stream: string, spaceBirth: number): "ours" | "behind" | "gone" {
+  of(stream: string, spaceIncarnation: number): "ours" | "behind" | "gone" {
     const { plan } = this.#node.plan;
-    const standing = this.ofBirth(this.#node.plan.spaceBirthOf(stream), spaceBirth);
+    const standing = this.ofIncarnation(this.#node.plan.spaceIncarnationOf(stream), spaceIncarnation);
     if (standing === "older") return "gone";
     if (standing !== "ours") return standing;
     const isWhole = Plans.orderOf(plan, Streams.spaceOf(stream)) === "space";
--- a/packages/testkit/src/golden/adapter.ts
+++ b/packages/testkit/src/golden/adapter.ts
@@ -14,7 +14,7 @@
 import type { Change } from "@cranetrack/core/feeds/feedFollower.js";
 import * as messages from "@cranetrack/core/gen/cranetrack_pb.js";
 import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
-import { BirthsKey } from "@cranetrack/core/keys/incarnationsKey.js";
+import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 import { DrainKey } from "@cranetrack/core/keys/drainKey.js";
@@ -114,9 +114,9 @@
 export const storedCodecs: Readonly<Record<string, StoredCodec>> = {
   incarnations: {
     encode: (value: StableIncarnations) =>
-      BirthsKey.write({ mark: value.configurationVersion, spaces: value.spaces, ended: value.endedPrefixes }),
+      IncarnationsKey.write({ mark: value.configurationVersion, spaces: value.spaces, ended: value.endedPrefixes }),
     decode(bytes) {
-      const record = BirthsKey.read(bytes)!;
+      const record = IncarnationsKey.read(bytes)!;
       return {
         configurationVersion: record.mark,
         spaces: { ...record.spaces },
@@ -172,10 +172,10 @@
     },
   },
   subscription: {
-    encode: ({ incarnation, sequence }: StableCursor) => SubscriptionKey.write({ birth: incarnation, seq: sequence }),
+    encode: ({ incarnation, sequence }: StableCursor) => SubscriptionKey.write({ incarnation, seq: sequence }),
     decode(bytes) {
-      const { birth, seq } = SubscriptionKey.read(bytes)!;
-      return { incarnation: birth, sequence: seq } satisfies StableCursor;
+      const { incarnation, seq } = SubscriptionKey.read(bytes)!;
+      return { incarnation: incarnation, sequence: seq } satisfies StableCursor;
     },
   },
 };
@@ -214,13 +214,13 @@
 
 /** The incarnations that follow on earlier ones when a configuration is put. */
 export function nextIncarnations(before: Uint8Array, configuration: Uint8Array): Uint8Array {
-  return BirthsKey.write(BirthsKey.next(BirthsKey.read(before), PlanKey.outline(configuration)!));
+  return IncarnationsKey.write(IncarnationsKey.next(IncarnationsKey.read(before), PlanKey.outline(configuration)!));
 }
 
 /** The store's keys, and what is read in them. */
 export const storeKeys = {
   configuration: PlanKey.name,
-  incarnations: BirthsKey.name,
+  incarnations: IncarnationsKey.name,
   document: DocumentKey.name,
   acceptedPrefix: AcceptedOrderKey.prefix,
   acceptedFloor: AcceptedOrderKey.floor,
@@ -289,8 +289,8 @@
   const archive = new PlanArchive(folder, new PlanView(journal), new LogBuffer("golden", () => undefined));
   return {
     async put(version, text) {
-      const incarnations = BirthsKey.write({ mark: version, spaces: {} });
-      journal.append({ key: BirthsKey.name, value: incarnations, revision: version });
+      const incarnations = IncarnationsKey.write({ mark: version, spaces: {} });
+      journal.append({ key: IncarnationsKey.name, value: incarnations, revision: version });
       journal.append({ key: PlanKey.name, value: Buffer.from(text), revision: version });
       await archive.settled();
     },
@@ -334,8 +334,8 @@
   ofSender: (prefix: string, topic: string): string => Streams.of(prefix, topic, "sender"),
   ofSpace: (prefix: string, topic: string): string => Streams.of(prefix, topic, "space"),
   prefixOf: (stream: string): string => Streams.spaceOf(stream),
-  incarnation: (spaceIncarnation: number, identity: string): string => Streams.birth(spaceIncarnation, identity),
-  spaceIncarnationOf: (incarnation: string): number => Streams.spaceBirthOf(incarnation),
+  incarnation: (spaceIncarnation: number, identity: string): string => Streams.incarnation(spaceIncarnation, identity),
+  spaceIncarnationOf: (incarnation: string): number => Streams.spaceIncarnationOf(incarnation),
 };
 
 /** Draws and identities of the simulator's seeded generator. */
--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -10,10 +10,10 @@
 import { expect } from "earl";
 import { Hand, served } from "./hand.js";
 
-const birth = "1-0123456789";
+const incarnation = "1-0123456789";
 
 test("what was sent before is known in a bounded window, and forgotten with its session", () => {
-  const log = new StreamLog("notes/t1", birth);
+  const log = new StreamLog("notes/t1", incarnation);
   for (let number = 1; number <= 1000; number += 1) {
     const accept = { topic: "notes/t1", session: `s${number % 3}`, number, ownerEpoch: 1, at: number };
     expect(log.accept(create(AcceptSchema, accept)).outcome).toEqual("accepted");
@@ -29,12 +29,12 @@
 });
 
 test("an edge's tail, a journal and a log ring keep their newest, and no more than they say", () => {
-  const tail = new StreamTail({ stream: "6:notes/t1", space: "notes/", spaceBirth: 1 }, 0);
-  tail.learn(birth, 0, 0);
+  const tail = new StreamTail({ stream: "6:notes/t1", space: "notes/", spaceIncarnation: 1 }, 0);
+  tail.learn(incarnation, 0, 0);
   const sizeOf = (): number => tail.messages.reduce((sum, one) => sum + one.payload.length, 0);
   for (let seq = 1; seq <= 3000; seq += 1) {
     const payload = new Uint8Array(seq > 2000 ? 60_000 : 10);
-    tail.extend(birth, [create(StreamMessageSchema, { seq, payload })]);
+    tail.extend(incarnation, [create(StreamMessageSchema, { seq, payload })]);
     expect(tail.messages.length <= StreamTail.most && sizeOf() <= StreamTail.mostBytes).toEqual(true);
   }
   expect(tail.messages.at(-1)!.seq).toEqual(3000);
--- a/packages/testkit/src/sim/callModel.ts
+++ b/packages/testkit/src/sim/callModel.ts
@@ -43,7 +43,7 @@
   readonly violations: string[] = [];
   readonly counts: CallCounts = {
     unasked: 0,
-    otherLife: 0,
+    staleIncarnation: 0,
     otherSender: 0,
     otherKind: 0,
     repeated: 0,
@@ -79,7 +79,7 @@
     endpoint.addressOf = (other) => `${other}:1`;
     endpoint.relaysFor = (other) => CallModel.names.filter((one) => one !== other && one !== name);
     endpoint.serve("ping", () => ({ case: "done", value: {} }));
-    endpoint.serve("fetch", ({ stream }) => ({ case: "fetchReply", value: { batch: { stream, birth: name } } }));
+    endpoint.serve("fetch", ({ stream }) => ({ case: "fetchReply", value: { batch: { stream, incarnation: name } } }));
     endpoint.serve("forward", ({ path }) => {
       this.#ran(path);
       return { case: "forwardReply", value: { body: Buffer.from(`${path} ${name}`) } };
@@ -107,7 +107,7 @@
 
   static #textOf(reply: Frame["body"]): string {
     if (reply.case === "forwardReply") return Buffer.from(reply.value.body).toString();
-    if (reply.case === "fetchReply") return `${reply.value.batch?.stream} ${reply.value.batch?.birth}`;
+    if (reply.case === "fetchReply") return `${reply.value.batch?.stream} ${reply.value.batch?.incarnation}`;
     return reply.case ?? FrameSchema.name;
   }
 
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -17,7 +17,7 @@
   restarts: 200,
   restartsBesideFrozen: 50,
   unasked: 100,
-  otherLife: 20,
+  staleIncarnation: 20,
   repeated: 50,
 };
 
--- a/packages/testkit/src/sim/freshness.test.ts
+++ b/packages/testkit/src/sim/freshness.test.ts
@@ -128,11 +128,11 @@
 test("a shard's holder whose feed is silent accepts nothing for a space that may be gone", async () => {
   const { fleet, load, ask } = await served(506);
   const { node } = fleet.find("vise-1")!;
-  const { stream, spaceBirth } = node.plan.route("notes/t1")!;
+  const { stream, spaceIncarnation } = node.plan.route("notes/t1")!;
   const shard = Rendezvous.shardOf(stream, node.parts.settings.shards);
   const { holder } = node.shards.find(shard);
   const publish = async (number: number): Promise<string | undefined> => {
-    const value = { shard, topic: "notes/t1", session: "direct", number, payload: Buffer.from("x"), spaceBirth };
+    const value = { shard, topic: "notes/t1", session: "direct", number, payload: Buffer.from("x"), spaceIncarnation };
     let outcome: string | undefined;
     void node.exchange.call(holder, { case: "publish", value }, 800).then((body) => {
       outcome = body?.case === "publishReply" ? body.value.outcome : "nothing";
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -154,7 +154,13 @@
   for (const topic of ["notes/new", "notices/new"]) {
     const { name, shard } = holderOf(all, topic);
     const { exchange, plan } = fleet.find("vise-1")!.node;
-    const publish = { shard, session: "sender-1", ownerEpoch: 9, topic, spaceBirth: plan.route(topic)!.spaceBirth };
+    const publish = {
+      shard,
+      session: "sender-1",
+      ownerEpoch: 9,
+      topic,
+      spaceIncarnation: plan.route(topic)!.spaceIncarnation,
+    };
     const replies: PublishReply[] = [];
     const heed = (body: Body | undefined): void => void (body?.case === "publishReply" && replies.push(body.value));
     for (let number = 1; number <= 8; number += 1)
@@ -171,8 +177,8 @@
   const { fleet } = all;
   const topic = "notes/fresh";
   const { holder, bench, shard, name } = holderOf(all, topic);
-  const { spaceBirth } = fleet.find(name)!.node.plan.route(topic)!;
-  const place = { shard, session: "pen", ownerEpoch: 9, topic, spaceBirth };
+  const { spaceIncarnation } = fleet.find(name)!.node.plan.route(topic)!;
+  const place = { shard, session: "pen", ownerEpoch: 9, topic, spaceIncarnation };
   const base = { ...place, payload: new Uint8Array(1), mayBeRepeat: false };
   const outcomes = new Map<number, string>();
   const say = (number: number): void => {
@@ -219,11 +225,11 @@
   const epoch = fleet.find(name)!.anvil!.claims!.find(shard)?.holder.epoch;
   expect(epoch).toEqual(undefined);
   for (let ms = 0; ms < 3000 && next() === undefined; ms += 1) await fleet.run(1);
-  const { spaceBirth } = fleet.find("vise-2")!.node.plan.route(topic)!;
+  const { spaceIncarnation } = fleet.find("vise-2")!.node.plan.route(topic)!;
   const publish = { $typeName: "cranetrack.v1.Publish" as const, shard, session: "pen", ownerEpoch: 1e9, topic };
   let second = "";
   void next()!
-    .publish({ ...publish, spaceBirth, number: 2, payload: Buffer.from("p2"), mayBeRepeat: false })
+    .publish({ ...publish, spaceIncarnation, number: 2, payload: Buffer.from("p2"), mayBeRepeat: false })
     .then(({ value }) => (second = value.outcome ?? ""));
   expect(await fleet.until(() => second !== "", 1000)).toEqual(true);
   expect(second).toEqual("accepted");
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -220,12 +220,12 @@
     // The load picks its topics at random.
     expect(await fleet.until(() => accepted().length > 0, 10_000)).toEqual(true);
     await fleet.run(3000);
-    const births = new Set(
+    const incarnations = new Set(
       load.history.seen.flatMap((one) =>
         one.kind === "accepted" && one.topic === "notes/t1" ? [one.place.split(".")[0]] : [],
       ),
     );
-    expect(births.size).toEqual(2);
+    expect(incarnations.size).toEqual(2);
     expect(await judged(fleet, load)).toEqual([]);
   },
 );
--- a/packages/testkit/src/slopes/edgeSlopes.ts
+++ b/packages/testkit/src/slopes/edgeSlopes.ts
@@ -16,7 +16,7 @@
 import { Meter } from "./meter.js";
 
 const clock = new HostClock();
-const birth = "1-0123456789abcdef";
+const incarnation = "1-0123456789abcdef";
 const tableOf = (): StreamTable =>
   ({ counts: new SubscriberCounts(() => undefined), leave: () => undefined }) as object as StreamTable;
 const silent: ClientLink = {
@@ -28,13 +28,13 @@
 };
 
 function tailOf(topic: string): StreamTail {
-  const tail = new StreamTail({ stream: `6:${topic}`, space: "notes/", spaceBirth: 1 }, 0);
-  tail.learn(birth, 0, 0);
+  const tail = new StreamTail({ stream: `6:${topic}`, space: "notes/", spaceIncarnation: 1 }, 0);
+  tail.learn(incarnation, 0, 0);
   return tail;
 }
 function subscribe(table: StreamTable, session: Session, tail: StreamTail, topic: string, link: ClientLink): void {
   const cursor = new StreamCursor({ table, tail, link, clock, maySend: () => true, onEnd: () => undefined });
-  cursor.add(topic, { birth, seq: tail.head });
+  cursor.add(topic, { incarnation, seq: tail.head });
   session.subscriptions.set(topic, cursor);
   cursor.start();
 }
@@ -70,7 +70,7 @@
   const turns = 20;
   const used = await Meter.processor(async () => {
     for (let seq = 1; seq <= turns; seq += 1) {
-      tail.extend(birth, [messageOf(seq)]);
+      tail.extend(incarnation, [messageOf(seq)]);
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
   });
