--- a/packages/cli/src/fleetChecks.ts
+++ b/packages/cli/src/fleetChecks.ts
@@ -67,10 +67,9 @@
     const lathes = seen.members.filter((member) => member.role === "lathe" && member.state === "alive");
     for (const lathe of lathes) {
       const own = await context.client.call("GET", "/v1/status", undefined, [lathe.http]);
-      const ledger = own.body["ledger"] as
-        { voters: string[]; learners: string[]; isLeader: boolean } | null | undefined;
-      if (ledger?.isLeader !== true) continue;
-      const outside = lathes.filter((one) => !ledger.voters.includes(one.name)).map((one) => one.name);
+      const raft = own.body["raft"] as { voters: string[]; learners: string[]; isLeader: boolean } | null | undefined;
+      if (raft?.isLeader !== true) continue;
+      const outside = lathes.filter((one) => !raft.voters.includes(one.name)).map((one) => one.name);
       return outside.length === 0 ? undefined : `${outside.join(", ")} not a voter yet`;
     }
     return "no lathe proposes";
--- a/packages/control/src/configuration/configurationCapacity.ts
+++ b/packages/control/src/configuration/configurationCapacity.ts
@@ -44,7 +44,7 @@
   const isGone = (name: string): boolean => machines.isDraining(name) && membership.find(name)?.state !== "up";
   for (const [, { set }] of shards.all())
     for (const { name, zone } of set?.members ?? []) if (!isGone(name)) disks.set(name, zone);
-  for (const { name, zone, shelf } of membership.all()) if (shelf !== "" && !isGone(name)) disks.set(name, zone);
+  for (const { name, zone, logDisk } of membership.all()) if (logDisk !== "" && !isGone(name)) disks.set(name, zone);
   return disks;
 }
 
--- a/packages/control/src/configuration/getRollout.ts
+++ b/packages/control/src/configuration/getRollout.ts
@@ -16,7 +16,7 @@
     .map((member) => member.name);
   const asked = await Promise.all(
     lathes.map((name) =>
-      node.exchange.call(name, { case: "storeCall", value: { call: { case: "feeds", value: {} } } }, 600),
+      node.rpc.call(name, { case: "storeCall", value: { call: { case: "feeds", value: {} } } }, 600),
     ),
   );
   const newest = new Map<string, FeedState>();
--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -40,9 +40,9 @@
 
 async function tryOrder(node: ClusterNode, order: Order, read: PlanRead): Promise<ApiReply | "conflict"> {
   const { version: mark, document } = order;
-  const { bound } = node.configurationWitness;
+  const { bound } = node.configurationVerifier;
   const facts = await readFacts(node, order);
-  if (facts === undefined || !node.configurationWitness.isCurrent(bound, facts.plan?.revision ?? 0))
+  if (facts === undefined || !node.configurationVerifier.isCurrent(bound, facts.plan?.revision ?? 0))
     return noMajority();
   const standing = judgeOrder(order, facts);
   switch (standing.kind) {
@@ -93,7 +93,7 @@
     ],
     deletes: document === undefined ? [DocumentKey.name] : [],
   });
-  if (written.outcome === "done") node.configurationWitness.saw(written.revision ?? 0);
+  if (written.outcome === "done") node.configurationVerifier.saw(written.revision ?? 0);
   return settled(order, written);
 }
 
--- a/packages/control/src/configuration/readDocument.ts
+++ b/packages/control/src/configuration/readDocument.ts
@@ -19,11 +19,11 @@
  * or where it is older than what this process has seen of the configuration before.
  */
 async function readNewest(node: ClusterNode, key: string): Promise<DocumentRead> {
-  const { bound } = node.configurationWitness;
+  const { bound } = node.configurationVerifier;
   const present = await node.store.read([key]);
   if (present.outcome !== "done") return { outcome: "away" };
   const kept = present.kvs?.[0];
   if (kept === undefined) return { outcome: "none" };
-  if (!node.configurationWitness.isCurrent(bound, kept.revision)) return { outcome: "away" };
+  if (!node.configurationVerifier.isCurrent(bound, kept.revision)) return { outcome: "away" };
   return { outcome: "done", document: kept.value };
 }
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -58,10 +58,10 @@
     const kept = disk.read("identity")[0];
     this.#identity =
       kept === undefined
-        ? { id: node.parts.chance.identity(), founding: "", agreed: "", members: [], mayFound }
+        ? { id: node.parts.random.identity(), founding: "", agreed: "", members: [], mayFound }
         : (JSON.parse(Buffer.from(kept.value).toString()) as Identity);
-    node.exchange.serve("foundingRequest", (ask) => this.#agree(ask));
-    node.exchange.serve("founded", (founded) => this.#accept(founded));
+    node.rpc.serve("foundingRequest", (ask) => this.#agree(ask));
+    node.rpc.serve("founded", (founded) => this.#accept(founded));
   }
 
   get id(): string {
@@ -133,19 +133,18 @@
     const founding =
       this.#identity.agreed !== "" && JSON.stringify(this.#identity.members) === JSON.stringify(members)
         ? this.#identity.agreed
-        : this.#node.parts.chance.identity();
+        : this.#node.parts.random.identity();
     const ask: BodyInit = { case: "foundingRequest", value: { founding, members } };
     const own = await this.#agree({ founding, members: members as StoreMember[] } as FoundingRequest);
     const others = members.filter((member) => member.id !== this.id);
-    const replies = await Promise.all(others.map((member) => this.#node.exchange.call(member.name, ask, 1000)));
+    const replies = await Promise.all(others.map((member) => this.#node.rpc.call(member.name, ask, 1000)));
     const refused = others.filter((_, i) => !(replies[i]?.case === "foundingReply" && replies[i].value.isAgreed));
     this.missing =
       refused.length > 0 ? `founding waits: no agreement of ${refused.map((one) => one.name).join(", ")}` : "";
     const isOwn = own.case === "foundingReply" && own.value.isAgreed === true;
     if (refused.length > 0 || !isOwn || this.#identity.agreed !== founding) return;
     await this.#found(founding, members);
-    for (const member of others)
-      this.#node.exchange.tell(member.name, { case: "founded", value: { founding, members } });
+    for (const member of others) this.#node.rpc.send(member.name, { case: "founded", value: { founding, members } });
   }
 
   async #agree(ask: FoundingRequest): Promise<BodyInit> {
--- a/packages/control/src/consensus/memberExchange.ts
+++ b/packages/control/src/consensus/memberExchange.ts
@@ -11,12 +11,12 @@
  */
 export class MemberExchange {
   readonly #memberLog: MemberLog;
-  readonly #ring: LogBuffer;
+  readonly #logBuffer: LogBuffer;
   readonly #propose: (data: Uint8Array) => void;
 
-  constructor(memberLog: MemberLog, ring: LogBuffer, propose: (data: Uint8Array) => void) {
+  constructor(memberLog: MemberLog, logBuffer: LogBuffer, propose: (data: Uint8Array) => void) {
     this.#memberLog = memberLog;
-    this.#ring = ring;
+    this.#logBuffer = logBuffer;
     this.#propose = propose;
   }
 
@@ -52,7 +52,7 @@
   #write(voters: StoreMember[], learners: StoreMember[], oldVoters: StoreMember[]): void {
     const namesOf = (list: StoreMember[]): string => list.map((one) => one.name).join();
     const note = { voters: namesOf(voters), learners: namesOf(learners), before: namesOf(oldVoters) };
-    this.#ring.note("members change", note);
+    this.#logBuffer.note("members change", note);
     this.#propose(toBinary(MembersSchema, create(MembersSchema, { voters, learners, oldVoters })));
   }
 }
--- a/packages/control/src/consensus/proposals.test.ts
+++ b/packages/control/src/consensus/proposals.test.ts
@@ -18,7 +18,7 @@
   log: ReplicaLog;
   writes: DiskChange[][];
   sent: Array<{ id: string; entries: number; round: number }>;
-  spread: LogReplicator;
+  replicator: LogReplicator;
   turn: () => void;
 } {
   const writes: DiskChange[][] = [];
@@ -35,11 +35,11 @@
   const send = (id: string, body: BodyInit): void => {
     if (body.case === "append") sent.push({ id, entries: body.value.entries!.length, round: body.value.round! });
   };
-  const spread = new LogReplicator({ log, clock, self: "a", term: 3, commit: 0, send });
-  spread.enlist([["a", "b", "c"]], []);
+  const replicator = new LogReplicator({ log, clock, self: "a", term: 3, commit: 0, send });
+  replicator.enlist([["a", "b", "c"]], []);
   const proposals = new Proposals(log, clock);
-  proposals.begin(spread);
-  return { proposals, log, writes, sent, spread, turn: () => turns.splice(0).forEach((ring) => ring()) };
+  proposals.begin(replicator);
+  return { proposals, log, writes, sent, replicator, turn: () => turns.splice(0).forEach((ring) => ring()) };
 }
 
 test("what is proposed and confirmed in one turn costs a sync, a message of entries and a heartbeat", async () => {
--- a/packages/control/src/consensus/proposals.ts
+++ b/packages/control/src/consensus/proposals.ts
@@ -16,7 +16,7 @@
 export class Proposals {
   readonly #log: ReplicaLog;
   readonly #clock: Clock;
-  #spread: LogReplicator | undefined;
+  #replicator: LogReplicator | undefined;
   #asked: Array<{ data: Uint8Array; kind: number; settle: Settle }> = [];
   #confirming: Array<(isConfirmed: boolean) => void> = [];
   readonly #pending = new Map<number, { term: number; settle: Settle }>();
@@ -27,12 +27,12 @@
     this.#clock = clock;
   }
 
-  begin(spread: LogReplicator): void {
-    this.#spread = spread;
+  begin(replicator: LogReplicator): void {
+    this.#replicator = replicator;
   }
 
   end(): void {
-    this.#spread = undefined;
+    this.#replicator = undefined;
     for (const { settle } of this.#asked.splice(0)) settle(undefined);
     for (const settle of this.#confirming.splice(0)) settle(false);
     for (const { settle } of this.#pending.values()) settle(undefined);
@@ -41,7 +41,7 @@
 
   /** Undefined: not the proposer any more; the command may or may not be carried out. */
   propose(data: Uint8Array, kind: number): Promise<Applied | undefined> {
-    if (this.#spread === undefined) return Promise.resolve(undefined);
+    if (this.#replicator === undefined) return Promise.resolve(undefined);
     const settled = new Promise<Applied | undefined>((resolve) => this.#asked.push({ data, kind, settle: resolve }));
     if (kind === entryKind.command) this.#await();
     else this.#turn();
@@ -50,7 +50,7 @@
 
   /** True once a majority has answered something sent after the call. */
   confirm(): Promise<boolean> {
-    if (this.#spread === undefined) return Promise.resolve(false);
+    if (this.#replicator === undefined) return Promise.resolve(false);
     this.#await();
     return new Promise((resolve) => this.#confirming.push(resolve));
   }
@@ -71,8 +71,8 @@
   }
 
   #turn(): void {
-    const spread = this.#spread;
-    if (spread === undefined) return;
+    const replicator = this.#replicator;
+    if (replicator === undefined) return;
     const asked = this.#asked.splice(0);
     const confirming = this.#confirming.splice(0);
     const { lastIndex, term } = this.#log;
@@ -80,11 +80,11 @@
       this.#pending.set(lastIndex + 1 + i, { term, settle });
       return create(EntrySchema, { index: lastIndex + 1 + i, term, kind, data });
     });
-    if (entries.length > 0) void this.#log.append(entries).then(() => this.#spread?.kick());
+    if (entries.length > 0) void this.#log.append(entries).then(() => this.#replicator?.kick());
     if (confirming.length > 0)
-      void spread.confirm().then((isConfirmed) => {
+      void replicator.confirm().then((isConfirmed) => {
         for (const settle of confirming) settle(isConfirmed);
       });
-    if (entries.length > 0) spread.kick();
+    if (entries.length > 0) replicator.kick();
   }
 }
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -50,18 +50,18 @@
   readonly id: string;
   readonly founding: string;
   readonly #log: ReplicaLog;
-  readonly #exchange: RpcEndpoint;
+  readonly #rpc: RpcEndpoint;
   readonly #clock: Clock;
   readonly #electionMs: number;
   readonly #contact: LeaderContact;
-  readonly #chance: RandomSource;
-  readonly #ring: LogBuffer;
-  readonly #intake: FollowerLog;
+  readonly #random: RandomSource;
+  readonly #logBuffer: LogBuffer;
+  readonly #followerLog: FollowerLog;
   readonly #proposals: Proposals;
   readonly #memberLog: MemberLog;
   readonly #compaction: LogCompaction;
   readonly memberExchange: MemberExchange;
-  #spread: LogReplicator | undefined;
+  #replicator: LogReplicator | undefined;
   #commit: number;
   #applied: number;
   #proposer = "";
@@ -84,20 +84,20 @@
     this.id = parts.id;
     this.founding = parts.founding;
     this.#log = parts.log;
-    this.#exchange = parts.exchange;
+    this.#rpc = parts.rpc;
     this.#clock = parts.clock;
     this.#electionMs = parts.electionMs;
     this.#contact = new LeaderContact(parts.clock, parts.electionMs);
-    this.#chance = parts.chance;
-    this.#ring = parts.ring;
+    this.#random = parts.random;
+    this.#logBuffer = parts.logBuffer;
     this.#commit = this.#applied = this.#log.snapshotIndex;
     this.#compaction = new LogCompaction(this.#log, parts.compaction ?? storeCompaction);
     this.#proposals = new Proposals(this.#log, this.#clock);
     this.#memberLog = new MemberLog(this.#log);
     const propose = (data: Uint8Array): void => void this.propose(data, entryKind.members);
-    this.memberExchange = new MemberExchange(this.#memberLog, parts.ring, propose);
+    this.memberExchange = new MemberExchange(this.#memberLog, parts.logBuffer, propose);
     if (this.#log.snapshotIndex > 0) this.#memberLog.installed(this.metadata.install(this.#log.snapshot));
-    this.#intake = new FollowerLog(
+    this.#followerLog = new FollowerLog(
       this.#log,
       this.id,
       (index) => this.#advance(index),
@@ -106,15 +106,16 @@
       (at) => parts.invariants?.violated("committedLog", { group: this.#log.group, index: at }),
     );
     this.#findMembers();
-    this.#exchange.serve("vote", (vote, frame) =>
+    this.#rpc.serve("vote", (vote, frame) =>
       parts.isTrusted(vote.candidate) ? this.#vote(vote, frame.from) : undefined,
     );
-    this.#exchange.serve("voteReply", (got) => (parts.isTrusted(got.voter) ? this.#count(got) : undefined));
-    this.#exchange.serve("yield", (yielded) => this.#succeed(yielded));
+    this.#rpc.serve("voteReply", (got) => (parts.isTrusted(got.voter) ? this.#count(got) : undefined));
+    this.#rpc.serve("yield", (yielded) => this.#succeed(yielded));
     const group: Group = {
-      append: (append, from) => this.#take(append, from, () => this.#intake.take(append, this.#commit)),
-      snapshot: (snapshot, from) => this.#take(snapshot, from, () => this.#intake.takeSnapshot(snapshot, this.#commit)),
-      onReply: (reply) => this.#spread?.take(reply),
+      append: (append, from) => this.#take(append, from, () => this.#followerLog.take(append, this.#commit)),
+      snapshot: (snapshot, from) =>
+        this.#take(snapshot, from, () => this.#followerLog.takeSnapshot(snapshot, this.#commit)),
+      onReply: (reply) => this.#replicator?.take(reply),
     };
     parts.groups.enlist(this.#log.group, ownMessages(this.id, parts.isTrusted, group));
     this.#rearm();
@@ -122,12 +123,12 @@
   }
 
   get isLeader(): boolean {
-    return this.#spread !== undefined && this.#commit >= this.#noopIndex;
+    return this.#replicator !== undefined && this.#commit >= this.#noopIndex;
   }
 
   get leaderName(): string {
-    return this.#spread !== undefined
-      ? this.#exchange.name
+    return this.#replicator !== undefined
+      ? this.#rpc.name
       : (VoterSets.all(this.members).find((one) => one.id === this.#proposer)?.name ?? "");
   }
 
@@ -145,8 +146,8 @@
 
   /** Whether a majority stands behind what this lathe tells its feeds, and it has all that was committed. */
   get isInTouch(): boolean {
-    if (this.#spread === undefined) return this.#proposer !== "" && this.#contact.isCurrent;
-    return this.isLeader && !this.#contact.hasJustResumed && this.#spread.majorityAgo() < this.#contact.limitMs;
+    if (this.#replicator === undefined) return this.#proposer !== "" && this.#contact.isCurrent;
+    return this.isLeader && !this.#contact.hasJustResumed && this.#replicator.majorityAgo() < this.#contact.limitMs;
   }
 
   /** Undefined: not the proposer any more; the command may or may not be carried out. */
@@ -163,9 +164,9 @@
   }
 
   matchOf(id: string): { match: number; behind: number; heardAgo: number } {
-    if (this.#spread === undefined) return { match: 0, behind: Infinity, heardAgo: Infinity };
-    const match = this.#spread.matchOf(id);
-    return { match, behind: this.#log.lastIndex - match, heardAgo: this.#spread.heardAgo(id) };
+    if (this.#replicator === undefined) return { match: 0, behind: Infinity, heardAgo: Infinity };
+    const match = this.#replicator.matchOf(id);
+    return { match, behind: this.#log.lastIndex - match, heardAgo: this.#replicator.heardAgo(id) };
   }
 
   /** Whether the members in force are committed, and no exchange of voters is under way. */
@@ -189,7 +190,7 @@
     if (isLed && this.#applied >= (message.commit ?? Infinity)) this.#contact.current();
     // In force from when they are in the log, not only once the disk has them (thesis, 4.1).
     this.#findMembers();
-    this.#exchange.tell(from, await taken);
+    this.#rpc.send(from, await taken);
     return undefined;
   }
 
@@ -205,11 +206,11 @@
   #beat(): void {
     const now = this.#clock.now();
     this.#contact.beat();
-    if (this.#spread !== undefined) {
-      if (this.#spread.majorityAgo() > this.#contact.limitMs) return this.#stepDown("no majority answers");
-      if (this.#slowWatch.isSlow(now, this.#spread.answerMs)) return this.#giveWay(now);
-      this.#spread.askWaiting();
-      return this.#spread.beat();
+    if (this.#replicator !== undefined) {
+      if (this.#replicator.majorityAgo() > this.#contact.limitMs) return this.#stepDown("no majority answers");
+      if (this.#slowWatch.isSlow(now, this.#replicator.answerMs)) return this.#giveWay(now);
+      this.#replicator.askWaiting();
+      return this.#replicator.beat();
     }
     const mayLead = this.memberExchange.voting(this.#commit).some((one) => one.id === this.id);
     if (mayLead && now >= this.#electionAt && !this.#isResigned && !this.#isStandingBy) this.#ask(true);
@@ -224,7 +225,7 @@
   }
 
   #rearm(): void {
-    this.#electionAt = this.#clock.now() + this.#electionMs * (1 + this.#chance.draw() * 0.8);
+    this.#electionAt = this.#clock.now() + this.#electionMs * (1 + this.#random.draw() * 0.8);
   }
 
   #ask(isPre: boolean): void {
@@ -249,7 +250,8 @@
 
   async #vote(vote: Vote, from: string): Promise<undefined> {
     if (vote.founding !== this.founding || !Number.isSafeInteger(vote.term)) return undefined;
-    const isLed = this.#spread !== undefined || (this.#proposer !== "" && this.#contact.heardAgo < this.#electionMs);
+    const isLed =
+      this.#replicator !== undefined || (this.#proposer !== "" && this.#contact.heardAgo < this.#electionMs);
     const isGranted = judgeVote(vote, this.#log, isLed);
     if (!vote.isPre && !isLed && (vote.term > this.#log.term || isGranted)) {
       // What it asked for itself was a vote in an earlier term.
@@ -259,7 +261,7 @@
     }
     // Whoever lacks the entry that names the candidate answers it too: the candidate knows whose word counts.
     await this.#log.termSynced();
-    this.#exchange.tell(from, {
+    this.#rpc.send(from, {
       case: "voteReply",
       value: { term: isGranted ? vote.term : this.#log.term, isGranted, voter: this.id, isPre: vote.isPre },
     });
@@ -268,7 +270,7 @@
 
   #count(reply: VoteReply): undefined {
     if (!Number.isSafeInteger(reply.term) || !VoterSets.isVoter(this.members, reply.voter)) return undefined;
-    if (!reply.isGranted && reply.term > this.#log.term && this.#spread === undefined) {
+    if (!reply.isGranted && reply.term > this.#log.term && this.#replicator === undefined) {
       void this.#log.promise(reply.term, "");
       // Nobody grants a term that is over: the next one is asked for at once.
       if (this.#asking !== 0) this.#ask(true);
@@ -292,27 +294,27 @@
     this.#proposer = this.id;
     const names = (): Map<string, string> =>
       new Map([...VoterSets.all(this.members), ...this.members.learners].map((one) => [one.id, one.name]));
-    const spread = new LogReplicator({
+    const replicator = new LogReplicator({
       log: this.#log,
       clock: this.#clock,
       self: this.id,
       term: this.#log.term,
       commit: this.#commit,
-      send: (id, body) => this.#exchange.tell(names().get(id) ?? "", body),
+      send: (id, body) => this.#rpc.send(names().get(id) ?? "", body),
     });
-    this.#spread = spread;
-    this.#proposals.begin(spread);
+    this.#replicator = replicator;
+    this.#proposals.begin(replicator);
     this.#slowWatch.begin(this.#clock.now());
-    spread.on("committed", (index) => this.#advance(index));
-    spread.on("deposed", (term) => {
+    replicator.on("committed", (index) => this.#advance(index));
+    replicator.on("deposed", (term) => {
       this.#stepDown("a higher term");
       void this.#log.promise(term, "");
     });
-    this.#ring.note("proposes", { term: this.#log.term });
+    this.#logBuffer.note("proposes", { term: this.#log.term });
     this.#enlist();
     this.#noopIndex = this.#log.lastIndex + 1;
     void this.propose(new Uint8Array(), entryKind.noop);
-    spread.beat();
+    replicator.beat();
   }
 
   standBy(): void {
@@ -328,7 +330,7 @@
   /** The proposer gave up: the others pass it on, for its word may be slow, and ask in turn, to split no votes. */
   #succeed({ term, sender, isSlow }: Yield): undefined {
     if (isSlow && term >= this.#log.term) this.#slowWatch.otherGaveWay(this.#clock.now());
-    if (term !== this.#log.term || sender !== this.#proposer || this.#spread !== undefined) return undefined;
+    if (term !== this.#log.term || sender !== this.#proposer || this.#replicator !== undefined) return undefined;
     this.#proposer = "";
     this.#yieldedTerm = term;
     this.#tellVoters({ case: "yield", value: { term, sender, isSlow } }, sender);
@@ -339,11 +341,11 @@
   }
 
   #stepDown(why: string, isSlow = false): void {
-    if (this.#spread === undefined) return;
+    if (this.#replicator === undefined) return;
     this.#tellVoters({ case: "yield", value: { term: this.#log.term, sender: this.id, isSlow } });
-    this.#ring.note("no longer proposes", { why, term: this.#log.term });
-    this.#spread.stop();
-    this.#spread = undefined;
+    this.#logBuffer.note("no longer proposes", { why, term: this.#log.term });
+    this.#replicator.stop();
+    this.#replicator = undefined;
     this.#proposer = "";
     this.#rearm();
     this.#proposals.end();
@@ -352,7 +354,7 @@
 
   #tellVoters(body: BodyInit, except = ""): void {
     for (const { id, name } of VoterSets.all(this.members))
-      if (id !== this.id && id !== except) this.#exchange.tell(name, body);
+      if (id !== this.id && id !== except) this.#rpc.send(name, body);
   }
 
   #advance(index: number): void {
@@ -395,6 +397,6 @@
   }
 
   #enlist(): void {
-    this.#spread?.enlist(VoterSets.idSets(this.members), VoterSets.learnerIds(this.members));
+    this.#replicator?.enlist(VoterSets.idSets(this.members), VoterSets.learnerIds(this.members));
   }
 }
--- a/packages/control/src/consensus/raftNodeParts.ts
+++ b/packages/control/src/consensus/raftNodeParts.ts
@@ -12,12 +12,12 @@
   readonly id: string;
   readonly founding: string;
   readonly log: ReplicaLog;
-  readonly exchange: RpcEndpoint;
+  readonly rpc: RpcEndpoint;
   readonly groups: LogGroups;
   readonly electionMs: number;
   readonly clock: Clock;
-  readonly chance: RandomSource;
-  readonly ring: LogBuffer;
+  readonly random: RandomSource;
+  readonly logBuffer: LogBuffer;
   /** Told of entries that diverge from what is committed here; nobody is told where left out. */
   readonly invariants?: Pick<InvariantMonitor, "violated">;
   /** False for a disk that is there twice or is an older copy: it neither votes nor counts. */
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -23,7 +23,7 @@
   readonly anvil: StorageNode;
   readonly #disk: Disk;
   readonly #disks: DiskWatch;
-  #ledger: RaftNode | undefined;
+  #raft: RaftNode | undefined;
   #desk: StoreService | undefined;
 
   constructor(node: ClusterNode, disk: Disk, router: Router) {
@@ -47,8 +47,8 @@
     router.on("GET", /^\/v1\/plan\/rollout$/, () => getRollout(node));
   }
 
-  get ledger(): RaftNode | undefined {
-    return this.#ledger;
+  get raft(): RaftNode | undefined {
+    return this.#raft;
   }
 
   /** Says what is wrong with the data folder, if anything is. */
@@ -64,37 +64,37 @@
   async stop(): Promise<void> {
     const { membership } = this.node;
     membership.self.isLeaving = true;
-    membership.tellNow();
+    membership.gossipNow();
     await this.anvil.stop();
-    this.#ledger?.resign();
+    this.#raft?.resign();
     if (membership.self.isInStore) await handOverVote(this.node);
     this.#desk?.closeFeeds("the process is stopping");
   }
 
   /** Not a member of the store, which has enough: kept in mind for a loss, and ready for all else. */
   get isStandingBy(): boolean {
-    return this.#ledger === undefined ? this.founding.isStandingBy : !this.node.membership.self.isInStore;
+    return this.#raft === undefined ? this.founding.isStandingBy : !this.node.membership.self.isInStore;
   }
 
   get isReady(): boolean {
-    const isSettled = this.#ledger?.isInTouch === true || this.isStandingBy;
+    const isSettled = this.#raft?.isInTouch === true || this.isStandingBy;
     return isSettled && this.node.feed.isFresh;
   }
 
   status(): object {
-    const ledger = this.#ledger;
-    const members = ledger?.members;
+    const raft = this.#raft;
+    const members = raft?.members;
     return {
       founding: { id: this.founding.id, founded: this.founding.founding, missing: this.founding.missing },
-      ledger:
-        ledger === undefined
+      raft:
+        raft === undefined
           ? null
           : {
-              term: ledger.term,
-              commit: ledger.commit,
-              isLeader: ledger.isLeader,
-              proposer: ledger.leaderName,
-              isInTouch: ledger.isInTouch,
+              term: raft.term,
+              commit: raft.commit,
+              isLeader: raft.isLeader,
+              proposer: raft.leaderName,
+              isInTouch: raft.isInTouch,
               voters: members!.voters.map((one) => one.name),
               learners: members!.learners.map((one) => one.name),
             },
@@ -103,25 +103,25 @@
   }
 
   #begin(): void {
-    const { exchange, groups, membership, parts } = this.node;
+    const { rpc, groups, membership, parts } = this.node;
     const log = new ReplicaLog(this.#disk, logGroupNames.store);
-    this.#ledger = new RaftNode({
+    this.#raft = new RaftNode({
       id: this.founding.id,
       founding: this.founding.founding,
       log,
-      exchange,
+      rpc,
       groups,
       electionMs: parts.settings.electionMs,
       clock: parts.clock,
-      chance: parts.chance,
-      ring: parts.log,
+      random: parts.random,
+      logBuffer: parts.log,
       invariants: this.node.invariants,
       isTrusted: (id) => this.#disks.isTrusted(id),
     });
-    this.#desk = new StoreService(this.node, this.#ledger);
+    this.#desk = new StoreService(this.node, this.#raft);
     membership.self.isFounded = true;
     membership.self.founding = this.founding.founding;
-    new MembershipStatus(this.node, this.#ledger);
-    membership.tellNow();
+    new MembershipStatus(this.node, this.#raft);
+    membership.gossipNow();
   }
 }
--- a/packages/control/src/drain/drainCapacity.ts
+++ b/packages/control/src/drain/drainCapacity.ts
@@ -13,7 +13,7 @@
 /** Why a machine can't be drained with all budgets kept; undefined where it can. */
 export function drainRefusal(node: ClusterNode, name: string, facts: DrainFacts): ApiReply | undefined {
   const member = node.membership.find(name);
-  if (!facts.inUse.has(name) && (member === undefined || member.shelf === ""))
+  if (!facts.inUse.has(name) && (member === undefined || member.logDisk === ""))
     return ApiReplies.fault(404, "unknown-machine", `no machine called ${name} has a disk for topic logs`);
   const left = node.membership.alive().filter((one) => one.name !== name && !facts.draining.has(one.name));
   return replicasAtRisk(node, left) ?? votersAtRisk(node, member, left) ?? zonesAtRisk(node, left);
@@ -23,7 +23,7 @@
 
 function replicasAtRisk({ parts }: ClusterNode, left: readonly Member[]): ApiReply | undefined {
   const needed = parts.settings.replicas;
-  const disks = left.filter((one) => one.shelf !== "").length;
+  const disks = left.filter((one) => one.logDisk !== "").length;
   if (disks >= needed) return undefined;
   return atRisk(`only ${disks} machines with a disk would be left, and each shard needs ${needed}`);
 }
@@ -44,7 +44,7 @@
   const program =
     plan.plan?.spaces.flatMap((space) => space.program.map((rule) => ({ space: space.name, rule }))) ?? [];
   const bound = program.find(({ rule }) => rule.owe.keep > 0 && (rule.owe.fault_budget.zones ?? 0) > 0);
-  const zones = new Set(left.filter((one) => one.shelf !== "").map((one) => one.zone)).size;
+  const zones = new Set(left.filter((one) => one.logDisk !== "").map((one) => one.zone)).size;
   if (bound === undefined || zones >= 3) return undefined;
   return atRisk(`space ${bound.space} must survive the loss of a zone, and machines would be left in only ${zones}`);
 }
--- a/packages/control/src/membership/handOverVote.ts
+++ b/packages/control/src/membership/handOverVote.ts
@@ -20,7 +20,7 @@
     const read = await node.store.read([MembersKey.name], [], readMs);
     const kv = read.kvs?.find((one) => one.key === MembersKey.name);
     const voters = kv === undefined ? undefined : MembersKey.read(kv.value)?.voters;
-    if (voters !== undefined && !voters.includes(node.exchange.name)) return;
+    if (voters !== undefined && !voters.includes(node.rpc.name)) return;
     await new Promise<void>((resolve) => void clock.once(pauseMs, resolve));
   }
 }
--- a/packages/control/src/membership/membershipStatus.ts
+++ b/packages/control/src/membership/membershipStatus.ts
@@ -11,13 +11,13 @@
   static readonly silentMs = 1500;
 
   readonly #node: ClusterNode;
-  readonly #ledger: RaftNode;
+  readonly #raft: RaftNode;
   #inTouchAt: number;
   #isAsking = false;
 
-  constructor(node: ClusterNode, ledger: RaftNode) {
+  constructor(node: ClusterNode, raft: RaftNode) {
     this.#node = node;
-    this.#ledger = ledger;
+    this.#raft = raft;
     this.#inTouchAt = node.parts.clock.now();
     this.#set(true);
     node.parts.clock.every(MembershipStatus.beatMs, () => void this.#beat());
@@ -27,27 +27,27 @@
   static async ask(node: ClusterNode, lathe: string, id: string): Promise<string> {
     const join = { id, name: node.parts.settings.name };
     const call = { case: "join" as const, value: join };
-    const body = await node.exchange.call(lathe, { case: "storeCall", value: { call } }, 1000);
+    const body = await node.rpc.call(lathe, { case: "storeCall", value: { call } }, 1000);
     return body?.case === "storeReply" ? body.value.outcome : "away";
   }
 
   async #beat(): Promise<void> {
     const { clock } = this.#node.parts;
-    if (this.#ledger.isInTouch) {
+    if (this.#raft.isInTouch) {
       this.#inTouchAt = clock.now();
       return this.#set(true);
     }
     if (this.#isAsking || clock.now() - this.#inTouchAt < MembershipStatus.silentMs) return;
-    const { exchange, membership } = this.#node;
+    const { rpc, membership } = this.#node;
     const other = membership
       .alive("lathe")
-      .find((one) => one.isInStore && one.name !== exchange.name && !exchange.isMute(one.name));
+      .find((one) => one.isInStore && one.name !== rpc.name && !rpc.isUnresponsive(one.name));
     if (other === undefined) return;
     this.#isAsking = true;
-    const outcome = await MembershipStatus.ask(this.#node, other.name, this.#ledger.id);
+    const outcome = await MembershipStatus.ask(this.#node, other.name, this.#raft.id);
     this.#isAsking = false;
-    if (outcome !== "standby" || this.#ledger.isInTouch) return;
-    this.#ledger.standBy();
+    if (outcome !== "standby" || this.#raft.isInTouch) return;
+    this.#raft.standBy();
     this.#set(false);
   }
 
@@ -55,6 +55,6 @@
     const { membership } = this.#node;
     if (membership.self.isInStore === isInStore) return;
     membership.self.isInStore = isInStore;
-    membership.tellNow();
+    membership.gossipNow();
   }
 }
--- a/packages/control/src/store/feeds.ts
+++ b/packages/control/src/store/feeds.ts
@@ -54,7 +54,7 @@
   static readonly #outOfTouch = "out of touch with the majority";
 
   readonly #node: ClusterNode;
-  readonly #ledger: RaftNode;
+  readonly #raft: RaftNode;
   readonly #feeds = new Map<string, Feed>();
   readonly #values: ValueHistory;
   /** The revision that a majority stands behind now; undefined where that can't be told. */
@@ -66,20 +66,20 @@
   #since: number;
   #isTurnDue = false;
 
-  constructor(node: ClusterNode, ledger: RaftNode, values: ValueHistory, confirm: () => Promise<number | undefined>) {
+  constructor(node: ClusterNode, raft: RaftNode, values: ValueHistory, confirm: () => Promise<number | undefined>) {
     this.#node = node;
-    this.#ledger = ledger;
+    this.#raft = raft;
     this.#values = values;
     this.#confirm = confirm;
-    this.#since = ledger.metadata.revision;
-    ledger.on("applied", ({ changes }) => this.#keep(changes));
-    ledger.on("snapshotInstalled", () => {
+    this.#since = raft.metadata.revision;
+    raft.on("applied", ({ changes }) => this.#keep(changes));
+    raft.on("snapshotInstalled", () => {
       this.#changes = [];
       this.#large.clear();
-      this.#since = ledger.metadata.revision;
+      this.#since = raft.metadata.revision;
     });
-    node.exchange.serve("feedOpen", (open) => this.#open(open));
-    node.exchange.serve("feedAck", (ack) => this.#ack(ack));
+    node.rpc.serve("feedOpen", (open) => this.#open(open));
+    node.rpc.serve("feedAck", (ack) => this.#ack(ack));
     node.parts.clock.every(50, () => this.#beat());
   }
 
@@ -141,7 +141,7 @@
       openedAt: now,
       confirmed: undefined,
     };
-    if (!this.#ledger.isInTouch) return { case: "fault", value: { code: "away", message: Feeds.#outOfTouch } };
+    if (!this.#raft.isInTouch) return { case: "fault", value: { code: "away", message: Feeds.#outOfTouch } };
     this.#feeds.set(open.feed, feed);
     void this.#confirmFirst(feed, open.revision);
     return { case: "done", value: {} };
@@ -156,7 +156,7 @@
 
   /** The first push goes out once this lathe has what was committed when the feed was opened. */
   #begin(feed: Feed): void {
-    if (feed.isReady || feed.confirmed === undefined || this.#ledger.metadata.revision < feed.confirmed) return;
+    if (feed.isReady || feed.confirmed === undefined || this.#raft.metadata.revision < feed.confirmed) return;
     feed.isReady = true;
     this.#tell(feed);
   }
@@ -178,7 +178,7 @@
     const now = this.#node.parts.clock.now();
     for (const feed of this.#feeds.values()) {
       this.#begin(feed);
-      if (!this.#ledger.isInTouch) this.#close(feed, Feeds.#outOfTouch);
+      if (!this.#raft.isInTouch) this.#close(feed, Feeds.#outOfTouch);
       else if (!feed.isReady && now - feed.openedAt > Feeds.behindMs) this.#close(feed, "behind the majority");
       else if (now - feed.heardAt > 5000) this.#feeds.delete(feed.feed);
       else if (!feed.isReady) continue;
@@ -193,7 +193,7 @@
 
   #close(feed: Feed, reason: string): void {
     this.#feeds.delete(feed.feed);
-    this.#node.exchange.tell(feed.name, { case: "feedClose", value: { feed: feed.feed, reason } });
+    this.#node.rpc.send(feed.name, { case: "feedClose", value: { feed: feed.feed, reason } });
   }
 
   /** What was told and not acknowledged is told again from where the node was, under the same number. */
@@ -205,19 +205,19 @@
   }
 
   #tell(feed: Feed): void {
-    if (!feed.isReady || !this.#ledger.isInTouch) return;
+    if (!feed.isReady || !this.#raft.isInTouch) return;
     feed.number += 1;
     const now = (feed.toldAt = this.#node.parts.clock.now());
     const from = feed.told;
     const isSnapshot = from === 0 || from < this.#since;
     const whole = isSnapshot
-      ? feed.prefixes.flatMap((prefix) => this.#ledger.metadata.range(prefix))
+      ? feed.prefixes.flatMap((prefix) => this.#raft.metadata.range(prefix))
       : this.#after(from).filter((kv) => Feeds.#isFollowed(feed, kv));
     const large = whole.filter(ValueHistory.isLarge).reduce((sum, kv) => sum + kv.value.length, 0);
     if (large > 0) feed.paceTo = now + Math.min(Feeds.paceMs + large / Feeds.paceBytes, Feeds.mostPaceMs);
     const kvs = whole.map((kv) => this.#values.packSince(kv, isSnapshot ? 0 : from));
-    feed.told = this.#ledger.metadata.revision;
-    this.#node.exchange.tell(feed.name, {
+    feed.told = this.#raft.metadata.revision;
+    this.#node.rpc.send(feed.name, {
       case: "feedPush",
       value: { feed: feed.feed, number: feed.number, isSnapshot, kvs, fromRevision: from, revision: feed.told },
     });
@@ -225,12 +225,12 @@
 
   /** Whether something that the node follows has changed; for the rest the next beat will do. */
   #isOwed(feed: Feed): boolean {
-    if (!feed.isReady || feed.told >= this.#ledger.metadata.revision) return false;
+    if (!feed.isReady || feed.told >= this.#raft.metadata.revision) return false;
     if (feed.told < this.#since) return true;
     const looked = Math.max(feed.told, feed.idleTo);
     const owed = this.#after(looked).filter((kv) => Feeds.#isFollowed(feed, kv));
     if (owed.length > 0) return this.#node.parts.clock.now() >= feed.paceTo || !owed.every(ValueHistory.isLarge);
-    feed.idleTo = this.#ledger.metadata.revision;
+    feed.idleTo = this.#raft.metadata.revision;
     return false;
   }
 
--- a/packages/control/src/store/leases.ts
+++ b/packages/control/src/store/leases.ts
@@ -9,26 +9,26 @@
 export class Leases {
   static readonly beatMs = 25;
 
-  readonly #ledger: RaftNode;
+  readonly #raft: RaftNode;
   readonly #clock: Clock;
   readonly #revoke: (lease: string) => void;
   readonly #due = new Map<string, number>();
   /** Leases whose expiry is proposed; a renewal can't save them. */
   readonly #ending = new Set<string>();
 
-  constructor(ledger: RaftNode, clock: Clock, revoke: (lease: string) => void) {
-    this.#ledger = ledger;
+  constructor(raft: RaftNode, clock: Clock, revoke: (lease: string) => void) {
+    this.#raft = raft;
     this.#clock = clock;
     this.#revoke = revoke;
-    ledger.on("elected", () => this.#begin());
-    ledger.on("deposed", () => this.#due.clear());
-    ledger.on("applied", () => this.#follow());
+    raft.on("elected", () => this.#begin());
+    raft.on("deposed", () => this.#due.clear());
+    raft.on("applied", () => this.#follow());
     clock.every(Leases.beatMs, () => this.#beat());
   }
 
   /** True where the lease was there to renew. The caller confirms the proposer before and answers after. */
   renew(lease: string): boolean {
-    const record = this.#ledger.metadata.leases.get(lease);
+    const record = this.#raft.metadata.leases.get(lease);
     if (record === undefined || this.#ending.has(lease)) return false;
     this.#due.set(lease, this.#clock.now() + record.length);
     return true;
@@ -42,12 +42,12 @@
   #begin(): void {
     this.#due.clear();
     this.#ending.clear();
-    for (const [lease, { length }] of this.#ledger.metadata.leases) this.#due.set(lease, this.#clock.now() + length);
+    for (const [lease, { length }] of this.#raft.metadata.leases) this.#due.set(lease, this.#clock.now() + length);
   }
 
   #follow(): void {
-    const { leases } = this.#ledger.metadata;
-    if (!this.#ledger.isLeader || (leases.size === this.#due.size && this.#ending.size === 0)) return;
+    const { leases } = this.#raft.metadata;
+    if (!this.#raft.isLeader || (leases.size === this.#due.size && this.#ending.size === 0)) return;
     for (const [lease, { length }] of leases)
       if (!this.#due.has(lease)) this.#due.set(lease, this.#clock.now() + length);
     for (const lease of this.#due.keys()) if (!leases.has(lease)) this.#due.delete(lease);
@@ -55,7 +55,7 @@
   }
 
   #beat(): void {
-    if (!this.#ledger.isLeader) return;
+    if (!this.#raft.isLeader) return;
     for (const [lease, due] of this.#due) {
       if (this.#clock.now() < due || this.#ending.has(lease)) continue;
       this.#ending.add(lease);
--- a/packages/control/src/store/storeService.ts
+++ b/packages/control/src/store/storeService.ts
@@ -25,52 +25,52 @@
 /** Takes every call on the store; what only the proposer can answer is passed on to it, once. */
 export class StoreService {
   readonly #node: ClusterNode;
-  readonly #ledger: RaftNode;
+  readonly #raft: RaftNode;
   readonly #leases: Leases;
   readonly #feeds: Feeds;
   readonly #values = new ValueHistory();
   readonly #memberChanges: MemberChanges;
 
-  constructor(node: ClusterNode, ledger: RaftNode) {
+  constructor(node: ClusterNode, raft: RaftNode) {
     this.#node = node;
-    this.#ledger = ledger;
+    this.#raft = raft;
     this.#leases = new Leases(
-      ledger,
+      raft,
       node.parts.clock,
       (lease) =>
-        void ledger.propose(
+        void raft.propose(
           toBinary(StoreCommandSchema, create(StoreCommandSchema, { command: { case: "revoke", value: { lease } } })),
         ),
     );
     const look = create(StoreCallSchema, { call: { case: "read", value: {} } });
-    this.#values.reset(ledger.metadata.range(""));
-    ledger.on("applied", ({ changes }) => this.#values.keep(changes));
-    ledger.on("snapshotInstalled", () => this.#values.reset(ledger.metadata.range("")));
-    this.#feeds = new Feeds(node, ledger, this.#values, async () => {
+    this.#values.reset(raft.metadata.range(""));
+    raft.on("applied", ({ changes }) => this.#values.keep(changes));
+    raft.on("snapshotInstalled", () => this.#values.reset(raft.metadata.range("")));
+    this.#feeds = new Feeds(node, raft, this.#values, async () => {
       const { outcome, revision } = await this.run(look);
       return outcome === "done" ? revision : undefined;
     });
-    node.exchange.serve("storeCall", async (call): Promise<BodyInit> => ({
+    node.rpc.serve("storeCall", async (call): Promise<BodyInit> => ({
       case: "storeReply",
       value: await this.run(call),
     }));
-    node.exchange.serve("storeBatch", async ({ calls }): Promise<BodyInit> => ({
+    node.rpc.serve("storeBatch", async ({ calls }): Promise<BodyInit> => ({
       case: "storeBatchReply",
       value: { replies: await this.#runAll(calls) },
     }));
-    this.#memberChanges = new MemberChanges(node, ledger);
+    this.#memberChanges = new MemberChanges(node, raft);
   }
 
   async run(call: StoreCall): Promise<Outcome> {
     if (call.call.case === "feeds") return { outcome: "done", feeds: this.#feeds.states() };
-    if (!this.#ledger.isLeader) return (await this.#pass([call]))[0]!;
+    if (!this.#raft.isLeader) return (await this.#pass([call]))[0]!;
     switch (call.call.case) {
       case "txn":
         if (!this.#rebase(call.call.value)) return { outcome: "rebase" };
       // falls through
       case "grant":
       case "revoke": {
-        const applied = await this.#ledger.propose(
+        const applied = await this.#raft.propose(
           toBinary(StoreCommandSchema, create(StoreCommandSchema, { command: call.call })),
         );
         return applied === undefined
@@ -82,11 +82,11 @@
       case "renew": {
         const { lease } = call.call.value;
         const isThere = this.#leases.renew(lease);
-        if (!(await this.#ledger.confirm())) return { outcome: "away", comeBack: 1 };
+        if (!(await this.#raft.confirm())) return { outcome: "away", comeBack: 1 };
         return { outcome: isThere ? "done" : "lost" };
       }
       case "join":
-        if (!(await this.#ledger.confirm())) return { outcome: "away", comeBack: 1 };
+        if (!(await this.#raft.confirm())) return { outcome: "away", comeBack: 1 };
         return this.#memberChanges.join(call.call.value);
       default:
         return { outcome: "refused", reason: "unknown call" };
@@ -95,7 +95,7 @@
 
   /** Calls of one kind, made in one turn somewhere: passed on in one frame. */
   #runAll(calls: StoreCall[]): Promise<Outcome[]> {
-    return this.#ledger.isLeader ? Promise.all(calls.map((call) => this.run(call))) : this.#pass(calls);
+    return this.#raft.isLeader ? Promise.all(calls.map((call) => this.run(call))) : this.#pass(calls);
   }
 
   /** Their nodes go on at other lathes at once. */
@@ -113,7 +113,7 @@
    */
   #rebase({ puts }: Txn): boolean {
     for (const put of puts) {
-      const present = this.#ledger.metadata.get(put.key);
+      const present = this.#raft.metadata.get(put.key);
       if (put.packing !== packing.difference || put.baseRevision === present?.revision) continue;
       const value = this.#values.unpack(put);
       if (value === undefined) return false;
@@ -129,8 +129,8 @@
   }
 
   async #read({ keys, prefixes, known }: Read): Promise<Outcome> {
-    if (!(await this.#ledger.confirm())) return { outcome: "away", comeBack: 1 };
-    const { metadata } = this.#ledger;
+    if (!(await this.#raft.confirm())) return { outcome: "away", comeBack: 1 };
+    const { metadata } = this.#raft;
     const members = keys.includes(MembersKey.name) ? this.#members() : [];
     const single = keys
       .map((key) => metadata.get(key))
@@ -144,19 +144,19 @@
   }
 
   #members(): Kv[] {
-    const voting = this.#ledger.memberExchange.voting(this.#ledger.commit);
+    const voting = this.#raft.memberExchange.voting(this.#raft.commit);
     const voters = [...new Set(voting.map((one) => one.name))];
     return [create(KvSchema, { key: MembersKey.name, value: MembersKey.write({ voters }) })];
   }
 
   async #pass(calls: StoreCall[]): Promise<Outcome[]> {
     const all = (outcome: Outcome): Outcome[] => calls.map(() => outcome);
-    const proposer = this.#ledger.leaderName;
-    if (calls.some((call) => call.isForwarded) || proposer === "" || proposer === this.#node.exchange.name)
+    const proposer = this.#raft.leaderName;
+    if (calls.some((call) => call.isForwarded) || proposer === "" || proposer === this.#node.rpc.name)
       return all({ outcome: "away", comeBack: 1, reason: "no proposer is known" });
     const kinds = new Set(calls.map((call) => call.call.case));
     const isRepeatable = calls.every((call) => mayRepeatStoreCall(call.call.case));
-    const passed = this.#node.exchange.call(
+    const passed = this.#node.rpc.call(
       proposer,
       { case: "storeBatch", value: { calls: calls.map(({ call }) => ({ call, isForwarded: true })) } },
       kinds.has("renew") ? 800 : 450,
@@ -172,13 +172,13 @@
   #unlessLed<T>(passed: Promise<T>): Promise<T | "led"> {
     return new Promise((resolve) => {
       const end = (settled: T | "led"): void => {
-        this.#ledger.off("led", led);
-        this.#ledger.off("elected", led);
+        this.#raft.off("led", led);
+        this.#raft.off("elected", led);
         resolve(settled);
       };
       const led = (): void => end("led");
-      this.#ledger.on("led", led);
-      this.#ledger.on("elected", led);
+      this.#raft.on("led", led);
+      this.#raft.on("elected", led);
       void passed.then(end);
     });
   }
--- a/packages/core/src/configuration/configurationVerifier.ts
+++ b/packages/core/src/configuration/configurationVerifier.ts
@@ -4,7 +4,7 @@
  * The newest revision of the configuration that this process has seen: committed, read, or told by its feed.
  * Invariant: no confirmed read that begins afterwards gives an older one; one that does is not to be believed.
  */
-export class ConfigurationWitness {
+export class ConfigurationVerifier {
   readonly #invariants: Pick<InvariantMonitor, "violated">;
   readonly #followed: () => number;
   #seen = 0;
--- a/packages/core/src/feeds/feedFollower.ts
+++ b/packages/core/src/feeds/feedFollower.ts
@@ -46,10 +46,10 @@
 
   static readonly #noValue = new Uint8Array();
 
-  readonly #exchange: RpcEndpoint;
+  readonly #rpc: RpcEndpoint;
   readonly #membership: Membership;
   readonly #clock: Clock;
-  readonly #chance: RandomSource;
+  readonly #random: RandomSource;
   readonly #prefixes: string[];
   readonly #journal: ChangeJournal<Change>;
   /** The keys held, to tell from a snapshot what is gone, and large values, which differences apply to. */
@@ -78,23 +78,23 @@
   fault: () => string = () => "";
 
   constructor(parts: {
-    exchange: RpcEndpoint;
+    rpc: RpcEndpoint;
     membership: Membership;
     clock: Clock;
-    chance: RandomSource;
+    random: RandomSource;
     prefixes: string[];
     journal: ChangeJournal<Change>;
   }) {
     super();
     this.setMaxListeners(0);
-    this.#exchange = parts.exchange;
+    this.#rpc = parts.rpc;
     this.#membership = parts.membership;
     this.#clock = parts.clock;
-    this.#chance = parts.chance;
+    this.#random = parts.random;
     this.#prefixes = parts.prefixes;
     this.#journal = parts.journal;
-    this.#exchange.serve("feedPush", (push, frame) => this.#take(push, frame.from));
-    this.#exchange.serve("feedClose", (close) => {
+    this.#rpc.serve("feedPush", (push, frame) => this.#take(push, frame.from));
+    this.#rpc.serve("feedClose", (close) => {
       if (close.feed === this.#feed) this.#isClosed = true;
       return undefined;
     });
@@ -125,16 +125,16 @@
     const lathes = this.#membership.alive("lathe").filter((member) => member.isInStore);
     const lively = lathes.filter(
       ({ name }) =>
-        name !== this.#lathe && !this.#exchange.isMute(name) && this.#membership.ageOf(name) < FeedFollower.livelyMs,
+        name !== this.#lathe && !this.#rpc.isUnresponsive(name) && this.#membership.ageOf(name) < FeedFollower.livelyMs,
     );
     const { zone } = this.#membership.self;
-    const ranked = Rendezvous.nearest(this.#exchange.name, zone, lively.length > 0 ? lively : lathes);
+    const ranked = Rendezvous.nearest(this.#rpc.name, zone, lively.length > 0 ? lively : lathes);
     const lathe = ranked[this.#opens % Math.max(1, ranked.length)];
     if (lathe === undefined) return;
     this.#opens += 1;
     this.#isClosed = false;
     this.#openedAt = this.#askedAt = this.#clock.now();
-    this.#feed = `${this.#exchange.name}/${this.#chance.identity().slice(0, 8)}`;
+    this.#feed = `${this.#rpc.name}/${this.#random.identity().slice(0, 8)}`;
     this.#lathe = lathe;
     this.#number = 0;
     void this.#ask(lathe, this.#feed);
@@ -144,11 +144,11 @@
   async #ask(lathe: string, feed: string): Promise<void> {
     const value = {
       feed,
-      name: this.#exchange.name,
+      name: this.#rpc.name,
       prefixes: this.#prefixes,
       revision: this.#needsSnapshot ? 0 : this.revision,
     };
-    const reply = await this.#exchange.call(lathe, { case: "feedOpen", value }, FeedFollower.acceptMs);
+    const reply = await this.#rpc.call(lathe, { case: "feedOpen", value }, FeedFollower.acceptMs);
     const isAccepted = reply?.case === "done" || this.#number > 0;
     if (feed !== this.#feed || isAccepted) return;
     this.#isClosed = true;
@@ -190,7 +190,7 @@
       planMark: this.planMark(),
       fault: this.fault(),
     };
-    this.#exchange.tell(from, { case: "feedAck", value: ack });
+    this.#rpc.send(from, { case: "feedAck", value: ack });
     return undefined;
   }
 
--- a/packages/core/src/http/router.ts
+++ b/packages/core/src/http/router.ts
@@ -38,7 +38,7 @@
 
   constructor(node: ClusterNode) {
     this.#node = node;
-    node.exchange.serve("forward", async (pass): Promise<BodyInit> => {
+    node.rpc.serve("forward", async (pass): Promise<BodyInit> => {
       const reply = await this.run(pass.method, pass.path, pass.body, true);
       return {
         case: "forwardReply",
@@ -71,10 +71,10 @@
 
   /** To a second node only where the first did not answer and the call may be repeated. */
   async #passToRole(role: string, call: Pick<ApiCall, "method" | "path" | "body">): Promise<ApiReply> {
-    const { membership, exchange } = this.#node;
+    const { membership, rpc } = this.#node;
     const alive = membership.alive(role).map((member) => member.name);
-    const ranked = Rendezvous.rank(exchange.name, alive);
-    const heard = ranked.filter((name) => !exchange.isMute(name));
+    const ranked = Rendezvous.rank(rpc.name, alive);
+    const heard = ranked.filter((name) => !rpc.isUnresponsive(name));
     for (const name of [...new Set([...heard, ...ranked])].slice(0, 2)) {
       const reply = await this.forwardTo(name, call.method, call.path, call.body);
       if (reply !== undefined) return reply;
@@ -92,7 +92,7 @@
     due = Router.forwardDue,
   ): Promise<ApiReply | undefined> {
     const pass: CallInit = { case: "forward", value: { method, path, body } };
-    const reply = await this.#node.exchange.call(name, pass, due);
+    const reply = await this.#node.rpc.call(name, pass, due);
     if (reply?.case !== "forwardReply") return undefined;
     const { status, comeBack } = reply.value;
     return { status, body: reply.value.body, comeBack: comeBack > 0 ? comeBack : undefined };
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -38,9 +38,9 @@
   /** How soon tables are compared again after a comparison that brought news. */
   static readonly compareAgainMs = 1000;
 
-  readonly #exchange: RpcEndpoint;
+  readonly #rpc: RpcEndpoint;
   readonly #clock: Clock;
-  readonly #chance: RandomSource;
+  readonly #random: RandomSource;
   readonly #seeds: readonly string[];
   readonly #table = new MemberTable();
   readonly #rumours = new Rumours();
@@ -64,25 +64,25 @@
   constructor(
     self: Partial<Member> & { name: string },
     seeds: readonly string[],
-    exchange: RpcEndpoint,
+    rpc: RpcEndpoint,
     clock: Clock,
-    chance: RandomSource,
+    random: RandomSource,
   ) {
     super();
     this.setMaxListeners(0);
     this.self = create(MemberSchema, { state: "up", ...(self as object) });
     this.#seeds = seeds;
-    this.#exchange = exchange;
+    this.#rpc = rpc;
     this.#clock = clock;
-    this.#chance = chance;
+    this.#random = random;
     this.#heardAt = this.#beatAt = clock.now();
-    this.#compareAt = clock.now() + Membership.compareMs * chance.draw();
+    this.#compareAt = clock.now() + Membership.compareMs * random.draw();
     this.#table.put(this.self, clock.now());
-    exchange.addressOf = (name) => this.find(name)?.address;
-    exchange.relaysFor = () => this.alive().map((member) => member.name);
-    exchange.serve("gossip", (gossip, frame) => this.#hear(gossip, frame.from, frame.fromAddress));
-    exchange.on("heard", (name) => this.#risen(name));
-    exchange.on("mute", (name) => this.#detector.expect(name));
+    rpc.addressOf = (name) => this.find(name)?.address;
+    rpc.relaysFor = () => this.alive().map((member) => member.name);
+    rpc.serve("gossip", (gossip, frame) => this.#hear(gossip, frame.from, frame.fromAddress));
+    rpc.on("heard", (name) => this.#risen(name));
+    rpc.on("unresponsive", (name) => this.#detector.expect(name));
     this.#detector = this.#makeDetector();
   }
 
@@ -137,7 +137,7 @@
   }
 
   /** Tells what changed about this node without waiting for the next beat. */
-  tellNow(): void {
+  gossipNow(): void {
     this.#notice();
     this.#spread();
   }
@@ -159,7 +159,7 @@
 
   #askPartner(): void {
     const partners = this.#partners();
-    const drawn = partners[Math.floor(this.#chance.draw() * partners.length)];
+    const drawn = partners[Math.floor(this.#random.draw() * partners.length)];
     if (drawn === undefined) return;
     this.#detector.expect(drawn.name);
     this.#tell(drawn.address, drawn.name, { isAsking: true });
@@ -172,18 +172,18 @@
         this.#tell(address, "", { isAsking: true, wantsAll: true, members: [this.self] });
       return;
     }
-    const seed = this.#seeds[Math.floor(this.#chance.draw() * this.#seeds.length)];
+    const seed = this.#seeds[Math.floor(this.#random.draw() * this.#seeds.length)];
     if (seed === undefined || seed === this.self.address) return;
     const isStranger = !this.#upPeers().some((member) => member.address === seed);
     const isNew = !this.#isIntroduced || this.#upPeers().length < 3;
     if (isNew) this.#tell(seed, "", { isAsking: true, wantsAll: true, members: [this.self] });
-    else if (isStranger && this.#chance.draw() < 0.2)
+    else if (isStranger && this.#random.draw() < 0.2)
       this.#tell(seed, "", { isAsking: true, digests: this.#table.digests, members: [this.self] });
   }
 
   /** While nobody is known: all seeds, and a few of the addresses remembered, for any of them may be gone. */
   #firstAsked(): string[] {
-    const first = Math.floor(this.#chance.draw() * this.remembered.length);
+    const first = Math.floor(this.#random.draw() * this.remembered.length);
     const few = [...this.remembered, ...this.remembered].slice(first, first + Math.min(3, this.remembered.length));
     return [...new Set([...this.#seeds, ...few])].filter((address) => address !== this.self.address);
   }
@@ -200,7 +200,7 @@
     const { incarnation, version } = this.self;
     const isWatched = name !== "" && this.#watchers().some((member) => member.name === name);
     const value = { ...more, members: [...members], incarnation, version, isWatched };
-    this.#exchange.tellInBackground(address, { case: "gossip", value }, name);
+    this.#rpc.sendInBackground(address, { case: "gossip", value }, name);
   }
 
   #hear(gossip: Gossip, from: string, address: string): undefined {
@@ -246,7 +246,7 @@
     const before = this.#table.find(member.name)?.member;
     if (before === undefined ? !MemberTable.isUp(member) : !MemberTable.isAbove(member, before)) return false;
     this.#put(member);
-    if (before !== undefined && before.incarnation !== member.incarnation) this.#exchange.giveUp(member.name);
+    if (before !== undefined && before.incarnation !== member.incarnation) this.#rpc.giveUp(member.name);
     return true;
   }
 
@@ -312,7 +312,7 @@
     const { probeMs, suspectMs, pingDue, helpDue, helpers } = Membership;
     return new FailureDetector({
       self: this.self.name,
-      rpc: this.#exchange,
+      rpc: this.#rpc,
       clock: this.#clock,
       times: { probeMs, suspectMs, pingMs: pingDue, helpMs: helpDue, helpers },
       find: (name) => this.find(name),
@@ -366,8 +366,8 @@
   #draw(count: number, except = "", peers: readonly Member[] = this.#upPeers()): Member[] {
     const drawn = new Set<Member>();
     for (let i = 0; i < 3 * count && drawn.size < Math.min(count, peers.length); i += 1) {
-      const peer = peers[Math.floor(this.#chance.draw() * peers.length)]!;
-      if (peer.name !== except && !this.#exchange.isMute(peer.name)) drawn.add(peer);
+      const peer = peers[Math.floor(this.#random.draw() * peers.length)]!;
+      if (peer.name !== except && !this.#rpc.isUnresponsive(peer.name)) drawn.add(peer);
     }
     return [...drawn];
   }
--- a/packages/core/src/replication/followerLog.ts
+++ b/packages/core/src/replication/followerLog.ts
@@ -79,7 +79,7 @@
   }
 
   /** The sender of a term has committed its log up to an index. */
-  heed(term: number, index: number): void {
+  onHeartbeatReply(term: number, index: number): void {
     if (term === this.#log.term && term === this.#agreed.term && FollowerLog.#isCount(index))
       this.#onCommit(Math.min(index, this.#agreed.index));
   }
--- a/packages/core/src/replication/logGroups.ts
+++ b/packages/core/src/replication/logGroups.ts
@@ -26,10 +26,10 @@
 export class LogGroups {
   readonly #groups = new Map<string, Group>();
 
-  constructor(exchange: RpcEndpoint) {
-    exchange.serve("append", (append, frame) => this.#groups.get(append.group)?.append(append, frame.from));
-    exchange.serve("snapshot", (snapshot, frame) => this.#groups.get(snapshot.group)?.snapshot(snapshot, frame.from));
-    exchange.serve("appendReply", (onReply, frame) => {
+  constructor(rpc: RpcEndpoint) {
+    rpc.serve("append", (append, frame) => this.#groups.get(append.group)?.append(append, frame.from));
+    rpc.serve("snapshot", (snapshot, frame) => this.#groups.get(snapshot.group)?.snapshot(snapshot, frame.from));
+    rpc.serve("appendReply", (onReply, frame) => {
       this.#groups.get(onReply.group)?.onReply(onReply, frame.from);
       return undefined;
     });
--- a/packages/core/src/replication/logReplicator.ts
+++ b/packages/core/src/replication/logReplicator.ts
@@ -176,7 +176,7 @@
     }
     if (reply.term !== this.#term || this.#isOver) return;
     peer.heardAt = this.#clock.now();
-    this.#heedRound(peer, reply.round);
+    this.#onRoundAnswered(peer, reply.round);
     if (!reply.isAccepted || reply.match >= peer.awaited) peer.isWaiting = false;
     const before = peer.next;
     const isPieceTaken = LogReplicator.#learn(peer, reply);
@@ -187,7 +187,7 @@
     if (hasMore && !peer.isWaiting) this.#sendTo(reply.sender, peer);
   }
 
-  #heedRound(peer: Peer, round: number): void {
+  #onRoundAnswered(peer: Peer, round: number): void {
     peer.round = Math.max(peer.round, round);
     if (peer.askedAt === undefined || round < peer.askedRound) return;
     peer.answerMs = Math.max(this.#clock.now() - peer.askedAt, peer.answerMs * 0.9);
--- a/packages/core/src/replication/replication.test.ts
+++ b/packages/core/src/replication/replication.test.ts
@@ -50,20 +50,20 @@
 const reply = (sender: string, match: number, term = 2): ReturnType<typeof create<typeof AppendReplySchema>> =>
   create(AppendReplySchema, { group: "g", sender, receiver: "a", term, isAccepted: true, match, round: 0 });
 
-function spreadOver(log: ReplicaLog, term: number): LogReplicator {
+function replicatorOver(log: ReplicaLog, term: number): LogReplicator {
   return new LogReplicator({ log, clock, self: "a", term, commit: 0, send: () => undefined });
 }
 
 test("an entry counts for its own replica only once it is synced, and commits only on a majority", async () => {
   const disk = new HeldDisk();
   const log = new ReplicaLog(disk, "g");
-  const spread = spreadOver(log, 2);
-  spread.enlist([["a", "b", "c"]], []);
-  void log.append([entry(1, 2)]).then(() => spread.kick());
-  spread.take(reply("b", 1));
-  expect(spread.commit).toEqual(0);
+  const replicator = replicatorOver(log, 2);
+  replicator.enlist([["a", "b", "c"]], []);
+  void log.append([entry(1, 2)]).then(() => replicator.kick());
+  replicator.take(reply("b", 1));
+  expect(replicator.commit).toEqual(0);
   await disk.sync();
-  expect(spread.commit).toEqual(1);
+  expect(replicator.commit).toEqual(1);
 });
 
 test("entries of an earlier term commit only behind one of this term", async () => {
@@ -71,22 +71,22 @@
   const log = new ReplicaLog(disk, "g");
   void log.append([entry(1, 1)]);
   await disk.sync();
-  const spread = spreadOver(log, 2);
-  spread.enlist([["a", "b", "c"]], []);
-  spread.take(reply("b", 1));
-  spread.take(reply("c", 1));
-  expect(spread.commit).toEqual(0);
+  const replicator = replicatorOver(log, 2);
+  replicator.enlist([["a", "b", "c"]], []);
+  replicator.take(reply("b", 1));
+  replicator.take(reply("c", 1));
+  expect(replicator.commit).toEqual(0);
   void log.append([entry(2, 2)]);
   await disk.sync();
-  spread.take(reply("b", 2));
-  expect(spread.commit).toEqual(2);
+  replicator.take(reply("b", 2));
+  expect(replicator.commit).toEqual(2);
 });
 
 test("while a set is swapped an entry needs a majority of the old set and of the new one", async () => {
   const disk = new HeldDisk();
   const log = new ReplicaLog(disk, "g");
-  const spread = spreadOver(log, 2);
-  spread.enlist(
+  const replicator = replicatorOver(log, 2);
+  replicator.enlist(
     [
       ["a", "b", "c"],
       ["a", "b", "d"],
@@ -95,23 +95,23 @@
   );
   void log.append([entry(1, 2)]);
   await disk.sync();
-  spread.take(reply("c", 1));
-  expect(spread.commit).toEqual(0);
-  spread.take(reply("d", 1));
-  expect(spread.commit).toEqual(1);
+  replicator.take(reply("c", 1));
+  expect(replicator.commit).toEqual(0);
+  replicator.take(reply("d", 1));
+  expect(replicator.commit).toEqual(1);
 });
 
 test("a replica answers after its disk, refuses lower terms, and cuts off what conflicts", async () => {
   const disk = new HeldDisk();
   const log = new ReplicaLog(disk, "g");
-  const intake = new FollowerLog(
+  const follower = new FollowerLog(
     log,
     "b",
     () => undefined,
     () => undefined,
   );
   const append = (term: number, prevIndex: number, prevTerm: number, entries: Entry[]): Promise<unknown> =>
-    intake
+    follower
       .take(create(AppendSchema, { group: "g", term, sender: "a", receiver: "b", prevIndex, prevTerm, entries }), 0)
       .then((body) => (body.case === "appendReply" ? [body.value.isAccepted, body.value.match, body.value.term] : []));
   let answered: unknown;
@@ -139,7 +139,7 @@
   "entries that do not follow one another, or count in no numbers, are refused and leave the " + "log as it was",
   async () => {
     const log = new ReplicaLog(new HeldDisk(), "g");
-    const intake = new FollowerLog(
+    const follower = new FollowerLog(
       log,
       "b",
       () => undefined,
@@ -155,7 +155,7 @@
       { commit: Infinity },
     ];
     for (const wrong of wrongs) {
-      const body = await intake.take(
+      const body = await follower.take(
         create(AppendSchema, { group: "g", term: 2, sender: "a", receiver: "b", ...wrong }),
         0,
       );
@@ -168,7 +168,7 @@
 test("within a term, too, a replica answers only after its disk", async () => {
   const disk = new HeldDisk();
   const log = new ReplicaLog(disk, "g");
-  const intake = new FollowerLog(
+  const follower = new FollowerLog(
     log,
     "b",
     () => undefined,
@@ -177,7 +177,7 @@
   void log.promise(2, "");
   await disk.sync();
   let isAnswered = false;
-  void intake
+  void follower
     .take(create(AppendSchema, { group: "g", term: 2, sender: "a", receiver: "b", entries: [entry(1, 2)] }), 0)
     .then(() => (isAnswered = true));
   await new Promise((resolve) => setImmediate(resolve));
@@ -192,24 +192,31 @@
   const disk = new HeldDisk();
   const log = new ReplicaLog(disk, "g");
   const send = (id: string): void => void sent.push(id);
-  const spread = new LogReplicator({ log, clock: { ...clock, now: () => now }, self: "a", term: 2, commit: 0, send });
+  const replicator = new LogReplicator({
+    log,
+    clock: { ...clock, now: () => now },
+    self: "a",
+    term: 2,
+    commit: 0,
+    send,
+  });
   const beatAt = (time: number): string => {
     now = time;
     sent.length = 0;
-    spread.beat(250);
+    replicator.beat(250);
     return sent.join();
   };
-  spread.enlist([["a", "b", "c"]], []);
-  void log.append([entry(1, 2)]).then(() => spread.kick());
+  replicator.enlist([["a", "b", "c"]], []);
+  void log.append([entry(1, 2)]).then(() => replicator.kick());
   await disk.sync();
   expect(sent).toEqual(["b", "c"]);
-  spread.take(reply("b", 1));
-  expect(spread.commit).toEqual(1);
+  replicator.take(reply("b", 1));
+  expect(replicator.commit).toEqual(1);
   // One has not heard of the commit, the other has not answered.
   expect(beatAt(100)).toEqual("b,c");
-  spread.take(reply("b", 1));
+  replicator.take(reply("b", 1));
   expect(beatAt(200)).toEqual("c");
-  spread.take(reply("c", 1));
+  replicator.take(reply("c", 1));
   expect(beatAt(300)).toEqual("");
   expect(beatAt(400)).toEqual("b");
   expect(beatAt(500)).toEqual("b,c");
@@ -220,23 +227,23 @@
   let now = 0;
   const log = new ReplicaLog(new HeldDisk(), "g");
   const ticking = { ...clock, now: () => now };
-  const spread = new LogReplicator({ log, clock: ticking, self: "a", term: 2, commit: 0, send: () => undefined });
-  spread.enlist([["a", "b", "c"]], []);
-  spread.beat();
+  const replicator = new LogReplicator({ log, clock: ticking, self: "a", term: 2, commit: 0, send: () => undefined });
+  replicator.enlist([["a", "b", "c"]], []);
+  replicator.beat();
   now = 400;
-  expect(spread.answerMs).toEqual(400);
-  spread.take(reply("b", 0));
+  expect(replicator.answerMs).toEqual(400);
+  replicator.take(reply("b", 0));
   now = 500;
-  expect(spread.answerMs).toEqual(400);
-  spread.beat();
-  spread.take(reply("c", 0));
-  expect(spread.answerMs).toEqual(400);
+  expect(replicator.answerMs).toEqual(400);
+  replicator.beat();
+  replicator.take(reply("c", 0));
+  expect(replicator.answerMs).toEqual(400);
 });
 
 /** A leader whose entry 1 both others have; and what it sends. */
 async function settledLeader(): Promise<{
   log: ReplicaLog;
-  spread: LogReplicator;
+  replicator: LogReplicator;
   sent: Append[];
   at: (ms: number) => void;
 }> {
@@ -247,13 +254,20 @@
   const send = (_id: string, body: BodyInit): void => {
     if (body.case === "append") sent.push(create(AppendSchema, body.value));
   };
-  const spread = new LogReplicator({ log, clock: { ...clock, now: () => now }, self: "a", term: 2, commit: 0, send });
-  spread.enlist([["a", "b", "c"]], []);
-  void log.append([entry(1, 2)]).then(() => spread.kick());
+  const replicator = new LogReplicator({
+    log,
+    clock: { ...clock, now: () => now },
+    self: "a",
+    term: 2,
+    commit: 0,
+    send,
+  });
+  replicator.enlist([["a", "b", "c"]], []);
+  void log.append([entry(1, 2)]).then(() => replicator.kick());
   await disk.sync();
-  for (const id of ["b", "c"]) spread.take(reply(id, 1));
+  for (const id of ["b", "c"]) replicator.take(reply(id, 1));
   sent.length = 0;
-  return { log, spread, sent, at: (ms) => (now = ms) };
+  return { log, replicator, sent, at: (ms) => (now = ms) };
 }
 
 /** What a replica answers that has synced up to an index, and no further for now. */
@@ -265,94 +279,94 @@
     );
 
 test("a read is confirmed by the others' word while their disks still write", async () => {
-  const { log, spread, sent } = await settledLeader();
+  const { log, replicator, sent } = await settledLeader();
   void log.append([entry(2, 2)]);
-  spread.kick();
+  replicator.kick();
   let isConfirmed = false;
-  void spread.confirm().then((outcome) => (isConfirmed = outcome));
-  for (const answer of answersOf(sent, 1)) spread.take(answer);
+  void replicator.confirm().then((outcome) => (isConfirmed = outcome));
+  for (const answer of answersOf(sent, 1)) replicator.take(answer);
   await new Promise((resolve) => setImmediate(resolve));
-  expect([isConfirmed, spread.commit]).toEqual([true, 1]);
+  expect([isConfirmed, replicator.commit]).toEqual([true, 1]);
 });
 
 test("a heartbeat's answer is not taken for the entries': nothing is sent again, or committed", async () => {
-  const { log, spread, sent } = await settledLeader();
+  const { log, replicator, sent } = await settledLeader();
   void log.append([entry(2, 2)]);
-  spread.kick();
-  void spread.confirm();
+  replicator.kick();
+  void replicator.confirm();
   const before = sent.length;
-  for (const answer of answersOf(sent, 1)) spread.take(answer);
-  expect([spread.commit, sent.length]).toEqual([1, before]);
+  for (const answer of answersOf(sent, 1)) replicator.take(answer);
+  expect([replicator.commit, sent.length]).toEqual([1, before]);
   void log.append([entry(3, 2)]);
-  spread.kick();
+  replicator.kick();
   expect(sent.length).toEqual(before);
-  for (const answer of answersOf(sent, 2)) spread.take(answer);
+  for (const answer of answersOf(sent, 2)) replicator.take(answer);
   expect(sent.slice(before).map(({ entries }) => entries.map(({ index }) => index))).toEqual([[3], [3]]);
 });
 
 test("disks that take long make no slow leader, and others that answer late do", async () => {
-  const { log, spread, sent, at } = await settledLeader();
+  const { log, replicator, sent, at } = await settledLeader();
   void log.append([entry(2, 2)]);
-  spread.kick();
+  replicator.kick();
   for (let ms = 75; ms <= 750; ms += 75) {
     at(ms);
     sent.length = 0;
-    spread.askWaiting();
+    replicator.askWaiting();
     at(ms + 20);
-    for (const answer of answersOf(sent, 1)) spread.take(answer);
+    for (const answer of answersOf(sent, 1)) replicator.take(answer);
   }
-  expect(spread.answerMs).toEqual(20);
+  expect(replicator.answerMs).toEqual(20);
   sent.length = 0;
-  spread.askWaiting();
+  replicator.askWaiting();
   at(1270);
-  expect(spread.answerMs).toEqual(500);
-  for (const answer of answersOf(sent, 1)) spread.take(answer);
-  expect(spread.answerMs).toEqual(500);
+  expect(replicator.answerMs).toEqual(500);
+  for (const answer of answersOf(sent, 1)) replicator.take(answer);
+  expect(replicator.answerMs).toEqual(500);
 });
 
 test("a commit notice commits no more than what this log shares with its term's sender", async () => {
   const commits: number[] = [];
   const log = new ReplicaLog(new HeldDisk(), "g");
-  const intake = new FollowerLog(
+  const follower = new FollowerLog(
     log,
     "b",
     (index) => commits.push(index),
     () => undefined,
   );
   const take = (term: number, entries: Entry[], prevIndex = 0, prevTerm = 0): void =>
-    void intake.take(
+    void follower.take(
       create(AppendSchema, { group: "g", term, sender: "a", receiver: "b", prevIndex, prevTerm, entries }),
       0,
     );
   take(2, [entry(1, 2), entry(2, 2), entry(3, 2)]);
   commits.length = 0;
-  intake.heed(2, 2);
-  intake.heed(2, 9);
-  intake.heed(1, 3);
-  intake.heed(2, NaN);
+  follower.onHeartbeatReply(2, 2);
+  follower.onHeartbeatReply(2, 9);
+  follower.onHeartbeatReply(1, 3);
+  follower.onHeartbeatReply(2, NaN);
   expect(commits).toEqual([2, 3]);
   // The next term's sender has shared its log up to 1 only; entries 2 and 3 may not be in it.
   take(3, [], 1, 2);
   commits.length = 0;
-  intake.heed(2, 3);
-  intake.heed(3, 3);
+  follower.onHeartbeatReply(2, 3);
+  follower.onHeartbeatReply(3, 3);
   expect(commits).toEqual([1]);
 });
 
 test("who has all that is committed is told so once, by an append where one goes out anyway", async () => {
   const disk = new HeldDisk();
   const log = new ReplicaLog(disk, "g");
-  const spread = new LogReplicator({ log, clock, self: "a", term: 2, commit: 0, send: () => undefined });
-  spread.enlist([["a", "b", "c"]], []);
-  void log.append([entry(1, 2)]).then(() => spread.kick());
+  const replicator = new LogReplicator({ log, clock, self: "a", term: 2, commit: 0, send: () => undefined });
+  replicator.enlist([["a", "b", "c"]], []);
+  void log.append([entry(1, 2)]).then(() => replicator.kick());
   await disk.sync();
-  expect(spread.untold()).toEqual([]);
-  spread.take(reply("b", 1));
-  expect(spread.untold()).toEqual(["b", "c"]);
-  expect(spread.untold()).toEqual([]);
-  void log.append([entry(2, 2)]).then(() => spread.kick());
+  expect(replicator.untold()).toEqual([]);
+  replicator.take(reply("b", 1));
+  expect(replicator.untold()).toEqual(["b", "c"]);
+  expect(replicator.untold()).toEqual([]);
+  void log.append([entry(2, 2)]).then(() => replicator.kick());
   await disk.sync();
-  spread.take(reply("b", 2));
-  spread.beat();
-  expect(spread.untold()).toEqual([]);
+  replicator.take(reply("b", 2));
+  replicator.beat();
+  expect(replicator.untold()).toEqual([]);
 });
--- a/packages/core/src/rpc/rpcEndpoint.test.ts
+++ b/packages/core/src/rpc/rpcEndpoint.test.ts
@@ -20,14 +20,14 @@
   readonly #takes = new Map<string, (frame: Frame) => void>();
   readonly #losts = new Map<string, (address: string) => void>();
   readonly #cut = new Set<string>();
-  readonly #timers = new Set<{ at: number; ring: () => void }>();
+  readonly #timers = new Set<{ at: number; fire: () => void }>();
   readonly dropped: string[] = [];
   #now = 0;
   #incarnations = 0;
 
   /** A process's life at the address of its name; an earlier one there hears nothing more. */
   start(name: string, relays: string[] = []): RpcEndpoint {
-    const net = {
+    const transport = {
       address: `at ${name}`,
       send: (to: string, bytes: Uint8Array) => void this.sent.push({ from: name, to: to.slice(3), bytes }),
       isReachable: (address: string) => !this.#cut.has(`${name}>${address.slice(3)}`),
@@ -37,15 +37,15 @@
     };
     const clock = {
       now: () => this.#now,
-      once: (ms: number, ring: () => void) => {
-        const timer = { at: this.#now + ms, ring };
+      once: (ms: number, fire: () => void) => {
+        const timer = { at: this.#now + ms, fire };
         this.#timers.add(timer);
         return { stop: () => void this.#timers.delete(timer) };
       },
       every: () => ({ stop: () => undefined }),
     };
     const incarnation = (this.#incarnations += 1);
-    const endpoint = new RpcEndpoint(name, net, clock, {
+    const endpoint = new RpcEndpoint(name, transport, clock, {
       draw: () => {
         const [next = 0] = this.draws;
         this.draws.push(this.draws.shift() ?? 0);
@@ -85,7 +85,7 @@
     this.#now += ms;
     for (const timer of [...this.#timers])
       if (timer.at <= this.#now && this.#timers.delete(timer)) {
-        timer.ring();
+        timer.fire();
         await new Promise((resolve) => setImmediate(resolve));
       }
   }
@@ -331,7 +331,7 @@
   network.cut("a", "b");
   network.cut("a", "c");
   const carriersTo = (peer: string): string[] => {
-    for (let i = 0; i < 3; i += 1) a.tell(peer, { case: "founded", value: {} });
+    for (let i = 0; i < 3; i += 1) a.send(peer, { case: "founded", value: {} });
     return network.take().map(({ to }) => to);
   };
   expect(carriersTo("b")).toEqual(["r0", "r0", "r0"]);
@@ -351,11 +351,11 @@
   const other = watch(a.call("b", read, 900));
   const calls = network.take();
   await network.pass(300);
-  expect([late.outcome, a.isMute("b")]).toEqual(["nothing", true]);
+  expect([late.outcome, a.isUnresponsive("b")]).toEqual(["nothing", true]);
   // The ping and its answer pass the calls that wait.
   await network.deliver(network.take("ping"));
   await network.deliver(network.take("done"));
-  expect([a.isMute("b"), network.dropped]).toEqual([false, []]);
+  expect([a.isUnresponsive("b"), network.dropped]).toEqual([false, []]);
   await network.deliver(calls);
   await network.settle();
   expect(other.outcome).toEqual("b");
@@ -364,5 +364,5 @@
   await network.pass(300);
   expect(network.dropped).toEqual([]);
   await network.pass(RpcEndpoint.probeMs);
-  expect([a.isMute("b"), network.dropped]).toEqual([true, ["a>b"]]);
+  expect([a.isUnresponsive("b"), network.dropped]).toEqual([true, ["a>b"]]);
 });
--- a/packages/core/src/rpc/rpcEndpoint.ts
+++ b/packages/core/src/rpc/rpcEndpoint.ts
@@ -60,22 +60,22 @@
  * asker does not know that life, the asked process tells it, and the call, which no life has carried out, is sent to
  * it.
  */
-export class RpcEndpoint extends EventEmitter<{ heard: [name: string]; mute: [name: string] }> {
+export class RpcEndpoint extends EventEmitter<{ heard: [name: string]; unresponsive: [name: string] }> {
   /** How often a mute peer is asked directly, and for how long its answer stands against frames that came round. */
   static readonly probeMs = 400;
   static readonly provenMs = 1500;
 
   readonly name: string;
-  readonly #net: Transport;
+  readonly #transport: Transport;
   readonly #clock: Clock;
-  readonly #chance: RandomSource;
+  readonly #random: RandomSource;
   readonly #served = new Map<string, (body: Body, frame: Frame) => Served>();
   readonly #waiting = new Map<number, Waiting>();
   /**
    * Invariant: a name is in here from an unanswered call, or a frame that came through another node, until it
    * answers a direct ping directly: only that shows that both ways are open. Never the node itself.
    */
-  readonly #mute = new Set<string>();
+  readonly #unresponsive = new Set<string>();
   readonly #proven = new Map<string, number>();
   /** Who carries frames to a mute peer. */
   readonly #relays = new Map<string, string>();
@@ -97,17 +97,17 @@
   addressOf: (name: string) => string | undefined = () => undefined;
   relaysFor: (name: string) => string[] = () => [];
 
-  constructor(name: string, net: Transport, clock: Clock, chance: RandomSource) {
+  constructor(name: string, transport: Transport, clock: Clock, random: RandomSource) {
     super();
     this.setMaxListeners(0);
     this.name = name;
-    this.#net = net;
+    this.#transport = transport;
     this.#clock = clock;
-    this.#chance = chance;
-    this.#incarnation = RpcEndpoint.#drawIncarnation(chance);
+    this.#random = random;
+    this.#incarnation = RpcEndpoint.#drawIncarnation(random);
     this.#incarnations.set(name, this.#incarnation);
-    net.onFrame((frame) => void this.#take(frame));
-    net.onLost((address) => this.#lost(address));
+    transport.onFrame((frame) => void this.#take(frame));
+    transport.onLost((address) => this.#lost(address));
   }
 
   serve<C extends Case>(kind: C, handle: Serve<C>): void {
@@ -115,23 +115,23 @@
     this.#served.set(kind, (body, frame) => (isMeant(body) ? handle(body.value, frame) : undefined));
   }
 
-  isMute(name: string): boolean {
+  isUnresponsive(name: string): boolean {
     const address = this.addressOf(name);
-    return this.#mute.has(name) || (address !== undefined && !this.#net.isReachable(address));
+    return this.#unresponsive.has(name) || (address !== undefined && !this.#transport.isReachable(address));
   }
 
-  tell(to: string, body: BodyInit): void {
+  send(to: string, body: BodyInit): void {
     this.#send(to, { id: 0, isReply: false, body });
   }
 
   /** To whoever is at an address, or to a name that must be there. */
-  tellAddress(address: string, body: BodyInit, to = ""): void {
-    this.#net.send(address, this.#encode(to, { id: 0, isReply: false, body }));
+  sendToAddress(address: string, body: BodyInit, to = ""): void {
+    this.#transport.send(address, this.#encode(to, { id: 0, isReply: false, body }));
   }
 
   /** The same, of what will be said again soon. */
-  tellInBackground(address: string, body: BodyInit, to = ""): void {
-    this.#net.send(address, this.#encode(to, { id: 0, isReply: false, body }), "background");
+  sendInBackground(address: string, body: BodyInit, to = ""): void {
+    this.#transport.send(address, this.#encode(to, { id: 0, isReply: false, body }), "background");
   }
 
   call(to: string, body: CallInit, due: number): Promise<Body | undefined> {
@@ -167,8 +167,8 @@
   }
 
   /** Not 0, and exact in a double. */
-  static #drawIncarnation(chance: RandomSource): number {
-    return 1 + Number.parseInt(chance.identity().slice(0, 13), 16);
+  static #drawIncarnation(random: RandomSource): number {
+    return 1 + Number.parseInt(random.identity().slice(0, 13), 16);
   }
 
   /** The connection to an address broke: whoever is there now may be in another life. */
@@ -180,9 +180,9 @@
   }
 
   #unanswered(to: string): void {
-    if (this.#mute.has(to) || to === this.name) return;
-    this.#mute.add(to);
-    this.emit("mute", to);
+    if (this.#unresponsive.has(to) || to === this.name) return;
+    this.#unresponsive.add(to);
+    this.emit("unresponsive", to);
     void this.#probe(to, true);
   }
 
@@ -199,17 +199,17 @@
     }
     const address = this.addressOf(name);
     if (address === undefined) return this.#hearAgain(name);
-    if (isFirst) this.#net.drop(address);
+    if (isFirst) this.#transport.drop(address);
     this.#clock.once(RpcEndpoint.probeMs, () => void this.#probe(name));
   }
 
   #hearAgain(name: string): void {
-    this.#mute.delete(name);
+    this.#unresponsive.delete(name);
     this.#relays.delete(name);
   }
 
   #encode(to: string, part: Part): Uint8Array {
-    return Wire.encode({ ...part, from: this.name, to, fromAddress: this.#net.address });
+    return Wire.encode({ ...part, from: this.name, to, fromAddress: this.#transport.address });
   }
 
   #send(to: string, part: Part): void {
@@ -217,11 +217,11 @@
     if (address === undefined) return;
     const frame = this.#encode(to, part);
     const isPing = part.body.case === "ping" || part.body.case === "done" || part.body.case === "gossip";
-    if (isPing || !this.isMute(to)) return this.#net.send(address, frame);
+    if (isPing || !this.isUnresponsive(to)) return this.#transport.send(address, frame);
     const relay = this.#relayFor(to);
     const relayAddress = relay === undefined ? undefined : this.addressOf(relay);
-    if (relay === undefined || relayAddress === undefined) return this.#net.send(address, frame);
-    this.#net.send(
+    if (relay === undefined || relayAddress === undefined) return this.#transport.send(address, frame);
+    this.#transport.send(
       relayAddress,
       this.#encode(relay, { id: 0, isReply: false, body: { case: "relay", value: { to, frame } } }),
     );
@@ -229,11 +229,11 @@
 
   /** One relay for all frames to a peer while it answers, to keep their order; drawn, so that none has all. */
   #relayFor(to: string): string | undefined {
-    const isGood = (name: string): boolean => name !== this.name && name !== to && !this.isMute(name);
+    const isGood = (name: string): boolean => name !== this.name && name !== to && !this.isUnresponsive(name);
     const kept = this.#relays.get(to);
     if (kept !== undefined && this.addressOf(kept) !== undefined && isGood(kept)) return kept;
     const good = this.relaysFor(to).filter(isGood);
-    const drawn = good[Math.floor(this.#chance.draw() * good.length)];
+    const drawn = good[Math.floor(this.#random.draw() * good.length)];
     if (drawn === undefined) this.#relays.delete(to);
     else this.#relays.set(to, drawn);
     return drawn;
@@ -263,7 +263,7 @@
   #reply({ id, callerIncarnation, from, fromAddress }: Frame, body: BodyInit): void {
     const part = { id, isReply: true, body, callerIncarnation, calleeIncarnation: this.#incarnation };
     if (this.addressOf(from) !== undefined) return this.#send(from, part);
-    this.#net.send(fromAddress, this.#encode(from, part));
+    this.#transport.send(fromAddress, this.#encode(from, part));
   }
 
   #settle(frame: Frame): void {
@@ -298,6 +298,6 @@
     if (inner !== undefined && inner.from !== from) return void (this.dropped.forged += 1);
     const address = this.addressOf(to);
     if (inner === undefined || inner.hops > 0 || inner.to !== to || address === undefined) return;
-    this.#net.send(address, Wire.again({ ...inner, hops: 1 }));
+    this.#transport.send(address, Wire.again({ ...inner, hops: 1 }));
   }
 }
--- a/packages/core/src/runtime/clusterNode.ts
+++ b/packages/core/src/runtime/clusterNode.ts
@@ -3,7 +3,7 @@
 import { FeedFollower, type Change } from "../feeds/feedFollower.js";
 import { LogGroups } from "../replication/logGroups.js";
 import { ChangeJournal } from "../feeds/changeJournal.js";
-import { ConfigurationWitness } from "../configuration/configurationVerifier.js";
+import { ConfigurationVerifier } from "../configuration/configurationVerifier.js";
 import { InvariantMonitor } from "./invariantMonitor.js";
 import { Membership } from "../membership/membership.js";
 import type { NodeParts } from "./nodeParts.js";
@@ -22,7 +22,7 @@
 
   readonly parts: NodeParts;
   readonly invariants: InvariantMonitor;
-  readonly exchange: RpcEndpoint;
+  readonly rpc: RpcEndpoint;
   readonly groups: LogGroups;
   readonly membership: Membership;
   readonly store: StoreClient;
@@ -30,16 +30,16 @@
   readonly feed: FeedFollower;
   readonly machines: MachinesView;
   readonly plan: PlanView;
-  readonly configurationWitness: ConfigurationWitness;
+  readonly configurationVerifier: ConfigurationVerifier;
   readonly shards: ShardsView;
   readonly #addressBook: AddressBook | undefined;
 
   constructor(parts: NodeParts, prefixes: string[], disk = "") {
-    const { settings, clock, net, chance } = parts;
+    const { settings, clock, transport, random } = parts;
     this.parts = parts;
     this.invariants = new InvariantMonitor(parts.log);
-    this.exchange = new RpcEndpoint(settings.name, net, clock, chance);
-    this.groups = new LogGroups(this.exchange);
+    this.rpc = new RpcEndpoint(settings.name, transport, clock, random);
+    this.groups = new LogGroups(this.rpc);
     const self = {
       name: settings.name,
       role: settings.role,
@@ -52,20 +52,20 @@
       isStorage: settings.role === "anvil" || (settings.role === "lathe" && settings.stores),
       disk,
     };
-    this.membership = new Membership(self, settings.seeds, this.exchange, clock, chance);
+    this.membership = new Membership(self, settings.seeds, this.rpc, clock, random);
     if (parts.disk !== undefined) this.#addressBook = new AddressBook(parts.disk, this.membership, clock);
-    this.store = new StoreClient(this.exchange, this.membership, clock);
+    this.store = new StoreClient(this.rpc, this.membership, clock);
     this.feed = new FeedFollower({
-      exchange: this.exchange,
+      rpc: this.rpc,
       membership: this.membership,
       clock,
-      chance,
+      random,
       prefixes,
       journal: this.journal,
     });
     this.machines = new MachinesView(this.journal);
     this.plan = new PlanView(this.journal, this.invariants);
-    this.configurationWitness = new ConfigurationWitness(this.invariants, () => this.plan.revision);
+    this.configurationVerifier = new ConfigurationVerifier(this.invariants, () => this.plan.revision);
     this.shards = new ShardsView(this.journal);
     this.feed.planMark = () => this.plan.mark;
     this.feed.fault = () => this.plan.fault;
--- a/packages/core/src/runtime/invariantMonitor.test.ts
+++ b/packages/core/src/runtime/invariantMonitor.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { ConfigurationWitness } from "../configuration/configurationVerifier.js";
+import { ConfigurationVerifier } from "../configuration/configurationVerifier.js";
 import { InvariantMonitor } from "./invariantMonitor.js";
 
 interface Logged {
@@ -33,15 +33,15 @@
 test("a read that is older than what was seen when it began is not believed", () => {
   const { monitor } = monitored();
   let followed = 0;
-  const witness = new ConfigurationWitness(monitor, () => followed);
-  expect(witness.isCurrent(witness.bound, 0)).toEqual(true);
-  const { bound } = witness;
-  witness.saw(12);
+  const verifier = new ConfigurationVerifier(monitor, () => followed);
+  expect(verifier.isCurrent(verifier.bound, 0)).toEqual(true);
+  const { bound } = verifier;
+  verifier.saw(12);
   // It began before: what it gives may be older.
-  expect([witness.isCurrent(bound, 9), witness.bound]).toEqual([true, 12]);
-  expect(witness.isCurrent(witness.bound, 11)).toEqual(false);
+  expect([verifier.isCurrent(bound, 9), verifier.bound]).toEqual([true, 12]);
+  expect(verifier.isCurrent(verifier.bound, 11)).toEqual(false);
   followed = 20;
-  expect(witness.isCurrent(witness.bound, 19)).toEqual(false);
-  expect(witness.isCurrent(witness.bound, 20)).toEqual(true);
+  expect(verifier.isCurrent(verifier.bound, 19)).toEqual(false);
+  expect(verifier.isCurrent(verifier.bound, 20)).toEqual(true);
   expect(monitor.countOf("configurationRead")).toEqual(2);
 });
--- a/packages/core/src/runtime/logBuffer.ts
+++ b/packages/core/src/runtime/logBuffer.ts
@@ -13,7 +13,7 @@
   readonly #write: (text: string) => void;
   readonly #log: typeof Roarr;
   /** Invariant: never longer than #most; oldest first. */
-  #ring: string[] = [];
+  #lines: string[] = [];
   /** The last fault, as status shows it. */
   lastFault = "";
 
@@ -41,19 +41,19 @@
   fault(text: string, context: Context = {}): void {
     this.#keep("fault", text, context);
     this.lastFault = text;
-    const ring = this.#ring;
-    this.#ring = [];
+    const ring = this.#lines;
+    this.#lines = [];
     this.#write(ring.map((line) => `${line}\n`).join(""));
   }
 
   get lines(): readonly string[] {
-    return this.#ring;
+    return this.#lines;
   }
 
   #keep(level: "note" | "warn" | "fault", text: string, context: Context): void {
     const line = { at: new Date().toISOString(), level, program: this.#name, text, ...context };
-    this.#ring.push(JSON.stringify(line));
-    if (this.#ring.length > this.#most) this.#ring.shift();
+    this.#lines.push(JSON.stringify(line));
+    if (this.#lines.length > this.#most) this.#lines.shift();
     if (level === "fault") this.#log.error(context, text);
   }
 }
--- a/packages/core/src/runtime/nodeParts.ts
+++ b/packages/core/src/runtime/nodeParts.ts
@@ -9,9 +9,9 @@
 export interface NodeParts {
   readonly settings: Settings;
   readonly clock: Clock;
-  readonly net: Transport;
+  readonly transport: Transport;
   readonly disk: Disk | undefined;
-  readonly chance: RandomSource;
+  readonly random: RandomSource;
   readonly log: LogBuffer;
   /** Rises with every start of the process under the same name. */
   readonly incarnation: number;
--- a/packages/core/src/runtime/nodeStatus.ts
+++ b/packages/core/src/runtime/nodeStatus.ts
@@ -59,7 +59,7 @@
         settings: this.#parts.settingsFault(),
         last: parts.log.lastFault,
         garbledFrames: this.#parts.garbled(),
-        droppedFrames: { ...this.#node.exchange.dropped },
+        droppedFrames: { ...this.#node.rpc.dropped },
         invariants: this.#node.invariants.counts(),
       },
       ...this.#parts.more(),
@@ -81,7 +81,7 @@
       memory_rss_bytes: memory.rss,
       memory_heap_bytes: memory.heapUsed,
     };
-    for (const [reason, count] of Object.entries(this.#node.exchange.dropped))
+    for (const [reason, count] of Object.entries(this.#node.rpc.dropped))
       figures[`dropped_frames_${NodeStatus.#snake(reason)}_total`] = count;
     for (const [name, count] of Object.entries(this.#node.invariants.counts()))
       figures[`invariant_violations_${NodeStatus.#snake(name)}_total`] = count;
--- a/packages/core/src/runtime/programHost.ts
+++ b/packages/core/src/runtime/programHost.ts
@@ -55,7 +55,7 @@
   async start(settings: Settings, watched?: WatchedSettings): Promise<void> {
     const log = LogBuffer.toFile(settings.name, settings.log);
     const clock = new HostClock();
-    const net = new TcpTransport(settings.address, log, settings.listen);
+    const transport = new TcpTransport(settings.address, log, settings.listen);
     const quit = (code: number, text: string): never => {
       log.fault(text);
       process.stderr.write(`${text}\n`);
@@ -69,7 +69,7 @@
       disk = await ProgramHost.#openDisk(settings, log);
       const sealed = disk === undefined ? undefined : new SealedDisk(disk);
       node = new ClusterNode(
-        { settings, clock, net, disk: sealed, chance: new HostRandom(), log, incarnation: Date.now() },
+        { settings, clock, transport, disk: sealed, random: new HostRandom(), log, incarnation: Date.now() },
         this.#prefixes,
       );
       router = new Router(node);
@@ -90,7 +90,7 @@
     watch?.on("fault", (text) => log.fault(text));
     process.on("SIGHUP", () => watch?.look());
     new NodeStatus(node, router, {
-      garbled: () => net.garbled,
+      garbled: () => transport.garbled,
       settingsFault: () => watch?.fault ?? "",
       more: () => ({ ...built.status(), dataFolder: disk?.fault ?? "" }),
       isReady: () => built.isReady(),
@@ -98,7 +98,7 @@
     const fronts = [...(built.fronts ?? [])];
     try {
       if (settings.http !== undefined) fronts.push(await ProgramHost.#httpFront(settings.http, router, built));
-      await net.listen();
+      await transport.listen();
       for (const front of fronts) await front.listen();
     } catch (cause) {
       return quit(ProgramHost.exits.settings, `cannot listen: ${(cause as Error).message}`);
@@ -115,7 +115,7 @@
       node.membership.leave();
       // The goodbye is given a moment to leave; then nothing may come in any more, and only then the disk closes.
       setTimeout(() => {
-        net.close();
+        transport.close();
         void Promise.all(fronts.map((front) => front.close()))
           .then(() => disk?.close())
           .then(() => process.exit(0));
--- a/packages/core/src/store/leaseKeepAlive.test.ts
+++ b/packages/core/src/store/leaseKeepAlive.test.ts
@@ -1,11 +1,11 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { LeaseKeeper } from "./leaseKeepAlive.js";
+import { LeaseKeepAlive } from "./leaseKeepAlive.js";
 import type { Outcome } from "./storeClient.js";
 
 interface Due {
   at: number;
-  ring: () => void;
+  fire: () => void;
   every: number | undefined;
 }
 
@@ -18,12 +18,12 @@
     return this.time;
   }
 
-  once(ms: number, ring: () => void): { stop(): void } {
-    return this.#add({ at: this.time + ms, ring, every: undefined });
+  once(ms: number, fire: () => void): { stop(): void } {
+    return this.#add({ at: this.time + ms, fire, every: undefined });
   }
 
-  every(ms: number, ring: () => void): { stop(): void } {
-    return this.#add({ at: this.time + ms, ring, every: ms });
+  every(ms: number, fire: () => void): { stop(): void } {
+    return this.#add({ at: this.time + ms, fire, every: ms });
   }
 
   async go(ms: number): Promise<void> {
@@ -34,7 +34,7 @@
       this.time = next.at;
       if (next.every === undefined) this.#dues = this.#dues.filter((due) => due !== next);
       else next.at += next.every;
-      next.ring();
+      next.fire();
       await new Promise((resolve) => setImmediate(resolve));
     }
     this.time = end;
@@ -52,17 +52,17 @@
   const store = {
     call: () => new Promise<Outcome>((resolve) => (answer = (outcome) => resolve({ outcome }))),
   };
-  const keeper = new LeaseKeeper("a", 4000, store, clock, { draw: () => 0, identity: () => "0123456789abcdef" });
+  const keepAlive = new LeaseKeepAlive("a", 4000, store, clock, { draw: () => 0, identity: () => "0123456789abcdef" });
   let lostAt = -1;
-  keeper.on("lost", () => (lostAt = clock.now()));
-  keeper.start();
+  keepAlive.on("lost", () => (lostAt = clock.now()));
+  keepAlive.start();
   await clock.go(900);
   answer("done");
   await clock.go(0);
-  expect(keeper.isHeld).toEqual(true);
+  expect(keepAlive.isHeld).toEqual(true);
   await clock.go(5000);
   expect(lostAt).toEqual(3601);
-  expect(keeper.isHeld).toEqual(false);
+  expect(keepAlive.isHeld).toEqual(false);
 });
 
 test(
@@ -73,18 +73,21 @@
     const store = {
       call: () => new Promise<Outcome>((resolve) => answers.push((outcome) => resolve({ outcome }))),
     };
-    const keeper = new LeaseKeeper("a", 4000, store, clock, { draw: () => 0, identity: () => "0123456789abcdef" });
-    keeper.start();
+    const keepAlive = new LeaseKeepAlive("a", 4000, store, clock, {
+      draw: () => 0,
+      identity: () => "0123456789abcdef",
+    });
+    keepAlive.start();
     await new Promise((resolve) => setImmediate(resolve));
     answers[0]!("done");
     await new Promise((resolve) => setImmediate(resolve));
-    const { lease } = keeper;
-    expect(keeper.isHeld).toEqual(true);
+    const { lease } = keepAlive;
+    expect(keepAlive.isHeld).toEqual(true);
     await clock.go(1000);
     clock.time += 9000;
-    expect(keeper.isHeld).toEqual(false);
+    expect(keepAlive.isHeld).toEqual(false);
     answers[1]!("done");
     await new Promise((resolve) => setImmediate(resolve));
-    expect(keeper.lease === lease).toEqual(false);
+    expect(keepAlive.lease === lease).toEqual(false);
   },
 );
--- a/packages/core/src/store/leaseKeepAlive.ts
+++ b/packages/core/src/store/leaseKeepAlive.ts
@@ -7,14 +7,14 @@
  * Holds one lease with the store. The holder counts from when it SENT the renewal, and stops a
  * tenth early, so that it stops before the store can expire it.
  */
-export class LeaseKeeper extends EventEmitter<{ held: [lease: string]; lost: [lease: string] }> {
+export class LeaseKeepAlive extends EventEmitter<{ held: [lease: string]; lost: [lease: string] }> {
   static readonly againMs = 60;
   /** Renewals sent in a lease's length: three may go unanswered, and the fourth still comes before the end. */
   static readonly renewals = 4;
 
   readonly #store: Pick<StoreClient, "call">;
   readonly #clock: Clock;
-  readonly #chance: RandomSource;
+  readonly #random: RandomSource;
   readonly #name: string;
   readonly #length: number;
   /** Invariant: claims made under `lease` hold only while now() < #until. */
@@ -27,14 +27,14 @@
   /** Leases lost since the start, however it came. */
   losses = 0;
 
-  constructor(name: string, length: number, store: Pick<StoreClient, "call">, clock: Clock, chance: RandomSource) {
+  constructor(name: string, length: number, store: Pick<StoreClient, "call">, clock: Clock, random: RandomSource) {
     super();
     this.setMaxListeners(0);
     this.#name = name;
     this.#length = length;
     this.#store = store;
     this.#clock = clock;
-    this.#chance = chance;
+    this.#random = random;
   }
 
   get isHeld(): boolean {
@@ -44,7 +44,7 @@
 
   start(): void {
     void this.#renew();
-    this.#clock.every(this.#length / LeaseKeeper.renewals, () => void this.#renew());
+    this.#clock.every(this.#length / LeaseKeepAlive.renewals, () => void this.#renew());
   }
 
   async end(): Promise<void> {
@@ -62,7 +62,7 @@
     if (this.#isEnded || (isNew && this.#isAsking)) return;
     this.#isAsking = true;
     const sentAt = this.#clock.now();
-    const lease = isNew ? `${this.#name}/${this.#chance.identity().slice(0, 12)}` : this.lease;
+    const lease = isNew ? `${this.#name}/${this.#random.identity().slice(0, 12)}` : this.lease;
     const call: StoreChange = isNew
       ? { case: "grant", value: { lease, length: this.#length } }
       : { case: "renew", value: { lease } };
@@ -81,7 +81,7 @@
   /** An election may be under way: its end must not be missed by a beat. */
   #again(): void {
     this.#retry?.stop();
-    this.#retry = this.#clock.once(LeaseKeeper.againMs, () => void this.#renew());
+    this.#retry = this.#clock.once(LeaseKeepAlive.againMs, () => void this.#renew());
   }
 
   #watch(): void {
--- a/packages/core/src/store/storeClient.test.ts
+++ b/packages/core/src/store/storeClient.test.ts
@@ -19,7 +19,7 @@
   const turns: Array<() => void> = [];
   const dues: Array<() => void> = [];
   let take: (frame: Frame) => void = () => undefined;
-  const net = {
+  const transport = {
     address: "10.0.0.9:1",
     send: (_address: string, bytes: Uint8Array) => void frames.push(Wire.decode(bytes)!),
     isReachable: () => true,
@@ -29,12 +29,12 @@
   };
   const clock = {
     now: () => 0,
-    once: (ms: number, ring: () => void) => ((ms === 0 ? turns : dues).push(ring), { stop: () => undefined }),
+    once: (ms: number, fire: () => void) => ((ms === 0 ? turns : dues).push(fire), { stop: () => undefined }),
     every: () => ({ stop: () => undefined }),
   };
-  const chance = { draw: () => 0, identity: () => "0123456789abcdef" };
-  const exchange = new RpcEndpoint("vise-1", net, clock, chance);
-  const membership = new Membership({ name: "vise-1" }, [], exchange, clock, chance);
+  const random = { draw: () => 0, identity: () => "0123456789abcdef" };
+  const rpc = new RpcEndpoint("vise-1", transport, clock, random);
+  const membership = new Membership({ name: "vise-1" }, [], rpc, clock, random);
   const lathe = (name: string, address: string, isInStore: boolean): object => ({
     name,
     role: "lathe",
@@ -48,10 +48,10 @@
     take(Wire.decode(Wire.encode({ from: "lathe-2", to: "vise-1", fromAddress: "", ...part, body }))!);
   tell({ case: "gossip", value: create(GossipSchema, { members }) }, {});
   return {
-    store: new StoreClient(exchange, membership, clock),
+    store: new StoreClient(rpc, membership, clock),
     frames,
-    turn: () => turns.splice(0).forEach((ring) => ring()),
-    silence: () => dues.splice(0).forEach((ring) => ring()),
+    turn: () => turns.splice(0).forEach((fire) => fire()),
+    silence: () => dues.splice(0).forEach((fire) => fire()),
     answer: (frame, body) =>
       tell(body, { from: frame.to, id: frame.id, isReceipt: true, caller: frame.callerIncarnation }),
   };
--- a/packages/core/src/store/storeClient.ts
+++ b/packages/core/src/store/storeClient.ts
@@ -26,7 +26,7 @@
   static readonly waitMs = 200;
   static readonly tryMs: Readonly<Record<string, number>> = { txn: 700, renew: 800 };
 
-  readonly #exchange: RpcEndpoint;
+  readonly #rpc: RpcEndpoint;
   readonly #membership: Membership;
   readonly #clock: Clock;
   /** The lathe that last said what became of a call; only a hint. */
@@ -38,8 +38,8 @@
   readonly #batches = new Map<string, Asked[]>();
   readonly #values = new LargeValues();
 
-  constructor(exchange: RpcEndpoint, membership: Membership, clock: Clock) {
-    this.#exchange = exchange;
+  constructor(rpc: RpcEndpoint, membership: Membership, clock: Clock) {
+    this.#rpc = rpc;
     this.#membership = membership;
     this.#clock = clock;
   }
@@ -115,7 +115,7 @@
 
   async #send(name: string, batch: readonly Asked[], due: number): Promise<void> {
     const calls = batch.map(({ call }) => ({ call }));
-    const body = await this.#exchange.call(
+    const body = await this.#rpc.call(
       name,
       calls.length === 1 ? { case: "storeCall", value: calls[0]! } : { case: "storeBatch", value: { calls } },
       due,
@@ -131,8 +131,8 @@
       .filter((member) => member.role === "lathe" && member.isInStore && member.state === "up");
     const waiting = [...this.#open.values()].filter(({ at }) => this.#clock.now() - at > StoreClient.waitMs);
     const isBad = (name: string): boolean =>
-      !this.#membership.isAlive(name) || this.#exchange.isMute(name) || waiting.some((one) => one.name === name);
-    const ranked = Rendezvous.nearest(this.#exchange.name, this.#membership.self.zone, lathes);
+      !this.#membership.isAlive(name) || this.#rpc.isUnresponsive(name) || waiting.some((one) => one.name === name);
+    const ranked = Rendezvous.nearest(this.#rpc.name, this.#membership.self.zone, lathes);
     const good = ranked.filter((name) => !isBad(name));
     const first = good.includes(this.#favourite) ? [this.#favourite] : [];
     return [...new Set([...first, ...good, ...ranked])];
--- a/packages/core/src/transport/tcpTransport.test.ts
+++ b/packages/core/src/transport/tcpTransport.test.ts
@@ -21,8 +21,8 @@
   "a garbled, an oversized and a foreign connection are each closed and counted, and good " + "frames still come",
   async () => {
     const address = await freeAddress();
-    const net = new TcpTransport(address, new LogBuffer("test", () => undefined));
-    await net.listen();
+    const transport = new TcpTransport(address, new LogBuffer("test", () => undefined));
+    await transport.listen();
     const [host, port] = TcpTransport.split(address);
     const wrongs = [
       Buffer.from("GET / HTTP/1.1\r\n\r\n"),
@@ -35,14 +35,14 @@
       socket.write(wrong);
       await once(socket, "close");
     }
-    expect(net.garbled).toEqual(wrongs.length);
+    expect(transport.garbled).toEqual(wrongs.length);
 
     const sender = new TcpTransport(await freeAddress(), new LogBuffer("test", () => undefined));
-    const came = new Promise<Frame>((resolve) => net.onFrame(resolve));
+    const came = new Promise<Frame>((resolve) => transport.onFrame(resolve));
     sender.send(address, Wire.encode({ id: 1, from: "a", body: { case: "ping", value: { about: "hello" } } }));
     expect((await came).from).toEqual("a");
     sender.close();
-    net.close();
+    transport.close();
   },
 );
 
@@ -123,18 +123,18 @@
   const [host, port] = TcpTransport.split(address);
   const server = createServer().listen(port, host);
   await once(server, "listening");
-  const net = new TcpTransport(await freeAddress(), new LogBuffer("test", () => undefined));
-  const lost = new Promise<string>((resolve) => net.onLost(resolve));
-  net.send(address, ping("one"));
+  const transport = new TcpTransport(await freeAddress(), new LogBuffer("test", () => undefined));
+  const lost = new Promise<string>((resolve) => transport.onLost(resolve));
+  transport.send(address, ping("one"));
   const [first] = (await once(server, "connection")) as [Socket];
   await once(first, "data");
   first.resetAndDestroy();
   expect(await lost).toEqual(address);
-  expect(net.isReachable(address)).toEqual(true);
-  net.send(address, ping("two"));
+  expect(transport.isReachable(address)).toEqual(true);
+  transport.send(address, ping("two"));
   const [second] = (await once(server, "connection")) as [Socket];
   await once(second, "data");
-  net.close();
+  transport.close();
   server.close();
 });
 
@@ -143,13 +143,13 @@
   const [host, port] = TcpTransport.split(address);
   const server = createServer().listen(port, host);
   await once(server, "listening");
-  const net = new TcpTransport(await freeAddress(), new LogBuffer("test", () => undefined));
-  const lost = new Promise<string>((resolve) => net.onLost(resolve));
-  net.send(address, ping("one"));
+  const transport = new TcpTransport(await freeAddress(), new LogBuffer("test", () => undefined));
+  const lost = new Promise<string>((resolve) => transport.onLost(resolve));
+  transport.send(address, ping("one"));
   const [first] = (await once(server, "connection")) as [Socket];
   first.pause();
   // More than the machine's buffers take: whole frames wait in the process.
-  for (let i = 0; i < 7; i += 1) net.send(address, ping("x".repeat(1024 * 1024)));
+  for (let i = 0; i < 7; i += 1) transport.send(address, ping("x".repeat(1024 * 1024)));
   await new Promise((resolve) => setImmediate(resolve));
   first.resetAndDestroy();
   expect(await lost).toEqual(address);
@@ -159,11 +159,11 @@
   await receiver.listen();
   const frames: Frame[] = [];
   receiver.onFrame((frame) => void frames.push(frame));
-  net.send(address, ping("two"));
-  net.send(address, ping("three"));
+  transport.send(address, ping("two"));
+  transport.send(address, ping("three"));
   await arrived(frames, 2);
   const said = frames.map(({ body }) => (body.case === "ping" ? body.value.about : body.case));
   expect(said).toEqual(["two", "three"]);
-  net.close();
+  transport.close();
   receiver.close();
 });
--- a/packages/edge/src/edgeCalls.ts
+++ b/packages/edge/src/edgeCalls.ts
@@ -57,7 +57,7 @@
     const session = this.#vise.sessions.find(call.params[0]!);
     if (session !== undefined) return act(session);
     const owner = call.isForwarded ? undefined : (await readOwner(this.#vise.node.store, call.params[0]!))?.owner;
-    if (owner === undefined || owner.node === "" || owner.node === this.#vise.node.exchange.name)
+    if (owner === undefined || owner.node === "" || owner.node === this.#vise.node.rpc.name)
       return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { comeBack: 0.3 });
     return (
       (await this.#vise.router.forwardTo(owner.node, call.method, call.path, call.body)) ??
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -1,6 +1,6 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
-import { LeaseKeeper } from "@cranetrack/core/store/leaseKeepAlive.js";
+import { LeaseKeepAlive } from "@cranetrack/core/store/leaseKeepAlive.js";
 import type { Router } from "@cranetrack/core/http/router.js";
 import type { ClientLink } from "./connections/clientConnection.js";
 import { SubscriptionKey } from "./sessions/subscriptionKey.js";
@@ -15,7 +15,7 @@
   static readonly outOfTouchMs = 3000;
 
   readonly node: ClusterNode;
-  readonly lease: LeaseKeeper;
+  readonly lease: LeaseKeepAlive;
   readonly sessions: Sessions;
   readonly streams: StreamTable;
   readonly planCheck: PlanCheck;
@@ -28,11 +28,11 @@
   enrolling = 0;
 
   constructor(node: ClusterNode, router: Router) {
-    const { settings, clock, chance } = node.parts;
+    const { settings, clock, random } = node.parts;
     this.node = node;
     this.router = router;
     this.live = { mostLinks: settings.mostLinks, bufferBytes: settings.bufferBytes };
-    this.lease = new LeaseKeeper(settings.name, settings.edgeLeaseMs, node.store, clock, chance);
+    this.lease = new LeaseKeepAlive(settings.name, settings.edgeLeaseMs, node.store, clock, random);
     this.sessions = new Sessions(node, this.lease);
     this.streams = new StreamTable(node);
     this.planCheck = new PlanCheck(node.store);
@@ -74,7 +74,7 @@
     const next = this.#nextAddresses();
     this.sessions.goodbye(
       "stopping",
-      () => this.node.parts.chance.draw() * 0.5,
+      () => this.node.parts.random.draw() * 0.5,
       (session) => Rendezvous.rank(session, next)[0] ?? "",
     );
     await new Promise<void>((resolve) => void this.node.parts.clock.once(1500, resolve));
@@ -86,10 +86,10 @@
 
   /** Where this node's clients may go: edges of its zone, else of the others. */
   #nextAddresses(): string[] {
-    const { exchange, membership, parts } = this.node;
+    const { rpc, membership, parts } = this.node;
     const others = membership
       .alive("vise")
-      .filter(({ name }) => name !== exchange.name)
+      .filter(({ name }) => name !== rpc.name)
       .map(({ zone, clients, http }) => ({ zone, address: clients === "" ? http : clients }))
       .filter(({ address }) => address !== "");
     const near = others.filter(({ zone }) => zone === parts.settings.zone);
--- a/packages/edge/src/edgeParts.ts
+++ b/packages/edge/src/edgeParts.ts
@@ -1,5 +1,5 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { LeaseKeeper } from "@cranetrack/core/store/leaseKeepAlive.js";
+import type { LeaseKeepAlive } from "@cranetrack/core/store/leaseKeepAlive.js";
 import type { Router } from "@cranetrack/core/http/router.js";
 import type { ClientLink } from "./connections/clientConnection.js";
 import type { Session } from "./sessions/session.js";
@@ -10,7 +10,7 @@
 /** What the requests of an edge work with. */
 export interface EdgeParts {
   readonly node: ClusterNode;
-  readonly lease: LeaseKeeper;
+  readonly lease: LeaseKeepAlive;
   readonly sessions: Sessions;
   readonly streams: StreamTable;
   readonly planCheck: PlanCheck;
--- a/packages/edge/src/fanout/countTopic.ts
+++ b/packages/edge/src/fanout/countTopic.ts
@@ -10,7 +10,7 @@
 
 /** Subscribers of a topic at all edges, told by the shard's holder, and by the next one while it changes hands. */
 export async function countTopic(vise: EdgeParts, topic: string): Promise<Count> {
-  const { exchange, shards, parts, plan } = vise.node;
+  const { rpc, shards, parts, plan } = vise.node;
   const end = parts.clock.now() + mostMs;
   for (let left = mostMs; left > 0; left = end - parts.clock.now()) {
     const route = plan.route(topic);
@@ -23,11 +23,7 @@
     const shard = vise.streams.shardOf(route.stream);
     const { holder } = shards.find(shard);
     if (holder !== "") {
-      const ask = exchange.call(
-        holder,
-        { case: "countRequest", value: { shard, topics: [topic] } },
-        Math.min(callMs, left),
-      );
+      const ask = rpc.call(holder, { case: "countRequest", value: { shard, topics: [topic] } }, Math.min(callMs, left));
       const reply = await Promise.race([ask, shards.moved(shard, holder, parts.clock, left)]);
       const found = reply?.case === "countReply" ? reply.value.counts[0] : undefined;
       // A holder that does not know the space is behind, or this edge is: which it is shows in a moment.
--- a/packages/edge/src/fanout/fetchMessages.ts
+++ b/packages/edge/src/fanout/fetchMessages.ts
@@ -20,7 +20,7 @@
   fetch: MessageInitShape<typeof FetchSchema> & { incarnation: string },
 ): Promise<Fetched | undefined> {
   if (server === "") return undefined;
-  const reply = await node.exchange.call(server, { case: "fetch", value: { ...fetch, limit } }, dueMs);
+  const reply = await node.rpc.call(server, { case: "fetch", value: { ...fetch, limit } }, dueMs);
   if (reply?.case !== "fetchReply") return undefined;
   const { outcome, low, batch, trims } = reply.value;
   if ((outcome !== "done" && outcome !== "trimmed") || batch?.incarnation !== fetch.incarnation) return undefined;
--- a/packages/edge/src/fanout/replicaFollow.ts
+++ b/packages/edge/src/fanout/replicaFollow.ts
@@ -80,7 +80,7 @@
     const isFull = this.#pushes.follow === "";
     if (isFull) {
       this.#server = near;
-      this.#pushes.begin(`${this.#node.exchange.name}/${this.#node.parts.chance.identity().slice(0, 8)}`);
+      this.#pushes.begin(`${this.#node.rpc.name}/${this.#node.parts.random.identity().slice(0, 8)}`);
       this.#since = now;
     }
     this.#isAsking = true;
@@ -98,7 +98,7 @@
       isAtReplica: true,
       serial: ++this.#serial,
     };
-    const reply = await this.#node.exchange.call(near, { case: "follow", value }, 800);
+    const reply = await this.#node.rpc.call(near, { case: "follow", value }, 800);
     if (turn !== this.#turn) return;
     this.#isAsking = false;
     if (reply?.case !== "followReply" || reply.value.outcome !== "done") return this.fail();
@@ -182,15 +182,15 @@
 
   /** The replica to follow: in this edge's region (zone, where there are none); nobody where the holder is. */
   #near(): string {
-    const { shards, membership, exchange } = this.#node;
+    const { shards, membership, rpc } = this.#node;
     const { holder, set } = shards.find(this.#shard);
     const own = membership.self.region || membership.self.zone;
     const near = (set?.members ?? [])
       .filter(({ name, zone }) => (membership.find(name)?.region || zone) === own)
       .map(({ name }) => name);
     if (holder === "" || near.includes(holder)) return "";
-    const alive = near.filter((name) => membership.isAlive(name) && !exchange.isMute(name));
-    return Rendezvous.rank(RendezvousKeys.nearbyReplica(exchange.name), alive)[0] ?? "";
+    const alive = near.filter((name) => membership.isAlive(name) && !rpc.isUnresponsive(name));
+    return Rendezvous.rank(RendezvousKeys.nearbyReplica(rpc.name), alive)[0] ?? "";
   }
 
   #now(): number {
--- a/packages/edge/src/fanout/shardFollow.test.ts
+++ b/packages/edge/src/fanout/shardFollow.test.ts
@@ -24,13 +24,13 @@
 function followed(owed: number[]): { tail: StreamTail; follow: ShardFollow; asked: () => number } {
   let fulls = 0;
   const turns: Array<() => void> = [];
-  const parts: Pick<ClusterNode, "exchange" | "parts" | "shards"> = {
+  const parts: Pick<ClusterNode, "rpc" | "parts" | "shards"> = {
     parts: {
       clock: { once: (_ms: number, ring: () => void) => (turns.push(ring), { stop: () => undefined }) },
-      chance: { identity: () => `identity-${fulls}` },
+      random: { identity: () => `identity-${fulls}` },
     } as ClusterNode["parts"],
     shards: { find: () => ({ holder: "anvil-1", epoch: 7 }) } as object as ClusterNode["shards"],
-    exchange: {
+    rpc: {
       name: "vise-1",
       call: (_to: string, body: BodyInit): Promise<Body | undefined> => {
         if (body.case !== "follow" || body.value.isFull !== true) return Promise.resolve(undefined);
@@ -42,7 +42,7 @@
         follow.take(push(body.value.follow!, 1, owed));
         return reply;
       },
-    } as object as ClusterNode["exchange"],
+    } as object as ClusterNode["rpc"],
   };
   const follow = new ShardFollow(
     parts as ClusterNode,
@@ -69,13 +69,13 @@
   const turns: Array<() => void> = [];
   const asked: Array<{ streams: string[]; answer: (heads: object[]) => Promise<void> }> = [];
   const turn = (): Promise<void> => new Promise<void>((resolve) => setImmediate(resolve));
-  const parts: Pick<ClusterNode, "exchange" | "parts" | "shards"> = {
+  const parts: Pick<ClusterNode, "rpc" | "parts" | "shards"> = {
     parts: {
       clock: { once: (_ms: number, ring: () => void) => (turns.push(ring), { stop: () => undefined }) },
-      chance: { identity: () => "identity" },
+      random: { identity: () => "identity" },
     } as ClusterNode["parts"],
     shards: { find: () => ({ holder: "anvil-1", epoch: 7 }) } as object as ClusterNode["shards"],
-    exchange: {
+    rpc: {
       name: "vise-1",
       call: (_to: string, body: BodyInit): Promise<Body | undefined> =>
         new Promise((resolve) => {
@@ -87,7 +87,7 @@
           };
           asked.push({ streams, answer });
         }),
-    } as object as ClusterNode["exchange"],
+    } as object as ClusterNode["rpc"],
   };
   const follow = new ShardFollow(
     parts as ClusterNode,
--- a/packages/edge/src/fanout/shardFollow.ts
+++ b/packages/edge/src/fanout/shardFollow.ts
@@ -115,13 +115,13 @@
     const streams = wanted.map((tail) => this.#at(tail));
     if (isFull) {
       this.#left.clear();
-      this.#pushes.begin(`${this.#node.exchange.name}/${this.#node.parts.chance.identity().slice(0, 8)}`);
+      this.#pushes.begin(`${this.#node.rpc.name}/${this.#node.parts.random.identity().slice(0, 8)}`);
     }
     // What is asked for again while this is under way stays asked for.
     for (const tail of wanted) this.#asked.delete(tail);
     const { follow, seen } = this.#pushes;
     const turn = this.#turn;
-    const reply = await this.#node.exchange.call(
+    const reply = await this.#node.rpc.call(
       this.holder,
       {
         case: "follow",
@@ -217,7 +217,7 @@
     while (this.#counted.size > 0) {
       const beat = this.#isAsking || this.#isStale ? undefined : this.beat();
       if (beat === undefined) break;
-      const reply = await this.#node.exchange.call(this.holder, { case: "follow", value: beat }, 700);
+      const reply = await this.#node.rpc.call(this.holder, { case: "follow", value: beat }, 700);
       await this.beaten(beat, reply?.case === "followReply" ? reply.value.outcome : undefined);
     }
     this.#isTelling = false;
--- a/packages/edge/src/fanout/streamTable.ts
+++ b/packages/edge/src/fanout/streamTable.ts
@@ -44,13 +44,13 @@
     const failAt = (name: string): void => {
       for (const follow of this.#atReplicas) if (follow.server === name) follow.fail();
     };
-    node.exchange.on("mute", failAt);
+    node.rpc.on("unresponsive", failAt);
     node.membership.on("suspected", failAt);
-    node.exchange.serve("push", (push) => {
+    node.rpc.serve("push", (push) => {
       this.#take(push);
       return undefined;
     });
-    node.exchange.serve("pushes", ({ pushes }) => {
+    node.rpc.serve("pushes", ({ pushes }) => {
       for (const push of pushes) this.#take(push);
       return undefined;
     });
@@ -160,7 +160,7 @@
 
   async #beatServer(server: string, list: readonly Beaten[]): Promise<void> {
     const beats = list.map(({ beat }) => beat);
-    const reply = await this.#node.exchange.call(server, { case: "followBeats", value: { beats } }, 700);
+    const reply = await this.#node.rpc.call(server, { case: "followBeats", value: { beats } }, 700);
     const { outcomes, applied } = reply?.case === "followBeatsReply" ? reply.value : { outcomes: [], applied: [] };
     for (const [i, { heed }] of list.entries()) heed(outcomes[i], applied[i] ?? 0);
   }
--- a/packages/edge/src/publishing/publishCall.ts
+++ b/packages/edge/src/publishing/publishCall.ts
@@ -49,7 +49,7 @@
 /** The call came in at a node that does not own the session. */
 async function passOn(vise: EdgeParts, id: string, topic: string, call: ApiCall): Promise<ApiReply> {
   const owner = call.isForwarded ? undefined : (await readOwner(vise.node.store, id))?.owner;
-  if (owner === undefined || owner.node === "" || owner.node === vise.node.exchange.name)
+  if (owner === undefined || owner.node === "" || owner.node === vise.node.rpc.name)
     return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { comeBack: 0.3 });
   const due = 1.4 * publishDue(vise, topic);
   const reply = await vise.router.forwardTo(owner.node, "POST", call.path, call.body, due);
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -47,10 +47,10 @@
   const reply = await atHolder(vise, shard, end, { ...publish, ...content });
   if (reply === undefined)
     return { outcome: "unsure", reason: "the topic's holder did not answer; the same number again", comeBack: 0.2 };
-  if (reply !== "mute" && reply.outcome === "unsure")
+  if (reply !== "unresponsive" && reply.outcome === "unsure")
     return { outcome: "unsure", reason: reply.reason, comeBack: reply.comeBack };
-  if (!isDoubtful || (reply !== "mute" && reply.outcome === "accepted")) session.numbers.settled(topic, number);
-  if (reply === "mute") return givenUp("the topic's holder does not answer", 0.2);
+  if (!isDoubtful || (reply !== "unresponsive" && reply.outcome === "accepted")) session.numbers.settled(topic, number);
+  if (reply === "unresponsive") return givenUp("the topic's holder does not answer", 0.2);
   const { outcome, code, reason, comeBack, incarnation, seq } = reply;
   if (outcome === "accepted") return { outcome: "accepted", place: Places.write(incarnation, seq) };
   if (outcome === "refused") return { outcome: "refused", code, reason };
@@ -80,17 +80,17 @@
   shard: number,
   end: number,
   publish: MessageInitShape<typeof PublishSchema>,
-): Promise<PublishReply | "mute" | undefined> {
-  const { exchange, membership, shards, parts } = vise.node;
+): Promise<PublishReply | "unresponsive" | undefined> {
+  const { rpc, membership, shards, parts } = vise.node;
   let isOpen = false;
   for (let left = end - parts.clock.now(); left > 0; left = end - parts.clock.now()) {
     const { holder } = shards.find(shard);
-    if (exchange.isMute(holder) && !membership.isAlive(holder)) return isOpen ? undefined : "mute";
+    if (rpc.isUnresponsive(holder) && !membership.isAlive(holder)) return isOpen ? undefined : "unresponsive";
     const mayBeRepeat = isOpen || publish.mayBeRepeat === true;
     const call: CallInit = { case: "publish", value: { ...publish, mayBeRepeat } };
     // A short deadline gives this publish up, and not the holder, who may be slower than that and well.
     const body = await Promise.race([
-      exchange.call(holder, call, vise.publishDue),
+      rpc.call(holder, call, vise.publishDue),
       shards.moved(shard, holder, parts.clock, left),
     ]);
     const reply = body?.case === "publishReply" ? body.value : undefined;
--- a/packages/edge/src/sessions/admitSession.ts
+++ b/packages/edge/src/sessions/admitSession.ts
@@ -24,7 +24,7 @@
     if (!lease.isHeld || !node.feed.isFresh)
       return { reason: "this node is out of touch with the store", comeBack: 1, code: "unavailable" };
     if (sessions.links + vise.enrolling >= vise.live.mostLinks) {
-      const comeBack = 1 + node.parts.chance.draw() * 2;
+      const comeBack = 1 + node.parts.random.draw() * 2;
       return { reason: "this node has as many links as it takes", comeBack, code: "full" };
     }
     vise.enrolling += 1;
--- a/packages/edge/src/sessions/openConnection.ts
+++ b/packages/edge/src/sessions/openConnection.ts
@@ -46,7 +46,7 @@
   link.send({
     kind: "open",
     session: id,
-    node: vise.node.exchange.name,
+    node: vise.node.rpc.name,
     beatMs: vise.beatMs,
     numbers: session.numbers.highestByTopic(),
   });
--- a/packages/edge/src/sessions/sessions.ts
+++ b/packages/edge/src/sessions/sessions.ts
@@ -1,7 +1,7 @@
 import { EventEmitter } from "node:events";
 import type { Kv, Pull, PullReply } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { LeaseKeeper } from "@cranetrack/core/store/leaseKeepAlive.js";
+import type { LeaseKeepAlive } from "@cranetrack/core/store/leaseKeepAlive.js";
 import type { Body, BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { OwnerKey } from "./ownerKey.js";
 import { SubscriptionKey } from "./subscriptionKey.js";
@@ -30,7 +30,7 @@
   static readonly keepIdleMs = 60_000;
 
   readonly #node: ClusterNode;
-  readonly #lease: LeaseKeeper;
+  readonly #lease: LeaseKeepAlive;
   readonly #table = new Map<string, Session>();
   readonly #claiming = new Set<string>();
   /** Sessions whose owner was seen to be gone with their state, and when: numbers may have been handed over. */
@@ -38,11 +38,11 @@
   /** State already shipped, for an asker whose receipt was lost. */
   readonly #shipped = new Map<string, Shipped>();
 
-  constructor(node: ClusterNode, lease: LeaseKeeper) {
+  constructor(node: ClusterNode, lease: LeaseKeepAlive) {
     super();
     this.#node = node;
     this.#lease = lease;
-    node.exchange.serve("pull", (pull) => this.#ship(pull));
+    node.rpc.serve("pull", (pull) => this.#ship(pull));
     lease.on("lost", () => this.#dropAll());
     node.parts.clock.every(1000, () => this.#tend());
   }
@@ -101,7 +101,7 @@
     const { owner } = read;
     const shipped = owner === undefined || owner.node === "" ? undefined : await this.#pull(id, owner, lease);
     if (shipped === "freed" || (shipped !== undefined && "comeBack" in shipped)) return shipped;
-    const value = OwnerKey.write({ node: this.#node.exchange.name, lease });
+    const value = OwnerKey.write({ node: this.#node.rpc.name, lease });
     const written = await this.#node.store.txn({
       checks: [{ key, revision: owner?.revision ?? 0 }],
       puts: [{ key, value, lease }],
@@ -143,13 +143,13 @@
     owner: Owner,
     lease: string,
   ): Promise<{ state: PullReply } | { comeBack: number; reason: string } | "freed" | undefined> {
-    if (owner.node === this.#node.exchange.name && owner.lease !== lease) {
+    if (owner.node === this.#node.rpc.name && owner.lease !== lease) {
       // This very process, or one before it at the same address, held that lease and is gone from it.
       this.#orphans.set(id, this.#node.parts.clock.now());
       await this.#node.store.call({ case: "revoke", value: { lease: owner.lease } });
       return { comeBack: 0.1, reason: "an earlier lease of this node is being given up" };
     }
-    if (owner.node === this.#node.exchange.name) return undefined;
+    if (owner.node === this.#node.rpc.name) return undefined;
     this.emit("step", "pull", id);
     const reply = await this.#ask(id, owner);
     if (reply?.case !== "pullReply") return this.#unanswered(id, owner);
@@ -165,10 +165,10 @@
 
   /** Asks the owner for the session; one known to be mute is not asked, only waited for where its lease ends soon. */
   async #ask(id: string, owner: Owner): Promise<Body | undefined> {
-    const { exchange, parts } = this.#node;
-    if (!exchange.isMute(owner.node)) {
-      const ask = { session: id, ownerRevision: owner.revision, asker: exchange.name };
-      return exchange.call(owner.node, { case: "pull", value: ask }, Sessions.pullDue);
+    const { rpc, parts } = this.#node;
+    if (!rpc.isUnresponsive(owner.node)) {
+      const ask = { session: id, ownerRevision: owner.revision, asker: rpc.name };
+      return rpc.call(owner.node, { case: "pull", value: ask }, Sessions.pullDue);
     }
     const left = owner.leaseLeft + Sessions.expiryMs;
     if (left <= Sessions.soonMs) await new Promise<void>((resolve) => void parts.clock.once(left, resolve));
@@ -225,7 +225,7 @@
     if (outcome !== "unsure") return 0;
     const read = await readOwner(this.#node.store, id);
     const owner = read?.owner;
-    return owner?.node === this.#node.exchange.name && owner.lease === lease ? owner.revision : 0;
+    return owner?.node === this.#node.rpc.name && owner.lease === lease ? owner.revision : 0;
   }
 
   #fill(session: Session, kvs: Kv[], shipped: PullReply | undefined): void {
--- a/packages/edge/src/subscriptions/askStarts.ts
+++ b/packages/edge/src/subscriptions/askStarts.ts
@@ -12,12 +12,12 @@
   shard: number,
   places: Array<MessageInitShape<typeof TopicPlaceSchema>>,
 ): Promise<Map<string, TopicStart> | undefined> {
-  const { exchange, shards, parts } = vise.node;
+  const { rpc, shards, parts } = vise.node;
   const end = parts.clock.now() + mostMs;
   for (let left = mostMs; left > 0; left = end - parts.clock.now()) {
     const { holder } = shards.find(shard);
     if (holder !== "") {
-      const ask = exchange.call(holder, { case: "startRequest", value: { shard, places } }, Math.min(callMs, left));
+      const ask = rpc.call(holder, { case: "startRequest", value: { shard, places } }, Math.min(callMs, left));
       const reply = await Promise.race([ask, shards.moved(shard, holder, parts.clock, left)]);
       if (reply?.case === "startReply" && reply.value.outcome === "done")
         return new Map(reply.value.starts.map((start) => [start.topic, start]));
--- a/packages/log-storage/src/follows/pushTurn.ts
+++ b/packages/log-storage/src/follows/pushTurn.ts
@@ -25,7 +25,7 @@
   }
 
   tell(edge: string, push: PushInit): void {
-    if (!this.#isRunning) return this.#node.exchange.tell(edge, { case: "push", value: push });
+    if (!this.#isRunning) return this.#node.rpc.send(edge, { case: "push", value: push });
     const list = this.#gathered.get(edge);
     if (list === undefined) this.#gathered.set(edge, [push]);
     else list.push(push);
@@ -39,7 +39,7 @@
     this.#isRunning = false;
     for (const [edge, pushes] of this.#gathered) {
       if (pushes.length === 1) this.tell(edge, pushes[0]!);
-      else this.#node.exchange.tell(edge, { case: "pushes", value: { pushes } });
+      else this.#node.rpc.send(edge, { case: "pushes", value: { pushes } });
     }
     this.#gathered.clear();
   }
--- a/packages/log-storage/src/repair/newcomers.ts
+++ b/packages/log-storage/src/repair/newcomers.ts
@@ -34,7 +34,7 @@
   #look(): void {
     const now = this.#clock.now();
     const isSettling = now - this.#startedAt < Newcomers.settlingMs;
-    const disks = new Set(this.#membership.all().map((member) => member.shelf));
+    const disks = new Set(this.#membership.all().map((member) => member.logDisk));
     for (const disk of disks)
       if (disk !== "" && !this.#seenAt.has(disk)) this.#seenAt.set(disk, isSettling ? -Infinity : now);
     for (const disk of this.#seenAt.keys()) if (!disks.has(disk)) this.#seenAt.delete(disk);
--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -168,22 +168,25 @@
     const { membership, machines } = this.#node;
     const staying = this.#holder.set.members.filter((member) => member !== out);
     const isFree = (member: Member): boolean =>
-      member.shelf !== "" &&
-      member.shelf !== out?.id &&
+      member.logDisk !== "" &&
+      member.logDisk !== out?.id &&
       membership.isAlive(member.name) &&
       !machines.isDraining(member.name) &&
-      !staying.some((one) => one.id === member.shelf || one.name === member.name);
+      !staying.some((one) => one.id === member.logDisk || one.name === member.name);
     return membership
       .all()
       .filter(isFree)
-      .map(({ name, zone, region, shelf, isStorage }) => ({ name, zone, region, disk: shelf, isStorage }));
+      .map(({ name, zone, region, logDisk, isStorage }) => ({ name, zone, region, disk: logDisk, isStorage }));
   }
 
   #isBlank(member: Place): boolean {
     const { membership } = this.#node;
     const present = membership.find(member.name);
     return (
-      present !== undefined && present.shelf !== "" && present.shelf !== member.id && membership.isAlive(member.name)
+      present !== undefined &&
+      present.logDisk !== "" &&
+      present.logDisk !== member.id &&
+      membership.isAlive(member.name)
     );
   }
 
@@ -196,7 +199,7 @@
   }
 
   #heardAgo(member: Place): number {
-    return this.#holder.spread?.heardAgo(member.id) ?? 0;
+    return this.#holder.replicator?.heardAgo(member.id) ?? 0;
   }
 
   #locate({ name, zone }: Place): Location {
--- a/packages/log-storage/src/repair/replicaRepair.ts
+++ b/packages/log-storage/src/repair/replicaRepair.ts
@@ -69,11 +69,11 @@
     if (!this.#holder.isServing || this.#isWriting) return undefined;
     if (this.#move === undefined) this.#begin(isUrgentOnly);
     const move = this.#move;
-    const { spread } = this.#holder;
-    if (move === undefined || spread === undefined) return undefined;
+    const { replicator } = this.#holder;
+    if (move === undefined || replicator === undefined) return undefined;
     if (move.step === "copying" && this.#isNear(move)) this.#joinIn(move);
     const joined = { set: move.set, newcomer: move.change.in?.id, joinedAt: move.joinedAt };
-    if (move.step !== "copying" && isSafeToDecide(joined, spread)) return this.#decide(move);
+    if (move.step !== "copying" && isSafeToDecide(joined, replicator)) return this.#decide(move);
     if (move.step !== "deciding" && this.#isLost(move)) this.#drop();
     return undefined;
   }
@@ -91,7 +91,7 @@
       startedAt: this.#node.parts.clock.now(),
     };
     this.#holder.enlist([this.#holder.set], change.in === undefined ? [] : [change.in.id]);
-    this.#holder.spread?.beat(Number.POSITIVE_INFINITY);
+    this.#holder.replicator?.beat(Number.POSITIVE_INFINITY);
     this.#node.parts.log.note("changes a replica set", {
       shard: this.#replica.shard,
       out: change.out?.name ?? "",
@@ -102,7 +102,7 @@
 
   #isNear({ change }: Move): boolean {
     if (change.in === undefined) return true;
-    const match = this.#holder.spread!.matchOf(change.in.id);
+    const match = this.#holder.replicator!.matchOf(change.in.id);
     return match > 0 && this.#replica.log.lastIndex - match <= ReplicaRepair.nearly;
   }
 
@@ -114,7 +114,7 @@
 
   #isLost({ change, startedAt }: Move): boolean {
     const isSilent =
-      change.in !== undefined && this.#holder.spread!.heardAgo(change.in.id) > ReplicaRepair.newcomerLostMs;
+      change.in !== undefined && this.#holder.replicator!.heardAgo(change.in.id) > ReplicaRepair.newcomerLostMs;
     return isSilent || this.#node.parts.clock.now() - startedAt > ReplicaRepair.giveUpMs;
   }
 
@@ -138,7 +138,7 @@
     const setPut = { key: setKey, value: ReplicasKey.write(move.set) };
     const holderPut = {
       key: holderKey,
-      value: HolderKey.write({ name: this.#node.exchange.name, id, lease: this.#lease }),
+      value: HolderKey.write({ name: this.#node.rpc.name, id, lease: this.#lease }),
       lease: this.#lease,
     };
     const written = await this.#node.store.txn(
--- a/packages/log-storage/src/replication/commitNotices.ts
+++ b/packages/log-storage/src/replication/commitNotices.ts
@@ -47,6 +47,6 @@
     }
     this.#sources.clear();
     for (const [receiver, { name, commits }] of gathered)
-      this.#node.exchange.tell(name, { case: "commits", value: { receiver, commits } });
+      this.#node.rpc.send(name, { case: "commits", value: { receiver, commits } });
   }
 }
--- a/packages/log-storage/src/replication/replica.test.ts
+++ b/packages/log-storage/src/replication/replica.test.ts
@@ -25,9 +25,9 @@
   onLost: () => undefined,
   drop: () => undefined,
 };
-const chance = { draw: () => 0, identity: () => "0123456789abcdef" };
-const exchange = new RpcEndpoint("r", transport, clock, chance);
-const node: ReplicaNode = { exchange, groups: new LogGroups(exchange), parts: { clock } };
+const random = { draw: () => 0, identity: () => "0123456789abcdef" };
+const rpc = new RpcEndpoint("r", transport, clock, random);
+const node: ReplicaNode = { rpc, groups: new LogGroups(rpc), parts: { clock } };
 const noop = (index: number, term: number): Entry => create(EntrySchema, { index, term, kind: 1 });
 
 /** Replicas whose logs begin with entries of these terms. */
--- a/packages/log-storage/src/replication/replica.ts
+++ b/packages/log-storage/src/replication/replica.ts
@@ -16,7 +16,7 @@
 import type { Verdict } from "../shards/streamLog.js";
 
 /** What a replica needs of its node. */
-export type ReplicaNode = Pick<ClusterNode, "groups" | "exchange"> & {
+export type ReplicaNode = Pick<ClusterNode, "groups" | "rpc"> & {
   readonly invariants?: Pick<InvariantMonitor, "violated">;
   readonly parts: { readonly clock: Clock };
 };
@@ -51,7 +51,7 @@
   readonly id: string;
   readonly log: ReplicaLog;
   readonly state = new ShardState();
-  readonly #intake: FollowerLog;
+  readonly #followerLog: FollowerLog;
   readonly #compaction: LogCompaction;
   readonly #node: ReplicaNode;
   applied = 0;
@@ -62,7 +62,7 @@
   /** The snapshot that was last asked for in pieces. */
   #pulled: { snapshot: Uint8Array; checksum: number } | undefined;
   /** Set while this replica spreads its own log. */
-  spread: LogReplicator | undefined;
+  replicator: LogReplicator | undefined;
 
   constructor(shard: number, id: string, disk: Disk, node: ReplicaNode) {
     super();
@@ -72,7 +72,7 @@
     this.#node = node;
     this.log = new ReplicaLog(disk, logGroupNames.shard(shard));
     this.#compaction = new LogCompaction(this.log, Replica.compaction);
-    this.#intake = new FollowerLog(
+    this.#followerLog = new FollowerLog(
       this.log,
       id,
       (index) => this.advance(index),
@@ -84,14 +84,16 @@
     node.groups.enlist(this.log.group, {
       append: (append, from) =>
         append.receiver === this.id
-          ? this.#take(append.term, append.commit, from, () => this.#intake.take(append, this.applied))
+          ? this.#take(append.term, append.commit, from, () => this.#followerLog.take(append, this.applied))
           : undefined,
       snapshot: (snapshot, from) =>
         snapshot.receiver === this.id
-          ? this.#take(snapshot.term, snapshot.index, from, () => this.#intake.takeSnapshot(snapshot, this.applied))
+          ? this.#take(snapshot.term, snapshot.index, from, () =>
+              this.#followerLog.takeSnapshot(snapshot, this.applied),
+            )
           : undefined,
       onReply: (reply) => {
-        if (reply.receiver === this.id) this.spread?.take(reply);
+        if (reply.receiver === this.id) this.replicator?.take(reply);
       },
     });
   }
@@ -112,7 +114,7 @@
   /** The holder of an epoch says how far the log is committed. */
   committed(epoch: number, index: number): void {
     if (epoch !== this.log.term || !Number.isSafeInteger(index)) return;
-    this.#intake.heed(epoch, index);
+    this.#followerLog.onHeartbeatReply(epoch, index);
     this.#hear(epoch, index);
   }
 
@@ -202,7 +204,7 @@
   }
 
   #outbid(term: number): void {
-    if (this.spread !== undefined && term > this.log.term) this.emit("deposed", term);
+    if (this.replicator !== undefined && term > this.log.term) this.emit("deposed", term);
   }
 
   async #take(term: number, commit: number, from: string, take: () => Promise<BodyInit>): Promise<undefined> {
@@ -211,7 +213,7 @@
     if (term === this.log.term) this.#hear(term, commit);
     const reply = await taken;
     this.emit("appended");
-    this.#node.exchange.tell(from, reply);
+    this.#node.rpc.send(from, reply);
     return undefined;
   }
 }
--- a/packages/log-storage/src/shards/shardLeader.ts
+++ b/packages/log-storage/src/shards/shardLeader.ts
@@ -37,7 +37,7 @@
   readonly #startedAt: number;
   #timeBase = 0;
   #set: ShardSet;
-  #spread: LogReplicator | undefined;
+  #replicator: LogReplicator | undefined;
   #isServing = false;
   #isOver = false;
   readonly #heed = (applied: AppliedEntry): void => this.#applied(applied);
@@ -70,8 +70,8 @@
     return this.#set;
   }
 
-  get spread(): LogReplicator | undefined {
-    return this.#spread;
+  get replicator(): LogReplicator | undefined {
+    return this.#replicator;
   }
 
   /** Shard time now; it goes on from the last entry's and never runs faster than the monotonic clock. */
@@ -86,7 +86,7 @@
     if (this.epoch < replica.log.term) return false;
     const own = replica.log.promise(this.epoch, "");
     const asked = others.map(async (member) => {
-      const body = await this.#node.exchange.call(
+      const body = await this.#node.rpc.call(
         member.name,
         { case: "pledge", value: { group: replica.log.group, epoch: this.epoch, receiver: member.id } },
         900,
@@ -119,14 +119,14 @@
   }
 
   beat(): void {
-    if (this.#spread === undefined) return;
-    if (this.#spread.majorityAgo() > Holder.silentMs) return this.stop("no majority of the replicas answers");
-    this.#spread.beat(Holder.idleBeatMs);
+    if (this.#replicator === undefined) return;
+    if (this.#replicator.majorityAgo() > Holder.silentMs) return this.stop("no majority of the replicas answers");
+    this.#replicator.beat(Holder.idleBeatMs);
   }
 
   /** Whom entries must be synced on from now on: one set, or the old and the new one. */
   enlist(sets: ShardSet[], learners: string[]): void {
-    this.#spread?.enlist(
+    this.#replicator?.enlist(
       sets.map((set) => set.members.map((member) => member.id)),
       learners,
     );
@@ -134,20 +134,20 @@
 
   /** A majority has answered something sent after the call. */
   confirm(): Promise<boolean> {
-    return this.#spread?.confirm() ?? Promise.resolve(false);
+    return this.#replicator?.confirm() ?? Promise.resolve(false);
   }
 
   /** Which replicas have all that is committed and were not told so; they count as told from now on. */
   untold(): UntoldReplica[] {
-    const commit = { shard: this.#replica.shard, term: this.epoch, index: this.#spread?.commit ?? 0 };
-    return (this.#spread?.untold() ?? []).map((id) => ({ id, name: this.#nameOf(id), commit }));
+    const commit = { shard: this.#replica.shard, term: this.epoch, index: this.#replicator?.commit ?? 0 };
+    return (this.#replicator?.untold() ?? []).map((id) => ({ id, name: this.#nameOf(id), commit }));
   }
 
   stop(why: string): void {
     if (this.#isOver) return;
     this.#isOver = true;
-    this.#spread?.stop();
-    if (this.#replica.spread === this.#spread) this.#replica.spread = undefined;
+    this.#replicator?.stop();
+    if (this.#replica.replicator === this.#replicator) this.#replica.replicator = undefined;
     this.#replica.off("applied", this.#heed);
     this.#replica.off("deposed", this.#outbid);
     for (const settle of [...this.#pending.values()]) settle(undefined);
@@ -158,44 +158,44 @@
   #begin(): void {
     const replica = this.#replica;
     this.#timeBase = replica.state.at;
-    const spread = new LogReplicator({
+    const replicator = new LogReplicator({
       log: replica.log,
       clock: this.#node.parts.clock,
       self: replica.id,
       term: this.epoch,
       commit: replica.applied,
-      send: (id, body) => this.#node.exchange.tell(this.#nameOf(id), body),
+      send: (id, body) => this.#node.rpc.send(this.#nameOf(id), body),
     });
-    this.#spread = replica.spread = spread;
+    this.#replicator = replica.replicator = replicator;
     replica.on("applied", this.#heed);
     replica.on("deposed", this.#outbid);
-    spread.on("committed", (index) => {
+    replicator.on("committed", (index) => {
       replica.advance(index);
       this.#commits.add(this);
     });
-    spread.on("deposed", () => this.stop("a higher epoch"));
-    spread.enlist([this.#set.members.map((member) => member.id)], []);
+    replicator.on("deposed", () => this.stop("a higher epoch"));
+    replicator.enlist([this.#set.members.map((member) => member.id)], []);
     void this.#append(create(EntrySchema, { index: replica.log.lastIndex + 1, term: this.epoch, kind: 1 })).then(() => {
       if (this.#isOver) return;
       this.#timeBase = replica.state.at - (this.#node.parts.clock.now() - this.#startedAt);
       this.#isServing = true;
       this.emit("serving");
     });
-    spread.beat();
+    replicator.beat();
   }
 
   #nameOf(id: string): string {
     return (
       this.#set.members.find((member) => member.id === id)?.name ??
-      this.#node.membership.all().find((member) => member.shelf === id)?.name ??
+      this.#node.membership.all().find((member) => member.logDisk === id)?.name ??
       ""
     );
   }
 
   #append(entry: ReturnType<typeof create<typeof EntrySchema>>): Promise<Verdict | undefined> {
     const settled = new Promise<Verdict | undefined>((resolve) => this.#pending.set(entry.index, resolve));
-    void this.#replica.log.append([entry]).then(() => this.#spread?.kick());
-    this.#spread?.kick();
+    void this.#replica.log.append([entry]).then(() => this.#replicator?.kick());
+    this.#replicator?.kick();
     return settled;
   }
 
@@ -210,7 +210,7 @@
     const { log } = this.#replica;
     const pull = new LogPull(this.#replica, this.epoch, async (after, offset) => {
       if (this.#isOver) return undefined;
-      const body = await this.#node.exchange.call(
+      const body = await this.#node.rpc.call(
         member.name,
         { case: "shardPull", value: { group: log.group, epoch: this.epoch, after, offset, receiver: member.id } },
         Holder.pullMs,
--- a/packages/log-storage/src/shards/shardLeadership.ts
+++ b/packages/log-storage/src/shards/shardLeadership.ts
@@ -3,7 +3,7 @@
 import { HolderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import type { ShardSet } from "@cranetrack/core/feeds/shardSet.js";
-import type { LeaseKeeper } from "@cranetrack/core/store/leaseKeepAlive.js";
+import type { LeaseKeepAlive } from "@cranetrack/core/store/leaseKeepAlive.js";
 import { ShardService } from "./shardService.js";
 import { Holder } from "./shardLeader.js";
 import { Newcomers } from "../repair/newcomers.js";
@@ -16,8 +16,8 @@
   replica: Replica;
   lease: string;
   holder: Holder;
-  bench: ShardService;
-  mender: ReplicaRepair;
+  service: ShardService;
+  repair: ReplicaRepair;
 }
 
 /**
@@ -32,7 +32,7 @@
   static readonly mostImprovements = 4;
 
   readonly #node: ClusterNode;
-  readonly #lease: LeaseKeeper;
+  readonly #lease: LeaseKeepAlive;
   readonly #replicas: readonly Replica[];
   readonly #id: string;
   readonly #claims = new Map<number, Claim>();
@@ -45,7 +45,7 @@
   readonly #newcomers: Newcomers;
   isDraining = false;
 
-  constructor(node: ClusterNode, lease: LeaseKeeper, replicas: readonly Replica[], id: string, turn: PushTurn) {
+  constructor(node: ClusterNode, lease: LeaseKeepAlive, replicas: readonly Replica[], id: string, turn: PushTurn) {
     this.#node = node;
     this.#lease = lease;
     this.#replicas = replicas;
@@ -57,7 +57,7 @@
       for (const claim of [...this.#claims.values()]) claim.holder.stop("the lease was lost");
     });
     node.plan.on("changed", () => {
-      for (const claim of this.#claims.values()) if (claim.holder.isServing) claim.bench.planChanged();
+      for (const claim of this.#claims.values()) if (claim.holder.isServing) claim.service.planChanged();
     });
     node.shards.on("changed", (shard) => this.#heed(shard));
     node.parts.clock.every(100, () => this.#beat());
@@ -85,7 +85,7 @@
     if (!this.#lease.isHeld) return;
     for (const claim of [...this.#claims.values()]) {
       claim.holder.beat();
-      if (claim.holder.isServing) claim.bench.beat();
+      if (claim.holder.isServing) claim.service.beat();
     }
     if (!this.#node.feed.isFresh) return;
     for (const replica of this.#replicas) this.#consider(replica);
@@ -93,18 +93,18 @@
 
   /** What was lost is repaired for all held shards at once; what is only better goes few at a time. */
   #repairAll(): void {
-    let improving = this.all().filter(([, { mender }]) => mender.isImproving).length;
+    let improving = this.all().filter(([, { repair }]) => repair.isImproving).length;
     for (const [shard, claim] of this.all()) {
       if (this.#mending.has(shard)) continue;
-      const wasImproving = claim.mender.isImproving;
+      const wasImproving = claim.repair.isImproving;
       void this.#repair(shard, claim, improving >= Claims.mostImprovements);
-      if (!wasImproving && claim.mender.isImproving) improving += 1;
+      if (!wasImproving && claim.repair.isImproving) improving += 1;
     }
   }
 
   async #repair(shard: number, claim: Claim, isUrgentOnly: boolean): Promise<void> {
     this.#mending.add(shard);
-    const swap = await claim.mender.beat(isUrgentOnly);
+    const swap = await claim.repair.beat(isUrgentOnly);
     this.#mending.delete(shard);
     if (swap === undefined) return this.#heed(shard);
     if (this.#claims.get(shard) === claim) this.#claims.delete(shard);
@@ -116,16 +116,11 @@
     const { shard } = replica;
     const route = this.#node.shards.find(shard);
     // A holder of this name that is not this process was one before it: nobody needs to wait for its lease.
-    const isOwnKey = route.holder === this.#node.exchange.name && this.#claims.get(shard)?.holder.epoch !== route.epoch;
+    const isOwnKey = route.holder === this.#node.rpc.name && this.#claims.get(shard)?.holder.epoch !== route.epoch;
     if (this.#busy.has(shard) || this.#mending.has(shard)) return;
     if (isOwnKey) return void this.#guard(shard, () => this.#giveBack(shard, route.epoch));
     const rank = this.#rank(shard);
-    if (
-      route.holder !== "" ||
-      rank === -1 ||
-      this.isDraining ||
-      this.#node.machines.isDraining(this.#node.exchange.name)
-    )
+    if (route.holder !== "" || rank === -1 || this.isDraining || this.#node.machines.isDraining(this.#node.rpc.name))
       return void this.#freeSince.delete(shard);
     const now = this.#node.parts.clock.now();
     const since = this.#freeSince.get(shard) ?? now;
@@ -143,7 +138,7 @@
   }
 
   #isWell(name: string): boolean {
-    return this.#node.membership.isAlive(name) && !this.#node.exchange.isMute(name);
+    return this.#node.membership.isAlive(name) && !this.#node.rpc.isUnresponsive(name);
   }
 
   async #guard(shard: number, act: () => Promise<void>): Promise<void> {
@@ -158,7 +153,7 @@
     const lease = this.#lease.lease;
     if (set === undefined) return;
     const key = HolderKey.of(shard);
-    const value = HolderKey.write({ name: this.#node.exchange.name, id: this.#id, lease });
+    const value = HolderKey.write({ name: this.#node.rpc.name, id: this.#id, lease });
     const reply = await this.#node.store.txn({
       checks: [
         { key, revision: 0 },
@@ -174,7 +169,7 @@
   async #hold(replica: Replica, set: ShardSet, epoch: number, lease: string): Promise<void> {
     const { shard } = replica;
     const holder = new Holder(replica, set, epoch, this.#node, this.#commits);
-    const bench = new ShardService(
+    const service = new ShardService(
       this.#node,
       replica,
       holder,
@@ -185,12 +180,12 @@
       replica,
       lease,
       holder,
-      bench,
-      mender: new ReplicaRepair(this.#node, replica, holder, lease, this.#newcomers),
+      service,
+      repair: new ReplicaRepair(this.#node, replica, holder, lease, this.#newcomers),
     };
     this.#claims.set(shard, claim);
     holder.on("over", (why) => void this.#over(shard, claim, why));
-    holder.on("serving", () => claim.bench.planChanged());
+    holder.on("serving", () => claim.service.planChanged());
     if (!(await holder.takeOver())) holder.stop("no majority of the replicas pledged");
   }
 
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -66,7 +66,7 @@
     this.#holder = holder;
     this.#isHeld = isHeld;
     this.#standings = new StreamStandings(node);
-    this.#memory = new MemoryStreams(() => node.parts.chance.identity());
+    this.#memory = new MemoryStreams(() => node.parts.random.identity());
     this.#follows = new Follows({
       node,
       shard: replica.shard,
@@ -322,7 +322,7 @@
     if (incarnation === undefined && (streams.get(stream)?.spaceIncarnation ?? 0) < spaceIncarnation) {
       const value = {
         stream,
-        incarnation: Streams.incarnation(spaceIncarnation, this.#node.parts.chance.identity()),
+        incarnation: Streams.incarnation(spaceIncarnation, this.#node.parts.random.identity()),
         at: this.#holder.at,
       };
       // Who comes when it was just made still waits behind those that have waited for it: in a stream's order of
--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -2,7 +2,7 @@
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { Disk } from "@cranetrack/core/storage/disk.js";
-import { LeaseKeeper } from "@cranetrack/core/store/leaseKeepAlive.js";
+import { LeaseKeepAlive } from "@cranetrack/core/store/leaseKeepAlive.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { ShardService } from "./shards/shardService.js";
@@ -23,7 +23,7 @@
   readonly #node: ClusterNode;
   readonly #disk: Disk;
   readonly #isSpare: boolean;
-  readonly #lease: LeaseKeeper;
+  readonly #lease: LeaseKeepAlive;
   readonly #replicas: Replica[] = [];
   /** Of each shard; idle where its replica is the holder's, or this disk is not in its set. */
   readonly #reads: FollowerReads[] = [];
@@ -38,8 +38,8 @@
     this.#disk = disk;
     this.#isSpare = isSpare;
     this.#turn = new PushTurn(node);
-    const { settings, clock, chance } = node.parts;
-    this.#lease = new LeaseKeeper(`${settings.name}-shards`, settings.holderLeaseMs, node.store, clock, chance);
+    const { settings, clock, random } = node.parts;
+    this.#lease = new LeaseKeepAlive(`${settings.name}-shards`, settings.holderLeaseMs, node.store, clock, random);
   }
 
   get claims(): Claims | undefined {
@@ -62,7 +62,7 @@
   /** Says what is wrong with the data folder, if anything is. */
   load(): string | undefined {
     const kept = this.#disk.read("shelf")[0];
-    this.#id = kept === undefined ? this.#node.parts.chance.identity() : Buffer.from(kept.value).toString();
+    this.#id = kept === undefined ? this.#node.parts.random.identity() : Buffer.from(kept.value).toString();
     for (let shard = 0; shard < this.#node.parts.settings.shards; shard += 1)
       this.#replicas.push(new Replica(shard, this.#id, this.#disk, this.#node));
     for (const replica of this.#replicas) this.#reads.push(new FollowerReads(this.#node, replica, this.#turn));
@@ -71,58 +71,56 @@
 
   async start(): Promise<void> {
     await this.#disk.write([{ key: "shelf", value: Buffer.from(this.#id) }]);
-    this.#node.membership.self.shelf = this.#id;
-    const { exchange } = this.#node;
+    this.#node.membership.self.logDisk = this.#id;
+    const { rpc } = this.#node;
     const find = (group: string): Replica | undefined => this.#replicas.find((replica) => replica.log.group === group);
-    exchange.serve("pledge", (pledge) =>
-      pledge.receiver === this.#id ? find(pledge.group)?.pledge(pledge) : undefined,
-    );
-    exchange.serve("shardPull", (pull) => (pull.receiver === this.#id ? find(pull.group)?.pull(pull) : undefined));
-    exchange.serve(
+    rpc.serve("pledge", (pledge) => (pledge.receiver === this.#id ? find(pledge.group)?.pledge(pledge) : undefined));
+    rpc.serve("shardPull", (pull) => (pull.receiver === this.#id ? find(pull.group)?.pull(pull) : undefined));
+    rpc.serve(
       "publish",
       async (publish) =>
-        (await this.#bench(publish.shard)?.publish(publish)) ?? {
+        (await this.#service(publish.shard)?.publish(publish)) ?? {
           case: "publishReply",
           value: { outcome: "away", holder: this.#node.shards.find(publish.shard).holder },
         },
     );
-    exchange.serve("follow", (follow, frame) => {
+    rpc.serve("follow", (follow, frame) => {
       const away: BodyInit = {
         case: "followReply",
         value: { outcome: "away", holder: this.#node.shards.find(follow.shard).holder },
       };
       if (follow.isAtReplica) return this.#reads[follow.shard]?.follow(follow, frame.from) ?? away;
-      return this.#bench(follow.shard)?.follow(follow, frame.from) ?? away;
+      return this.#service(follow.shard)?.follow(follow, frame.from) ?? away;
     });
-    exchange.serve(
+    rpc.serve(
       "fetch",
       (fetch) =>
-        (fetch.isAtReplica ? this.#reads[fetch.shard] : this.#bench(fetch.shard))?.fetch(fetch) ?? {
+        (fetch.isAtReplica ? this.#reads[fetch.shard] : this.#service(fetch.shard))?.fetch(fetch) ?? {
           case: "fetchReply",
           value: { outcome: "away" },
         },
     );
-    exchange.serve(
+    rpc.serve(
       "startRequest",
-      async (ask) => (await this.#bench(ask.shard)?.start(ask)) ?? { case: "startReply", value: { outcome: "away" } },
+      async (ask) => (await this.#service(ask.shard)?.start(ask)) ?? { case: "startReply", value: { outcome: "away" } },
     );
-    exchange.serve("followBeats", ({ beats }) => ({
+    rpc.serve("followBeats", ({ beats }) => ({
       case: "followBeatsReply",
       value: {
         outcomes: beats.map(
-          (beat) => (beat.isAtReplica ? this.#reads[beat.shard] : this.#bench(beat.shard))?.beaten(beat) ?? "away",
+          (beat) => (beat.isAtReplica ? this.#reads[beat.shard] : this.#service(beat.shard))?.beaten(beat) ?? "away",
         ),
         applied: beats.map((beat) => this.#replicas[beat.shard]?.applied ?? 0),
       },
     }));
-    exchange.serve("commits", ({ receiver, commits }) => {
+    rpc.serve("commits", ({ receiver, commits }) => {
       if (receiver === this.#id)
         for (const { shard, term, index } of commits) this.#replicas[shard]?.committed(term, index);
       return undefined;
     });
-    exchange.serve(
+    rpc.serve(
       "countRequest",
-      (ask) => this.#bench(ask.shard)?.count(ask) ?? { case: "countReply", value: { outcome: "away" } },
+      (ask) => this.#service(ask.shard)?.count(ask) ?? { case: "countReply", value: { outcome: "away" } },
     );
     this.#claims = new Claims(this.#node, this.#lease, this.#replicas, this.#id, this.#turn);
     this.#lease.start();
@@ -137,28 +135,28 @@
   }
 
   status(): object {
-    const held = (this.#claims?.all() ?? []).map(([shard, { holder, mender }]) => ({
+    const held = (this.#claims?.all() ?? []).map(([shard, { holder, repair }]) => ({
       shard,
       epoch: holder.epoch,
       isServing: holder.isServing,
       occupancy: holder.occupancy,
-      move: mender.progress ?? null,
+      move: repair.progress ?? null,
       replicas: holder.set.members.map(({ id, name }) => ({
         name,
-        behind: this.#replicas[shard]!.log.lastIndex - (holder.spread?.matchOf(id) ?? 0),
+        behind: this.#replicas[shard]!.log.lastIndex - (holder.replicator?.matchOf(id) ?? 0),
       })),
     }));
     return { hasLease: this.#lease.isHeld, leasesLost: this.#lease.losses, shelf: this.#id, held };
   }
 
-  #bench(shard: number): ShardService | undefined {
-    return this.#claims?.find(shard)?.bench;
+  #service(shard: number): ShardService | undefined {
+    return this.#claims?.find(shard)?.service;
   }
 
   /** Names the first replica sets, each shard's by the storage machine that ranks first for it. */
   #foundSets(): void {
     const { membership, feed, shards, parts } = this.#node;
-    const storage = membership.alive().filter((member) => member.isStorage && member.shelf !== "");
+    const storage = membership.alive().filter((member) => member.isStorage && member.logDisk !== "");
     const { replicas } = parts.settings;
     const least = Math.min(replicas, StorageNode.fewestFounding);
     if (!feed.isFresh || storage.length < least) return void (this.#foundAt = 0);
@@ -175,7 +173,7 @@
   #foundSet(shard: number, storage: readonly Member[]): void {
     const { store, parts } = this.#node;
     const picked = Placement.pick(RendezvousKeys.replicaSet(shard), storage, parts.settings.replicas);
-    const members = picked.map(({ shelf, name, zone }) => ({ id: shelf, name, zone }));
+    const members = picked.map(({ logDisk, name, zone }) => ({ id: logDisk, name, zone }));
     const key = ReplicasKey.of(shard);
     void store.txn({
       checks: [{ key, revision: 0 }],
--- a/packages/testkit/src/callers/passingCallers.ts
+++ b/packages/testkit/src/callers/passingCallers.ts
@@ -10,7 +10,7 @@
 interface PassingParts {
   port: CallerPort;
   clock: Clock;
-  chance: SimRandom;
+  random: SimRandom;
   /** Edges that callers may come to just now. */
   edges: () => string[];
   topics: readonly string[];
@@ -52,12 +52,12 @@
   }
 
   begin(): void {
-    const { clock, chance, perSecond, topics } = this.#parts;
+    const { clock, random, perSecond, topics } = this.#parts;
     for (const reader of this.#readers) reader.start(topics);
     for (const sender of this.#senders) sender.start([]);
     const bursts = clock.every((1000 * PassingCallers.burst) / perSecond, () => this.#publish());
     const drops = clock.every(PassingCallers.dropMs, () =>
-      chance.pick(this.#readers).dropOff(chance.between(0, PassingCallers.mostAwayMs)),
+      random.pick(this.#readers).dropOff(random.between(0, PassingCallers.mostAwayMs)),
     );
     this.#stops = [() => bursts.stop(), () => drops.stop()];
   }
@@ -72,16 +72,16 @@
   }
 
   #publish(): void {
-    const publisher = this.#parts.chance.pick(this.#publishers);
-    const topic = this.#parts.chance.pick(this.#parts.topics);
+    const publisher = this.#parts.random.pick(this.#publishers);
+    const topic = this.#parts.random.pick(this.#parts.topics);
     for (let i = 0; i < PassingCallers.burst; i += 1) publisher.publish(topic);
   }
 
   #callers(kind: string, count: number): Caller[] {
-    const { port, clock, chance, edges } = this.#parts;
+    const { port, clock, random, edges } = this.#parts;
     return Array.from({ length: count }, (_, i) => {
       const session = `passing-${kind}-${i + 1}`;
-      return new Caller({ session, port, clock, draw: () => chance.draw(), history: this.#history, nodes: edges });
+      return new Caller({ session, port, clock, draw: () => random.draw(), history: this.#history, nodes: edges });
     });
   }
 }
--- a/packages/testkit/src/explore/modelClock.ts
+++ b/packages/testkit/src/explore/modelClock.ts
@@ -5,7 +5,7 @@
   order: number;
   /** Undefined: rings once. */
   everyMs: number | undefined;
-  ring: () => void;
+  fire: () => void;
 }
 
 /**
@@ -21,19 +21,19 @@
     return this.#now;
   }
 
-  once(ms: number, ring: () => void): Beat {
-    return this.#add({ at: this.#now + ms, order: (this.#order += 1), everyMs: undefined, ring });
+  once(ms: number, fire: () => void): Beat {
+    return this.#add({ at: this.#now + ms, order: (this.#order += 1), everyMs: undefined, fire });
   }
 
-  every(ms: number, ring: () => void): Beat {
-    return this.#add({ at: this.#now + ms, order: (this.#order += 1), everyMs: ms, ring });
+  every(ms: number, fire: () => void): Beat {
+    return this.#add({ at: this.#now + ms, order: (this.#order += 1), everyMs: ms, fire });
   }
 
   /** Rings what is due by now; true where anything was. */
-  ringDue(): boolean {
+  fireDue(): boolean {
     const due = this.#timers.filter((timer) => timer.at <= this.#now);
     due.sort((a, b) => a.at - b.at || a.order - b.order);
-    for (const timer of due) this.#ring(timer);
+    for (const timer of due) this.#fire(timer);
     return due.length > 0;
   }
 
@@ -42,13 +42,13 @@
     const next = Math.min(...this.#timers.map((timer) => timer.at));
     if (!Number.isFinite(next)) return;
     this.#now = Math.max(this.#now, next);
-    this.ringDue();
+    this.fireDue();
   }
 
   /** The process did not run for a while. */
   jump(ms: number): void {
     this.#now += ms;
-    this.ringDue();
+    this.fireDue();
   }
 
   #add(timer: Timer): Beat {
@@ -61,10 +61,10 @@
     if (place !== -1) this.#timers.splice(place, 1);
   }
 
-  #ring(timer: Timer): void {
+  #fire(timer: Timer): void {
     if (!this.#timers.includes(timer)) return;
     if (timer.everyMs === undefined) this.#remove(timer);
     else timer.at = this.#now + timer.everyMs;
-    timer.ring();
+    timer.fire();
   }
 }
--- a/packages/testkit/src/explore/modelMember.ts
+++ b/packages/testkit/src/explore/modelMember.ts
@@ -49,16 +49,16 @@
       {
         settings: ModelMember.#settings(machine, tended?.voters ?? 1),
         clock: this.clock,
-        net: network.attach(this.name, isUp),
+        transport: network.attach(this.name, isUp),
         disk: undefined,
-        chance: new SimRandom(machine.place * 1000 + life),
+        random: new SimRandom(machine.place * 1000 + life),
         log: new LogBuffer(this.name, () => undefined),
         incarnation: life,
       },
       [],
     );
     this.log = new ReplicaLog(machine.disk.mount(isUp), "store");
-    this.endpoint = node.exchange;
+    this.endpoint = node.rpc;
     // Gossip is not part of the model: everybody knows every address, and nobody carries frames for others.
     this.endpoint.addressOf = (name) => name;
     this.endpoint.relaysFor = () => [];
@@ -66,12 +66,12 @@
       id: this.id,
       founding: ModelMember.founding,
       log: this.log,
-      exchange: this.endpoint,
+      rpc: this.endpoint,
       groups: node.groups,
       electionMs: modelBounds.electionMs,
       clock: this.clock,
-      chance: node.parts.chance,
-      ring: node.parts.log,
+      random: node.parts.random,
+      logBuffer: node.parts.log,
       compaction: ModelMember.#compaction(machine),
       isTrusted: () => true,
     });
--- a/packages/testkit/src/explore/modelWorld.ts
+++ b/packages/testkit/src/explore/modelWorld.ts
@@ -271,7 +271,7 @@
         const { member } = machine;
         if (member?.isRunning !== true) continue;
         this.observer.keep(() => {
-          if (member.clock.ringDue()) isOver = false;
+          if (member.clock.fireDue()) isOver = false;
         });
         if (!this.settings.syncsAtOnce || this.#held.has(machine) || machine.disk.pending === 0) continue;
         machine.disk.sync();
--- a/packages/testkit/src/fleet/load.ts
+++ b/packages/testkit/src/fleet/load.ts
@@ -26,7 +26,7 @@
 export class Load {
   readonly #fleet: Fleet;
   readonly #clock = new HostClock();
-  readonly #chance = new HostRandom();
+  readonly #random = new HostRandom();
   readonly history = new History();
   readonly callers: Caller[] = [];
   readonly #zoneOf = new Map<string, string>();
@@ -63,7 +63,7 @@
         session,
         port: this.#fleet.port,
         clock: this.#clock,
-        draw: () => this.#chance.draw(),
+        draw: () => this.#random.draw(),
         history: this.history,
         nodes: () => this.#nodes(session),
       });
@@ -108,12 +108,12 @@
     );
     this.#every(1000 / (broadcast.perSecond * share), () =>
       this.#publish(
-        this.callers[Math.floor(this.#chance.draw() * broadcast.senders)]!,
+        this.callers[Math.floor(this.#random.draw() * broadcast.senders)]!,
         broadcast.space,
         broadcast.topics,
       ),
     );
-    this.#every(700, () => this.isCalm || this.#any(this.callers).dropOff(200 + this.#chance.draw() * 3000));
+    this.#every(700, () => this.isCalm || this.#any(this.callers).dropOff(200 + this.#random.draw() * 3000));
     this.#every(2500, () => this.isCalm || this.#move(this.#any(this.callers)));
   }
 
@@ -133,13 +133,13 @@
     const zone = this.#any(this.#fleet.deployment.zones);
     for (const caller of this.callers) {
       this.#zoneOf.set(caller.session, zone);
-      caller.dropOff(this.#chance.draw() * 500);
+      caller.dropOff(this.#random.draw() * 500);
     }
   }
 
   /** Nearly all at once. */
   resetAll(): void {
-    for (const caller of this.callers) if (this.#chance.draw() < 0.95) caller.dropOff(this.#chance.draw() * 500);
+    for (const caller of this.callers) if (this.#random.draw() < 0.95) caller.dropOff(this.#random.draw() * 500);
   }
 
   /** Ends everything at once, whatever state it is in. */
@@ -190,19 +190,19 @@
     return new Probe({
       history: this.history,
       callers: this.callers,
-      draw: () => this.#chance.draw(),
+      draw: () => this.#random.draw(),
       now: () => this.#clock.now(),
       topicsFor: (caller) => caller.topics.filter((topic) => topic.startsWith(`${space}/`)),
     });
   }
 
   #publish(caller: Caller, space: string, topics: number): void {
-    const topic = `${space}/t${Math.floor(this.#chance.draw() * topics)}`;
-    void caller.publish(topic, `${caller.session} ${this.#chance.identity()}`);
+    const topic = `${space}/t${Math.floor(this.#random.draw() * topics)}`;
+    void caller.publish(topic, `${caller.session} ${this.#random.identity()}`);
   }
 
   #topics({ space, topics, reads }: { space: string; topics: number; reads: number }): string[] {
-    return Array.from({ length: reads }, () => `${space}/t${Math.floor(this.#chance.draw() * topics)}`);
+    return Array.from({ length: reads }, () => `${space}/t${Math.floor(this.#random.draw() * topics)}`);
   }
 
   #nodes(session: string): string[] {
@@ -217,7 +217,7 @@
   }
 
   #any<T>(list: readonly T[]): T {
-    return list[Math.floor(this.#chance.draw() * list.length)]!;
+    return list[Math.floor(this.#random.draw() * list.length)]!;
   }
 
   #every(ms: number, act: () => unknown): void {
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -39,7 +39,7 @@
   readonly #fleet: Fleet;
   readonly #load: Load;
   readonly #seed: number;
-  readonly #chance: SimRandom;
+  readonly #random: SimRandom;
   readonly #clock = new HostClock();
   readonly #breaches: Breach[] = [];
 
@@ -47,7 +47,7 @@
     this.#fleet = fleet;
     this.#load = new Load(fleet);
     this.#seed = seed;
-    this.#chance = new SimRandom(seed);
+    this.#random = new SimRandom(seed);
   }
 
   async run(seconds: number, profile: SoakProfile = "any"): Promise<SoakReport> {
@@ -61,14 +61,14 @@
     this.#load.play();
     const operators = new SoakOperators(
       this.#fleet,
-      this.#chance.fork(),
+      this.#random.fork(),
       now,
       this.#load.history,
       await this.#load.markInForce(),
     );
     const operating = operators.run();
     const prober = this.#beginProbing();
-    const troubles = new SoakTroubles(this.#fleet, this.#chance.fork(), now);
+    const troubles = new SoakTroubles(this.#fleet, this.#random.fork(), now);
     const until = now() + seconds * 1000;
     await (profile === "any" ? troubles.rage(until) : troubles.loseDisks(until));
     const backMs = await this.#back();
@@ -132,14 +132,14 @@
       session: "prober",
       port: this.#fleet.port,
       clock: this.#clock,
-      draw: () => this.#chance.draw(),
+      draw: () => this.#random.draw(),
       history: this.#load.history,
       nodes: () => this.#edges(),
     });
     caller.start([]);
     const beat = this.#clock.every(Soak.probeMs, () => {
       if (caller.isLinked && caller.open < Soak.mostProbes)
-        void caller.publish(`${this.#chance.pick(SoakOperators.addedSpaces)}/t0`, `probe ${this.#chance.identity()}`);
+        void caller.publish(`${this.#random.pick(SoakOperators.addedSpaces)}/t0`, `probe ${this.#random.identity()}`);
     });
     return {
       stop: () => {
@@ -155,7 +155,7 @@
     return new PassingCallers({
       port: this.#fleet.port,
       clock: this.#clock,
-      chance: this.#chance.fork(),
+      random: this.#random.fork(),
       edges: () => this.#edges(),
       topics: Array.from({ length: topics }, (_, i) => `${space}/t${i}`),
       readers,
--- a/packages/testkit/src/fleet/soakOperators.ts
+++ b/packages/testkit/src/fleet/soakOperators.ts
@@ -13,7 +13,7 @@
   static readonly addedSpaces: readonly string[] = ["added-1", "added-2", "added-3"];
 
   readonly #fleet: Fleet;
-  readonly #chance: SimRandom;
+  readonly #random: SimRandom;
   readonly #now: () => number;
   readonly #history: History;
   readonly accepted: AcceptedChange[] = [];
@@ -25,9 +25,9 @@
   #version: number;
   #isOver = false;
 
-  constructor(fleet: Fleet, chance: SimRandom, now: () => number, history: History, version: number) {
+  constructor(fleet: Fleet, random: SimRandom, now: () => number, history: History, version: number) {
     this.#fleet = fleet;
-    this.#chance = chance;
+    this.#random = random;
     this.#now = now;
     this.#history = history;
     this.#version = version;
@@ -54,7 +54,7 @@
 
   async #change(): Promise<void> {
     while (!this.#isOver) {
-      await this.#wait(this.#chance.between(0.5, 1.5) * SoakOperators.changeMs);
+      await this.#wait(this.#random.between(0.5, 1.5) * SoakOperators.changeMs);
       await this.#put((this.#version += 1));
     }
   }
@@ -88,7 +88,7 @@
 
   async #read(): Promise<void> {
     while (!this.#isOver) {
-      await this.#wait(this.#chance.between(0.5, 1.5) * SoakOperators.readMs);
+      await this.#wait(this.#random.between(0.5, 1.5) * SoakOperators.readMs);
       await this.#readOnce();
     }
   }
@@ -108,7 +108,7 @@
   }
 
   #node(): string {
-    return this.#chance.pick(this.#fleet.withRole("lathe"));
+    return this.#random.pick(this.#fleet.withRole("lathe"));
   }
 
   #wait(ms: number): Promise<void> {
--- a/packages/testkit/src/fleet/soakTroubles.ts
+++ b/packages/testkit/src/fleet/soakTroubles.ts
@@ -29,16 +29,16 @@
   static readonly startMs = 500;
 
   readonly #fleet: Fleet;
-  readonly #chance: SimRandom;
+  readonly #random: SimRandom;
   readonly #now: () => number;
   readonly #busy = new Set<string>();
   /** Since when every machine with a disk is well. */
   #wellSince = 0;
   readonly done: Trouble[] = [];
 
-  constructor(fleet: Fleet, chance: SimRandom, now: () => number) {
+  constructor(fleet: Fleet, random: SimRandom, now: () => number) {
     this.#fleet = fleet;
-    this.#chance = chance;
+    this.#random = random;
     this.#now = now;
   }
 
@@ -47,7 +47,7 @@
     this.#wellSince = this.#now();
     const open = new Set<Promise<void>>();
     while (this.#now() < until) {
-      await this.#wait(this.#chance.between(SoakTroubles.leastPauseMs, SoakTroubles.mostPauseMs));
+      await this.#wait(this.#random.between(SoakTroubles.leastPauseMs, SoakTroubles.mostPauseMs));
       if (open.size >= SoakTroubles.mostAtOnce) continue;
       const trouble = this.#begin();
       if (trouble === undefined) continue;
@@ -65,13 +65,13 @@
   async loseDisks(until: number): Promise<void> {
     const disks = this.#fleet.names.filter((name) => this.#hasDisk(name));
     while (this.#now() < until) {
-      const name = this.#chance.pick(disks);
+      const name = this.#random.pick(disks);
       await this.#run("wipe", name);
       await this.#fleet.up(name);
       const nextAt = this.#now() + SoakTroubles.successorMs - SoakTroubles.startMs;
       while (this.#now() < nextAt) {
-        await this.#wait(Math.min(this.#chance.between(200, 1500), Math.max(1, nextAt - this.#now())));
-        if (this.#now() < nextAt) await this.#run("reset", this.#chance.pick(this.#fleet.names));
+        await this.#wait(Math.min(this.#random.between(200, 1500), Math.max(1, nextAt - this.#now())));
+        if (this.#now() < nextAt) await this.#run("reset", this.#random.pick(this.#fleet.names));
       }
     }
   }
@@ -79,8 +79,8 @@
   #begin(): Promise<void> | undefined {
     const free = this.#fleet.names.filter((name) => !this.#busy.has(name));
     if (free.length === 0) return undefined;
-    const name = this.#chance.pick(free);
-    const kind = this.#mayWipe(name) && this.#chance.draw() < 0.4 ? "wipe" : this.#chance.pick(troubleKinds);
+    const name = this.#random.pick(free);
+    const kind = this.#mayWipe(name) && this.#random.draw() < 0.4 ? "wipe" : this.#random.pick(troubleKinds);
     if (kind === "wipe" && !this.#mayWipe(name)) return undefined;
     return this.#run(kind, name);
   }
@@ -97,7 +97,7 @@
   async #run(kind: TroubleKind, name: string): Promise<void> {
     const from = this.#now();
     this.#busy.add(name);
-    const ms = this.#chance.between(300, 4000);
+    const ms = this.#random.between(300, 4000);
     await this.#act(kind, name, ms);
     this.#busy.delete(name);
     if (this.#hasDisk(name)) this.#wellSince = this.#now();
@@ -126,12 +126,12 @@
         fleet.wire(name).set("reset");
         return fleet.wire(name).set("open");
       case "slow":
-        fleet.wire(name).set("open", this.#chance.between(20, 300));
+        fleet.wire(name).set("open", this.#random.between(20, 300));
         await this.#wait(ms);
         return fleet.wire(name).set("open");
       case "cut":
       case "lostAnswers":
-        fleet.wire(name).set(kind === "cut" ? "silent" : "mute");
+        fleet.wire(name).set(kind === "cut" ? "silent" : "unresponsive");
         await this.#wait(ms);
         // What was cut in the middle of a frame can't go on: the wire's connections end.
         fleet.wire(name).set("reset");
--- a/packages/testkit/src/fleet/tcpRelay.ts
+++ b/packages/testkit/src/fleet/tcpRelay.ts
@@ -1,7 +1,7 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 
 /** `mute` carries what comes in and loses what goes back, as where answers are lost. */
-export type RelayMode = "open" | "silent" | "mute" | "reset";
+export type RelayMode = "open" | "silent" | "unresponsive" | "reset";
 
 /** A wire between two processes that can be cut, silenced or slowed: the project's own, for real fleets. */
 export class TcpRelay {
@@ -39,7 +39,7 @@
   }
 
   #carry(to: Socket, chunk: Buffer, isBack = false): void {
-    const isCarried = this.#mode === "open" || (this.#mode === "mute" && !isBack);
+    const isCarried = this.#mode === "open" || (this.#mode === "unresponsive" && !isBack);
     if (!isCarried) return;
     if (this.#delayMs === 0) to.write(chunk);
     else setTimeout(() => to.write(chunk), this.#delayMs);
--- a/packages/testkit/src/golden/diskAdapter.ts
+++ b/packages/testkit/src/golden/diskAdapter.ts
@@ -96,11 +96,11 @@
 
 /** The members of the store that vote, and the store's identity, in the status of a control node. */
 export function storeInStatus(status: Record<string, unknown>): { voters: unknown; member: unknown; store: unknown } {
-  const { founding, ledger } = status as {
+  const { founding, raft } = status as {
     founding?: { id: string; founded: string };
-    ledger?: { voters: string[] } | null;
+    raft?: { voters: string[] } | null;
   };
-  return { voters: ledger?.voters, member: founding?.id, store: founding?.founded };
+  return { voters: raft?.voters, member: founding?.id, store: founding?.founded };
 }
 
 /** How many connections an edge has, in its status. */
--- a/packages/testkit/src/sabotage/exploreSabotages.ts
+++ b/packages/testkit/src/sabotage/exploreSabotages.ts
@@ -76,8 +76,8 @@
   {
     name: "explorer: a read is answered before an entry of the term is committed",
     file: raftNode,
-    find: "return this.#spread !== undefined && this.#commit >= this.#noopIndex;",
-    put: "return this.#spread !== undefined;",
+    find: "return this.#replicator !== undefined && this.#commit >= this.#noopIndex;",
+    put: "return this.#replicator !== undefined;",
     test,
   },
   {
--- a/packages/testkit/src/sabotage/logSabotages.ts
+++ b/packages/testkit/src/sabotage/logSabotages.ts
@@ -152,8 +152,8 @@
   {
     name: "a leader serves before its first entry is committed",
     file: "control/dist/consensus/raftNode.js",
-    find: "this.#spread !== undefined && this.#commit >= this.#noopIndex",
-    put: "this.#spread !== undefined",
+    find: "this.#replicator !== undefined && this.#commit >= this.#noopIndex",
+    put: "this.#replicator !== undefined",
     test: "testkit/dist/sim/oldState.test.js",
   },
   {
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -154,7 +154,7 @@
   {
     name: "a peer that is cut off is not reached through others",
     file: "core/dist/rpc/rpcEndpoint.js",
-    find: "if (isPing || !this.isMute(to))",
+    find: "if (isPing || !this.isUnresponsive(to))",
     put: "if (true)",
     test: `${sim}/sessions.test.js`,
   },
@@ -273,7 +273,7 @@
   {
     name: "who proposes itself waits for the proposer before",
     file: "control/dist/store/storeService.js",
-    find: 'this.#ledger.on("elected", led);',
+    find: 'this.#raft.on("elected", led);',
     put: "",
     test: `${sim}/store.test.js`,
   },
@@ -301,14 +301,14 @@
   {
     name: "a mute member is never asked for a sign of life",
     file: "core/dist/membership/membership.js",
-    find: "const drawn = partners[Math.floor(this.#chance.draw() * partners.length)];",
+    find: "const drawn = partners[Math.floor(this.#random.draw() * partners.length)];",
     put: 'const [drawn] = this.#draw(1, "", partners);',
     test: `${sim}/membership.test.js`,
   },
   {
     name: "a slow proposer stays",
     file: "control/dist/consensus/raftNode.js",
-    find: "if (this.#slowWatch.isSlow(now, this.#spread.answerMs))",
+    find: "if (this.#slowWatch.isSlow(now, this.#replicator.answerMs))",
     put: "if (false)",
     test: `${sim}/store.test.js`,
   },
--- a/packages/testkit/src/sim/acts.ts
+++ b/packages/testkit/src/sim/acts.ts
@@ -12,12 +12,12 @@
 
   protected readonly fleet: SimFleet;
   protected readonly load: SimLoad;
-  protected readonly chance: SimRandom;
+  protected readonly random: SimRandom;
 
-  constructor(fleet: SimFleet, load: SimLoad, chance: SimRandom) {
+  constructor(fleet: SimFleet, load: SimLoad, random: SimRandom) {
     this.fleet = fleet;
     this.load = load;
-    this.chance = chance;
+    this.random = random;
   }
 
   protected later(ms: number, act: () => void): number {
@@ -38,7 +38,7 @@
     const left = [...names];
     const drawn: string[] = [];
     while (left.length > 0 && drawn.length < count) {
-      const one = this.chance.pick(left);
+      const one = this.random.pick(left);
       left.splice(left.indexOf(one), 1);
       drawn.push(one);
     }
--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -44,9 +44,9 @@
     expect(journal.recent.length <= 100).toEqual(true);
   }
   expect(journal.recent.at(-1)).toEqual(999);
-  const ring = new LogBuffer("test", () => undefined, 20);
-  for (let i = 0; i < 1000; i += 1) ring.note(`line ${i}`);
-  expect([ring.lines.length, ring.lines.at(-1)!.includes("line 999")]).toEqual([20, true]);
+  const logBuffer = new LogBuffer("test", () => undefined, 20);
+  for (let i = 0; i < 1000; i += 1) logBuffer.note(`line ${i}`);
+  expect([logBuffer.lines.length, logBuffer.lines.at(-1)!.includes("line 999")]).toEqual([20, true]);
 });
 
 test("sessions without a link are given back, and states that were shipped are forgotten", async () => {
@@ -65,7 +65,7 @@
   const owners = ["lathe-1", "lathe-2", "lathe-3"].flatMap((name) =>
     fleet
       .find(name)!
-      .lathe!.ledger!.metadata.range("sessions/")
+      .lathe!.raft!.metadata.range("sessions/")
       .filter(({ key }) => OwnerKey.sessionOf(key) !== undefined),
   );
   expect([young!.keptPulls, owners.length]).toEqual([0, 0]);
--- a/packages/testkit/src/sim/callModel.ts
+++ b/packages/testkit/src/sim/callModel.ts
@@ -74,8 +74,8 @@
     this.#starts.set(name, number);
     const body: SimBody = { isDead: false, pausedUntil: 0, rate: 1 };
     const clock = new SimClock(this.world, body);
-    const net = this.#wires.attach(`${name}:1`, body);
-    const endpoint = new RpcEndpoint(name, net, clock, this.world.chance.fork());
+    const transport = this.#wires.attach(`${name}:1`, body);
+    const endpoint = new RpcEndpoint(name, transport, clock, this.world.random.fork());
     endpoint.addressOf = (other) => `${other}:1`;
     endpoint.relaysFor = (other) => CallModel.names.filter((one) => one !== other && one !== name);
     endpoint.serve("ping", () => ({ case: "done", value: {} }));
@@ -89,9 +89,9 @@
   }
 
   async #call(name: string, life: number, endpoint: RpcEndpoint): Promise<void> {
-    const to = this.world.chance.pick(CallModel.names.filter((one) => one !== name));
+    const to = this.world.random.pick(CallModel.names.filter((one) => one !== name));
     const text = `${name}${life}/${(this.#asked += 1)}`;
-    const isOnce = this.world.chance.draw() < 0.5;
+    const isOnce = this.world.random.draw() < 0.5;
     const reply = await endpoint.call(
       to,
       isOnce
@@ -119,26 +119,26 @@
 
   /** Some frames are lost, some come twice, and of those some so late that a life or two are over. */
   #disturb(bytes: Uint8Array): Array<{ bytes: Uint8Array; delay: number }> | undefined {
-    const { chance } = this.world;
+    const { random } = this.world;
     if (Wire.decode(bytes)?.hops === 1) this.counts.carriedByOthers += 1;
-    const dice = chance.draw();
+    const dice = random.draw();
     if (dice < 0.02) return [];
-    if (dice < 0.08) return [0, chance.between(1, CallModel.mostLateMs)].map((delay) => ({ bytes, delay }));
-    if (dice < 0.1) return [{ bytes, delay: chance.between(1, CallModel.mostLateMs) }];
+    if (dice < 0.08) return [0, random.between(1, CallModel.mostLateMs)].map((delay) => ({ bytes, delay }));
+    if (dice < 0.1) return [{ bytes, delay: random.between(1, CallModel.mostLateMs) }];
     return undefined;
   }
 
   #faults(end: number): void {
-    const { chance } = this.world;
+    const { random } = this.world;
     if (this.world.now >= end) return this.#wires.heal();
-    const name = chance.pick(CallModel.names);
-    const other = chance.pick(CallModel.names.filter((one) => one !== name));
-    const dice = chance.draw();
-    if (dice < 0.3) this.#lives.get(name)!.body.pausedUntil = this.world.now + chance.between(50, 1500);
+    const name = random.pick(CallModel.names);
+    const other = random.pick(CallModel.names.filter((one) => one !== name));
+    const dice = random.draw();
+    if (dice < 0.3) this.#lives.get(name)!.body.pausedUntil = this.world.now + random.between(50, 1500);
     else if (dice < 0.6) this.#restart(name);
     else if (dice < 0.8) this.#wires.cut(`${name}:1`, `${other}:1`);
     else for (const one of CallModel.names) this.#wires.mend(`${name}:1`, `${one}:1`);
-    this.world.at(this.world.now + chance.between(50, 500), () => this.#faults(end));
+    this.world.at(this.world.now + random.between(50, 500), () => this.#faults(end));
   }
 
   /** Sometimes at once, so that nobody hears that a connection broke. */
@@ -151,7 +151,7 @@
     this.counts.restarts += 1;
     const isFrozen = (one: Life): boolean => one.body.pausedUntil > this.world.now;
     if ([...this.#lives.values()].some((one) => one !== life && isFrozen(one))) this.counts.restartsBesideFrozen += 1;
-    this.world.at(this.world.now + this.world.chance.pick([0, 5, 200]), () => this.#start(name));
+    this.world.at(this.world.now + this.world.random.pick([0, 5, 200]), () => this.#start(name));
   }
 
   #count(name: string): void {
--- a/packages/testkit/src/sim/catchUp.ts
+++ b/packages/testkit/src/sim/catchUp.ts
@@ -92,7 +92,7 @@
   }
 
   #raftOf(name: string): RaftNode | undefined {
-    return this.#fleet.find(name)?.lathe?.ledger;
+    return this.#fleet.find(name)?.lathe?.raft;
   }
 
   /** All that was committed is applied there, and the changes went on meanwhile. */
--- a/packages/testkit/src/sim/configurationStorm.test.ts
+++ b/packages/testkit/src/sim/configurationStorm.test.ts
@@ -179,12 +179,12 @@
 
 test("a storm of changes reaches every node through lost pushes, restarts, a frozen node and a cut", async () => {
   const fleet = await started(403, 300);
-  const chance = fleet.world.chance.fork();
+  const random = fleet.world.random.fork();
   const last = await storm(fleet, 2, 120, {
     5: () => {
       fleet.wires.mutate = (_from, _to, bytes) => {
         const kind = Wire.decode(bytes)?.body.case;
-        return (kind === "feedPush" || kind === "feedAck") && chance.draw() < 0.3 ? [] : undefined;
+        return (kind === "feedPush" || kind === "feedAck") && random.draw() < 0.3 ? [] : undefined;
       };
     },
     40: () => {
--- a/packages/testkit/src/sim/cutActs.ts
+++ b/packages/testkit/src/sim/cutActs.ts
@@ -7,7 +7,7 @@
 
   readonly coreCut: Act = (_name, ms) => this.#cut("both", ms);
 
-  readonly coreCutOneWay: Act = (_name, ms) => this.#cut(this.chance.pick(["in", "out"]), ms);
+  readonly coreCutOneWay: Act = (_name, ms) => this.#cut(this.random.pick(["in", "out"]), ms);
 
   readonly coreCutLong: Act = () => this.#cut("both", CutActs.longMs);
 
@@ -46,7 +46,7 @@
   /** Half of a machine's connections are reset, with what is on its way. */
   readonly resets: Act = (name) => {
     for (const other of this.fleet.names)
-      if (other !== name && this.chance.draw() < 0.5)
+      if (other !== name && this.random.draw() < 0.5)
         this.fleet.wires.reset(this.fleet.addressOf(name), this.fleet.addressOf(other));
     return 0;
   };
@@ -78,8 +78,8 @@
 
   /** Often the leader. */
   #oneOff(): string {
-    const leader = this.chance.draw() < 0.5 ? this.fleet.proposer : undefined;
-    return leader ?? this.chance.pick(this.counted);
+    const leader = this.random.draw() < 0.5 ? this.fleet.proposer : undefined;
+    return leader ?? this.random.pick(this.counted);
   }
 
   #again(names: readonly string[]): void {
--- a/packages/testkit/src/sim/disks.test.ts
+++ b/packages/testkit/src/sim/disks.test.ts
@@ -64,5 +64,5 @@
     await fleet.run(1000);
     expect(await written(fleet, "last")).toEqual(true);
     for (const name of [leader, other!])
-      expect(fleet.find(name)!.lathe!.ledger!.metadata.get("kept") !== undefined).toEqual(true);
+      expect(fleet.find(name)!.lathe!.raft!.metadata.get("kept") !== undefined).toEqual(true);
   });
--- a/packages/testkit/src/sim/elections.test.ts
+++ b/packages/testkit/src/sim/elections.test.ts
@@ -14,7 +14,7 @@
   for (const seed of seeds) {
     const { fleet } = await served(seed);
     const lathes = fleet.withRole("lathe");
-    const termOf = (name: string): number => fleet.find(name)!.lathe!.ledger!.term;
+    const termOf = (name: string): number => fleet.find(name)!.lathe!.raft!.term;
     const before = termOf(fleet.proposer!);
     for (const lathe of lathes) fleet.isolate(lathe, lathes, "both");
     // Long enough for all to ask for votes, in vain.
@@ -35,7 +35,7 @@
   for (const seed of [1101, 1102, 1103, 1104, 1105, 1106]) {
     const { fleet } = await served(seed);
     const lathes = fleet.withRole("lathe");
-    const termOf = (): number => Math.max(...lathes.map((name) => fleet.find(name)!.lathe!.ledger!.term));
+    const termOf = (): number => Math.max(...lathes.map((name) => fleet.find(name)!.lathe!.raft!.term));
     const before = termOf();
     for (const lathe of lathes) fleet.wires.slow.set(fleet.addressOf(lathe), 100);
     await fleet.run(8000);
