--- a/packages/testkit/src/sim/faultActs.ts
+++ b/packages/testkit/src/sim/faultActs.ts
@@ -12,13 +12,13 @@
 export class FaultActs {
   readonly #fleet: SimFleet;
   readonly #load: SimLoad;
-  readonly #chance: SimRandom;
+  readonly #random: SimRandom;
   #forwarded = 0;
 
-  constructor(fleet: SimFleet, load: SimLoad, chance: SimRandom) {
+  constructor(fleet: SimFleet, load: SimLoad, random: SimRandom) {
     this.#fleet = fleet;
     this.#load = load;
-    this.#chance = chance;
+    this.#random = random;
   }
 
   readonly kill: Act = (name, ms) => {
@@ -29,10 +29,10 @@
   /** A disk is lost for good, and only where no other loss is still to be mended: one loss is what is promised. */
   readonly wipe: Act = () => {
     if (!this.#fleet.reserveLoss(0)) return -1;
-    const name = this.#chance.pick([...this.#fleet.withRole("lathe"), ...this.#fleet.withRole("anvil")]);
+    const name = this.#random.pick([...this.#fleet.withRole("lathe"), ...this.#fleet.withRole("anvil")]);
     if (this.#fleet.find(name) === undefined) return -1;
     this.#fleet.wipe(name);
-    return this.#later(this.#chance.between(500, 8000), () => this.#fleet.revive(name));
+    return this.#later(this.#random.between(500, 8000), () => this.#fleet.revive(name));
   };
 
   readonly pause: Act = (name, ms) => {
@@ -41,30 +41,30 @@
   };
 
   readonly isolate: Act = (name, ms) => {
-    this.#fleet.isolate(name, this.#fleet.names, this.#chance.pick(["in", "out", "both"]));
+    this.#fleet.isolate(name, this.#fleet.names, this.#random.pick(["in", "out", "both"]));
     return this.#later(ms, () => this.#fleet.wires.heal());
   };
 
   readonly cut: Act = (_name, ms) => {
     for (let i = 0; i < 4; i += 1) {
-      const [one, other] = [this.#chance.pick(this.#fleet.names), this.#chance.pick(this.#fleet.names)];
-      this.#fleet.isolate(one, [other], this.#chance.pick(["in", "out", "both"]));
+      const [one, other] = [this.#random.pick(this.#fleet.names), this.#random.pick(this.#fleet.names)];
+      this.#fleet.isolate(one, [other], this.#random.pick(["in", "out", "both"]));
     }
     return this.#later(ms, () => this.#fleet.wires.heal());
   };
 
   readonly loss: Act = (_name, ms) => {
-    this.#fleet.wires.loss = this.#chance.between(0.01, 0.15);
+    this.#fleet.wires.loss = this.#random.between(0.01, 0.15);
     return this.#later(ms, () => void (this.#fleet.wires.loss = 0));
   };
 
   readonly slowNode: Act = (name, ms) => {
-    this.#fleet.wires.slow.set(this.#fleet.addressOf(name), this.#chance.between(50, 400));
+    this.#fleet.wires.slow.set(this.#fleet.addressOf(name), this.#random.between(50, 400));
     return this.#later(ms, () => void this.#fleet.wires.slow.clear());
   };
 
   readonly slowDisk: Act = (name, ms) => {
-    this.#fleet.diskOf(name).slowness = this.#chance.between(10, 150);
+    this.#fleet.diskOf(name).slowness = this.#random.between(10, 150);
     return this.#later(ms, () => void (this.#fleet.diskOf(name).slowness = 1));
   };
 
@@ -74,7 +74,7 @@
   };
 
   readonly rolling: Act = () => {
-    const names = this.#fleet.withRole(this.#chance.pick(["lathe", "anvil", "vise"]));
+    const names = this.#fleet.withRole(this.#random.pick(["lathe", "anvil", "vise"]));
     names.forEach((name, i) => {
       this.#later(i * 2500, () => this.#fleet.cycle(name));
       this.#later(i * 2500 + 2400, () => this.#fleet.revive(name));
@@ -103,7 +103,7 @@
   readonly race: Act = () => {
     const mark = this.#load.nextMark;
     void this.#load.putPlan(SimLoad.plan(mark));
-    void this.#load.putPlan(SimPlans.write(mark, SimPlans.changed(this.#chance)));
+    void this.#load.putPlan(SimPlans.write(mark, SimPlans.changed(this.#random)));
     void this.#load.putPlan(SimLoad.plan(Math.max(1, mark - 1)));
     void this.#load.putPlan({ mark: mark + 1000, spaces: "broken" });
     return 0;
@@ -119,7 +119,7 @@
   };
 
   readonly replan: Act = () => {
-    void this.#load.putPlan(SimPlans.write(this.#load.nextMark, SimPlans.changed(this.#chance)));
+    void this.#load.putPlan(SimPlans.write(this.#load.nextMark, SimPlans.changed(this.#random)));
     return 0;
   };
 
@@ -128,7 +128,7 @@
     void this.#load.putPlan(SimLoad.plan(this.#load.nextMark, ["notes", "notices"]));
     return this.#later(ms, () => {
       const spaces = SimPlans.usual();
-      Object.assign(spaces["extra"]![0]!.owe, { order: this.#chance.pick(["space", "sender", "topic"]), keep: 90 });
+      Object.assign(spaces["extra"]![0]!.owe, { order: this.#random.pick(["space", "sender", "topic"]), keep: 90 });
       void this.#load.putPlan(SimPlans.write(this.#load.nextMark, spaces));
     });
   };
@@ -148,9 +148,9 @@
 
   /** A storage machine is to be emptied; it is restarted midway, and the wish is taken back. */
   readonly emptying: Act = (_name, ms) => {
-    const machine = this.#chance.pick(this.#fleet.withRole("anvil"));
+    const machine = this.#random.pick(this.#fleet.withRole("anvil"));
     this.#load.ask("PUT", machine);
-    if (this.#chance.draw() < 0.5) {
+    if (this.#random.draw() < 0.5) {
       this.#later(ms * 0.3, () => this.#fleet.kill(machine));
       this.#later(ms * 0.4, () => this.#fleet.revive(machine));
     }
@@ -160,7 +160,7 @@
   /** Power is lost everywhere while replicas are being moved. */
   readonly allMoving: Act = (name, ms) => {
     this.emptying(name, ms + 1500);
-    this.#later(this.#chance.between(200, 1200), () => this.all(name, 0));
+    this.#later(this.#random.between(200, 1200), () => this.all(name, 0));
     return ms + 1500;
   };
 
@@ -168,7 +168,7 @@
   readonly added: Act = () => {
     const unused = this.#fleet.names.filter((name) => !this.#fleet.isUsed(name) && !this.#fleet.isRetired(name));
     if (unused.length === 0) return -1;
-    this.#fleet.start(this.#chance.pick(unused));
+    this.#fleet.start(this.#random.pick(unused));
     return 0;
   };
 
@@ -177,7 +177,7 @@
     const extra = this.#load.later.filter((name) => this.#fleet.find(name) !== undefined);
     if (extra.length === 0) return this.#passing();
     if (!this.#fleet.reserveLoss(0)) return -1;
-    const name = this.#chance.pick(extra);
+    const name = this.#random.pick(extra);
     this.#fleet.retire(name);
     return 0;
   };
@@ -186,18 +186,18 @@
   #passing(): number {
     this.#forwarded += 1;
     const name = `vise-passing-${this.#forwarded}`;
-    const zone = this.#fleet.zoneOf(this.#chance.pick(this.#fleet.names));
+    const zone = this.#fleet.zoneOf(this.#random.pick(this.#fleet.names));
     this.#fleet.enlist({ name, role: "vise", zone });
     this.#fleet.start(name);
-    return this.#later(this.#chance.between(3000, 6000), () => this.#fleet.retire(name));
+    return this.#later(this.#random.between(3000, 6000), () => this.#fleet.retire(name));
   }
 
   /** A shard's holder and the edge of some session fail at once, each in its own way. */
   readonly pair: Act = (_name, ms) => {
     const holder = this.#fleet.holder;
-    const { node } = this.#chance.pick(this.#load.callers);
+    const { node } = this.#random.pick(this.#load.callers);
     const ways = [this.kill, this.pause, this.isolate];
-    for (const name of [holder, node]) if (name !== undefined && name !== "") this.#chance.pick(ways)(name, ms);
+    for (const name of [holder, node]) if (name !== undefined && name !== "") this.#random.pick(ways)(name, ms);
     return ms;
   };
 
@@ -205,14 +205,14 @@
   readonly pulls: Act = (_name, ms) => {
     this.#load.dropAll();
     this.#later(350, () => this.#load.dropAll());
-    this.#later(450, () => this.#fleet.pause(this.#chance.pick(this.#fleet.withRole("vise")), ms));
+    this.#later(450, () => this.#fleet.pause(this.#random.pick(this.#fleet.withRole("vise")), ms));
     return 450 + ms;
   };
 
   /** One of the next frames is dropped, doubled, delayed or altered. */
   readonly mutate: Act = () => {
-    let left = 10 + Math.floor(this.#chance.draw() * 400);
-    const way = this.#chance.pick(["drop", "double", "delay", "swap", "truncate", "alter"]);
+    let left = 10 + Math.floor(this.#random.draw() * 400);
+    const way = this.#random.pick(["drop", "double", "delay", "swap", "truncate", "alter"]);
     this.#fleet.wires.mutate = (_from, _to, bytes) => {
       left -= 1;
       if (left !== 0) return undefined;
@@ -221,14 +221,14 @@
       if (way === "double")
         return [
           { bytes, delay: 0 },
-          { bytes, delay: this.#chance.between(1, 3000) },
+          { bytes, delay: this.#random.between(1, 3000) },
         ];
-      if (way === "delay") return [{ bytes, delay: this.#chance.between(100, 5000) }];
-      if (way === "swap") return [{ bytes, delay: this.#chance.between(2, 20) }];
+      if (way === "delay") return [{ bytes, delay: this.#random.between(100, 5000) }];
+      if (way === "swap") return [{ bytes, delay: this.#random.between(2, 20) }];
       if (way === "truncate")
-        return [{ bytes: bytes.subarray(0, Math.floor(this.#chance.draw() * bytes.length)), delay: 0 }];
+        return [{ bytes: bytes.subarray(0, Math.floor(this.#random.draw() * bytes.length)), delay: 0 }];
       const altered = Uint8Array.from(bytes);
-      altered[Math.floor(this.#chance.draw() * altered.length)]! ^= 1 << Math.floor(this.#chance.draw() * 8);
+      altered[Math.floor(this.#random.draw() * altered.length)]! ^= 1 << Math.floor(this.#random.draw() * 8);
       return [{ bytes: altered, delay: 0 }];
     };
     return 5000;
--- a/packages/testkit/src/sim/faults.ts
+++ b/packages/testkit/src/sim/faults.ts
@@ -100,7 +100,7 @@
   readonly #fleet: SimFleet;
   readonly #load: SimLoad;
   readonly #names: readonly FaultName[];
-  readonly #chance: SimRandom;
+  readonly #random: SimRandom;
   readonly #acts: Record<FaultName, Act>;
   /** Kinds still to be drawn before any comes again; empty where each draw is by itself. */
   #deck: FaultName[] = [];
@@ -111,13 +111,13 @@
     this.#fleet = fleet;
     this.#load = load;
     this.#names = chosen;
-    this.#chance = fleet.world.chance.fork();
+    this.#random = fleet.world.random.fork();
     const { first, orders, machines, cuts, disks } = {
-      first: new FaultActs(fleet, load, this.#chance),
-      orders: new OrderActs(fleet, load, this.#chance),
-      machines: new MachineActs(fleet, load, this.#chance),
-      cuts: new CutActs(fleet, load, this.#chance),
-      disks: new DiskActs(fleet, load, this.#chance),
+      first: new FaultActs(fleet, load, this.#random),
+      orders: new OrderActs(fleet, load, this.#random),
+      machines: new MachineActs(fleet, load, this.#random),
+      cuts: new CutActs(fleet, load, this.#random),
+      disks: new DiskActs(fleet, load, this.#random),
     };
     this.#acts = { ...first, ...orders, ...machines, ...cuts, ...disks };
   }
@@ -126,9 +126,9 @@
   async rage(ms: number, isDealt = false): Promise<void> {
     const end = this.#fleet.world.now + ms;
     while (this.#fleet.world.now < end) {
-      const what = isDealt ? this.#deal() : this.#chance.pick(this.#names);
+      const what = isDealt ? this.#deal() : this.#random.pick(this.#names);
       if (!this.#cause(what) && isDealt) this.#deck.push(what);
-      await this.#fleet.run(this.#chance.between(200, 5000));
+      await this.#fleet.run(this.#random.between(200, 5000));
     }
   }
 
@@ -148,13 +148,13 @@
   /** A last fault, just before operators ask for their plan back. */
   async finish(): Promise<void> {
     const closings: Closing[] = ["kill", "wipe", "all", "ackKillAll", "ackCrashAll", "ackWipe", "ackWipeAll"];
-    this.closing = this.#chance.pick(closings);
+    this.closing = this.#random.pick(closings);
     if (this.closing.startsWith("ack")) await this.#acknowledged();
     const counted = [...this.#fleet.withRole("lathe"), ...this.#fleet.withRole("anvil")];
-    const lost = this.#chance.pick(this.#fleet.withRole("lathe").filter((name) => this.#fleet.isUsed(name)));
+    const lost = this.#random.pick(this.#fleet.withRole("lathe").filter((name) => this.#fleet.isUsed(name)));
     switch (this.closing) {
       case "kill":
-        return this.#fleet.kill(this.#chance.pick(this.#fleet.names));
+        return this.#fleet.kill(this.#random.pick(this.#fleet.names));
       case "wipe":
         return this.#fleet.wipe(lost);
       case "ackWipe":
@@ -191,16 +191,16 @@
 
   #deal(): FaultName {
     if (this.#deck.length === 0) this.#deck = [...this.#names];
-    const [drawn] = this.#deck.splice(Math.floor(this.#chance.draw() * this.#deck.length), 1);
+    const [drawn] = this.#deck.splice(Math.floor(this.#random.draw() * this.#deck.length), 1);
     return drawn!;
   }
 
   /** False where it could not come about now. */
   #cause(what: FaultName): boolean {
     const { world } = this.#fleet;
-    const name = this.#chance.pick(this.#fleet.names.filter((one) => this.#fleet.isUsed(one)));
+    const name = this.#random.pick(this.#fleet.names.filter((one) => this.#fleet.isUsed(one)));
     const from = world.now;
-    const ms = this.#acts[what](name, this.#chance.between(300, 9000));
+    const ms = this.#acts[what](name, this.#random.between(300, 9000));
     if (ms >= 0) this.spans.push({ what, name, from, to: from + ms });
     return ms >= 0;
   }
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -109,8 +109,8 @@
   expectWhole(all);
   expect([...counts.keys()]).toEqual([replica]);
   expect(fleet.find(replica)!.anvil!.reads[shard]!.count).toEqual(1);
-  const { bench } = fleet.find(holder)!.anvil!.claims!.find(shard)!;
-  const reply = bench.count({ $typeName: "cranetrack.v1.CountRequest", shard, topics: [topic] });
+  const { service } = fleet.find(holder)!.anvil!.claims!.find(shard)!;
+  const reply = service.count({ $typeName: "cranetrack.v1.CountRequest", shard, topics: [topic] });
   expect(reply.case === "countReply" && reply.value.counts?.map(({ count }) => count)).toEqual([1]);
 });
 
--- a/packages/testkit/src/sim/founding.test.ts
+++ b/packages/testkit/src/sim/founding.test.ts
@@ -12,10 +12,10 @@
   ...Scenario.machines(settings.length, 0, 0).map((machine, i): Machine => ({ ...machine, settings: settings[i] })),
   ...Scenario.machines(0, 0, vises),
 ];
-const isFounded = (fleet: SimFleet, name: string): boolean => fleet.find(name)?.lathe?.ledger !== undefined;
+const isFounded = (fleet: SimFleet, name: string): boolean => fleet.find(name)?.lathe?.raft !== undefined;
 const voters = (fleet: SimFleet): string[] => {
   const { proposer } = fleet;
-  const members = proposer === undefined ? undefined : fleet.find(proposer)!.lathe!.ledger!.members;
+  const members = proposer === undefined ? undefined : fleet.find(proposer)!.lathe!.raft!.members;
   return (members?.voters ?? []).map((one) => one.name).sort();
 };
 
@@ -64,7 +64,7 @@
   other.start("lathe-2");
   const { id } = other.find("lathe-2")!.lathe!.founding;
   const isIn = (): boolean =>
-    other.find(other.proposer ?? "")?.lathe!.ledger!.members.voters.some((one) => one.id === id) === true;
+    other.find(other.proposer ?? "")?.lathe!.raft!.members.voters.some((one) => one.id === id) === true;
   expect(await other.until(isIn, 10_000)).toEqual(true);
   for (const name of other.names) other.wipe(name);
   for (const name of other.names) other.configure(name, { mayFound: false });
@@ -137,7 +137,7 @@
   const fleet = await withStandbys(77);
   for (const name of ["lathe-4", "lathe-5"]) {
     const { lathe, node } = fleet.find(name)!;
-    expect([lathe!.ledger, node.membership.self.isInStore, lathe!.isReady]).toEqual([undefined, false, true]);
+    expect([lathe!.raft, node.membership.self.isInStore, lathe!.isReady]).toEqual([undefined, false, true]);
   }
 });
 
@@ -150,7 +150,7 @@
   fleet.wipe("lathe-1");
   expect(await fleet.until(() => votes(fleet, "lathe-3", "lathe-4", "lathe-5"), 10_000)).toEqual(true);
   expect(await written(fleet, "third")).toEqual("done");
-  const { metadata } = fleet.find(fleet.proposer!)!.lathe!.ledger!;
+  const { metadata } = fleet.find(fleet.proposer!)!.lathe!.raft!;
   expect(["first", "second", "third"].map((key) => metadata.get(key) !== undefined)).toEqual([true, true, true]);
 
   // Both come back, one with its disk and one without: enough vote, so they stand by, and one is taken in again.
@@ -169,7 +169,7 @@
 for (const step of ["learner", "joint"] as const)
   test(`a voter that is back while it is replaced (${step}) leaves as many voters as there should be`, async () => {
     const fleet = await withStandbys(79);
-    const members = () => fleet.find(fleet.proposer ?? "")?.lathe!.ledger!.members;
+    const members = () => fleet.find(fleet.proposer ?? "")?.lathe!.raft!.members;
     const isAt = (): boolean => {
       const { learners = [], oldVoters = [] } = members() ?? {};
       return (step === "learner" ? learners : oldVoters).length > 0;
--- a/packages/testkit/src/sim/freshness.test.ts
+++ b/packages/testkit/src/sim/freshness.test.ts
@@ -10,7 +10,7 @@
 import { accepted, actingOnOld, boundMs } from "./staleNodes.js";
 
 const inForceAt = (fleet: SimFleet, name: string): number => {
-  const kept = fleet.find(name)?.lathe?.ledger?.metadata.get(PlanKey.name);
+  const kept = fleet.find(name)?.lathe?.raft?.metadata.get(PlanKey.name);
   return kept === undefined ? 0 : PlanKey.markOf(kept.value);
 };
 
@@ -134,7 +134,7 @@
   const publish = async (number: number): Promise<string | undefined> => {
     const value = { shard, topic: "notes/t1", session: "direct", number, payload: Buffer.from("x"), spaceIncarnation };
     let outcome: string | undefined;
-    void node.exchange.call(holder, { case: "publish", value }, 800).then((body) => {
+    void node.rpc.call(holder, { case: "publish", value }, 800).then((body) => {
       outcome = body?.case === "publishReply" ? body.value.outcome : "nothing";
     });
     await fleet.until(() => outcome !== undefined, 2000);
--- a/packages/testkit/src/sim/hostile.test.ts
+++ b/packages/testkit/src/sim/hostile.test.ts
@@ -11,10 +11,10 @@
 import { SimLoad } from "./simLoad.js";
 
 /** A well-formed message of a kind with values that nobody sane would send. */
-function wild(schema: DescMessage, chance: SimRandom, depth = 0): Message {
+function wild(schema: DescMessage, random: SimRandom, depth = 0): Message {
   const scalar = (type: ScalarType): unknown => {
     if (type === ScalarType.STRING)
-      return chance.pick([
+      return random.pick([
         "",
         "store",
         "shard001",
@@ -27,29 +27,29 @@
         "sessions/a/owner",
       ]);
     if (type === ScalarType.BYTES)
-      return Uint8Array.from({ length: Math.floor(chance.draw() * 40) }, () => Math.floor(chance.draw() * 256));
-    if (type === ScalarType.BOOL) return chance.draw() < 0.5;
-    if (type === ScalarType.UINT32) return chance.pick([0, 1, 3, 999, 4294967295]);
-    return chance.pick([0, 1, -1, 2.5, 1e9, 9007199254740991, NaN, Infinity]);
+      return Uint8Array.from({ length: Math.floor(random.draw() * 40) }, () => Math.floor(random.draw() * 256));
+    if (type === ScalarType.BOOL) return random.draw() < 0.5;
+    if (type === ScalarType.UINT32) return random.pick([0, 1, 3, 999, 4294967295]);
+    return random.pick([0, 1, -1, 2.5, 1e9, 9007199254740991, NaN, Infinity]);
   };
   const init: Record<string, unknown> = {};
   for (const field of schema.fields) {
     if (field.oneof !== undefined) continue;
     if (field.fieldKind === "scalar") init[field.localName] = scalar(field.scalar);
-    else if (field.fieldKind === "message" && depth < 2) init[field.localName] = wild(field.message, chance, depth + 1);
+    else if (field.fieldKind === "message" && depth < 2) init[field.localName] = wild(field.message, random, depth + 1);
     else if (field.fieldKind === "list" && depth < 2)
-      init[field.localName] = Array.from({ length: Math.floor(chance.draw() * 3) }, () =>
+      init[field.localName] = Array.from({ length: Math.floor(random.draw() * 3) }, () =>
         field.listKind === "message"
-          ? wild(field.message, chance, depth + 1)
+          ? wild(field.message, random, depth + 1)
           : field.listKind === "scalar"
             ? scalar(field.scalar)
             : 0,
       );
   }
   for (const oneof of schema.oneofs) {
-    const field = chance.pick(oneof.fields);
+    const field = random.pick(oneof.fields);
     if (field.fieldKind === "message" && depth < 2)
-      init[oneof.localName] = { case: field.localName, value: wild(field.message, chance, depth + 1) };
+      init[oneof.localName] = { case: field.localName, value: wild(field.message, random, depth + 1) };
   }
   return create(schema, init as MessageInitShape<typeof schema>);
 }
@@ -70,17 +70,17 @@
 test("not even what only members may say crashes a process when its contents are wild", async () => {
   const fleet = new SimFleet(42, Scenario.machines());
   expect(await new SimLoad(fleet).begin(4)).toEqual(true);
-  const chance = fleet.world.chance.fork();
+  const random = fleet.world.random.fork();
   const stranger = fleet.wires.attach("10.9.9.9:1", { isDead: false, pausedUntil: 0 });
   const ids = fleet.names
-    .flatMap((name) => [fleet.find(name)!.node.membership.self.disk, fleet.find(name)!.node.membership.self.shelf])
+    .flatMap((name) => [fleet.find(name)!.node.membership.self.disk, fleet.find(name)!.node.membership.self.logDisk])
     .filter((id) => id !== "");
   const kinds = FrameSchema.oneofs[0]!.fields.filter((field) => memberKinds.has(field.localName));
   for (let i = 0; i < 2000; i += 1) {
-    const kind = chance.pick(kinds);
-    const value = Object.assign(wild(kind.message!, chance), chance.draw() < 0.7 ? { receiver: chance.pick(ids) } : {});
+    const kind = random.pick(kinds);
+    const value = Object.assign(wild(kind.message!, random), random.draw() < 0.7 ? { receiver: random.pick(ids) } : {});
     stranger.send(
-      fleet.addressOf(chance.pick(fleet.names)),
+      fleet.addressOf(random.pick(fleet.names)),
       Wire.encode({
         id: i,
         from: "nobody",
@@ -104,17 +104,17 @@
     expect(await load.begin(8)).toEqual(true);
     load.play(20);
     const stranger = fleet.wires.attach("10.9.9.9:1", { isDead: false, pausedUntil: 0 });
-    const chance = fleet.world.chance.fork();
+    const random = fleet.world.random.fork();
     const kinds = FrameSchema.oneofs[0]!.fields.filter((field) => !memberKinds.has(field.localName));
     for (let i = 0; i < 1500; i += 1) {
-      const kind = chance.pick(kinds);
-      const body = { case: kind.localName, value: wild(kind.message!, chance) } as BodyInit;
+      const kind = random.pick(kinds);
+      const body = { case: kind.localName, value: wild(kind.message!, random) } as BodyInit;
       stranger.send(
-        fleet.addressOf(chance.pick(fleet.names)),
+        fleet.addressOf(random.pick(fleet.names)),
         Wire.encode({
           id: i % 7,
           isReply: i % 5 === 0,
-          from: chance.pick(["nobody", "vise-1", "lathe-1"]),
+          from: random.pick(["nobody", "vise-1", "lathe-1"]),
           to: "",
           fromAddress: "10.9.9.9:1",
           body,
@@ -122,8 +122,8 @@
       );
       if (i % 10 === 0)
         stranger.send(
-          fleet.addressOf(chance.pick(fleet.names)),
-          Seal.close(Uint8Array.from({ length: 30 }, () => Math.floor(chance.draw() * 256))),
+          fleet.addressOf(random.pick(fleet.names)),
+          Seal.close(Uint8Array.from({ length: 30 }, () => Math.floor(random.draw() * 256))),
         );
       if (i % 10 === 0) await fleet.run(30);
     }
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -91,7 +91,7 @@
   fleet.isolate("vise-1", holders, "in");
   expect(await publish(2)).toEqual(["unsure", true]);
   // A publish given up at its own deadline says nothing of the holder.
-  expect(holders.filter((name) => fleet.find("vise-1")!.node.exchange.isMute(name))).toEqual([]);
+  expect(holders.filter((name) => fleet.find("vise-1")!.node.rpc.isUnresponsive(name))).toEqual([]);
   fleet.wires.heal();
   expect(await publish(2)).toEqual(["accepted", true]);
   for (const name of fleet.withRole("anvil")) fleet.kill(name);
--- a/packages/testkit/src/sim/machineActs.ts
+++ b/packages/testkit/src/sim/machineActs.ts
@@ -33,7 +33,7 @@
 
   /** A machine is to be emptied as soon as it is back. */
   readonly drainReturned: Act = (_name, ms) => {
-    const machine = this.chance.pick(this.fleet.withRole("anvil").filter((one) => this.fleet.isUsed(one)));
+    const machine = this.random.pick(this.fleet.withRole("anvil").filter((one) => this.fleet.isUsed(one)));
     this.fleet.kill(machine);
     this.later(ms * 0.3, () => {
       this.fleet.revive(machine);
@@ -86,14 +86,14 @@
   /** One that stores is emptied, and as soon as that is said to be done, another one's disk is lost. */
   readonly emptiedWipe: Act = (_name, ms) => {
     if (!this.fleet.reserveLoss(MachineActs.emptyMs)) return Acts.notNow;
-    const machine = this.chance.pick(this.fleet.withRole("anvil").filter((one) => this.fleet.isUsed(one)));
+    const machine = this.random.pick(this.fleet.withRole("anvil").filter((one) => this.fleet.isUsed(one)));
     this.load.ask("PUT", machine);
     const look = (left: number): void => {
       if (left <= 0) return;
       void this.load.isEmptied(machine).then((isEmptied) => {
         const others = this.counted.filter((one) => one !== machine);
         if (!isEmptied) this.later(250, () => look(left - 1));
-        else if (this.fleet.mayLose) this.#wipe(this.chance.pick(others));
+        else if (this.fleet.mayLose) this.#wipe(this.random.pick(others));
       });
     };
     this.later(500, () => look(30));
@@ -103,7 +103,7 @@
   /** The time of day jumps on some machines, and back; some are started anew meanwhile. */
   readonly clockStep: Act = (_name, ms) => {
     const names = this.some(this.fleet.names, Math.ceil(this.fleet.names.length * 0.3));
-    const step = this.chance.pick([-1, 1]) * MachineActs.stepMs;
+    const step = this.random.pick([-1, 1]) * MachineActs.stepMs;
     for (const one of names) this.fleet.stepWall(one, step);
     const restarted = this.some(names, 2).filter((one) => this.fleet.find(one) !== undefined);
     this.later(200, () => {
@@ -143,13 +143,13 @@
   #fallAll(end: (name: string) => void): number {
     const names = this.counted;
     for (const one of names) end(one);
-    return this.later(this.chance.between(500, 2500), () => this.reviveAll(names));
+    return this.later(this.random.between(500, 2500), () => this.reviveAll(names));
   }
 
   /** One loss is what is promised: while another is still to be mended, nothing is taken for good. */
   #replaceable(): string | undefined {
     const names = this.counted.filter((one) => this.fleet.find(one) !== undefined);
-    return names.length > 0 && this.fleet.reserveLoss(MachineActs.lossMs) ? this.chance.pick(names) : undefined;
+    return names.length > 0 && this.fleet.reserveLoss(MachineActs.lossMs) ? this.random.pick(names) : undefined;
   }
 
   #start(old: string): void {
--- a/packages/testkit/src/sim/memberChanges.test.ts
+++ b/packages/testkit/src/sim/memberChanges.test.ts
@@ -19,10 +19,10 @@
 }
 
 const members = (fleet: SimFleet) =>
-  fleet.proposer === undefined ? undefined : fleet.find(fleet.proposer)!.lathe!.ledger!.members;
+  fleet.proposer === undefined ? undefined : fleet.find(fleet.proposer)!.lathe!.raft!.members;
 const voters = (fleet: SimFleet): string[] => (members(fleet)?.voters ?? []).map((one) => one.name).sort();
 const isVoting = (fleet: SimFleet, ...names: string[]): boolean =>
-  voters(fleet).join() === [...names].sort().join() && fleet.find(fleet.proposer!)!.lathe!.ledger!.hasSettledMembers;
+  voters(fleet).join() === [...names].sort().join() && fleet.find(fleet.proposer!)!.lathe!.raft!.hasSettledMembers;
 
 async function founded(
   seed: number,
@@ -140,7 +140,7 @@
       fleet.retire(out!);
       fleet.start("lathe-4");
       const isAt = (): boolean => {
-        const now = fleet.find(leader)!.lathe!.ledger!.members;
+        const now = fleet.find(leader)!.lathe!.raft!.members;
         if (step === "learner") return now.learners.length > 0;
         if (step === "joint") return now.oldVoters.length > 0;
         return now.oldVoters.length === 0 && now.voters.some((one) => one.name === "lathe-4");
@@ -235,7 +235,7 @@
   expect(await fleet.until(() => isVoting(fleet, ...all), 6000)).toEqual(true);
   await fleet.run(2000);
   const old = fleet.proposer!;
-  const raft = fleet.find(old)!.lathe!.ledger!;
+  const raft = fleet.find(old)!.lathe!.raft!;
   const before = raft.commit;
   const self = raft.members.voters.find((one) => one.id === raft.id)!;
   fleet.isolate(old, fleet.names, "both");
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -30,12 +30,12 @@
 function holderOf(
   { fleet }: Served,
   topic: string,
-): { name: string; shard: number; holder: Holder; bench: ShardService } {
+): { name: string; shard: number; holder: Holder; service: ShardService } {
   const { node, vise } = fleet.find("vise-2")!;
   const shard = vise!.streams.shardOf(node.plan.route(topic)!.stream);
   const name = node.shards.find(shard).holder;
-  const { holder, bench } = fleet.find(name)!.anvil!.claims!.find(shard)!;
-  return { name, shard, holder, bench };
+  const { holder, service } = fleet.find(name)!.anvil!.claims!.find(shard)!;
+  return { name, shard, holder, service };
 }
 
 async function counted({ fleet }: Served, topic: string, node = "vise-2"): Promise<Count> {
@@ -153,7 +153,7 @@
   const { fleet } = all;
   for (const topic of ["notes/new", "notices/new"]) {
     const { name, shard } = holderOf(all, topic);
-    const { exchange, plan } = fleet.find("vise-1")!.node;
+    const { rpc, plan } = fleet.find("vise-1")!.node;
     const publish = {
       shard,
       session: "sender-1",
@@ -164,7 +164,7 @@
     const replies: PublishReply[] = [];
     const heed = (body: Body | undefined): void => void (body?.case === "publishReply" && replies.push(body.value));
     for (let number = 1; number <= 8; number += 1)
-      void exchange.call(name, { case: "publish", value: { ...publish, number } }, 3000).then(heed);
+      void rpc.call(name, { case: "publish", value: { ...publish, number } }, 3000).then(heed);
     expect(await fleet.until(() => replies.length === 8, 4000)).toEqual(true);
     expect(replies.map(({ outcome }) => outcome)).toEqual(Array.from({ length: 8 }, () => "accepted"));
     const first = replies[0]!.seq;
@@ -176,14 +176,14 @@
   const all = await served(806);
   const { fleet } = all;
   const topic = "notes/fresh";
-  const { holder, bench, shard, name } = holderOf(all, topic);
+  const { holder, service, shard, name } = holderOf(all, topic);
   const { spaceIncarnation } = fleet.find(name)!.node.plan.route(topic)!;
   const place = { shard, session: "pen", ownerEpoch: 9, topic, spaceIncarnation };
   const base = { ...place, payload: new Uint8Array(1), mayBeRepeat: false };
   const outcomes = new Map<number, string>();
   const say = (number: number): void => {
     const publish = { ...base, number, $typeName: "cranetrack.v1.Publish" as const };
-    void bench.publish(publish).then(({ value }) => outcomes.set(number, value.outcome ?? ""));
+    void service.publish(publish).then(({ value }) => outcomes.set(number, value.outcome ?? ""));
   };
   say(1);
   say(2);
@@ -220,7 +220,7 @@
   const next = (): ShardService | undefined => {
     const { holder } = fleet.find("vise-2")!.node.shards.find(shard);
     const claim = fleet.find(holder)?.anvil?.claims?.find(shard);
-    return claim?.bench.isOpen === true ? claim.bench : undefined;
+    return claim?.service.isOpen === true ? claim.service : undefined;
   };
   const epoch = fleet.find(name)!.anvil!.claims!.find(shard)?.holder.epoch;
   expect(epoch).toEqual(undefined);
--- a/packages/testkit/src/sim/oldState.test.ts
+++ b/packages/testkit/src/sim/oldState.test.ts
@@ -50,7 +50,7 @@
     fleet.start(current);
     expect(await fleet.until(() => fleet.proposer !== undefined, 15_000)).toEqual(true);
     expect(fleet.proposer).toEqual(current);
-    expect(await fleet.until(() => fleet.find(old)!.lathe!.ledger!.isInTouch, 5000)).toEqual(true);
+    expect(await fleet.until(() => fleet.find(old)!.lathe!.raft!.isInTouch, 5000)).toEqual(true);
     expect(await markAt(fleet, old)).toEqual(mark);
   }
 });
@@ -67,7 +67,7 @@
   fleet.start(blank);
   for (let i = 0; i < 200; i += 1) {
     await fleet.run(50);
-    expect(lathes.some((name) => fleet.find(name)?.lathe?.ledger?.isLeader === true)).toEqual(false);
+    expect(lathes.some((name) => fleet.find(name)?.lathe?.raft?.isLeader === true)).toEqual(false);
   }
 });
 
@@ -80,7 +80,7 @@
   let wasElected = false;
   for (let i = 0; i < 80; i += 1) {
     await fleet.run(50);
-    const rafts = alive.map((name) => fleet.find(name)!.lathe!.ledger!);
+    const rafts = alive.map((name) => fleet.find(name)!.lathe!.raft!);
     wasElected ||= rafts.some((raft) => raft.leaderName !== "");
     expect(rafts.some((raft) => raft.isLeader)).toEqual(false);
   }
--- a/packages/testkit/src/sim/orderActs.ts
+++ b/packages/testkit/src/sim/orderActs.ts
@@ -41,9 +41,9 @@
 
   /** 5 to 400 ms after a change was sent, acknowledged or not. */
   readonly sentKill: Act = () => {
-    const names = [this.chance.pick(this.counted), this.fleet.proposer];
+    const names = [this.random.pick(this.counted), this.fleet.proposer];
     this.#change();
-    const ms = this.chance.between(...OrderActs.sentMs);
+    const ms = this.random.between(...OrderActs.sentMs);
     this.later(ms, () =>
       this.#fall(
         names.filter((one) => one !== undefined),
@@ -70,9 +70,9 @@
   /** A disk is lost 5 to 400 ms after a change was sent. */
   readonly sentWipe: Act = () => {
     if (!this.fleet.reserveLoss(OrderActs.lossMs)) return Acts.notNow;
-    const name = this.chance.pick(this.counted);
+    const name = this.random.pick(this.counted);
     this.#change();
-    const ms = this.chance.between(...OrderActs.sentMs);
+    const ms = this.random.between(...OrderActs.sentMs);
     this.later(ms, () => {
       if (this.fleet.mayLose) this.#fall([name], (one) => this.fleet.wipe(one));
     });
@@ -86,7 +86,7 @@
       this.fleet.revive(name);
       const mark = this.load.nextMark;
       void this.load.putPlan(SimLoad.plan(mark), name);
-      void this.load.putPlan(SimPlans.write(mark, SimPlans.changed(this.chance)), name);
+      void this.load.putPlan(SimPlans.write(mark, SimPlans.changed(this.random)), name);
     });
   };
 
@@ -99,7 +99,7 @@
   }
 
   #change(): void {
-    void this.load.putPlan(SimPlans.write(this.load.nextMark, SimPlans.changed(this.chance)));
+    void this.load.putPlan(SimPlans.write(this.load.nextMark, SimPlans.changed(this.random)));
   }
 
   #wipeAfterAck(others: readonly string[]): number {
@@ -107,7 +107,7 @@
     return this.#afterAck((acknowledging) => {
       if (!this.fleet.mayLose) return;
       const isCounted = this.counted.includes(acknowledging);
-      const lost = isCounted && this.chance.draw() < 0.5 ? acknowledging : this.chance.pick(this.counted);
+      const lost = isCounted && this.random.draw() < 0.5 ? acknowledging : this.random.pick(this.counted);
       for (const one of others) if (one !== lost) this.fleet.kill(one);
       this.#fall([lost, ...others], (one) => {
         if (one === lost) this.fleet.wipe(one);
@@ -125,7 +125,7 @@
     const { onAnswer } = this.fleet.port;
     const look = (answer: GivenAnswer): void => {
       if (!isMeant(answer) || !onAnswer.delete(look)) return;
-      this.later(this.chance.between(0, OrderActs.rightAfterMs), () => strike(answer.name));
+      this.later(this.random.between(0, OrderActs.rightAfterMs), () => strike(answer.name));
     };
     onAnswer.add(look);
     this.later(2000, () => void onAnswer.delete(look));
@@ -134,6 +134,6 @@
 
   #fall(names: readonly string[], end: (name: string) => void): void {
     for (const one of names) end(one);
-    this.later(this.chance.between(500, 2000), () => this.reviveAll(names));
+    this.later(this.random.between(500, 2000), () => this.reviveAll(names));
   }
 }
--- a/packages/testkit/src/sim/replicaSets.test.ts
+++ b/packages/testkit/src/sim/replicaSets.test.ts
@@ -222,7 +222,7 @@
     const regions = members.map(({ zone }) => Number(zone.split("-")[1]) % 3);
     expect([0, 1, 2].every((region) => regions.filter((one) => one === region).length <= 2)).toEqual(true);
   }
-  const { members } = fleet.find(fleet.proposer!)!.lathe!.ledger!;
+  const { members } = fleet.find(fleet.proposer!)!.lathe!.raft!;
   expect([members.voters.length, members.learners.length]).toEqual([5, 0]);
   const lost = setsOf(fleet)[0]!
     .slice(0, 2)
--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -66,8 +66,8 @@
     const isQuick = seed % 2 === 0;
     const prepare = (fleet: SimFleet): void => {
       if (seed % 4 !== 0) return;
-      const chance = fleet.world.chance.fork();
-      for (const name of fleet.names) fleet.setRate(name, chance.between(0.97, 1.03));
+      const random = fleet.world.random.fork();
+      for (const name of fleet.names) fleet.setRate(name, random.between(0.97, 1.03));
     };
     const plain = isLarge ? Scenario.machines(5, 4, 5) : Scenario.machines();
     const machines = isQuick ? plain.map((one) => ({ ...one, settings: Scenario.quickRepair })) : plain;
--- a/packages/testkit/src/sim/sessions.test.ts
+++ b/packages/testkit/src/sim/sessions.test.ts
@@ -7,7 +7,7 @@
 /** What the store itself says: the newest of all lathes. */
 function ownerOf(fleet: SimFleet, session: string): { node: string; revision: number } {
   const kept = ["lathe-1", "lathe-2", "lathe-3"]
-    .map((name) => fleet.find(name)?.lathe?.ledger?.metadata.get(OwnerKey.of(session)))
+    .map((name) => fleet.find(name)?.lathe?.raft?.metadata.get(OwnerKey.of(session)))
     .filter((kv) => kv !== undefined)
     .sort((a, b) => b.revision - a.revision)[0]!;
   return { node: OwnerKey.read(kept.value)!.node, revision: kept.revision };
--- a/packages/testkit/src/sim/simClock.ts
+++ b/packages/testkit/src/sim/simClock.ts
@@ -25,14 +25,14 @@
 
   once(ms: number, ring: () => void): Beat {
     const beat = { isOff: false };
-    this.#ring(this.#world.now + Math.max(0.01, ms) / this.#rate, beat, ring);
+    this.#fire(this.#world.now + Math.max(0.01, ms) / this.#rate, beat, ring);
     return { stop: () => void (beat.isOff = true) };
   }
 
   every(ms: number, ring: () => void): Beat {
     const beat = { isOff: false };
     const again = (): void => {
-      this.#ring(this.#world.now + ms / this.#rate, beat, () => {
+      this.#fire(this.#world.now + ms / this.#rate, beat, () => {
         again();
         ring();
       });
@@ -45,10 +45,10 @@
     return this.#body.rate ?? 1;
   }
 
-  #ring(at: number, beat: { isOff: boolean }, ring: () => void): void {
+  #fire(at: number, beat: { isOff: boolean }, ring: () => void): void {
     this.#world.at(at, () => {
       if (beat.isOff || this.#body.isDead) return;
-      if (this.#body.pausedUntil > this.#world.now) return this.#ring(this.#body.pausedUntil, beat, ring);
+      if (this.#body.pausedUntil > this.#world.now) return this.#fire(this.#body.pausedUntil, beat, ring);
       ring();
     });
   }
--- a/packages/testkit/src/sim/simConfigurations.ts
+++ b/packages/testkit/src/sim/simConfigurations.ts
@@ -26,12 +26,12 @@
   },
 
   /** The usual spaces with a contract or two changed. */
-  changed(chance: SimRandom): SimSpaces {
+  changed(random: SimRandom): SimSpaces {
     const spaces = SimPlans.usual();
-    if (chance.draw() < 0.4)
+    if (random.draw() < 0.4)
       spaces["notes"]!.unshift({ when: { topic: "t1" }, owe: { ...spaces["notes"]![0]!.owe, maxBytes: 8 } });
-    if (chance.draw() < 0.4) spaces["notices"]![0]!.owe["publishers"] = ["sender-1"];
-    if (chance.draw() < 0.4) spaces["extra"]![0]!.owe["keep"] = chance.pick([46, 90, 200]);
+    if (random.draw() < 0.4) spaces["notices"]![0]!.owe["publishers"] = ["sender-1"];
+    if (random.draw() < 0.4) spaces["extra"]![0]!.owe["keep"] = random.pick([46, 90, 200]);
     return spaces;
   },
 
--- a/packages/testkit/src/sim/simDisk.ts
+++ b/packages/testkit/src/sim/simDisk.ts
@@ -78,7 +78,7 @@
   /** Power is lost: any prefix of what was under way may have reached the disk. */
   fall(): void {
     const most = this.#isFull ? 0 : this.#waiting.length;
-    const reached = Math.floor(this.#world.chance.draw() * (most + 1));
+    const reached = Math.floor(this.#world.random.draw() * (most + 1));
     for (const changes of this.#waiting.slice(0, reached)) SimDisk.#apply(this.#durable, changes);
     this.#waiting = [];
     this.#readyAt = 0;
@@ -125,7 +125,7 @@
   #sync(body: SimBody): Promise<void> {
     const count = this.#waiting.length;
     const last = this.#waiting[count - 1]!;
-    this.#readyAt = Math.max(this.#readyAt, this.#world.now + this.#world.chance.between(0.3, 3) * this.slowness);
+    this.#readyAt = Math.max(this.#readyAt, this.#world.now + this.#world.random.between(0.3, 3) * this.slowness);
     return new Promise((resolve) => {
       const finish = (): void => {
         if (body.isDead) return;
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -166,7 +166,7 @@
   get proposer(): string | undefined {
     return this.withRole("lathe").find((name) => {
       const life = this.find(name);
-      return life?.lathe?.ledger?.isLeader === true && life.body.pausedUntil <= this.world.now;
+      return life?.lathe?.raft?.isLeader === true && life.body.pausedUntil <= this.world.now;
     });
   }
 
@@ -213,7 +213,7 @@
     const lathes = new Set(lives.flatMap(({ lathe }) => lathe?.founding.id ?? []));
     const { node, lathe } = this.find(proposer)!;
     const sets = node.shards.all().map(([, route]) => route.set?.members ?? []);
-    const voters = lathe!.ledger!.members.voters.map((one) => one.id);
+    const voters = lathe!.raft!.members.voters.map((one) => one.id);
     return (
       sets.every(
         (members) =>
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -14,7 +14,7 @@
   readonly history = new History();
   readonly callers: Caller[] = [];
   readonly #fleet: SimFleet;
-  readonly #chance: SimRandom;
+  readonly #random: SimRandom;
   readonly #clock: SimClock;
   readonly #zones = new Map<string, string>();
   #isPlaying = false;
@@ -28,7 +28,7 @@
 
   constructor(fleet: SimFleet) {
     this.#fleet = fleet;
-    this.#chance = fleet.world.chance.fork();
+    this.#random = fleet.world.random.fork();
     this.#clock = new SimClock(fleet.world, { isDead: false, pausedUntil: 0 });
     fleet.port.onAnswer.add(({ method, path, status, text }) => {
       if (method !== "PUT" || path !== "/v1/plan" || status !== 200) return;
@@ -51,7 +51,7 @@
     const { mark } = plan;
     for (let tries = 0; tries < 100; tries += 1) {
       this.history.add({ kind: "planTried", at: this.#clock.now(), mark, text });
-      const drawn = this.#chance.pick(this.#fleet.names);
+      const drawn = this.#random.pick(this.#fleet.names);
       const reply = await this.#fleet.port.call(tries === 0 ? (first ?? drawn) : drawn, "PUT", "/v1/plan", text);
       const at = this.#clock.now();
       if (reply.status === 200) this.history.add({ kind: "planAccepted", at, mark, text });
@@ -78,14 +78,14 @@
         session,
         port: this.#fleet.port,
         clock: this.#clock,
-        draw: () => this.#chance.draw(),
+        draw: () => this.#random.draw(),
         history: this.history,
         nodes: () => this.#nodes(session),
       });
       this.callers.push(caller);
       const wanted = new Set([
         ...Array.from({ length: 2 }, () => this.#topicOf("notices")),
-        ...Array.from({ length: 3 }, () => `notes/t${Math.floor(this.#chance.draw() * topics)}`),
+        ...Array.from({ length: 3 }, () => `notes/t${Math.floor(this.#random.draw() * topics)}`),
         this.#topicOf("extra"),
       ]);
       caller.start([...wanted]);
@@ -101,7 +101,7 @@
     return new PassingCallers({
       port: fleet.port,
       clock: this.#clock,
-      chance: new SimRandom(fleet.world.seed),
+      random: new SimRandom(fleet.world.seed),
       edges: () => fleet.withRole("vise").filter((name) => fleet.find(name) !== undefined),
       topics: Array.from({ length: SimPlans.topics["passing"]! }, (_, i) => `passing/t${i}`),
       readers: 4,
@@ -125,11 +125,11 @@
   }
 
   #publishOne(): void {
-    const drawn = this.#chance.draw();
+    const drawn = this.#random.draw();
     const space = drawn < 0.25 ? "notices" : drawn < 0.4 ? "extra" : "notes";
     const caller =
-      space === "notices" ? this.callers[Math.floor(this.#chance.draw() * 2)]! : this.#chance.pick(this.callers);
-    void caller.publish(this.#topicOf(space), this.#chance.identity());
+      space === "notices" ? this.callers[Math.floor(this.#random.draw() * 2)]! : this.#random.pick(this.callers);
+    void caller.publish(this.#topicOf(space), this.#random.identity());
   }
 
   /** Every caller publishes once more, and every reader is to receive it. */
@@ -137,7 +137,7 @@
     return new Probe({
       history: this.history,
       callers: this.callers,
-      draw: () => this.#chance.draw(),
+      draw: () => this.#random.draw(),
       now: () => this.#clock.now(),
       topicsFor: ({ session }) =>
         session.startsWith("sender") ? ["notices/t0", "notices/t1"] : [this.#topicOf("notes"), this.#topicOf("extra")],
@@ -146,12 +146,12 @@
 
   #topicOf(space: string): string {
     const topics = space === "notes" ? this.#topics : SimPlans.topics[space]!;
-    return `${space}/t${Math.floor(this.#chance.draw() * topics)}`;
+    return `${space}/t${Math.floor(this.#random.draw() * topics)}`;
   }
 
   /** What some node shows as the plan in force. */
   async #lookAtMark(): Promise<void> {
-    const node = this.#chance.pick(this.#fleet.names);
+    const node = this.#random.pick(this.#fleet.names);
     const { status, body } = await this.#fleet.port.call(node, "GET", "/v1/status", undefined);
     const plan = body["plan"] as { mark: number } | undefined;
     if (status === 200 && plan !== undefined)
@@ -165,12 +165,12 @@
 
   /** An operator's wish to have a machine emptied, or that wish taken back. */
   ask(method: "PUT" | "DELETE", machine: string): void {
-    const node = this.#chance.pick(this.#fleet.names);
+    const node = this.#random.pick(this.#fleet.names);
     void this.#fleet.port.call(node, method, `/v1/machines/${machine}/emptying`, undefined);
   }
 
   async isEmptied(machine: string): Promise<boolean> {
-    const node = this.#chance.pick(this.#fleet.names);
+    const node = this.#random.pick(this.#fleet.names);
     const path = `/v1/machines/${machine}/emptying`;
     const { status, body } = await this.#fleet.port.call(node, "GET", path, undefined);
     return status === 200 && body["isEmpty"] === true;
@@ -189,7 +189,7 @@
 
   async #planInForce(): Promise<Plan | undefined> {
     for (let tries = 0; tries < 50; tries += 1) {
-      const node = this.#chance.pick(this.#fleet.names);
+      const node = this.#random.pick(this.#fleet.names);
       const reply = await this.#fleet.port.call(node, "GET", "/v1/plan", undefined);
       if (reply.status !== 200) await new Promise<void>((resolve) => void this.#clock.once(300, resolve));
       else {
@@ -201,23 +201,23 @@
   }
 
   dropAll(): void {
-    for (const caller of this.callers) caller.dropOff(this.#chance.draw() * 300);
+    for (const caller of this.callers) caller.dropOff(this.#random.draw() * 300);
   }
 
   /** A share of all callers comes to one zone. */
   shift(share: number): void {
-    const zone = this.#chance.pick([...this.#zones.values()]);
+    const zone = this.#random.pick([...this.#zones.values()]);
     for (const caller of this.callers) {
-      if (this.#chance.draw() >= share) continue;
+      if (this.#random.draw() >= share) continue;
       this.#zones.set(caller.session, zone);
-      caller.dropOff(this.#chance.draw() * 2000);
+      caller.dropOff(this.#random.draw() * 2000);
     }
   }
 
   moveOne(): void {
-    const caller = this.#chance.pick(this.callers);
-    this.#zones.set(caller.session, this.#chance.pick([...this.#zones.values()]));
-    caller.dropOff(this.#chance.draw() * 2000);
+    const caller = this.#random.pick(this.callers);
+    this.#zones.set(caller.session, this.#random.pick([...this.#zones.values()]));
+    caller.dropOff(this.#random.draw() * 2000);
   }
 
   /** Stops sending; true where all callers are served again and all publishes settled by the due. */
@@ -249,7 +249,7 @@
   async #read(): Promise<void> {
     for (let tries = 0; tries < 30; tries += 1) {
       const running = this.#fleet.names.filter((name) => this.#fleet.find(name) !== undefined);
-      const reply = await this.#fleet.port.call(this.#chance.pick(running), "GET", "/v1/plan", undefined);
+      const reply = await this.#fleet.port.call(this.#random.pick(running), "GET", "/v1/plan", undefined);
       if (reply.status === 200)
         return this.history.add({ kind: "planRead", at: this.#clock.now(), text: String(reply.body["raw"]) });
       if (reply.status === 404) break;
@@ -262,6 +262,6 @@
     if (this.#crowded.length > 0) return [...this.#crowded];
     const edges = this.#fleet.withRole("vise").filter((name) => this.#fleet.find(name) !== undefined);
     const near = edges.filter((name) => this.#fleet.zoneOf(name) === this.#zones.get(session));
-    return near.length > 0 && this.#chance.draw() < 0.7 ? near : edges;
+    return near.length > 0 && this.#random.draw() < 0.7 ? near : edges;
   }
 }
--- a/packages/testkit/src/sim/simNode.ts
+++ b/packages/testkit/src/sim/simNode.ts
@@ -34,12 +34,12 @@
     this.body = { isDead: false, pausedUntil: 0, rate };
     this.clock = new SimClock(world, this.body);
     this.log = new LogBuffer(settings.name, () => undefined);
-    const chance = world.chance.fork();
+    const random = world.random.fork();
     const mounted = settings.role === "vise" ? undefined : new SealedDisk(disk.mount(this.body));
-    const net = wires.attach(settings.address, this.body);
+    const transport = wires.attach(settings.address, this.body);
     const prefixes = settings.role === "vise" ? ["plan", "shards/"] : ["plan", "shards/", "machines/"];
     this.node = new ClusterNode(
-      { settings, clock: this.clock, net, disk: mounted, chance, log: this.log, incarnation },
+      { settings, clock: this.clock, transport, disk: mounted, random, log: this.log, incarnation },
       prefixes,
     );
     this.router = new Router(this.node);
--- a/packages/testkit/src/sim/simOperator.ts
+++ b/packages/testkit/src/sim/simOperator.ts
@@ -33,7 +33,7 @@
 
   constructor(fleet: SimFleet, history: OrderHistory, lossOfAnswers: number) {
     this.#fleet = fleet;
-    this.#random = fleet.world.chance.fork();
+    this.#random = fleet.world.random.fork();
     this.#history = history;
     this.#lossOfAnswers = lossOfAnswers;
   }
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -118,7 +118,7 @@
       return reply;
     });
     const isOrder = method !== "GET" && method !== "POST";
-    if (!isOrder || this.answerLoss === 0 || this.#nodes.world.chance.draw() >= this.answerLoss) return answered;
+    if (!isOrder || this.answerLoss === 0 || this.#nodes.world.random.draw() >= this.answerLoss) return answered;
     const { world } = this.#nodes;
     return new Promise((resolve) => void world.at(world.now + SimPort.silenceMs, () => resolve(SimPort.#broken())));
   }
--- a/packages/testkit/src/sim/simTransport.ts
+++ b/packages/testkit/src/sim/simTransport.ts
@@ -135,14 +135,14 @@
       for (const copy of copies) this.#carry(from, to, copy.bytes, copy.delay);
       return;
     }
-    if (this.loss > 0 && this.#world.chance.draw() < this.loss) return;
+    if (this.loss > 0 && this.#world.random.draw() < this.loss) return;
     this.#carry(from, to, bytes, 0);
   }
 
   #carry(from: string, to: string, bytes: Uint8Array, delay: number): void {
     const slowness = (this.slow.get(from) ?? 0) + (this.slow.get(to) ?? 0);
     const key = `${from}>${to}`;
-    const wanted = this.#world.now + delay + this.#world.chance.between(0.2, 2) + slowness * this.#world.chance.draw();
+    const wanted = this.#world.now + delay + this.#world.random.between(0.2, 2) + slowness * this.#world.random.draw();
     const at = delay > 0 ? wanted : Math.max(wanted, this.#lastAt.get(key) ?? 0);
     if (delay === 0) this.#lastAt.set(key, at);
     const resets = this.#resets.get(key);
--- a/packages/testkit/src/sim/simWorld.ts
+++ b/packages/testkit/src/sim/simWorld.ts
@@ -14,7 +14,7 @@
  * a seed gives one trace, byte for byte.
  */
 export class SimWorld {
-  readonly chance: SimRandom;
+  readonly random: SimRandom;
   readonly #trace = createHash("sha1");
   /** A binary heap: no event is before its parent. */
   readonly #heap: Event[] = [];
@@ -26,7 +26,7 @@
 
   constructor(seed: number) {
     this.seed = seed;
-    this.chance = new SimRandom(seed);
+    this.random = new SimRandom(seed);
   }
 
   at(time: number, act: () => void): Event {
--- a/packages/testkit/src/sim/store.test.ts
+++ b/packages/testkit/src/sim/store.test.ts
@@ -12,8 +12,7 @@
 const lathes = (fleet: SimFleet): string[] => fleet.withRole("lathe");
 const proposer = (fleet: SimFleet): string | undefined =>
   lathes(fleet).find(
-    (name) =>
-      fleet.find(name)?.lathe?.ledger?.isLeader === true && fleet.find(name)!.body.pausedUntil <= fleet.world.now,
+    (name) => fleet.find(name)?.lathe?.raft?.isLeader === true && fleet.find(name)!.body.pausedUntil <= fleet.world.now,
   );
 
 async function founded(seed: number, machines = Scenario.machines(5)): Promise<{ fleet: SimFleet; load: SimLoad }> {
@@ -36,7 +35,7 @@
     const fleet = new SimFleet(21, Scenario.machines(5));
     for (const name of fleet.names.filter((one) => one !== "lathe-4")) fleet.start(name);
     await fleet.run(8000);
-    expect(lathes(fleet).some((name) => fleet.find(name)?.lathe?.ledger !== undefined)).toEqual(false);
+    expect(lathes(fleet).some((name) => fleet.find(name)?.lathe?.raft !== undefined)).toEqual(false);
     expect(fleet.find("lathe-1")!.lathe!.founding.missing).toEqual(expect.includes("4 of 5 blank lathes"));
     fleet.start("lathe-4");
     expect(await fleet.until(() => proposer(fleet) !== undefined, 8000)).toEqual(true);
@@ -55,7 +54,7 @@
     const voters = (): string[] =>
       proposer(fleet) === undefined
         ? []
-        : fleet.find(proposer(fleet)!)!.lathe!.ledger!.members.voters.map((one) => one.id);
+        : fleet.find(proposer(fleet)!)!.lathe!.raft!.members.voters.map((one) => one.id);
     expect(
       await fleet.until(() => voters().length === 5 && fresh.every((id) => voters().includes(id)), 20_000),
     ).toEqual(true);
@@ -70,7 +69,7 @@
   await fleet.run(500);
   for (const name of ["lathe-1", "lathe-2", "lathe-3", "lathe-4"]) fleet.start(name);
   await fleet.run(15_000);
-  expect(lathes(fleet).filter((name) => fleet.find(name)!.lathe!.ledger !== undefined)).toEqual(["lathe-5"]);
+  expect(lathes(fleet).filter((name) => fleet.find(name)!.lathe!.raft !== undefined)).toEqual(["lathe-5"]);
   expect(fleet.find("lathe-1")!.lathe!.founding.missing).toEqual(expect.includes("lathe-5"));
   expect(proposer(fleet)).toEqual(undefined);
 });
@@ -87,11 +86,11 @@
     expect([503, 504].includes(answer.status)).toEqual(true);
     expect(
       await fleet.until(
-        () => lathes(fleet).some((name) => name !== old && fleet.find(name)!.lathe!.ledger!.isLeader),
+        () => lathes(fleet).some((name) => name !== old && fleet.find(name)!.lathe!.raft!.isLeader),
         6000,
       ),
     ).toEqual(true);
-    expect(fleet.find(old)!.lathe!.ledger!.isInTouch).toEqual(false);
+    expect(fleet.find(old)!.lathe!.raft!.isInTouch).toEqual(false);
     const next = load.nextMark;
     expect(await settled(fleet, load.putPlan({ ...SimLoad.plan(next), mark: next }))).toEqual(200);
     fleet.wires.heal();
@@ -218,9 +217,9 @@
   const old = proposer(fleet)!;
   fleet.isolate(old, fleet.names, "both");
   await fleet.run(50);
-  const { ledger } = fleet.find(old)!.lathe!;
-  expect(ledger!.isLeader).toEqual(true);
-  expect(await settled(fleet, ledger!.confirm())).toEqual(false);
+  const { raft } = fleet.find(old)!.lathe!;
+  expect(raft!.isLeader).toEqual(true);
+  expect(await settled(fleet, raft!.confirm())).toEqual(false);
   expect((await settled(fleet, fleet.port.call(old, "GET", "/v1/plan", undefined))).status).toEqual(503);
 });
 
@@ -231,10 +230,12 @@
     await fleet.run(5500);
   }
   await fleet.run(3000);
-  const mutes = fleet.names.flatMap((name) =>
-    fleet.names.filter((other) => fleet.find(name)!.node.exchange.isMute(other)).map((other) => `${name} to ${other}`),
+  const unresponsive = fleet.names.flatMap((name) =>
+    fleet.names
+      .filter((other) => fleet.find(name)!.node.rpc.isUnresponsive(other))
+      .map((other) => `${name} to ${other}`),
   );
-  expect(mutes).toEqual([]);
+  expect(unresponsive).toEqual([]);
   expect(fleet.names.filter((name) => !fleet.find(name)!.node.feed.isFresh)).toEqual([]);
 });
 
@@ -266,7 +267,7 @@
 test("the word of a proposer that gives up goes round where it is slow, and nothing older undoes it", async () => {
   const { fleet } = await founded(62);
   const old = fleet.proposer!;
-  const { voters } = fleet.find(old)!.lathe!.ledger!.members;
+  const { voters } = fleet.find(old)!.lathe!.raft!.members;
   const first = voters.map(({ name }) => name).find((name) => name !== old);
   const delays: Record<string, number> = { append: 120, yield: 400 };
   fleet.wires.mutate = (from, to, bytes) => {
@@ -276,7 +277,7 @@
   };
   await fleet.run(1000);
   expect(fleet.proposer).toEqual(old);
-  fleet.find(old)!.lathe!.ledger!.resign();
+  fleet.find(old)!.lathe!.raft!.resign();
   expect(await fleet.until(() => fleet.proposer !== undefined, 300)).toEqual(true);
   expect(fleet.proposer === old).toEqual(false);
 });
@@ -291,14 +292,10 @@
   for (const name of others)
     void fleet
       .find("vise-1")!
-      .node.exchange.call(
-        name,
-        { case: "storeCall", value: { call: { case: "renew", value: { lease: "none" } } } },
-        2000,
-      )
+      .node.rpc.call(name, { case: "storeCall", value: { call: { case: "renew", value: { lease: "none" } } } }, 2000)
       .then((body) => answered.set(name, body?.case === "storeReply" ? body.value.outcome : undefined));
   await fleet.run(50);
-  fleet.find(old)!.lathe!.ledger!.resign();
+  fleet.find(old)!.lathe!.raft!.resign();
   expect(await fleet.until(() => fleet.proposer !== undefined, 400)).toEqual(true);
   await fleet.run(100);
   expect(answered.get(fleet.proposer!)).toEqual("lost");
--- a/packages/testkit/src/slopes/cost.ts
+++ b/packages/testkit/src/slopes/cost.ts
@@ -56,13 +56,13 @@
   async calls(calls: number, atOnce: number): Promise<CallCost> {
     const log = new LogBuffer("cost", () => undefined);
     const nets = [new TcpTransport(await freeAddress(), log), new TcpTransport(await freeAddress(), log)] as const;
-    const [asking, answering] = nets.map((net, i) => {
-      const exchange = new RpcEndpoint(`vise-${i + 1}`, net, new HostClock(), new HostRandom());
-      exchange.addressOf = (name) => nets[Number(name.slice(5)) - 1]!.address;
-      return exchange;
+    const [asking, answering] = nets.map((transport, i) => {
+      const rpc = new RpcEndpoint(`vise-${i + 1}`, transport, new HostClock(), new HostRandom());
+      rpc.addressOf = (name) => nets[Number(name.slice(5)) - 1]!.address;
+      return rpc;
     }) as [RpcEndpoint, RpcEndpoint];
     answering.serve("ping", () => ({ case: "done", value: {} }));
-    await Promise.all(nets.map((net) => net.listen()));
+    await Promise.all(nets.map((transport) => transport.listen()));
     const play = async (count: number): Promise<void> => {
       const one = async (): Promise<void> => {
         for (let i = 0; i < count / atOnce; i += 1)
@@ -82,7 +82,7 @@
       fromAddress: nets[0].address,
       body: { case: "ping", value: { about: "a small call" } },
     }).length;
-    for (const net of nets) net.close();
+    for (const transport of nets) transport.close();
     const each = (value: number): number => Math.round((10 * value) / calls) / 10;
     return {
       calls,
--- a/packages/testkit/src/slopes/storeSlopes.ts
+++ b/packages/testkit/src/slopes/storeSlopes.ts
@@ -49,12 +49,12 @@
 } {
   const told = { frames: 0, bytes: 0 };
   const metadata = withLeases(1);
-  const ledger = Object.assign(new EventEmitter(), { metadata, isInTouch: true });
+  const raft = Object.assign(new EventEmitter(), { metadata, isInTouch: true });
   const serve = new Map<string, (body: unknown) => unknown>();
   let numbers = 0;
   const turns: Array<() => void> = [];
   const node = {
-    exchange: {
+    rpc: {
       serve: (kind: string, answer: (body: unknown) => unknown) => void serve.set(kind, answer),
       tell: (to: string, body: BodyInit) => {
         told.frames += 1;
@@ -69,7 +69,7 @@
       },
     },
   };
-  const feeds = new Feeds(node as object as ClusterNode, ledger as object as RaftNode, new ValueHistory(), () =>
+  const feeds = new Feeds(node as object as ClusterNode, raft as object as RaftNode, new ValueHistory(), () =>
     Promise.resolve(1),
   );
   for (let i = 0; i < count; i += 1) {
@@ -91,7 +91,7 @@
         command: { case: "txn", value: { puts: [{ key, value }] } },
       }),
     );
-    ledger.emit("applied", applied);
+    raft.emit("applied", applied);
     turns.splice(0).forEach((ring) => ring());
     acknowledge(numbers + 1);
   };
@@ -107,13 +107,13 @@
   /** The proposer's look over all leases, a second of it. */
   leaseProcessor(count: number): Promise<number> {
     const metadata = withLeases(count);
-    const ledger = Object.assign(new EventEmitter(), { metadata, isLeader: true });
+    const raft = Object.assign(new EventEmitter(), { metadata, isLeader: true });
     let look = (): void => undefined;
     const clock = Object.assign(new HostClock(), {
       every: (_ms: number, ring: () => void) => ((look = ring), { stop: () => undefined }),
     });
-    new Leases(ledger as object as RaftNode, clock, () => undefined);
-    ledger.emit("elected");
+    new Leases(raft as object as RaftNode, clock, () => undefined);
+    raft.emit("elected");
     const looks = 1000 / Leases.beatMs;
     const rounds = 10;
     return Meter.processor(() => {
