--- a/packages/cli/src/fleetChecks.ts
+++ b/packages/cli/src/fleetChecks.ts
@@ -61,15 +61,15 @@
     return late.length === 0 ? undefined : late.map((node) => `${node.name} ${node.why ?? "is behind"}`).join(", ");
   }) satisfies Check,
 
-  lathesWhole: (async (context) => {
+  controlNodesUp: (async (context) => {
     const seen = await status(context);
     if (seen === undefined) return "no node answers";
-    const lathes = seen.members.filter((member) => member.role === "lathe" && member.state === "alive");
-    for (const lathe of lathes) {
-      const own = await context.client.call("GET", "/v1/status", undefined, [lathe.http]);
+    const controlNodes = seen.members.filter((member) => member.role === "lathe" && member.state === "alive");
+    for (const controlNode of controlNodes) {
+      const own = await context.client.call("GET", "/v1/status", undefined, [controlNode.http]);
       const raft = own.body["raft"] as { voters: string[]; learners: string[]; isLeader: boolean } | null | undefined;
       if (raft?.isLeader !== true) continue;
-      const outside = lathes.filter((one) => !raft.voters.includes(one.name)).map((one) => one.name);
+      const outside = controlNodes.filter((one) => !raft.voters.includes(one.name)).map((one) => one.name);
       return outside.length === 0 ? undefined : `${outside.join(", ")} not a voter yet`;
     }
     return "no lathe proposes";
--- a/packages/cli/src/runbooks/runbooks.ts
+++ b/packages/cli/src/runbooks/runbooks.ts
@@ -96,7 +96,7 @@
       {
         title: "the fleet is whole after",
         before: FleetChecks.nothing,
-        after: FleetChecks.all(whole, FleetChecks.lathesWhole, FleetChecks.planTakenUp),
+        after: FleetChecks.all(whole, FleetChecks.controlNodesUp, FleetChecks.planTakenUp),
         dueMs: 60_000,
       },
     ],
@@ -104,7 +104,7 @@
   {
     name: "replace-lathe",
     about: "Bring back a lathe whose disk was lost, blank, under its old name",
-    args: { lathe: "the lathe's name" },
+    args: { controlNode: "the lathe's name" },
     steps: [
       { title: "the lost lathe is down", before: FleetChecks.allHeld, after: FleetChecks.isGone("lathe"), dueMs: 5000 },
       {
@@ -116,7 +116,7 @@
       {
         title: "it is a voter again",
         before: FleetChecks.isAlive("lathe"),
-        after: FleetChecks.lathesWhole,
+        after: FleetChecks.controlNodesUp,
         dueMs: 60_000,
       },
     ],
@@ -136,7 +136,7 @@
       {
         title: "all is whole again",
         before: FleetChecks.zoneAlive,
-        after: FleetChecks.all(whole, FleetChecks.lathesWhole, FleetChecks.planTakenUp),
+        after: FleetChecks.all(whole, FleetChecks.controlNodesUp, FleetChecks.planTakenUp),
         dueMs: 60_000,
       },
     ],
--- a/packages/control/src/configuration/getRollout.ts
+++ b/packages/control/src/configuration/getRollout.ts
@@ -10,12 +10,12 @@
   const inForce = present.kvs![0];
   if (inForce === undefined) return ApiReplies.fault(404, "no-plan", "no plan was ever accepted");
   const mark = PlanKey.markOf(inForce.value);
-  const lathes = node.membership
+  const controlNodes = node.membership
     .alive("lathe")
     .filter((member) => member.isInStore)
     .map((member) => member.name);
   const asked = await Promise.all(
-    lathes.map((name) =>
+    controlNodes.map((name) =>
       node.rpc.call(name, { case: "storeCall", value: { call: { case: "feeds", value: {} } } }, 600),
     ),
   );
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -52,9 +52,9 @@
     super();
     this.#node = node;
     this.#disk = disk;
-    const { founders, lathes, mayFound } = node.parts.settings;
+    const { founders, lathes: controlCount, mayFound } = node.parts.settings;
     this.#founders = founders;
-    this.#expected = founders?.length ?? lathes;
+    this.#expected = founders?.length ?? controlCount;
     const kept = disk.read("identity")[0];
     this.#identity =
       kept === undefined
@@ -106,9 +106,9 @@
   async #beat(): Promise<void> {
     if (this.founding !== "" || this.#isAsking || !this.#isReady) return;
     this.#isAsking = true;
-    const lathes = this.#node.membership.alive("lathe").filter((member) => member.disk !== "");
-    const founders = lathes.filter((member) => member.isFounder && this.#isNamed(member.address));
-    const founded = lathes.find((member) => member.isInStore) ?? lathes.find((member) => member.isFounded);
+    const controlNodes = this.#node.membership.alive("lathe").filter((member) => member.disk !== "");
+    const founders = controlNodes.filter((member) => member.isFounder && this.#isNamed(member.address));
+    const founded = controlNodes.find((member) => member.isInStore) ?? controlNodes.find((member) => member.isFounded);
     if (founded !== undefined) await this.#join(founded);
     else if (!this.#isFounder) this.missing = "waits for a founded store to join, and founds none itself";
     else if (founders.length !== this.#expected)
@@ -124,12 +124,12 @@
     return this.#founders === undefined || (address !== undefined && this.#founders.includes(address));
   }
 
-  #isFirst(lathes: Member[]): boolean {
-    return lathes.every((member) => member.disk >= this.id);
+  #isFirst(controlNodes: Member[]): boolean {
+    return controlNodes.every((member) => member.disk >= this.id);
   }
 
-  async #ask(lathes: Member[]): Promise<void> {
-    const members = lathes.map((member) => ({ id: member.disk, name: member.name }));
+  async #ask(controlNodes: Member[]): Promise<void> {
+    const members = controlNodes.map((member) => ({ id: member.disk, name: member.name }));
     const founding =
       this.#identity.agreed !== "" && JSON.stringify(this.#identity.members) === JSON.stringify(members)
         ? this.#identity.agreed
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -20,7 +20,7 @@
 export class ControlNode {
   readonly node: ClusterNode;
   readonly founding: Founding;
-  readonly anvil: StorageNode;
+  readonly storage: StorageNode;
   readonly #disk: Disk;
   readonly #disks: DiskWatch;
   #raft: RaftNode | undefined;
@@ -31,7 +31,7 @@
     this.#disk = disk;
     this.#disks = new DiskWatch(node.membership);
     this.founding = new Founding(node, disk);
-    this.anvil = new StorageNode(node, disk, !node.parts.settings.stores);
+    this.storage = new StorageNode(node, disk, !node.parts.settings.stores);
     this.founding.on("founded", () => this.#begin());
     router.on("PUT", /^\/v1\/plan$/, (call) => putPlan(node, call.body));
     router.on("GET", /^\/v1\/plan$/, async () => {
@@ -53,11 +53,11 @@
 
   /** Says what is wrong with the data folder, if anything is. */
   load(): string | undefined {
-    return new ReplicaLog(this.#disk, logGroupNames.store).fault() ?? this.founding.fault() ?? this.anvil.load();
+    return new ReplicaLog(this.#disk, logGroupNames.store).fault() ?? this.founding.fault() ?? this.storage.load();
   }
 
   async start(): Promise<void> {
-    await this.anvil.start();
+    await this.storage.start();
     await this.founding.start();
   }
 
@@ -65,7 +65,7 @@
     const { membership } = this.node;
     membership.self.isLeaving = true;
     membership.gossipNow();
-    await this.anvil.stop();
+    await this.storage.stop();
     this.#raft?.resign();
     if (membership.self.isInStore) await handOverVote(this.node);
     this.#desk?.closeFeeds("the process is stopping");
@@ -98,7 +98,7 @@
               voters: members!.voters.map((one) => one.name),
               learners: members!.learners.map((one) => one.name),
             },
-      anvil: this.anvil.status(),
+      anvil: this.storage.status(),
     };
   }
 
--- a/packages/control/src/cranetrack-control.ts
+++ b/packages/control/src/cranetrack-control.ts
@@ -5,13 +5,13 @@
 import { ControlNode } from "./controlNode.js";
 
 await new Program("lathe", ["plan", "shards/", "machines/"], ({ node, disk, router }) => {
-  const lathe = new ControlNode(node, disk!, router);
+  const control = new ControlNode(node, disk!, router);
   const archive = new PlanArchive(join(node.parts.settings.data!, "plans"), node.plan, node.parts.log);
   return {
-    load: () => lathe.load(),
-    start: () => lathe.start(),
-    stop: () => lathe.stop(),
-    isReady: () => lathe.isReady,
-    status: () => ({ ...lathe.status(), archivedMark: archive.mark }),
+    load: () => control.load(),
+    start: () => control.start(),
+    stop: () => control.stop(),
+    isReady: () => control.isReady,
+    status: () => ({ ...control.status(), archivedMark: archive.mark }),
   };
 }).run(process.argv);
--- a/packages/control/src/membership/membershipStatus.ts
+++ b/packages/control/src/membership/membershipStatus.ts
@@ -24,10 +24,10 @@
   }
 
   /** Asks to be taken in, or kept in mind; returns what the store says. */
-  static async ask(node: ClusterNode, lathe: string, id: string): Promise<string> {
+  static async ask(node: ClusterNode, controlNode: string, id: string): Promise<string> {
     const join = { id, name: node.parts.settings.name };
     const call = { case: "join" as const, value: join };
-    const body = await node.rpc.call(lathe, { case: "storeCall", value: { call } }, 1000);
+    const body = await node.rpc.call(controlNode, { case: "storeCall", value: { call } }, 1000);
     return body?.case === "storeReply" ? body.value.outcome : "away";
   }
 
--- a/packages/core/src/feeds/feedFollower.ts
+++ b/packages/core/src/feeds/feedFollower.ts
@@ -15,7 +15,7 @@
 }
 
 interface UnacceptedFeed {
-  readonly lathe: string;
+  readonly controlNode: string;
   readonly askedAt: number;
 }
 
@@ -55,7 +55,7 @@
   /** The keys held, to tell from a snapshot what is gone, and large values, which differences apply to. */
   readonly #keys = new Map<string, ValueVersion>();
   #feed = "";
-  #lathe = "";
+  #controlNode = "";
   #number = 0;
   /** Invariant: at most `answerMs` later than when the lathe sent what was heard. */
   #heardAt = -Infinity;
@@ -122,58 +122,60 @@
   }
 
   #open(): void {
-    const lathes = this.#membership.alive("lathe").filter((member) => member.isInStore);
-    const lively = lathes.filter(
+    const controlNodes = this.#membership.alive("lathe").filter((member) => member.isInStore);
+    const lively = controlNodes.filter(
       ({ name }) =>
-        name !== this.#lathe && !this.#rpc.isUnresponsive(name) && this.#membership.ageOf(name) < FeedFollower.livelyMs,
+        name !== this.#controlNode &&
+        !this.#rpc.isUnresponsive(name) &&
+        this.#membership.ageOf(name) < FeedFollower.livelyMs,
     );
     const { zone } = this.#membership.self;
-    const ranked = Rendezvous.nearest(this.#rpc.name, zone, lively.length > 0 ? lively : lathes);
-    const lathe = ranked[this.#opens % Math.max(1, ranked.length)];
-    if (lathe === undefined) return;
+    const ranked = Rendezvous.nearest(this.#rpc.name, zone, lively.length > 0 ? lively : controlNodes);
+    const controlNode = ranked[this.#opens % Math.max(1, ranked.length)];
+    if (controlNode === undefined) return;
     this.#opens += 1;
     this.#isClosed = false;
     this.#openedAt = this.#askedAt = this.#clock.now();
     this.#feed = `${this.#rpc.name}/${this.#random.identity().slice(0, 8)}`;
-    this.#lathe = lathe;
+    this.#controlNode = controlNode;
     this.#number = 0;
-    void this.#ask(lathe, this.#feed);
+    void this.#ask(controlNode, this.#feed);
   }
 
   /** A refusal may be lost: who does not say that a push will come is not waited for. */
-  async #ask(lathe: string, feed: string): Promise<void> {
+  async #ask(controlNode: string, feed: string): Promise<void> {
     const value = {
       feed,
       name: this.#rpc.name,
       prefixes: this.#prefixes,
       revision: this.#needsSnapshot ? 0 : this.revision,
     };
-    const reply = await this.#rpc.call(lathe, { case: "feedOpen", value }, FeedFollower.acceptMs);
+    const reply = await this.#rpc.call(controlNode, { case: "feedOpen", value }, FeedFollower.acceptMs);
     const isAccepted = reply?.case === "done" || this.#number > 0;
     if (feed !== this.#feed || isAccepted) return;
     this.#isClosed = true;
-    if (reply === undefined) this.#remember(feed, lathe);
+    if (reply === undefined) this.#remember(feed, controlNode);
   }
 
-  #remember(feed: string, lathe: string): void {
-    this.#unaccepted.set(feed, { lathe, askedAt: this.#askedAt });
+  #remember(feed: string, controlNode: string): void {
+    this.#unaccepted.set(feed, { controlNode, askedAt: this.#askedAt });
     const [oldest] = this.#unaccepted.keys();
     if (this.#unaccepted.size > FeedFollower.mostUnaccepted) this.#unaccepted.delete(oldest!);
   }
 
   /** The first push of a feed that was not accepted in time makes it the feed; it is as old as its question. */
   #adopt(push: FeedPush, from: string): void {
-    const { lathe, askedAt } = this.#unaccepted.get(push.feed) ?? {};
-    if (lathe !== from || askedAt === undefined || push.number !== 1 || this.#number > 0) return;
+    const { controlNode, askedAt } = this.#unaccepted.get(push.feed) ?? {};
+    if (controlNode !== from || askedAt === undefined || push.number !== 1 || this.#number > 0) return;
     this.#feed = push.feed;
-    this.#lathe = lathe;
+    this.#controlNode = controlNode;
     this.#askedAt = askedAt;
     this.#isClosed = false;
   }
 
   #take(push: FeedPush, from: string): undefined {
     if (push.feed !== this.#feed) this.#adopt(push, from);
-    if (push.feed !== this.#feed || from !== this.#lathe) return undefined;
+    if (push.feed !== this.#feed || from !== this.#controlNode) return undefined;
     if (push.number === this.#number + 1 && (push.isSnapshot || push.fromRevision <= this.revision)) {
       if (push.revision < this.revision) return undefined;
       if (!push.isSnapshot) push.kvs = push.kvs.filter((kv) => kv.revision > this.revision);
--- a/packages/core/src/store/storeClient.test.ts
+++ b/packages/core/src/store/storeClient.test.ts
@@ -35,7 +35,7 @@
   const random = { draw: () => 0, identity: () => "0123456789abcdef" };
   const rpc = new RpcEndpoint("vise-1", transport, clock, random);
   const membership = new Membership({ name: "vise-1" }, [], rpc, clock, random);
-  const lathe = (name: string, address: string, isInStore: boolean): object => ({
+  const controlNode = (name: string, address: string, isInStore: boolean): object => ({
     name,
     role: "lathe",
     address,
@@ -43,7 +43,7 @@
     version: 1,
     isInStore,
   });
-  const members = [1, 2, 3].map((i) => lathe(`lathe-${i}`, `10.0.0.${i}:1`, inStore.includes(`lathe-${i}`)));
+  const members = [1, 2, 3].map((i) => controlNode(`lathe-${i}`, `10.0.0.${i}:1`, inStore.includes(`lathe-${i}`)));
   const tell = (body: BodyInit, part: object): void =>
     take(Wire.decode(Wire.encode({ from: "lathe-2", to: "vise-1", fromAddress: "", ...part, body }))!);
   tell({ case: "gossip", value: create(GossipSchema, { members }) }, {});
--- a/packages/core/src/store/storeClient.ts
+++ b/packages/core/src/store/storeClient.ts
@@ -126,13 +126,13 @@
   }
 
   #order(): string[] {
-    const lathes = this.#membership
+    const controlNodes = this.#membership
       .all()
       .filter((member) => member.role === "lathe" && member.isInStore && member.state === "up");
     const waiting = [...this.#open.values()].filter(({ at }) => this.#clock.now() - at > StoreClient.waitMs);
     const isBad = (name: string): boolean =>
       !this.#membership.isAlive(name) || this.#rpc.isUnresponsive(name) || waiting.some((one) => one.name === name);
-    const ranked = Rendezvous.nearest(this.#rpc.name, this.#membership.self.zone, lathes);
+    const ranked = Rendezvous.nearest(this.#rpc.name, this.#membership.self.zone, controlNodes);
     const good = ranked.filter((name) => !isBad(name));
     const first = good.includes(this.#favourite) ? [this.#favourite] : [];
     return [...new Set([...first, ...good, ...ranked])];
--- a/packages/edge/src/connections/edgeClientEndpoint.ts
+++ b/packages/edge/src/connections/edgeClientEndpoint.ts
@@ -10,25 +10,25 @@
   /** How long a connection waits for its session's old owner before it is told when to come back. */
   static readonly patienceMs = 800;
 
-  readonly #vise: EdgeParts;
+  readonly #edge: EdgeParts;
 
-  constructor(vise: EdgeParts) {
-    this.#vise = vise;
+  constructor(edge: EdgeParts) {
+    this.#edge = edge;
   }
 
   async connect(id: string, link: ClientLink): Promise<Connected> {
     if (!AdmitSession.isName(id)) return { outcome: "malformed", reason: "a session's name is malformed" };
-    const admitted = await AdmitSession.run(this.#vise, id, EdgeConnections.patienceMs);
+    const admitted = await AdmitSession.run(this.#edge, id, EdgeConnections.patienceMs);
     if (!("session" in admitted)) return { outcome: "away", reason: admitted.reason, comeBack: admitted.comeBack };
     const { session } = admitted;
     if (link.isClosed) return { outcome: "away", reason: "the client is gone", comeBack: 0 };
-    AdmitSession.tie(this.#vise, session, link);
+    AdmitSession.tie(this.#edge, session, link);
     session.bringsTopics = true;
     session.places.clear();
-    return { outcome: "open", connection: new SessionConnection(this.#vise, session, link) };
+    return { outcome: "open", connection: new SessionConnection(this.#edge, session, link) };
   }
 
   count(topic: string): Promise<Counted> {
-    return countTopic(this.#vise, topic);
+    return countTopic(this.#edge, topic);
   }
 }
--- a/packages/edge/src/cranetrack-edge.ts
+++ b/packages/edge/src/cranetrack-edge.ts
@@ -5,15 +5,15 @@
 import { EdgeCalls } from "./edgeCalls.js";
 
 await new Program("vise", ["plan", "shards/"], ({ node, router }) => {
-  const vise = new EdgeNode(node, router);
-  const calls = new EdgeCalls(vise, router);
+  const edge = new EdgeNode(node, router);
+  const calls = new EdgeCalls(edge, router);
   return {
     load: () => undefined,
-    start: () => vise.start(),
-    stop: () => vise.drain(),
-    isReady: () => vise.isReady,
-    status: () => vise.status(),
-    take: ({ mostLinks, bufferBytes }) => Object.assign(vise.live, { mostLinks, bufferBytes }),
+    start: () => edge.start(),
+    stop: () => edge.drain(),
+    isReady: () => edge.isReady,
+    status: () => edge.status(),
+    take: ({ mostLinks, bufferBytes }) => Object.assign(edge.live, { mostLinks, bufferBytes }),
     stream: {
       pattern: EdgeCalls.linkPath,
       open: (path, body, reply) =>
--- a/packages/edge/src/edgeCalls.ts
+++ b/packages/edge/src/edgeCalls.ts
@@ -18,21 +18,21 @@
 export class EdgeCalls {
   static readonly linkPath = /^\/v1\/sessions\/([^/]+)\/link$/;
 
-  readonly #vise: EdgeParts;
+  readonly #edge: EdgeParts;
 
-  constructor(vise: EdgeParts, router: Router) {
-    this.#vise = vise;
-    router.on("POST", /^\/v1\/sessions\/([^/]+)\/messages$/, (call) => publishCall(vise, call));
+  constructor(edge: EdgeParts, router: Router) {
+    this.#edge = edge;
+    router.on("POST", /^\/v1\/sessions\/([^/]+)\/messages$/, (call) => publishCall(edge, call));
     router.on("POST", /^\/v1\/sessions\/([^/]+)\/subscriptions$/, (call) =>
       this.#onOwner(call, (session) => this.#subscribe(session, call.body)),
     );
     router.on("DELETE", /^\/v1\/sessions\/([^/]+)\/subscriptions\/(.+)$/, (call) =>
-      this.#onOwner(call, (session) => unsubscribeTopic(vise, session, call.params[1]!)),
+      this.#onOwner(call, (session) => unsubscribeTopic(edge, session, call.params[1]!)),
     );
   }
 
   link(id: string, body: Uint8Array, open: () => ClientLink): Promise<ApiReply | undefined> {
-    return enrolLink(this.#vise, id, body, open);
+    return enrolLink(this.#edge, id, body, open);
   }
 
   async #subscribe(session: Session, body: Uint8Array): Promise<ApiReply> {
@@ -44,7 +44,7 @@
       });
     if (session.link === undefined)
       return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { comeBack: 0.3 });
-    const faults = await subscribeTopics(this.#vise, session, session.link, [read.value]);
+    const faults = await subscribeTopics(this.#edge, session, session.link, [read.value]);
     const fault = faults?.[0];
     if (faults === undefined) return ApiReplies.away("the subscriptions could not be kept", 0.5);
     if (fault === undefined) return ApiReplies.done({ receipt: "subscribed", topic: read.value.topic });
@@ -54,13 +54,13 @@
   }
 
   async #onOwner(call: ApiCall, act: (session: Session) => Promise<ApiReply>): Promise<ApiReply> {
-    const session = this.#vise.sessions.find(call.params[0]!);
+    const session = this.#edge.sessions.find(call.params[0]!);
     if (session !== undefined) return act(session);
-    const owner = call.isForwarded ? undefined : (await readOwner(this.#vise.node.store, call.params[0]!))?.owner;
-    if (owner === undefined || owner.node === "" || owner.node === this.#vise.node.rpc.name)
+    const owner = call.isForwarded ? undefined : (await readOwner(this.#edge.node.store, call.params[0]!))?.owner;
+    if (owner === undefined || owner.node === "" || owner.node === this.#edge.node.rpc.name)
       return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { comeBack: 0.3 });
     return (
-      (await this.#vise.router.forwardTo(owner.node, call.method, call.path, call.body)) ??
+      (await this.#edge.router.forwardTo(owner.node, call.method, call.path, call.body)) ??
       ApiReplies.unsure("the session's owner did not answer")
     );
   }
--- a/packages/edge/src/fanout/countTopic.ts
+++ b/packages/edge/src/fanout/countTopic.ts
@@ -9,18 +9,18 @@
   { outcome: "counted"; count: number } | { outcome: "unknown-topic" } | { outcome: "away"; comeBack: number };
 
 /** Subscribers of a topic at all edges, told by the shard's holder, and by the next one while it changes hands. */
-export async function countTopic(vise: EdgeParts, topic: string): Promise<Count> {
-  const { rpc, shards, parts, plan } = vise.node;
+export async function countTopic(edge: EdgeParts, topic: string): Promise<Count> {
+  const { rpc, shards, parts, plan } = edge.node;
   const end = parts.clock.now() + mostMs;
   for (let left = mostMs; left > 0; left = end - parts.clock.now()) {
     const route = plan.route(topic);
     if (route === undefined) {
-      const fault = await vise.planCheck.faultOf(topic);
+      const fault = await edge.planCheck.faultOf(topic);
       return fault.comeBack === undefined
         ? { outcome: "unknown-topic" }
         : { outcome: "away", comeBack: fault.comeBack };
     }
-    const shard = vise.streams.shardOf(route.stream);
+    const shard = edge.streams.shardOf(route.stream);
     const { holder } = shards.find(shard);
     if (holder !== "") {
       const ask = rpc.call(holder, { case: "countRequest", value: { shard, topics: [topic] } }, Math.min(callMs, left));
--- a/packages/edge/src/publishing/publishCall.ts
+++ b/packages/edge/src/publishing/publishCall.ts
@@ -21,7 +21,7 @@
 };
 
 /** A publish over HTTP, from its body to its receipt. */
-export async function publishCall(vise: EdgeParts, call: ApiCall): Promise<ApiReply> {
+export async function publishCall(edge: EdgeParts, call: ApiCall): Promise<ApiReply> {
   const read = BodyReader.read(call.body, messageBody);
   if ("reply" in read) return read.reply;
   const { topic, number, payload } = read.value;
@@ -29,9 +29,9 @@
     return ApiReplies.fault(400, "malformed", "a topic is space/name", {
       problems: [{ path: "topic", problem: "must be space/name" }],
     });
-  const session = vise.sessions.find(call.params[0]!);
-  if (session === undefined) return passOn(vise, call.params[0]!, topic, call);
-  const answer = await publishMessage(vise, session, topic, number, payload);
+  const session = edge.sessions.find(call.params[0]!);
+  if (session === undefined) return passOn(edge, call.params[0]!, topic, call);
+  const answer = await publishMessage(edge, session, topic, number, payload);
   switch (answer.outcome) {
     case "accepted":
       return ApiReplies.done({ receipt: "accepted", topic, number, place: answer.place });
@@ -47,11 +47,11 @@
 }
 
 /** The call came in at a node that does not own the session. */
-async function passOn(vise: EdgeParts, id: string, topic: string, call: ApiCall): Promise<ApiReply> {
-  const owner = call.isForwarded ? undefined : (await readOwner(vise.node.store, id))?.owner;
-  if (owner === undefined || owner.node === "" || owner.node === vise.node.rpc.name)
+async function passOn(edge: EdgeParts, id: string, topic: string, call: ApiCall): Promise<ApiReply> {
+  const owner = call.isForwarded ? undefined : (await readOwner(edge.node.store, id))?.owner;
+  if (owner === undefined || owner.node === "" || owner.node === edge.node.rpc.name)
     return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { comeBack: 0.3 });
-  const due = 1.4 * publishDue(vise, topic);
-  const reply = await vise.router.forwardTo(owner.node, "POST", call.path, call.body, due);
+  const due = 1.4 * publishDue(edge, topic);
+  const reply = await edge.router.forwardTo(owner.node, "POST", call.path, call.body, due);
   return reply ?? ApiReplies.unsure("the session's owner did not answer; the same number again settles it");
 }
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -19,14 +19,14 @@
 
 /** One publish of an owned session, to its final answer. The shard's holder alone judges it. */
 export async function publishMessage(
-  vise: EdgeParts,
+  edge: EdgeParts,
   session: Session,
   topic: string,
   number: number,
   payload: string,
 ): Promise<PublishOutcome> {
-  const { node } = vise;
-  const end = node.parts.clock.now() + publishDue(vise, topic);
+  const { node } = edge;
+  const end = node.parts.clock.now() + publishDue(edge, topic);
   // What an earlier try may have handed over can't be promised undone.
   const isDoubtful = !session.isWhole || session.numbers.isOpen(topic, number);
   const givenUp = (reason: string, comeBack: number, code?: string): PublishOutcome =>
@@ -35,16 +35,16 @@
       : { outcome: "away", reason, comeBack, ...(code === undefined ? {} : { code }) };
   const route = node.plan.route(topic);
   if (route === undefined) {
-    const { code, reason, comeBack } = await vise.planCheck.faultOf(topic);
+    const { code, reason, comeBack } = await edge.planCheck.faultOf(topic);
     return comeBack === undefined ? { outcome: "refused", code, reason } : givenUp(reason, comeBack);
   }
-  const shard = vise.streams.shardOf(route.stream);
-  if (!(await isHeld(vise, shard, end))) return givenUp("the topic has no holder just now", 0.1);
+  const shard = edge.streams.shardOf(route.stream);
+  if (!(await isHeld(edge, shard, end))) return givenUp("the topic has no holder just now", 0.1);
   session.numbers.opened(topic, number);
   const { spaceIncarnation } = route;
   const publish = { shard, session: session.id, ownerEpoch: session.epoch, spaceIncarnation, number, topic };
   const content = { payload: Buffer.from(payload), mayBeRepeat: isDoubtful };
-  const reply = await atHolder(vise, shard, end, { ...publish, ...content });
+  const reply = await atHolder(edge, shard, end, { ...publish, ...content });
   if (reply === undefined)
     return { outcome: "unsure", reason: "the topic's holder did not answer; the same number again", comeBack: 0.2 };
   if (reply !== "unresponsive" && reply.outcome === "unsure")
@@ -58,14 +58,14 @@
 }
 
 /** How long a publish may take: its space's deadline is its callers', who must hear the answer well before it. */
-export function publishDue(vise: EdgeParts, topic: string): number {
-  const { deadlineMs = Infinity } = Plans.spaceOf(vise.node.plan.plan, topic) ?? {};
-  return Math.min(vise.publishDue, deadlineMs / 2);
+export function publishDue(edge: EdgeParts, topic: string): number {
+  const { deadlineMs = Infinity } = Plans.spaceOf(edge.node.plan.plan, topic) ?? {};
+  return Math.min(edge.publishDue, deadlineMs / 2);
 }
 
 /** A shard that has just become free is claimed in a moment. */
-async function isHeld(vise: EdgeParts, shard: number, end: number): Promise<boolean> {
-  const { shards, parts } = vise.node;
+async function isHeld(edge: EdgeParts, shard: number, end: number): Promise<boolean> {
+  const { shards, parts } = edge.node;
   const left = Math.max(0, end - parts.clock.now());
   if (shards.find(shard).holder === "") await shards.moved(shard, "", parts.clock, Math.min(claimMs, left));
   return shards.find(shard).holder !== "";
@@ -76,12 +76,12 @@
  * makes it the same message to both. Undefined where nobody answered; "mute" where nothing was handed over.
  */
 async function atHolder(
-  vise: EdgeParts,
+  edge: EdgeParts,
   shard: number,
   end: number,
   publish: MessageInitShape<typeof PublishSchema>,
 ): Promise<PublishReply | "unresponsive" | undefined> {
-  const { rpc, membership, shards, parts } = vise.node;
+  const { rpc, membership, shards, parts } = edge.node;
   let isOpen = false;
   for (let left = end - parts.clock.now(); left > 0; left = end - parts.clock.now()) {
     const { holder } = shards.find(shard);
@@ -90,7 +90,7 @@
     const call: CallInit = { case: "publish", value: { ...publish, mayBeRepeat } };
     // A short deadline gives this publish up, and not the holder, who may be slower than that and well.
     const body = await Promise.race([
-      rpc.call(holder, call, vise.publishDue),
+      rpc.call(holder, call, edge.publishDue),
       shards.moved(shard, holder, parts.clock, left),
     ]);
     const reply = body?.case === "publishReply" ? body.value : undefined;
@@ -100,7 +100,7 @@
     if (reply === undefined) isOpen = true;
     const isMoved = shards.find(shard).holder !== holder;
     if (reply === undefined && !(isMoved && mayRepeat(call))) return undefined;
-    if (!(await isHeld(vise, shard, end))) return isOpen ? undefined : reply;
+    if (!(await isHeld(edge, shard, end))) return isOpen ? undefined : reply;
     // Whoever has just claimed it does not serve yet.
     if (!isMoved) await new Promise<void>((resolve) => void parts.clock.once(againMs, resolve));
   }
--- a/packages/edge/src/sessions/admitSession.ts
+++ b/packages/edge/src/sessions/admitSession.ts
@@ -15,31 +15,31 @@
   },
 
   /** Makes this node the session's owner, or says when to come back; waits up to `patience` ms for what it lacks. */
-  async run(vise: EdgeParts, id: string, patience = 0): Promise<Admitted> {
-    const { sessions, node, lease } = vise;
-    if (vise.isDraining) return { reason: "this node is stopping", comeBack: 0.2, code: "stopping" };
+  async run(edge: EdgeParts, id: string, patience = 0): Promise<Admitted> {
+    const { sessions, node, lease } = edge;
+    if (edge.isDraining) return { reason: "this node is stopping", comeBack: 0.2, code: "stopping" };
     const end = node.parts.clock.now() + patience;
     while ((!lease.isHeld || !node.feed.isFresh) && node.parts.clock.now() < end)
       await new Promise<void>((resolve) => void node.parts.clock.once(AdmitSession.againMs, resolve));
     if (!lease.isHeld || !node.feed.isFresh)
       return { reason: "this node is out of touch with the store", comeBack: 1, code: "unavailable" };
-    if (sessions.links + vise.enrolling >= vise.live.mostLinks) {
+    if (sessions.links + edge.enrolling >= edge.live.mostLinks) {
       const comeBack = 1 + node.parts.random.draw() * 2;
       return { reason: "this node has as many links as it takes", comeBack, code: "full" };
     }
-    vise.enrolling += 1;
+    edge.enrolling += 1;
     const claimed = await sessions.claim(id, end - node.parts.clock.now());
-    vise.enrolling -= 1;
+    edge.enrolling -= 1;
     if ("comeBack" in claimed) return { ...claimed, code: "session-elsewhere" };
     const { session } = claimed;
-    if (vise.isDraining || session.isStopped)
+    if (edge.isDraining || session.isStopped)
       return { reason: "the session moved on meanwhile", comeBack: 0.3, code: "session-elsewhere" };
     return { session };
   },
 
   /** Ties a connection to its session in place of an older one. */
-  tie(vise: EdgeParts, session: Session, link: ClientLink): void {
-    const { clock } = vise.node.parts;
+  tie(edge: EdgeParts, session: Session, link: ClientLink): void {
+    const { clock } = edge.node.parts;
     session.unlink("replaced by a newer link", 0, clock.now());
     session.link = link;
     link.onClose(() => {
--- a/packages/edge/src/sessions/openConnection.ts
+++ b/packages/edge/src/sessions/openConnection.ts
@@ -17,7 +17,7 @@
 
 /** A client's long connection, new or resumed, from its request to its confirmed subscriptions. */
 export async function enrolLink(
-  vise: EdgeParts,
+  edge: EdgeParts,
   id: string,
   body: Uint8Array,
   open: () => ClientLink,
@@ -36,22 +36,22 @@
     return ApiReplies.fault(400, "malformed", "a topic is space/name", {
       problems: [{ path: `subscriptions.${faulty}.topic`, problem: "must be space/name" }],
     });
-  const admitted = await AdmitSession.run(vise, id);
+  const admitted = await AdmitSession.run(edge, id);
   if (!("session" in admitted)) return ApiReplies.away(admitted.reason, admitted.comeBack, admitted.code);
   const { session } = admitted;
   const link = open();
-  AdmitSession.tie(vise, session, link);
+  AdmitSession.tie(edge, session, link);
   session.bringsTopics = false;
   const kept: Wish[] = [...session.places.keys()].map((topic) => ({ topic }));
   link.send({
     kind: "open",
     session: id,
-    node: vise.node.rpc.name,
-    beatMs: vise.beatMs,
+    node: edge.node.rpc.name,
+    beatMs: edge.beatMs,
     numbers: session.numbers.highestByTopic(),
   });
   forgetOthers(session, read.value.subscriptions);
-  const faults = await subscribeTopics(vise, session, link, read.value.subscriptions ?? kept);
+  const faults = await subscribeTopics(edge, session, link, read.value.subscriptions ?? kept);
   if (session.link === link) for (const fault of faults ?? []) link.send({ kind: "fault", ...fault });
   return undefined;
 }
--- a/packages/edge/src/sessions/sessionConnection.ts
+++ b/packages/edge/src/sessions/sessionConnection.ts
@@ -26,15 +26,15 @@
  * looked up together; nothing of a topic is delivered in the turn in which its subscription is confirmed.
  */
 export class SessionConnection implements Connection {
-  readonly #vise: EdgeParts;
+  readonly #edge: EdgeParts;
   readonly #session: Session;
   readonly #link: ClientLink;
   /** By topic, the call that is under way; a later one takes the place of one that was left meanwhile. */
   readonly #pending = new Map<string, Pending>();
   #asked: Asked[] = [];
 
-  constructor(vise: EdgeParts, session: Session, link: ClientLink) {
-    this.#vise = vise;
+  constructor(edge: EdgeParts, session: Session, link: ClientLink) {
+    this.#edge = edge;
     this.#session = session;
     this.#link = link;
   }
@@ -67,26 +67,26 @@
       return Promise.resolve({ outcome: "unsure", reason: "the session moved on meanwhile", comeBack: 0.3 });
     if (!Plans.isTopic(topic) || !Number.isSafeInteger(number) || number < 1)
       return Promise.resolve({ outcome: "refused", code: "malformed", reason: "the topic or number is malformed" });
-    return publishMessage(this.#vise, this.#session, topic, number, payload);
+    return publishMessage(this.#edge, this.#session, topic, number, payload);
   }
 
   close(): void {
     if (this.#session.link !== this.#link) return;
-    this.#session.unlink("closed by the client", 0, this.#vise.node.parts.clock.now());
+    this.#session.unlink("closed by the client", 0, this.#edge.node.parts.clock.now());
   }
 
   get #isCurrent(): boolean {
-    return this.#session.link === this.#link && !this.#session.isStopped && this.#vise.lease.isHeld;
+    return this.#session.link === this.#link && !this.#session.isStopped && this.#edge.lease.isHeld;
   }
 
   #refusal(topic: string): Subscribed | undefined {
     if (!this.#isCurrent) return { outcome: "moved", reason: "the session moved on meanwhile" };
     if (!Plans.isTopic(topic)) return { outcome: "malformed", reason: "the topic is malformed" };
-    if (!this.#vise.node.feed.isFresh)
+    if (!this.#edge.node.feed.isFresh)
       return { outcome: "away", reason: "this node is out of touch with the store", comeBack: 0.5 };
     const isKnown = this.#session.subscriptions.has(topic) || this.#pending.has(topic);
     const count = this.#session.subscriptions.size + this.#pending.size;
-    const most = Plans.mostSubscriptions(this.#vise.node.plan.plan);
+    const most = Plans.mostSubscriptions(this.#edge.node.plan.plan);
     if (!isKnown && count >= most) return { outcome: "too-many", reason: `a connection may have ${most} topics` };
     return undefined;
   }
@@ -97,7 +97,7 @@
     const asked = { topic, after, settle };
     this.#pending.set(topic, { asked, outcome });
     this.#asked.push(asked);
-    if (this.#asked.length === 1) this.#vise.node.parts.clock.once(0, () => void this.#lookUp());
+    if (this.#asked.length === 1) this.#edge.node.parts.clock.once(0, () => void this.#lookUp());
     return outcome;
   }
 
@@ -105,14 +105,14 @@
     const asked = this.#asked;
     this.#asked = [];
     const wishes = asked.map(({ topic, after }) => (after === undefined ? { topic } : { topic, after }));
-    const { starts, faults } = await findStarts(this.#vise, this.#session, wishes);
+    const { starts, faults } = await findStarts(this.#edge, this.#session, wishes);
     const good = starts.filter(({ expired }) => expired === "");
     for (const one of asked) one.settle(this.#outcomeOf(one.topic, starts, faults));
     // The confirmations go out first.
-    this.#vise.node.parts.clock.once(0, () => this.#join(asked, good));
+    this.#edge.node.parts.clock.once(0, () => this.#join(asked, good));
     for (const one of asked)
       if (this.#isPending(one) && !good.some(({ topic }) => topic === one.topic)) this.#pending.delete(one.topic);
-    for (const { tail, expired } of starts) if (expired !== "") this.#vise.streams.leave(tail);
+    for (const { tail, expired } of starts) if (expired !== "") this.#edge.streams.leave(tail);
   }
 
   #outcomeOf(topic: string, starts: readonly Start[], faults: readonly TopicFault[]): Subscribed {
@@ -136,7 +136,7 @@
     const wanted = new Set(asked.filter((one) => this.#isPending(one)).map(({ topic }) => topic));
     for (const topic of wanted) this.#pending.delete(topic);
     const joining = starts.filter(({ topic }) => wanted.delete(topic));
-    if (this.#isCurrent) joinStreams(this.#vise, this.#session, this.#link, joining, () => undefined);
-    for (const { tail } of starts) this.#vise.streams.leave(tail);
+    if (this.#isCurrent) joinStreams(this.#edge, this.#session, this.#link, joining, () => undefined);
+    for (const { tail } of starts) this.#edge.streams.leave(tail);
   }
 }
--- a/packages/edge/src/subscriptions/askStarts.ts
+++ b/packages/edge/src/subscriptions/askStarts.ts
@@ -8,11 +8,11 @@
 
 /** Asks a shard's holder for starts, and whoever holds it next while it changes hands; undefined where none can. */
 export async function askStarts(
-  vise: EdgeParts,
+  edge: EdgeParts,
   shard: number,
   places: Array<MessageInitShape<typeof TopicPlaceSchema>>,
 ): Promise<Map<string, TopicStart> | undefined> {
-  const { rpc, shards, parts } = vise.node;
+  const { rpc, shards, parts } = edge.node;
   const end = parts.clock.now() + mostMs;
   for (let left = mostMs; left > 0; left = end - parts.clock.now()) {
     const { holder } = shards.find(shard);
--- a/packages/edge/src/subscriptions/findStarts.ts
+++ b/packages/edge/src/subscriptions/findStarts.ts
@@ -36,7 +36,7 @@
  * stream's holder, never by what this edge has cached. Each start comes with a taken tail, to be left again.
  */
 export async function findStarts(
-  vise: EdgeParts,
+  edge: EdgeParts,
   session: Session,
   wishes: readonly Wish[],
 ): Promise<{ starts: Start[]; faults: TopicFault[] }> {
@@ -45,27 +45,27 @@
   const routed: Routed[] = [];
   for (const { topic, after } of wishes) {
     const asked = Places.read(after);
-    const route = vise.node.plan.route(topic);
+    const route = edge.node.plan.route(topic);
     if (after !== undefined && asked === undefined)
       faults.push({ topic, code: "malformed-place", reason: "the place is malformed" });
     else if (route === undefined) unrouted.push(topic);
     else {
       const place = asked ?? session.places.get(topic);
-      routed.push({ topic, tail: vise.streams.take(route), route, place, isAsked: asked !== undefined });
+      routed.push({ topic, tail: edge.streams.take(route), route, place, isAsked: asked !== undefined });
     }
   }
   const starts: Start[] = [];
   const unsure: Routed[] = [];
   // One follow of an edge tells the confirmed heads of all its links' streams; a crowd need not ask one by one.
-  await Promise.all(routed.map(({ tail }) => vise.streams.known(tail, knownMs)));
+  await Promise.all(routed.map(({ tail }) => edge.streams.known(tail, knownMs)));
   for (const one of routed) {
-    const heard = heardStart(vise, one);
+    const heard = heardStart(edge, one);
     if (heard === undefined) unsure.push(one);
     else starts.push(heard);
   }
   const [judged] = await Promise.all([
-    judge(vise, unsure),
-    Promise.all(unrouted.map(async (topic) => faults.push(await vise.planCheck.faultOf(topic)))),
+    judge(edge, unsure),
+    Promise.all(unrouted.map(async (topic) => faults.push(await edge.planCheck.faultOf(topic)))),
   ]);
   for (const one of judged) {
     if ("code" in one) faults.push(one);
@@ -75,15 +75,15 @@
 }
 
 /** What the tail shows by itself: a place it has passed in the same birth, of a topic that the plan owes. */
-function heardStart(vise: EdgeParts, { topic, tail, place }: Routed): Start | undefined {
-  if (!tail.isKnown || Plans.owed(vise.node.plan.plan, topic) === undefined) return undefined;
+function heardStart(edge: EdgeParts, { topic, tail, place }: Routed): Start | undefined {
+  if (!tail.isKnown || Plans.owed(edge.node.plan.plan, topic) === undefined) return undefined;
   if (place === undefined)
     return { topic, tail, place: { incarnation: tail.incarnation, seq: tail.head }, expired: "" };
   const isHeard = place.incarnation === tail.incarnation && place.seq >= tail.low && place.seq <= tail.head;
   return isHeard ? { topic, tail, place, expired: "" } : undefined;
 }
 
-async function judge(vise: EdgeParts, unsure: readonly Routed[]): Promise<Array<Start | TopicFault>> {
+async function judge(edge: EdgeParts, unsure: readonly Routed[]): Promise<Array<Start | TopicFault>> {
   const shards = Grouped.by(unsure, ({ tail }) => tail.shard);
   const judged = await Promise.all(
     [...shards].map(async ([shard, list]) => {
@@ -92,13 +92,13 @@
         spaceIncarnation,
         ...place,
       }));
-      const answers = await askStarts(vise, shard, places);
+      const answers = await askStarts(edge, shard, places);
       return list.map((one) => settle(one, answers?.get(one.topic)));
     }),
   );
   const all = judged.flat();
   for (const one of unsure)
-    if (!all.some((found) => "tail" in found && found.topic === one.topic)) vise.streams.leave(one.tail);
+    if (!all.some((found) => "tail" in found && found.topic === one.topic)) edge.streams.leave(one.tail);
   return all;
 }
 
--- a/packages/edge/src/subscriptions/joinStreams.ts
+++ b/packages/edge/src/subscriptions/joinStreams.ts
@@ -10,7 +10,7 @@
  * that what they missed comes in the stream's order. Tells of each topic before anything of it is delivered.
  */
 export function joinStreams(
-  vise: EdgeParts,
+  edge: EdgeParts,
   session: Session,
   link: ClientLink,
   starts: readonly Start[],
@@ -22,16 +22,16 @@
     let cursor = [...session.cursors()].find((one) => one.tail === tail && !one.isStopped);
     if (cursor === undefined) {
       cursor = new StreamCursor({
-        table: vise.streams,
-        tail: vise.streams.take(tail.route),
+        table: edge.streams,
+        tail: edge.streams.take(tail.route),
         link,
-        clock: vise.node.parts.clock,
-        maySend: () => vise.maySend(session, link),
+        clock: edge.node.parts.clock,
+        maySend: () => edge.maySend(session, link),
         onEnd: (topic) => session.subscriptions.delete(topic),
       });
     }
     for (const start of joining) {
-      if (!vise.maySend(session, link)) return cursor.stop();
+      if (!edge.maySend(session, link)) return cursor.stop();
       cursor.add(start.topic, start.place);
       session.subscriptions.set(start.topic, cursor);
       session.places.delete(start.topic);
--- a/packages/edge/src/subscriptions/subscribeTopics.ts
+++ b/packages/edge/src/subscriptions/subscribeTopics.ts
@@ -16,7 +16,7 @@
  * topic alone; undefined where the link had to be closed.
  */
 export async function subscribeTopics(
-  vise: EdgeParts,
+  edge: EdgeParts,
   session: Session,
   link: ClientLink,
   wishes: readonly Wish[],
@@ -28,38 +28,38 @@
     const cursor = session.subscriptions.get(topic);
     if (cursor !== undefined) confirm(link, topic, cursor);
   }
-  const room = Plans.mostSubscriptions(vise.node.plan.plan) - session.subscriptions.size - session.joining;
+  const room = Plans.mostSubscriptions(edge.node.plan.plan) - session.subscriptions.size - session.joining;
   const admitted = fresh.slice(0, Math.max(0, room));
   session.joining += admitted.length;
-  const { starts, faults } = await findStarts(vise, session, admitted);
-  const isKept = starts.length === 0 || (await keep(vise, session, starts));
+  const { starts, faults } = await findStarts(edge, session, admitted);
+  const isKept = starts.length === 0 || (await keep(edge, session, starts));
   if (isKept && session.link === link)
-    joinStreams(vise, session, link, starts, ({ topic, place, expired }, cursor) => {
+    joinStreams(edge, session, link, starts, ({ topic, place, expired }, cursor) => {
       if (expired !== "")
         link.send({ kind: "expired", topic, place: Places.write(place.incarnation, place.seq), reason: expired });
       confirm(link, topic, cursor);
     });
   if (session.link === link) session.joining -= admitted.length;
-  for (const { tail } of starts) vise.streams.leave(tail);
+  for (const { tail } of starts) edge.streams.leave(tail);
   const tooMany = fresh.slice(admitted.length).map(({ topic }) => {
     return { topic, code: "too-many", reason: "a connection may have no more topics by the plan in force" };
   });
   if (isKept) return [...faults, ...tooMany];
-  if (session.link === link) session.unlink("the subscriptions could not be kept", 0.5, vise.node.parts.clock.now());
+  if (session.link === link) session.unlink("the subscriptions could not be kept", 0.5, edge.node.parts.clock.now());
   return undefined;
 }
 
 /** The keys, which only the session's owner may write. */
-async function keep(vise: EdgeParts, session: Session, starts: readonly Start[]): Promise<boolean> {
+async function keep(edge: EdgeParts, session: Session, starts: readonly Start[]): Promise<boolean> {
   const lease = SubscriptionKey.leaseOf(session.id);
   const checks = [{ key: OwnerKey.of(session.id), revision: session.epoch }];
   const puts = starts.map(({ topic, place }) => {
     return { key: SubscriptionKey.of(session.id, topic), value: SubscriptionKey.write(place), lease };
   });
-  const written = await vise.node.store.txn({ checks, puts });
+  const written = await edge.node.store.txn({ checks, puts });
   if (written.outcome !== "lost") return written.outcome === "done";
-  await vise.node.store.call({ case: "grant", value: { lease, length: vise.sessionKeepMs } });
-  return (await vise.node.store.txn({ checks, puts })).outcome === "done";
+  await edge.node.store.call({ case: "grant", value: { lease, length: edge.sessionKeepMs } });
+  return (await edge.node.store.txn({ checks, puts })).outcome === "done";
 }
 
 function confirm(link: ClientLink, topic: string, cursor: StreamCursor): void {
--- a/packages/edge/src/subscriptions/unsubscribeTopic.ts
+++ b/packages/edge/src/subscriptions/unsubscribeTopic.ts
@@ -5,12 +5,12 @@
 import type { EdgeParts } from "../edgeParts.js";
 
 /** Ends one topic on the session's link at once, and its key in the store. */
-export async function unsubscribeTopic(vise: EdgeParts, session: Session, topic: string): Promise<ApiReply> {
+export async function unsubscribeTopic(edge: EdgeParts, session: Session, topic: string): Promise<ApiReply> {
   session.subscriptions.get(topic)?.remove(topic);
   session.subscriptions.delete(topic);
   session.places.delete(topic);
   const checks = [{ key: OwnerKey.of(session.id), revision: session.epoch }];
-  const written = await vise.node.store.txn({ checks, deletes: [SubscriptionKey.of(session.id, topic)] });
+  const written = await edge.node.store.txn({ checks, deletes: [SubscriptionKey.of(session.id, topic)] });
   if (written.outcome === "done") return ApiReplies.done({ receipt: "unsubscribed", topic });
   return written.outcome === "unsure"
     ? ApiReplies.unsure("the store did not answer")
--- a/packages/log-storage/src/cranetrack-storage.ts
+++ b/packages/log-storage/src/cranetrack-storage.ts
@@ -3,12 +3,12 @@
 import { StorageNode } from "./storageNode.js";
 
 await new Program("anvil", ["plan", "shards/", "machines/"], ({ node, disk }) => {
-  const anvil = new StorageNode(node, disk!, false);
+  const storage = new StorageNode(node, disk!, false);
   return {
-    load: () => anvil.load(),
-    start: () => anvil.start(),
-    stop: () => anvil.stop(),
+    load: () => storage.load(),
+    start: () => storage.start(),
+    stop: () => storage.stop(),
     isReady: () => node.feed.isFresh,
-    status: () => anvil.status(),
+    status: () => storage.status(),
   };
 }).run(process.argv);
--- a/packages/testkit/src/fleet/deployments.ts
+++ b/packages/testkit/src/fleet/deployments.ts
@@ -20,7 +20,7 @@
   /** Topics of a space that keeps nothing, whose senders don't wait for one message before the next. */
   passing?: PassingTopics;
   /** Lathes that keep the topic logs too, in place of lathes and storage machines. */
-  storingLathes?: number;
+  storingControlNodes?: number;
 }
 export interface PassingTopics {
   space: string;
@@ -65,7 +65,7 @@
     shared: { space: "notes", topics: 24, perSecond: 40, reads: 4 },
     broadcast: { space: "notices", topics: 2, perSecond: 5, reads: 2, senders: 1 },
     passing: { space: "passing", topics: 4, perSecond: 40, senders: 3, readers: 6 },
-    storingLathes: 3,
+    storingControlNodes: 3,
   },
 };
 
@@ -88,14 +88,14 @@
     return found;
   },
 
-  machines({ zones, edges, name, storingLathes }: Deployment): Machine[] {
+  machines({ zones, edges, name, storingControlNodes }: Deployment): Machine[] {
     const zoneOf = (i: number): string => zones[i % zones.length]!;
     const make = (role: Machine["role"], count: number): Machine[] =>
       Array.from({ length: count }, (_, i) => ({ name: `${role}-${i + 1}`, role, zone: zoneOf(i) }));
-    if (storingLathes !== undefined) {
-      const lathes = make("lathe", storingLathes).map((machine) => ({ ...machine, settings: storing }));
-      const vises = make("vise", edges).map((machine) => ({ ...machine, settings: { shards: 12 } }));
-      return [...lathes, ...vises];
+    if (storingControlNodes !== undefined) {
+      const controlNodes = make("lathe", storingControlNodes).map((machine) => ({ ...machine, settings: storing }));
+      const edgeMachines = make("vise", edges).map((machine) => ({ ...machine, settings: { shards: 12 } }));
+      return [...controlNodes, ...edgeMachines];
     }
     return [...make("lathe", name === "small" ? 3 : 5), ...make("anvil", 3), ...make("vise", edges)];
   },
--- a/packages/testkit/src/fleet/drill.ts
+++ b/packages/testkit/src/fleet/drill.ts
@@ -177,7 +177,7 @@
     for (;;) {
       for (const name of this.#fleet.withRole("lathe")) {
         const { body } = await this.#fleet.call(name, "GET", "/v1/status");
-        if ((body["ledger"] as { isLeader?: boolean } | null | undefined)?.isLeader === true) return name;
+        if ((body["raft"] as { isLeader?: boolean } | null | undefined)?.isLeader === true) return name;
       }
       await this.#wait(50);
     }
--- a/packages/testkit/src/fleet/fleet.test.ts
+++ b/packages/testkit/src/fleet/fleet.test.ts
@@ -194,32 +194,32 @@
 test(
   "spanner: status, plans, rollouts and runbooks against a fleet, with exit codes that say " + "what happened",
   async () => {
-    const spanner = (...args: string[]): Promise<Ran> =>
+    const ctl = (...args: string[]): Promise<Ran> =>
       run("cranetrackctl", ...args, "--node", `127.0.0.1:9,${fleet.httpOf("anvil-1")}`);
-    const status = await spanner("status");
+    const status = await ctl("status");
     expect([status.status, status.out.includes("lathe-3"), status.out.includes("holds")]).toEqual([0, true, true]);
     const plan = join(folder, "plan.json");
     const text = JSON.stringify(Deployments.plan(fleet.deployment, 50));
     writeFileSync(plan, text);
-    expect((await spanner("plan", "put", plan)).out).toEqual("mark 50 accepted\n");
-    expect((await spanner("plan", "get")).out).toEqual(`${text}\n`);
+    expect((await ctl("plan", "put", plan)).out).toEqual("mark 50 accepted\n");
+    expect((await ctl("plan", "get")).out).toEqual(`${text}\n`);
     writeFileSync(plan, JSON.stringify({ mark: 51, spaces: [{ name: "x" }] }));
-    const refused = await spanner("plan", "put", plan);
+    const refused = await ctl("plan", "put", plan);
     expect([refused.status, refused.err.includes("spaces.0.program")]).toEqual([1, true]);
-    expect((await spanner("plan", "mend")).status).toEqual(2);
-    expect((await spanner("runbook", "list")).out.split("\n").length > 5).toEqual(true);
-    expect((await spanner("runbook", "run", "empty-machine")).status).toEqual(2);
-    const dry = await spanner("runbook", "run", "empty-machine", "--machine", "anvil-3", "--dry-run");
+    expect((await ctl("plan", "mend")).status).toEqual(2);
+    expect((await ctl("runbook", "list")).out.split("\n").length > 5).toEqual(true);
+    expect((await ctl("runbook", "run", "empty-machine")).status).toEqual(2);
+    const dry = await ctl("runbook", "run", "empty-machine", "--machine", "anvil-3", "--dry-run");
     expect([dry.status, dry.err.match(/would be done/g)?.length]).toEqual([0, 3]);
-    const wrong = await spanner("runbook", "run", "empty-machine", "--machine", "anvil-9");
+    const wrong = await ctl("runbook", "run", "empty-machine", "--machine", "anvil-9");
     expect([wrong.status, wrong.err.includes("not reached")]).toEqual([1, true]);
-    const emptied = await spanner("runbook", "run", "empty-machine", "--machine", "anvil-3", "--json");
+    const emptied = await ctl("runbook", "run", "empty-machine", "--machine", "anvil-3", "--json");
     expect([emptied.status, (JSON.parse(emptied.out) as { isDone: boolean }).isDone]).toEqual([0, true]);
-    expect((await spanner("machine", "progress", "anvil-3")).out).toEqual(
+    expect((await ctl("machine", "progress", "anvil-3")).out).toEqual(
       "anvil-3: to be emptied, 0 of 32 shards have a replica there\n",
     );
-    expect((await spanner("runbook", "run", "refill-machine", "--machine", "anvil-3")).status).toEqual(0);
-    const rollout = await spanner("plan", "rollout", "--json");
+    expect((await ctl("runbook", "run", "refill-machine", "--machine", "anvil-3")).status).toEqual(0);
+    const rollout = await ctl("plan", "rollout", "--json");
     expect((JSON.parse(rollout.out) as { taken: number; of: number }).taken).toEqual(8);
   },
 );
--- a/packages/testkit/src/fleet/programOf.ts
+++ b/packages/testkit/src/fleet/programOf.ts
@@ -2,9 +2,9 @@
 
 /** Where the program of each role is built, and of the command line and this test kit. */
 const programs: Record<string, string> = {
-  lathe: "control/cranetrack-control",
+  controlNode: "control/cranetrack-control",
   anvil: "log-storage/cranetrack-storage",
-  vise: "edge/cranetrack-edge",
+  edge: "edge/cranetrack-edge",
   cranetrackctl: "cli/cranetrackctl",
   "cranetrack-lab": "testkit/cranetrack-lab",
 };
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -140,7 +140,7 @@
   {
     name: "a founded lathe agrees again",
     file: "control/dist/consensus/founding.js",
-    find: "const founded = lathes.find((member) => member.isInStore) ?? lathes.find((member) => member.isFounded);",
+    find: "const founded = controlNodes.find((member) => member.isInStore) ?? controlNodes.find((member) => member.isFounded);",
     put: "const founded = undefined;",
     test: `${sim}/store.test.js`,
   },
--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -56,7 +56,7 @@
   expect(await fleet.until(() => hands.every((hand) => hand.of("confirmed").length === 1), 6000)).toEqual(true);
   const moved = hands.map((_, i) => new Hand(fleet, "vise-2", `desk-${i}`, wish));
   expect(await fleet.until(() => moved.every((hand) => hand.of("confirmed").length === 1), 6000)).toEqual(true);
-  const [old, young] = ["vise-1", "vise-2"].map((name) => fleet.find(name)!.vise!.sessions);
+  const [old, young] = ["vise-1", "vise-2"].map((name) => fleet.find(name)!.edge!.sessions);
   expect([old!.table.size, old!.keptPulls, young!.table.size]).toEqual([0, 8, 8]);
   for (const hand of moved) hand.close();
   await fleet.run(Sessions.keepIdleMs + 2500);
@@ -65,7 +65,7 @@
   const owners = ["lathe-1", "lathe-2", "lathe-3"].flatMap((name) =>
     fleet
       .find(name)!
-      .lathe!.raft!.metadata.range("sessions/")
+      .control!.raft!.metadata.range("sessions/")
       .filter(({ key }) => OwnerKey.sessionOf(key) !== undefined),
   );
   expect([young!.keptPulls, owners.length]).toEqual([0, 0]);
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -68,7 +68,7 @@
   fleet.wires.mutate = undefined;
   expect(await done({ deletes: [key] })).toEqual("done");
   await fleet.run(2000);
-  expect(fleet.find(fleet.proposer!)!.lathe!.raft!.metadata.get(key)).toEqual(undefined);
+  expect(fleet.find(fleet.proposer!)!.control!.raft!.metadata.get(key)).toEqual(undefined);
 });
 
 test("a transaction that a lathe passed on is not passed on again when another proposes; a revocation is", async () => {
@@ -94,7 +94,7 @@
   ask({ case: "txn", value: { puts: [{ key: "more/k" }] } });
   ask({ case: "revoke", value: { lease: "none" } });
   await fleet.run(20);
-  fleet.find(old)!.lathe!.raft!.resign();
+  fleet.find(old)!.control!.raft!.resign();
   expect(await fleet.until(() => outcomes.length === 2, 3000)).toEqual(true);
   expect(outcomes.sort()).toEqual(["revoke lost", "txn unsure"]);
   const count = (kind: string): number => passed.filter((one) => one === kind).length;
@@ -107,11 +107,11 @@
   expect(await fleet.until(() => first.of("confirmed").length === 1, 5000)).toEqual(true);
   expect((await publish("desk", 1))["receipt"]).toEqual("accepted");
   // An asker that never hears the reply, nor writes the key.
-  const { epoch } = fleet.find("vise-1")!.vise!.sessions.table.get("desk")!;
+  const { epoch } = fleet.find("vise-1")!.edge!.sessions.table.get("desk")!;
   const pull = { session: "desk", ownerRevision: epoch, asker: "vise-3" };
   void fleet.find("vise-3")!.node.rpc.call("vise-1", { case: "pull", value: pull }, 500);
   await fleet.run(Sessions.keepShippedMs + 2000);
   const second = new Hand(fleet, "vise-2", "desk", { subscriptions: [{ topic: "notes/t1" }] });
   expect(await fleet.until(() => second.of("confirmed").length === 1, 5000)).toEqual(true);
-  expect(fleet.find("vise-2")!.vise!.sessions.table.get("desk")!.isWhole).toEqual(false);
+  expect(fleet.find("vise-2")!.edge!.sessions.table.get("desk")!.isWhole).toEqual(false);
 });
--- a/packages/testkit/src/sim/catchUp.ts
+++ b/packages/testkit/src/sim/catchUp.ts
@@ -92,7 +92,7 @@
   }
 
   #raftOf(name: string): RaftNode | undefined {
-    return this.#fleet.find(name)?.lathe?.raft;
+    return this.#fleet.find(name)?.control?.raft;
   }
 
   /** All that was committed is applied there, and the changes went on meanwhile. */
--- a/packages/testkit/src/sim/configurationStorm.test.ts
+++ b/packages/testkit/src/sim/configurationStorm.test.ts
@@ -56,9 +56,9 @@
 /** Puts a configuration at one control node after another until one acknowledges it. */
 async function put(fleet: SimFleet, mark: number, routes: number): Promise<Written> {
   const written = configuration(mark, routes);
-  const lathes = fleet.withRole("lathe").filter((name) => fleet.find(name) !== undefined);
+  const controlNodes = fleet.withRole("lathe").filter((name) => fleet.find(name) !== undefined);
   for (let tries = 0; tries < 30; tries += 1) {
-    const { node } = fleet.find(lathes[(mark + tries) % lathes.length]!)!;
+    const { node } = fleet.find(controlNodes[(mark + tries) % controlNodes.length]!)!;
     const reply = await settled(fleet, putPlan(node, Buffer.from(written.plan), Buffer.from(written.document)));
     if (reply.status === 200) return written;
     if (reply.status !== 503 && reply.status !== 504) throw new Error(`${reply.status} ${JSON.stringify(reply.body)}`);
--- a/packages/testkit/src/sim/connections.test.ts
+++ b/packages/testkit/src/sim/connections.test.ts
@@ -43,7 +43,7 @@
 
 async function open(fleet: SimFleet, edge: string, session: string): Promise<{ wire: Wire; connection: Connection }> {
   const wire = new Wire();
-  const answer = await settled(fleet, new EdgeConnections(fleet.find(edge)!.vise!).connect(session, wire));
+  const answer = await settled(fleet, new EdgeConnections(fleet.find(edge)!.edge!).connect(session, wire));
   if (answer.outcome !== "open") throw new Error(`not connected: ${JSON.stringify(answer)}`);
   return { wire, connection: answer.connection };
 }
@@ -61,8 +61,8 @@
   expect(await fleet.until(() => first.wire.numbers().length === 1, 2000)).toEqual(true);
 
   const steps: string[] = [];
-  fleet.find("vise-1")!.vise!.sessions.on("step", (step) => steps.push(step));
-  fleet.find("vise-2")!.vise!.sessions.on("step", (step) => steps.push(step));
+  fleet.find("vise-1")!.edge!.sessions.on("step", (step) => steps.push(step));
+  fleet.find("vise-2")!.edge!.sessions.on("step", (step) => steps.push(step));
   const second = await open(fleet, "vise-2", "desk");
   expect(steps).toEqual(["pull", "stopped", "shipped", "owner-written"]);
   expect([first.wire.isClosed, first.wire.lines.at(-1)!["kind"]]).toEqual([true, "goodbye"]);
@@ -115,9 +115,9 @@
   const { fleet } = await served(74);
   fleet.kill("vise-1");
   await fleet.run(100);
-  const { vise } = fleet.start("vise-1");
-  expect(vise!.lease.isHeld).toEqual(false);
-  const answer = await settled(fleet, new EdgeConnections(vise!).connect("desk", new Wire()));
+  const { edge } = fleet.start("vise-1");
+  expect(edge!.lease.isHeld).toEqual(false);
+  const answer = await settled(fleet, new EdgeConnections(edge!).connect("desk", new Wire()));
   expect(answer.outcome).toEqual("open");
 });
 
--- a/packages/testkit/src/sim/cutOff.test.ts
+++ b/packages/testkit/src/sim/cutOff.test.ts
@@ -7,15 +7,15 @@
 import { accepted, actingOnOld, boundMs } from "./staleNodes.js";
 
 type Ways = "in" | "out" | "both";
-type Cut = { name: string; seed: number; lathes: number; ways: Ways; isLeaderCut: boolean; count: number };
+type Cut = { name: string; seed: number; controlCount: number; ways: Ways; isLeaderCut: boolean; count: number };
 const cuts: readonly Cut[] = [
   ...(["both", "in", "out"] as const).flatMap((ways, i) => [
-    { name: `a follower is cut off (${ways})`, seed: 510 + i, lathes: 3, ways, isLeaderCut: false, count: 1 },
-    { name: `the leader is cut off (${ways})`, seed: 520 + i, lathes: 3, ways, isLeaderCut: true, count: 1 },
+    { name: `a follower is cut off (${ways})`, seed: 510 + i, controlCount: 3, ways, isLeaderCut: false, count: 1 },
+    { name: `the leader is cut off (${ways})`, seed: 520 + i, controlCount: 3, ways, isLeaderCut: true, count: 1 },
     {
       name: `two of five, the leader too, are cut off (${ways})`,
       seed: 530 + i,
-      lathes: 5,
+      controlCount: 5,
       ways,
       isLeaderCut: true,
       count: 2,
@@ -94,28 +94,28 @@
 
 /** Cuts members and an edge off from everybody else for 20 s, with operators on both sides. */
 async function played(cut: Cut, meanwhile: Meanwhile): Promise<{ all: Served; sides: Sides; off: string[] }> {
-  const all = await served(cut.seed, Scenario.machines(cut.lathes));
+  const all = await served(cut.seed, Scenario.machines(cut.controlCount));
   const { fleet, load } = all;
   const sides = new Sides(all, await accepted(all, fleet.proposer!));
   await fleet.run(1000);
   const leader = fleet.proposer!;
   const members = [leader, ...fleet.withRole("lathe").filter((name) => name !== leader)];
-  const lathes = cut.isLeaderCut ? members.slice(0, cut.count) : members.slice(1, 1 + cut.count);
+  const controlNodes = cut.isLeaderCut ? members.slice(0, cut.count) : members.slice(1, 1 + cut.count);
   const edge = fleet.withRole("vise").at(-1)!;
-  const off = [...lathes, edge];
+  const off = [...controlNodes, edge];
   const rest = fleet.names.filter((name) => !off.includes(name));
   for (const name of off) fleet.isolate(name, rest, cut.ways);
-  const seeds = [...lathes, ...fleet.withRole("lathe").filter((name) => !lathes.includes(name))]
+  const seeds = [...controlNodes, ...fleet.withRole("lathe").filter((name) => !controlNodes.includes(name))]
     .slice(0, 3)
     .map((name) => fleet.addressOf(name) as Settings["seeds"][number]);
   for (let second = 0; second < 20; second += 1) {
     if (meanwhile === "both" && second === 4) sides.restart(off);
     if (meanwhile === "both" && second === 9) sides.restart(rest.filter((name) => name.startsWith("lathe")));
     if (meanwhile === "seeds" && second === 5) sides.restart([edge, ...fleet.withRole("vise").slice(0, 1)], seeds);
-    if (meanwhile === "seeds" && second === 12) sides.restart(lathes.slice(0, 1), seeds);
+    if (meanwhile === "seeds" && second === 12) sides.restart(controlNodes.slice(0, 1), seeds);
     if (meanwhile === "blank" && second === 4) {
-      fleet.wipe(lathes[0]!);
-      sides.restart([lathes[0]!, edge]);
+      fleet.wipe(controlNodes[0]!);
+      sides.restart([controlNodes[0]!, edge]);
     }
     for (const node of off) {
       sides.ask(true, node, "PUT", "/v1/plan", load.nextMark);
--- a/packages/testkit/src/sim/disks.test.ts
+++ b/packages/testkit/src/sim/disks.test.ts
@@ -8,8 +8,8 @@
 
 async function founded(seed: number, count: number): Promise<SimFleet> {
   const settings = { founders, replaceVoterMs: 2000, stores: true };
-  const lathes = Scenario.machines(count, 0, 0).map((one): Machine => ({ ...one, settings }));
-  const fleet = new SimFleet(seed, [...lathes, ...Scenario.machines(0, 0, 1)]);
+  const controlNodes = Scenario.machines(count, 0, 0).map((one): Machine => ({ ...one, settings }));
+  const fleet = new SimFleet(seed, [...controlNodes, ...Scenario.machines(0, 0, 1)]);
   for (const name of fleet.names) if (name !== "lathe-4") fleet.start(name);
   expect(await fleet.until(() => fleet.proposer !== undefined, 6000)).toEqual(true);
   await fleet.run(2000);
@@ -64,5 +64,5 @@
     await fleet.run(1000);
     expect(await written(fleet, "last")).toEqual(true);
     for (const name of [leader, other!])
-      expect(fleet.find(name)!.lathe!.raft!.metadata.get("kept") !== undefined).toEqual(true);
+      expect(fleet.find(name)!.control!.raft!.metadata.get("kept") !== undefined).toEqual(true);
   });
--- a/packages/testkit/src/sim/drains.test.ts
+++ b/packages/testkit/src/sim/drains.test.ts
@@ -12,8 +12,8 @@
 function machines(count: number): Machine[] {
   const founders = [1, 2, 3].map((i): `${string}:${number}` => `10.0.0.${i}:1`);
   const settings = { founders, replaceVoterMs: 1367, stores: true };
-  const lathes = Scenario.machines(count, 0, 0).map((one): Machine => ({ ...one, settings }));
-  return [...lathes, ...Scenario.machines(0, 0, 2)];
+  const controlNodes = Scenario.machines(count, 0, 0).map((one): Machine => ({ ...one, settings }));
+  return [...controlNodes, ...Scenario.machines(0, 0, 2)];
 }
 
 const path = (name: string): string => `/v1/machines/${name}/emptying`;
@@ -22,7 +22,7 @@
     ? []
     : fleet
         .find(fleet.proposer)!
-        .lathe!.raft!.members.voters.map((one) => one.name)
+        .control!.raft!.members.voters.map((one) => one.name)
         .sort();
 const others = (fleet: SimFleet, ...names: string[]): string[] =>
   fleet.withRole("lathe").filter((name) => !names.includes(name) && fleet.find(name) !== undefined);
@@ -178,7 +178,7 @@
     };
     // The two machines of one zone: either may go.
     expect(await both("lathe-1", "lathe-4")).toEqual([200, 409]);
-    const { metadata } = fleet.find(fleet.proposer!)!.lathe!.raft!;
+    const { metadata } = fleet.find(fleet.proposer!)!.control!.raft!;
     const taken = metadata.range("machines/").map((kv) => kv.key.split("/")[1]!);
     expect(taken.length).toEqual(1);
     expect(await both(taken[0]!, taken[0]!)).toEqual([200, 200]);
@@ -201,7 +201,7 @@
   await write(gone[0]!, gone[1]!);
   await write(...gone.slice(2));
   expect((await ask("lathe-2", "PUT", path("lathe-1")))["status"]).toEqual(200);
-  const { metadata } = fleet.find(fleet.proposer!)!.lathe!.raft!;
+  const { metadata } = fleet.find(fleet.proposer!)!.control!.raft!;
   const kept = metadata.range("machines/").map((kv) => kv.key.split("/")[1]!);
   expect(kept.length).toEqual(DrainMachine.mostWishes);
   expect(["vise-2", "lathe-1", gone[0]!, gone[1]!, gone[2]!].map((name) => kept.includes(name))).toEqual([
--- a/packages/testkit/src/sim/elections.test.ts
+++ b/packages/testkit/src/sim/elections.test.ts
@@ -13,10 +13,10 @@
   const split: number[] = [];
   for (const seed of seeds) {
     const { fleet } = await served(seed);
-    const lathes = fleet.withRole("lathe");
-    const termOf = (name: string): number => fleet.find(name)!.lathe!.raft!.term;
+    const controlNodes = fleet.withRole("lathe");
+    const termOf = (name: string): number => fleet.find(name)!.control!.raft!.term;
     const before = termOf(fleet.proposer!);
-    for (const lathe of lathes) fleet.isolate(lathe, lathes, "both");
+    for (const controlNode of controlNodes) fleet.isolate(controlNode, controlNodes, "both");
     // Long enough for all to ask for votes, in vain.
     await fleet.run(500);
     fleet.wires.heal();
@@ -34,10 +34,10 @@
   const changes: number[] = [];
   for (const seed of [1101, 1102, 1103, 1104, 1105, 1106]) {
     const { fleet } = await served(seed);
-    const lathes = fleet.withRole("lathe");
-    const termOf = (): number => Math.max(...lathes.map((name) => fleet.find(name)!.lathe!.raft!.term));
+    const controlNodes = fleet.withRole("lathe");
+    const termOf = (): number => Math.max(...controlNodes.map((name) => fleet.find(name)!.control!.raft!.term));
     const before = termOf();
-    for (const lathe of lathes) fleet.wires.slow.set(fleet.addressOf(lathe), 100);
+    for (const controlNode of controlNodes) fleet.wires.slow.set(fleet.addressOf(controlNode), 100);
     await fleet.run(8000);
     changes.push(termOf() - before);
     expect(fleet.proposer !== undefined).toEqual(true);
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -20,10 +20,10 @@
 }
 
 const serverOf = ({ fleet, edge }: Pick<Scene, "fleet" | "edge">): string => {
-  const { node, vise } = fleet.find(edge)!;
-  const tail = vise!.streams.take(node.plan.route(topic)!);
-  const server = vise!.streams.serverOf(tail);
-  vise!.streams.leave(tail);
+  const { node, edge: edgeNode } = fleet.find(edge)!;
+  const tail = edgeNode!.streams.take(node.plan.route(topic)!);
+  const server = edgeNode!.streams.serverOf(tail);
+  edgeNode!.streams.leave(tail);
   return server;
 };
 
@@ -31,8 +31,8 @@
 async function scene(seed: number): Promise<Scene> {
   const all = await served(seed);
   const { fleet } = all;
-  const { node, vise } = fleet.find("vise-1")!;
-  const shard = vise!.streams.shardOf(node.plan.route(topic)!.stream);
+  const { node, edge: edgeNode } = fleet.find("vise-1")!;
+  const shard = edgeNode!.streams.shardOf(node.plan.route(topic)!.stream);
   const { holder, set } = node.shards.find(shard);
   const edge = fleet.withRole("vise").find((name) => fleet.zoneOf(name) !== fleet.zoneOf(holder))!;
   const near = fleet.withRole("vise").find((name) => fleet.zoneOf(name) === fleet.zoneOf(holder))!;
@@ -108,8 +108,8 @@
   expect((await all.play(4000)) <= 50).toEqual(true);
   expectWhole(all);
   expect([...counts.keys()]).toEqual([replica]);
-  expect(fleet.find(replica)!.anvil!.reads[shard]!.count).toEqual(1);
-  const { service } = fleet.find(holder)!.anvil!.claims!.find(shard)!;
+  expect(fleet.find(replica)!.storage!.reads[shard]!.count).toEqual(1);
+  const { service } = fleet.find(holder)!.storage!.claims!.find(shard)!;
   const reply = service.count({ $typeName: "cranetrack.v1.CountRequest", shard, topics: [topic] });
   expect(reply.case === "countReply" && reply.value.counts?.map(({ count }) => count)).toEqual([1]);
 });
@@ -214,5 +214,5 @@
   fleet.wires.mutate = undefined;
   expectWhole(all);
   expect(follows <= 8).toEqual(true);
-  expect(fleet.find(replica)!.anvil!.reads[shard]!.isOpen).toEqual(true);
+  expect(fleet.find(replica)!.storage!.reads[shard]!.isOpen).toEqual(true);
 });
--- a/packages/testkit/src/sim/founding.test.ts
+++ b/packages/testkit/src/sim/founding.test.ts
@@ -8,38 +8,38 @@
 type Address = `${string}:${number}`;
 const addresses = (count: number): Address[] => Array.from({ length: count }, (_, i): Address => `10.0.0.${i + 1}:1`);
 /** Lathes with settings of their own, as many as given; then edges. */
-const withLathes = (settings: ReadonlyArray<Machine["settings"]>, vises = 1): Machine[] => [
+const withControlNodes = (settings: ReadonlyArray<Machine["settings"]>, edgeCount = 1): Machine[] => [
   ...Scenario.machines(settings.length, 0, 0).map((machine, i): Machine => ({ ...machine, settings: settings[i] })),
-  ...Scenario.machines(0, 0, vises),
+  ...Scenario.machines(0, 0, edgeCount),
 ];
-const isFounded = (fleet: SimFleet, name: string): boolean => fleet.find(name)?.lathe?.raft !== undefined;
+const isFounded = (fleet: SimFleet, name: string): boolean => fleet.find(name)?.control?.raft !== undefined;
 const voters = (fleet: SimFleet): string[] => {
   const { proposer } = fleet;
-  const members = proposer === undefined ? undefined : fleet.find(proposer)!.lathe!.raft!.members;
+  const members = proposer === undefined ? undefined : fleet.find(proposer)!.control!.raft!.members;
   return (members?.voters ?? []).map((one) => one.name).sort();
 };
 
 test("named founders found the store, all of them and nobody else; a fourth lathe only joins", async () => {
   const founders = addresses(3);
-  const fleet = new SimFleet(71, withLathes(Array.from({ length: 4 }, () => ({ founders, lathes: 3 }))));
+  const fleet = new SimFleet(71, withControlNodes(Array.from({ length: 4 }, () => ({ founders, controlCount: 3 }))));
   for (const name of ["lathe-1", "lathe-2", "lathe-4", "vise-1"]) fleet.start(name);
   await fleet.run(6000);
   expect(fleet.withRole("lathe").filter((name) => isFounded(fleet, name))).toEqual([]);
-  expect(fleet.find("lathe-1")!.lathe!.founding.missing).toEqual(expect.includes("2 of 3 blank lathes"));
-  expect(fleet.find("lathe-4")!.lathe!.founding.missing).toEqual(expect.includes("founds none itself"));
+  expect(fleet.find("lathe-1")!.control!.founding.missing).toEqual(expect.includes("2 of 3 blank lathes"));
+  expect(fleet.find("lathe-4")!.control!.founding.missing).toEqual(expect.includes("founds none itself"));
   fleet.start("lathe-3");
   expect(await fleet.until(() => voters(fleet).length >= 3, 4000)).toEqual(true);
   expect(voters(fleet)).toEqual(["lathe-1", "lathe-2", "lathe-3"]);
-  const founding = fleet.find("lathe-1")!.lathe!.founding.founding;
+  const founding = fleet.find("lathe-1")!.control!.founding.founding;
   await fleet.run(8000);
-  const others = fleet.withRole("lathe").map((name) => fleet.find(name)!.lathe!.founding.founding);
+  const others = fleet.withRole("lathe").map((name) => fleet.find(name)!.control!.founding.founding);
   expect(others.every((one) => one === founding || one === "")).toEqual(true);
 });
 
 test("a lathe that may not found never does, nor do several, and it joins a store that is there", async () => {
   const fleet = new SimFleet(
     72,
-    withLathes(
+    withControlNodes(
       Array.from({ length: 3 }, () => ({ mayFound: false })),
       0,
     ),
@@ -51,7 +51,7 @@
   const founders = addresses(3);
   const other = new SimFleet(
     73,
-    withLathes(
+    withControlNodes(
       Array.from({ length: 3 }, () => ({ founders })),
       0,
     ),
@@ -62,9 +62,9 @@
   other.configure("lathe-2", { mayFound: false });
   await other.run(1000);
   other.start("lathe-2");
-  const { id } = other.find("lathe-2")!.lathe!.founding;
+  const { id } = other.find("lathe-2")!.control!.founding;
   const isIn = (): boolean =>
-    other.find(other.proposer ?? "")?.lathe!.raft!.members.voters.some((one) => one.id === id) === true;
+    other.find(other.proposer ?? "")?.control!.raft!.members.voters.some((one) => one.id === id) === true;
   expect(await other.until(isIn, 10_000)).toEqual(true);
   for (const name of other.names) other.wipe(name);
   for (const name of other.names) other.configure(name, { mayFound: false });
@@ -78,7 +78,7 @@
   const founders = addresses(3);
   const fleet = new SimFleet(
     74,
-    withLathes(
+    withControlNodes(
       Array.from({ length: 3 }, () => ({ founders })),
       0,
     ),
@@ -100,13 +100,13 @@
   // Long enough for the others to have forgotten it, so that nobody asks first.
   await fleet.run(70_000);
   fleet.start("lathe-4");
-  expect(await fleet.until(() => fleet.find("lathe-4")!.lathe!.isReady, 4000)).toEqual(true);
+  expect(await fleet.until(() => fleet.find("lathe-4")!.control!.isReady, 4000)).toEqual(true);
 });
 
 /** Five lathes over three zones, of which three vote. */
 async function withStandbys(seed: number): Promise<SimFleet> {
   const settings = { founders: addresses(3), replaceVoterMs: 3000, stores: true };
-  const fleet = new SimFleet(seed, withLathes(Array.from({ length: 5 }, () => settings)));
+  const fleet = new SimFleet(seed, withControlNodes(Array.from({ length: 5 }, () => settings)));
   fleet.startAll();
   expect(await fleet.until(() => voters(fleet).length === 3, 6000)).toEqual(true);
   await fleet.run(3000);
@@ -136,8 +136,8 @@
 test("a lathe beyond the voters stands by: no calls and no feeds go to it, and it is ready", async () => {
   const fleet = await withStandbys(77);
   for (const name of ["lathe-4", "lathe-5"]) {
-    const { lathe, node } = fleet.find(name)!;
-    expect([lathe!.raft, node.membership.self.isInStore, lathe!.isReady]).toEqual([undefined, false, true]);
+    const { control, node } = fleet.find(name)!;
+    expect([control!.raft, node.membership.self.isInStore, control!.isReady]).toEqual([undefined, false, true]);
   }
 });
 
@@ -150,7 +150,7 @@
   fleet.wipe("lathe-1");
   expect(await fleet.until(() => votes(fleet, "lathe-3", "lathe-4", "lathe-5"), 10_000)).toEqual(true);
   expect(await written(fleet, "third")).toEqual("done");
-  const { metadata } = fleet.find(fleet.proposer!)!.lathe!.raft!;
+  const { metadata } = fleet.find(fleet.proposer!)!.control!.raft!;
   expect(["first", "second", "third"].map((key) => metadata.get(key) !== undefined)).toEqual([true, true, true]);
 
   // Both come back, one with its disk and one without: enough vote, so they stand by, and one is taken in again.
@@ -169,7 +169,7 @@
 for (const step of ["learner", "joint"] as const)
   test(`a voter that is back while it is replaced (${step}) leaves as many voters as there should be`, async () => {
     const fleet = await withStandbys(79);
-    const members = () => fleet.find(fleet.proposer ?? "")?.lathe!.raft!.members;
+    const members = () => fleet.find(fleet.proposer ?? "")?.control!.raft!.members;
     const isAt = (): boolean => {
       const { learners = [], oldVoters = [] } = members() ?? {};
       return (step === "learner" ? learners : oldVoters).length > 0;
@@ -191,7 +191,7 @@
 test("lathes that store serve publishes with no other storage machine, and go on without one of them", async () => {
   const { fleet, publish } = await served(
     76,
-    withLathes(
+    withControlNodes(
       Array.from({ length: 3 }, () => ({ stores: true })),
       2,
     ),
--- a/packages/testkit/src/sim/freshness.test.ts
+++ b/packages/testkit/src/sim/freshness.test.ts
@@ -10,7 +10,7 @@
 import { accepted, actingOnOld, boundMs } from "./staleNodes.js";
 
 const inForceAt = (fleet: SimFleet, name: string): number => {
-  const kept = fleet.find(name)?.lathe?.raft?.metadata.get(PlanKey.name);
+  const kept = fleet.find(name)?.control?.raft?.metadata.get(PlanKey.name);
   return kept === undefined ? 0 : PlanKey.markOf(kept.value);
 };
 
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -15,7 +15,7 @@
 
 async function open(fleet: SimFleet): Promise<Connection> {
   const link = { waitingBytes: 0, isClosed: false, send: () => undefined, close: () => undefined };
-  const connections = new EdgeConnections(fleet.find("vise-1")!.vise!);
+  const connections = new EdgeConnections(fleet.find("vise-1")!.edge!);
   const answer = await settled(fleet, connections.connect("desk", { ...link, onClose: () => undefined }));
   if (answer.outcome !== "open") throw new Error(`not connected: ${JSON.stringify(answer)}`);
   return answer.connection;
--- a/packages/testkit/src/sim/memberChanges.test.ts
+++ b/packages/testkit/src/sim/memberChanges.test.ts
@@ -14,15 +14,15 @@
 /** Three control nodes found the store; the others join it or stand by. Two edges. */
 function fleetOf(seed: number, count: number, settings: Machine["settings"] = {}): SimFleet {
   const own = { founders, replaceVoterMs, stores: true, ...settings };
-  const lathes = Scenario.machines(count, 0, 0).map((one): Machine => ({ ...one, settings: own }));
-  return new SimFleet(seed, [...lathes, ...Scenario.machines(0, 0, 2)]);
+  const controlNodes = Scenario.machines(count, 0, 0).map((one): Machine => ({ ...one, settings: own }));
+  return new SimFleet(seed, [...controlNodes, ...Scenario.machines(0, 0, 2)]);
 }
 
 const members = (fleet: SimFleet) =>
-  fleet.proposer === undefined ? undefined : fleet.find(fleet.proposer)!.lathe!.raft!.members;
+  fleet.proposer === undefined ? undefined : fleet.find(fleet.proposer)!.control!.raft!.members;
 const voters = (fleet: SimFleet): string[] => (members(fleet)?.voters ?? []).map((one) => one.name).sort();
 const isVoting = (fleet: SimFleet, ...names: string[]): boolean =>
-  voters(fleet).join() === [...names].sort().join() && fleet.find(fleet.proposer!)!.lathe!.raft!.hasSettledMembers;
+  voters(fleet).join() === [...names].sort().join() && fleet.find(fleet.proposer!)!.control!.raft!.hasSettledMembers;
 
 async function founded(
   seed: number,
@@ -123,7 +123,7 @@
   fleet.wipe("lathe-2");
   await fleet.run(200);
   fleet.start("lathe-2");
-  const { id } = fleet.find("lathe-2")!.lathe!.founding;
+  const { id } = fleet.find("lathe-2")!.control!.founding;
   const isIn = (): boolean =>
     members(fleet)?.voters.some((one) => one.id === id) === true && isVoting(fleet, "lathe-1", "lathe-2", "lathe-3");
   expect(await fleet.until(isIn, 2000)).toEqual(true);
@@ -140,7 +140,7 @@
       fleet.retire(out!);
       fleet.start("lathe-4");
       const isAt = (): boolean => {
-        const now = fleet.find(leader)!.lathe!.raft!.members;
+        const now = fleet.find(leader)!.control!.raft!.members;
         if (step === "learner") return now.learners.length > 0;
         if (step === "joint") return now.oldVoters.length > 0;
         return now.oldVoters.length === 0 && now.voters.some((one) => one.name === "lathe-4");
@@ -235,7 +235,7 @@
   expect(await fleet.until(() => isVoting(fleet, ...all), 6000)).toEqual(true);
   await fleet.run(2000);
   const old = fleet.proposer!;
-  const raft = fleet.find(old)!.lathe!.raft!;
+  const raft = fleet.find(old)!.control!.raft!;
   const before = raft.commit;
   const self = raft.members.voters.find((one) => one.id === raft.id)!;
   fleet.isolate(old, fleet.names, "both");
--- a/packages/testkit/src/sim/membership.test.ts
+++ b/packages/testkit/src/sim/membership.test.ts
@@ -5,8 +5,8 @@
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 
-async function started(seed: number, vises = 6): Promise<SimFleet> {
-  const fleet = new SimFleet(seed, Scenario.machines(3, 3, vises));
+async function started(seed: number, edgeCount = 6): Promise<SimFleet> {
+  const fleet = new SimFleet(seed, Scenario.machines(3, 3, edgeCount));
   fleet.startAll();
   const isWhole = (): boolean =>
     fleet.names.every((name) => fleet.find(name)!.node.membership.alive().length === fleet.names.length);
@@ -139,8 +139,8 @@
 
 test("what a node sends to keep the others known does not grow with the fleet", async () => {
   const most: number[] = [];
-  for (const vises of [6, 54]) {
-    const fleet = await started(79, vises);
+  for (const edgeCount of [6, 54]) {
+    const fleet = await started(79, edgeCount);
     await fleet.run(10_000);
     const sent = new Map<string, number>();
     fleet.wires.mutate = (from, _to, bytes) => {
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -31,22 +31,22 @@
   { fleet }: Served,
   topic: string,
 ): { name: string; shard: number; holder: Holder; service: ShardService } {
-  const { node, vise } = fleet.find("vise-2")!;
-  const shard = vise!.streams.shardOf(node.plan.route(topic)!.stream);
+  const { node, edge } = fleet.find("vise-2")!;
+  const shard = edge!.streams.shardOf(node.plan.route(topic)!.stream);
   const name = node.shards.find(shard).holder;
-  const { holder, service } = fleet.find(name)!.anvil!.claims!.find(shard)!;
+  const { holder, service } = fleet.find(name)!.storage!.claims!.find(shard)!;
   return { name, shard, holder, service };
 }
 
 async function counted({ fleet }: Served, topic: string, node = "vise-2"): Promise<Count> {
   let got: Count | undefined;
-  void countTopic(fleet.find(node)!.vise!, topic).then((count) => (got = count));
+  void countTopic(fleet.find(node)!.edge!, topic).then((count) => (got = count));
   expect(await fleet.until(() => got !== undefined, 5000)).toEqual(true);
   return got!;
 }
 
 const logged = ({ fleet }: Served): number =>
-  Math.max(...fleet.withRole("anvil").map((name) => fleet.find(name)?.anvil?.replicas[0]?.log.lastIndex ?? 0));
+  Math.max(...fleet.withRole("anvil").map((name) => fleet.find(name)?.storage?.replicas[0]?.log.lastIndex ?? 0));
 
 test("a space that keeps nothing is delivered in order, from memory, and writes no log", async () => {
   const all = await keepingNothing(801);
@@ -69,7 +69,7 @@
   expect(logged(all)).toEqual(before);
   const { shard } = holderOf(all, "notes/t1");
   for (const name of fleet.withRole("anvil"))
-    expect(fleet.find(name)!.anvil!.replicas[shard]!.state.streams.has("notes/t1")).toEqual(false);
+    expect(fleet.find(name)!.storage!.replicas[shard]!.state.streams.has("notes/t1")).toEqual(false);
 });
 
 test("numbers that go backwards and payloads that are too large are refused in memory as in a log", async () => {
@@ -120,8 +120,8 @@
 });
 
 function holderShard({ fleet }: Served): number {
-  const { node, vise } = fleet.find("vise-2")!;
-  return vise!.streams.shardOf(node.plan.route("notes/t1")!.stream);
+  const { node, edge } = fleet.find("vise-2")!;
+  return edge!.streams.shardOf(node.plan.route("notes/t1")!.stream);
 }
 
 test("a place of another birth, or of nowhere, is confirmed without a word where nothing is kept", async () => {
@@ -216,13 +216,13 @@
   // Its holder gives the shard up; number 2 is at the next holder before number 1 comes again.
   fleet.wires.mutate = (from, _to, bytes) =>
     from === pen && Wire.decode(bytes)?.body.case === "publish" ? [{ bytes, delay: 100 }] : undefined;
-  void fleet.find(name)!.anvil!.claims!.release(shard, "the test says so");
+  void fleet.find(name)!.storage!.claims!.release(shard, "the test says so");
   const next = (): ShardService | undefined => {
     const { holder } = fleet.find("vise-2")!.node.shards.find(shard);
-    const claim = fleet.find(holder)?.anvil?.claims?.find(shard);
+    const claim = fleet.find(holder)?.storage?.claims?.find(shard);
     return claim?.service.isOpen === true ? claim.service : undefined;
   };
-  const epoch = fleet.find(name)!.anvil!.claims!.find(shard)?.holder.epoch;
+  const epoch = fleet.find(name)!.storage!.claims!.find(shard)?.holder.epoch;
   expect(epoch).toEqual(undefined);
   for (let ms = 0; ms < 3000 && next() === undefined; ms += 1) await fleet.run(1);
   const { spaceIncarnation } = fleet.find("vise-2")!.node.plan.route(topic)!;
--- a/packages/testkit/src/sim/oldState.test.ts
+++ b/packages/testkit/src/sim/oldState.test.ts
@@ -5,12 +5,12 @@
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
 
-async function founded(seed: number): Promise<{ fleet: SimFleet; load: SimLoad; lathes: string[] }> {
+async function founded(seed: number): Promise<{ fleet: SimFleet; load: SimLoad; controlNodes: string[] }> {
   const fleet = new SimFleet(seed, Scenario.machines(3, 3, 1));
   for (const name of fleet.names) fleet.configure(name, { replaceVoterMs: 60_000 });
   const load = new SimLoad(fleet);
   expect(await load.begin(0)).toEqual(true);
-  return { fleet, load, lathes: fleet.withRole("lathe") };
+  return { fleet, load, controlNodes: fleet.withRole("lathe") };
 }
 
 async function settled<T>(fleet: SimFleet, asked: Promise<T>, dueMs = 30_000): Promise<T> {
@@ -37,11 +37,11 @@
 
 test("a restarted member with old state never leads, and serves nothing older than the others did", async () => {
   for (const seed of [701, 702, 703]) {
-    const { fleet, load, lathes } = await founded(seed);
-    const old = lathes.find((name) => name !== fleet.proposer)!;
+    const { fleet, load, controlNodes } = await founded(seed);
+    const old = controlNodes.find((name) => name !== fleet.proposer)!;
     fleet.kill(old);
     const mark = await change(fleet, load, 5);
-    const [current, other] = lathes.filter((name) => name !== old) as [string, string];
+    const [current, other] = controlNodes.filter((name) => name !== old) as [string, string];
     fleet.kill(current);
     fleet.kill(other);
     // The old one starts first and asks for votes before the one that has everything.
@@ -50,37 +50,37 @@
     fleet.start(current);
     expect(await fleet.until(() => fleet.proposer !== undefined, 15_000)).toEqual(true);
     expect(fleet.proposer).toEqual(current);
-    expect(await fleet.until(() => fleet.find(old)!.lathe!.raft!.isInTouch, 5000)).toEqual(true);
+    expect(await fleet.until(() => fleet.find(old)!.control!.raft!.isInTouch, 5000)).toEqual(true);
     expect(await markAt(fleet, old)).toEqual(mark);
   }
 });
 
 test("a blank disk has no vote of the member it was, so old state on one disk is no majority with it", async () => {
-  const { fleet, load, lathes } = await founded(711);
-  const old = lathes.find((name) => name !== fleet.proposer)!;
+  const { fleet, load, controlNodes } = await founded(711);
+  const old = controlNodes.find((name) => name !== fleet.proposer)!;
   fleet.kill(old);
   await change(fleet, load, 5);
-  const [blank, other] = lathes.filter((name) => name !== old) as [string, string];
+  const [blank, other] = controlNodes.filter((name) => name !== old) as [string, string];
   fleet.wipe(blank);
   fleet.kill(other);
   fleet.start(old);
   fleet.start(blank);
   for (let i = 0; i < 200; i += 1) {
     await fleet.run(50);
-    expect(lathes.some((name) => fleet.find(name)?.lathe?.raft?.isLeader === true)).toEqual(false);
+    expect(controlNodes.some((name) => fleet.find(name)?.control?.raft?.isLeader === true)).toEqual(false);
   }
 });
 
 test("who was elected serves nothing before an entry of its own term is committed", async () => {
-  const { fleet, load, lathes } = await founded(721);
+  const { fleet, load, controlNodes } = await founded(721);
   const mark = await change(fleet, load, 2);
   fleet.wires.mutate = (_from, _to, bytes) => (Wire.decode(bytes)?.body.case === "appendReply" ? [] : undefined);
-  const alive = lathes.filter((name) => name !== fleet.proposer);
+  const alive = controlNodes.filter((name) => name !== fleet.proposer);
   fleet.kill(fleet.proposer!);
   let wasElected = false;
   for (let i = 0; i < 80; i += 1) {
     await fleet.run(50);
-    const rafts = alive.map((name) => fleet.find(name)!.lathe!.raft!);
+    const rafts = alive.map((name) => fleet.find(name)!.control!.raft!);
     wasElected ||= rafts.some((raft) => raft.leaderName !== "");
     expect(rafts.some((raft) => raft.isLeader)).toEqual(false);
   }
--- a/packages/testkit/src/sim/orderHistories.test.ts
+++ b/packages/testkit/src/sim/orderHistories.test.ts
@@ -10,7 +10,7 @@
 
 interface Play {
   seed: number;
-  lathes: 3 | 5;
+  controlCount: 3 | 5;
   lossOfAnswers: number;
   asked: Array<{ at: number; operator: number; input: OrderInput }>;
   troubles: Trouble[];
@@ -33,15 +33,15 @@
 );
 const play: fc.Arbitrary<Play> = fc.record({
   seed: fc.integer({ min: 1, max: 1_000_000 }),
-  lathes: fc.constantFrom(3 as const, 5 as const),
+  controlCount: fc.constantFrom(3 as const, 5 as const),
   lossOfAnswers: fc.constantFrom(0, 0.3, 0.6),
   asked: fc.array(asked, { minLength: 30, maxLength: 50 }),
   troubles: Troubles.arbitrary,
 });
 
 /** Operators on all sides while troubles come and go; then all that was clearly answered is asked once more. */
-async function played({ seed, lathes, lossOfAnswers, asked, troubles }: Play): Promise<OrderHistory> {
-  const fleet = new SimFleet(seed, Scenario.machines(lathes, 0, 0));
+async function played({ seed, controlCount, lossOfAnswers, asked, troubles }: Play): Promise<OrderHistory> {
+  const fleet = new SimFleet(seed, Scenario.machines(controlCount, 0, 0));
   const history = new OrderHistory();
   const operators = [0, 1].map(() => new SimOperator(fleet, history, lossOfAnswers));
   fleet.startAll();
--- a/packages/testkit/src/sim/replicaSets.test.ts
+++ b/packages/testkit/src/sim/replicaSets.test.ts
@@ -19,7 +19,7 @@
 
 /** Control nodes that keep topic logs themselves, with no spare beside them; later ones only join. */
 const storing = (count: number): Machine[] => {
-  const settings = { stores: true, lathes: 3, founders: [...founders], replaceVoterMs: 1000 };
+  const settings = { stores: true, controlCount: 3, founders: [...founders], replaceVoterMs: 1000 };
   return [
     ...Scenario.machines(count, 0, 0).map((machine) => ({ ...machine, settings })),
     ...Scenario.machines(0, 0, 2),
@@ -69,12 +69,12 @@
 function unkept(fleet: SimFleet): number[] {
   const { proposer } = fleet;
   if (proposer === undefined) return [];
-  const lives = fleet.names.flatMap((name) => fleet.find(name)?.lathe?.anvil ?? fleet.find(name)?.anvil ?? []);
+  const lives = fleet.names.flatMap((name) => fleet.find(name)?.control?.storage ?? fleet.find(name)?.storage ?? []);
   return fleet
     .find(proposer)!
     .node.shards.all()
     .filter(([shard, { set }]) => {
-      const committed = Math.max(...lives.map((anvil) => anvil.replicas[shard]!.applied));
+      const committed = Math.max(...lives.map((storage) => storage.replicas[shard]!.applied));
       const logs = (set?.members ?? []).map(({ id }) => lives.find((one) => one.id === id)!.replicas[shard]!.log);
       return logs.filter((log) => log.syncedIndex >= committed).length * 2 <= logs.length;
     })
@@ -201,7 +201,7 @@
     zone: `zone-${i % 6}`,
     region: `region-${i % 3}`,
   });
-  const storing = { stores: true, lathes: 3, voters: 5, founders: [...founders], replaceVoterMs: 1500 };
+  const storing = { stores: true, controlCount: 3, voters: 5, founders: [...founders], replaceVoterMs: 1500 };
   const make = (role: Machine["role"], count: number, settings: Machine["settings"]): Machine[] =>
     Array.from({ length: count }, (_, i) => ({
       name: `${role}-${i + 1}`,
@@ -222,7 +222,7 @@
     const regions = members.map(({ zone }) => Number(zone.split("-")[1]) % 3);
     expect([0, 1, 2].every((region) => regions.filter((one) => one === region).length <= 2)).toEqual(true);
   }
-  const { members } = fleet.find(fleet.proposer!)!.lathe!.raft!;
+  const { members } = fleet.find(fleet.proposer!)!.control!.raft!;
   expect([members.voters.length, members.learners.length]).toEqual([5, 0]);
   const lost = setsOf(fleet)[0]!
     .slice(0, 2)
--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -50,11 +50,11 @@
   /** With which a repair is over by then. */
   quickRepair: { replaceVoterMs: 1333, replaceReplicaMs: 3000, replaceByNewcomerMs: 800 },
 
-  machines(lathes = 3, anvils = 3, vises = 3): Machine[] {
+  machines(controlCount = 3, storageCount = 3, edgeCount = 3): Machine[] {
     const zones = ["north", "south", "west"];
     const make = (role: Machine["role"], count: number): Machine[] =>
       Array.from({ length: count }, (_, i) => ({ name: `${role}-${i + 1}`, role, zone: zones[i % 3]! }));
-    return [...make("lathe", lathes), ...make("anvil", anvils), ...make("vise", vises)];
+    return [...make("lathe", controlCount), ...make("anvil", storageCount), ...make("vise", edgeCount)];
   },
 
   /**
--- a/packages/testkit/src/sim/sessions.test.ts
+++ b/packages/testkit/src/sim/sessions.test.ts
@@ -7,7 +7,7 @@
 /** What the store itself says: the newest of all lathes. */
 function ownerOf(fleet: SimFleet, session: string): { node: string; revision: number } {
   const kept = ["lathe-1", "lathe-2", "lathe-3"]
-    .map((name) => fleet.find(name)?.lathe?.raft?.metadata.get(OwnerKey.of(session)))
+    .map((name) => fleet.find(name)?.control?.raft?.metadata.get(OwnerKey.of(session)))
     .filter((kv) => kv !== undefined)
     .sort((a, b) => b.revision - a.revision)[0]!;
   return { node: OwnerKey.read(kept.value)!.node, revision: kept.revision };
@@ -27,8 +27,8 @@
     expect(before.node).toEqual("vise-1");
 
     const steps: string[] = [];
-    fleet.find("vise-1")!.vise!.sessions.on("step", (step) => steps.push(`old ${step}`));
-    fleet.find("vise-2")!.vise!.sessions.on("step", (step) => {
+    fleet.find("vise-1")!.edge!.sessions.on("step", (step) => steps.push(`old ${step}`));
+    fleet.find("vise-2")!.edge!.sessions.on("step", (step) => {
       steps.push(`new ${step}`);
       if (step === "shipped") steps.push(`key names ${ownerOf(fleet, "desk").node}`);
     });
@@ -78,7 +78,7 @@
     expect(took).toEqual(true);
     // The cut-off owner gave its links up before the key could be taken from it.
     expect(first.isClosed).toEqual(true);
-    expect(fleet.find("vise-1")!.vise!.sessions.find("desk")).toEqual(undefined);
+    expect(fleet.find("vise-1")!.edge!.sessions.find("desk")).toEqual(undefined);
   },
 );
 
@@ -112,8 +112,8 @@
   const { fleet } = await served(21);
   const hands = ["vise-1", "vise-2", "vise-3"].map((node) => new Hand(fleet, node, `desk-${node}`, wish));
   expect(await fleet.until(() => hands.every((hand) => hand.of("confirmed").length === 1), 5000)).toEqual(true);
-  const lathes = fleet.withRole("lathe");
-  for (const lathe of lathes) fleet.isolate(lathe, lathes, "both");
+  const controlNodes = fleet.withRole("lathe");
+  for (const controlNode of controlNodes) fleet.isolate(controlNode, controlNodes, "both");
   // Long enough for them to be out of touch, too short for a lease.
   await fleet.run(500);
   fleet.wires.heal();
@@ -222,13 +222,13 @@
     await publish("pen", 1, "vise-2");
     await fleet.until(() => reader.of("message").length === 1, 3000);
     const after = String(reader.of("message")[0]!["place"]);
-    const { live } = fleet.find("vise-1")!.vise!;
+    const { live } = fleet.find("vise-1")!.edge!;
     live.bufferBytes = 2000;
     fleet.port.stalled.add("slow");
     for (let number = 2; number <= 40; number += 1)
       expect((await publish("pen", number, "vise-2"))["receipt"]).toEqual("accepted");
     expect(await fleet.until(() => reader.isClosed, 5000)).toEqual(true);
-    expect(fleet.find("vise-1")!.vise!.sessions.find("slow")!.link).toEqual(undefined);
+    expect(fleet.find("vise-1")!.edge!.sessions.find("slow")!.link).toEqual(undefined);
     fleet.port.stalled.clear();
     const again = new Hand(fleet, "vise-3", "slow", { subscriptions: [{ topic: "notes/t1", after }] });
     expect(await fleet.until(() => again.of("message").length === 39, 5000)).toEqual(true);
@@ -243,7 +243,7 @@
     expect(await fleet.until(() => hand.of("confirmed").length === 1, 5000)).toEqual(true);
     const { holder, epoch } = fleet
       .find("vise-1")!
-      .node.shards.find(fleet.find("vise-1")!.vise!.streams.shardOf("6:notes/t1"));
+      .node.shards.find(fleet.find("vise-1")!.edge!.streams.shardOf("6:notes/t1"));
     fleet.isolate("vise-1", [holder], ways);
     for (let number = 1; number <= 5; number += 1) {
       let reply = await publish("desk", number);
@@ -254,7 +254,7 @@
     expect(await fleet.until(() => hand.of("message").length === 5, 3000)).toEqual(true);
     expect(hand.of("message").map((line) => line["number"])).toEqual([1, 2, 3, 4, 5]);
     // Nobody lost a claim over it.
-    const after = fleet.find("vise-2")!.node.shards.find(fleet.find("vise-1")!.vise!.streams.shardOf("6:notes/t1"));
+    const after = fleet.find("vise-2")!.node.shards.find(fleet.find("vise-1")!.edge!.streams.shardOf("6:notes/t1"));
     expect([after.holder, after.epoch]).toEqual([holder, epoch]);
   });
 }
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -9,9 +9,9 @@
 import { SimLoad } from "./simLoad.js";
 
 const zones = ["north", "south", "west"];
-const withSpares = (anvils: number): Machine[] => [
+const withSpares = (storageCount: number): Machine[] => [
   ...Array.from({ length: 3 }, (_, i): Machine => ({ name: `lathe-${i + 1}`, role: "lathe", zone: zones[i]! })),
-  ...Array.from({ length: anvils }, (_, i): Machine => ({
+  ...Array.from({ length: storageCount }, (_, i): Machine => ({
     name: `anvil-${i + 1}`,
     role: "anvil",
     zone: zones[i % 3]!,
@@ -46,8 +46,8 @@
 }
 
 const streamShard = (fleet: SimFleet, topic: string): number => {
-  const { node, vise } = fleet.find("vise-1")!;
-  return vise!.streams.shardOf(node.plan.route(topic)!.stream);
+  const { node, edge } = fleet.find("vise-1")!;
+  return edge!.streams.shardOf(node.plan.route(topic)!.stream);
 };
 
 const holderOf = (fleet: SimFleet, topic: string): string =>
@@ -144,7 +144,7 @@
 test("one machine's disk after the other is lost, each once the last is mended: no message is", async () => {
   const { fleet, load } = await loaded(34, withSpares(3));
   for (const name of ["anvil-1", "anvil-2", "anvil-3"]) {
-    const lost = fleet.find(name)!.anvil!.id;
+    const lost = fleet.find(name)!.storage!.id;
     fleet.wipe(name);
     await fleet.run(1000);
     fleet.start(name);
@@ -240,11 +240,11 @@
     await fleet.run(2000);
     expect(setsOf(fleet).every((set) => !set.includes("anvil-4"))).toEqual(true);
     fleet.startAll();
-    expect(await fleet.until(() => fleet.find("vise-2")!.vise!.isReady, 8000)).toEqual(true);
+    expect(await fleet.until(() => fleet.find("vise-2")!.edge!.isReady, 8000)).toEqual(true);
     expect((await call(fleet, "PUT", "/v1/machines/anvil-1/emptying")).status).toEqual(200);
     expect(await fleet.until(() => setsOf(fleet).every((set) => set.includes("anvil-4")), 40_000)).toEqual(true);
     load.dropAll();
-    expect(await fleet.until(() => fleet.find("vise-2")!.vise!.sessions.links > 0, 8000)).toEqual(true);
+    expect(await fleet.until(() => fleet.find("vise-2")!.edge!.sessions.links > 0, 8000)).toEqual(true);
     expect(await judged(fleet, load)).toEqual([]);
   },
 );
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -34,14 +34,14 @@
   /** Invariants that processes which are gone counted as violated, as `name invariant count`. */
   readonly #violations: string[] = [];
   readonly #slots = new Map<string, Slot>();
-  readonly #shared: { seeds: Settings["seeds"]; shards: number; lathes: number };
+  readonly #shared: { seeds: Settings["seeds"]; shards: number; controlCount: number };
 
   constructor(seed: number, machines: readonly Machine[], shards = 4) {
     this.world = new SimWorld(seed);
     this.wires = new SimWires(this.world);
     this.port = new SimPort(this);
     const seeds = machines.slice(0, 3).map((_, i) => `10.0.0.${i + 1}:1` as const);
-    this.#shared = { seeds, shards, lathes: machines.filter((one) => one.role === "lathe").length };
+    this.#shared = { seeds, shards, controlCount: machines.filter((one) => one.role === "lathe").length };
     for (const machine of machines) this.enlist(machine);
   }
 
@@ -166,7 +166,7 @@
   get proposer(): string | undefined {
     return this.withRole("lathe").find((name) => {
       const life = this.find(name);
-      return life?.lathe?.raft?.isLeader === true && life.body.pausedUntil <= this.world.now;
+      return life?.control?.raft?.isLeader === true && life.body.pausedUntil <= this.world.now;
     });
   }
 
@@ -209,18 +209,18 @@
     const { proposer } = this;
     if (proposer === undefined) return false;
     const lives = this.names.map((name) => this.find(name)).filter((life) => life !== undefined);
-    const shelves = new Set(lives.flatMap(({ lathe, anvil }) => (lathe?.anvil ?? anvil)?.id ?? []));
-    const lathes = new Set(lives.flatMap(({ lathe }) => lathe?.founding.id ?? []));
-    const { node, lathe } = this.find(proposer)!;
+    const shelves = new Set(lives.flatMap(({ control, storage }) => (control?.storage ?? storage)?.id ?? []));
+    const controlNodes = new Set(lives.flatMap(({ control }) => control?.founding.id ?? []));
+    const { node, control } = this.find(proposer)!;
     const sets = node.shards.all().map(([, route]) => route.set?.members ?? []);
-    const voters = lathe!.raft!.members.voters.map((one) => one.id);
+    const voters = control!.raft!.members.voters.map((one) => one.id);
     return (
       sets.every(
         (members) =>
           members.length === node.parts.settings.replicas && members.every((member) => shelves.has(member.id)),
       ) &&
       voters.length === node.parts.settings.voters &&
-      voters.every((id) => lathes.has(id))
+      voters.every((id) => controlNodes.has(id))
     );
   }
 
--- a/packages/testkit/src/sim/simNode.ts
+++ b/packages/testkit/src/sim/simNode.ts
@@ -22,10 +22,10 @@
   readonly node: ClusterNode;
   readonly router: Router;
   readonly log: LogBuffer;
-  readonly lathe: ControlNode | undefined;
-  readonly anvil: StorageNode | undefined;
-  readonly vise: EdgeNode | undefined;
-  readonly viseCalls: EdgeCalls | undefined;
+  readonly control: ControlNode | undefined;
+  readonly storage: StorageNode | undefined;
+  readonly edge: EdgeNode | undefined;
+  readonly edgeCalls: EdgeCalls | undefined;
   readonly #closings = new Set<() => void>();
   /** Why it would not start, as a process would exit. */
   readonly fault: string | undefined;
@@ -44,11 +44,11 @@
     );
     this.router = new Router(this.node);
     try {
-      if (settings.role === "lathe") this.lathe = new ControlNode(this.node, mounted!, this.router);
-      else if (settings.role === "anvil") this.anvil = new StorageNode(this.node, mounted!, false);
-      else this.vise = new EdgeNode(this.node, this.router);
-      if (this.vise !== undefined) this.viseCalls = new EdgeCalls(this.vise, this.router);
-      this.fault = this.lathe?.load() ?? this.anvil?.load();
+      if (settings.role === "lathe") this.control = new ControlNode(this.node, mounted!, this.router);
+      else if (settings.role === "anvil") this.storage = new StorageNode(this.node, mounted!, false);
+      else this.edge = new EdgeNode(this.node, this.router);
+      if (this.edge !== undefined) this.edgeCalls = new EdgeCalls(this.edge, this.router);
+      this.fault = this.control?.load() ?? this.storage?.load();
     } catch (cause) {
       this.fault = (cause as Error).message;
     }
@@ -56,13 +56,13 @@
     new NodeStatus(this.node, this.router, {
       garbled: () => 0,
       settingsFault: () => "",
-      more: () => (this.lathe ?? this.anvil ?? this.vise)!.status(),
-      isReady: () => this.lathe?.isReady ?? this.vise?.isReady ?? this.node.feed.isFresh,
+      more: () => (this.control ?? this.storage ?? this.edge)!.status(),
+      isReady: () => this.control?.isReady ?? this.edge?.isReady ?? this.node.feed.isFresh,
     });
     this.node.start();
-    void this.lathe?.start();
-    void this.anvil?.start();
-    this.vise?.start();
+    void this.control?.start();
+    void this.storage?.start();
+    this.edge?.start();
   }
 
   /** Called when the process falls, as its connections are then reset. */
@@ -77,9 +77,9 @@
   }
 
   async stop(): Promise<void> {
-    await this.vise?.drain();
-    await this.anvil?.stop();
-    await this.lathe?.stop();
+    await this.edge?.drain();
+    await this.storage?.stop();
+    await this.control?.stop();
     this.node.membership.leave();
   }
 }
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -47,7 +47,7 @@
     heed: { line(line: Record<string, unknown>): void; closed(): void },
   ): Promise<PortLink | PortReply> {
     const simNode = this.#nodes.find(name);
-    if (simNode?.vise === undefined) return this.#later(away);
+    if (simNode?.edge === undefined) return this.#later(away);
     const state = { isOpen: false, isClientGone: false, isServerGone: false, whenClosed: (): void => undefined };
     let forget = (): void => undefined;
     const closeClient = (): void => {
@@ -92,7 +92,7 @@
       (settle) => {
         forget = simNode.onFall(closeClient);
         void simNode
-          .viseCalls!.link(session, Buffer.from(JSON.stringify(body)), () => {
+          .edgeCalls!.link(session, Buffer.from(JSON.stringify(body)), () => {
             state.isOpen = true;
             settle({ close });
             return link;
--- a/packages/testkit/src/sim/store.test.ts
+++ b/packages/testkit/src/sim/store.test.ts
@@ -9,10 +9,11 @@
 
 type Rollout = { taken: number; of: number; nodes: Array<{ name: string; hasTakenUp: boolean; why?: string }> };
 
-const lathes = (fleet: SimFleet): string[] => fleet.withRole("lathe");
+const controlNodes = (fleet: SimFleet): string[] => fleet.withRole("lathe");
 const proposer = (fleet: SimFleet): string | undefined =>
-  lathes(fleet).find(
-    (name) => fleet.find(name)?.lathe?.raft?.isLeader === true && fleet.find(name)!.body.pausedUntil <= fleet.world.now,
+  controlNodes(fleet).find(
+    (name) =>
+      fleet.find(name)?.control?.raft?.isLeader === true && fleet.find(name)!.body.pausedUntil <= fleet.world.now,
   );
 
 async function founded(seed: number, machines = Scenario.machines(5)): Promise<{ fleet: SimFleet; load: SimLoad }> {
@@ -35,11 +36,11 @@
     const fleet = new SimFleet(21, Scenario.machines(5));
     for (const name of fleet.names.filter((one) => one !== "lathe-4")) fleet.start(name);
     await fleet.run(8000);
-    expect(lathes(fleet).some((name) => fleet.find(name)?.lathe?.raft !== undefined)).toEqual(false);
-    expect(fleet.find("lathe-1")!.lathe!.founding.missing).toEqual(expect.includes("4 of 5 blank lathes"));
+    expect(controlNodes(fleet).some((name) => fleet.find(name)?.control?.raft !== undefined)).toEqual(false);
+    expect(fleet.find("lathe-1")!.control!.founding.missing).toEqual(expect.includes("4 of 5 blank lathes"));
     fleet.start("lathe-4");
     expect(await fleet.until(() => proposer(fleet) !== undefined, 8000)).toEqual(true);
-    expect(new Set(lathes(fleet).map((name) => fleet.find(name)!.lathe!.founding.founding)).size).toEqual(1);
+    expect(new Set(controlNodes(fleet).map((name) => fleet.find(name)!.control!.founding.founding)).size).toEqual(1);
   },
 );
 
@@ -50,11 +51,11 @@
     for (const name of ["lathe-1", "lathe-2"]) fleet.wipe(name);
     await fleet.run(1000);
     for (const name of ["lathe-1", "lathe-2"]) fleet.start(name);
-    const fresh = ["lathe-1", "lathe-2"].map((name) => fleet.find(name)!.lathe!.founding.id);
+    const fresh = ["lathe-1", "lathe-2"].map((name) => fleet.find(name)!.control!.founding.id);
     const voters = (): string[] =>
       proposer(fleet) === undefined
         ? []
-        : fleet.find(proposer(fleet)!)!.lathe!.raft!.members.voters.map((one) => one.id);
+        : fleet.find(proposer(fleet)!)!.control!.raft!.members.voters.map((one) => one.id);
     expect(
       await fleet.until(() => voters().length === 5 && fresh.every((id) => voters().includes(id)), 20_000),
     ).toEqual(true);
@@ -69,8 +70,8 @@
   await fleet.run(500);
   for (const name of ["lathe-1", "lathe-2", "lathe-3", "lathe-4"]) fleet.start(name);
   await fleet.run(15_000);
-  expect(lathes(fleet).filter((name) => fleet.find(name)!.lathe!.raft !== undefined)).toEqual(["lathe-5"]);
-  expect(fleet.find("lathe-1")!.lathe!.founding.missing).toEqual(expect.includes("lathe-5"));
+  expect(controlNodes(fleet).filter((name) => fleet.find(name)!.control!.raft !== undefined)).toEqual(["lathe-5"]);
+  expect(fleet.find("lathe-1")!.control!.founding.missing).toEqual(expect.includes("lathe-5"));
   expect(proposer(fleet)).toEqual(undefined);
 });
 
@@ -86,11 +87,11 @@
     expect([503, 504].includes(answer.status)).toEqual(true);
     expect(
       await fleet.until(
-        () => lathes(fleet).some((name) => name !== old && fleet.find(name)!.lathe!.raft!.isLeader),
+        () => controlNodes(fleet).some((name) => name !== old && fleet.find(name)!.control!.raft!.isLeader),
         6000,
       ),
     ).toEqual(true);
-    expect(fleet.find(old)!.lathe!.raft!.isInTouch).toEqual(false);
+    expect(fleet.find(old)!.control!.raft!.isInTouch).toEqual(false);
     const next = load.nextMark;
     expect(await settled(fleet, load.putPlan({ ...SimLoad.plan(next), mark: next }))).toEqual(200);
     fleet.wires.heal();
@@ -217,7 +218,7 @@
   const old = proposer(fleet)!;
   fleet.isolate(old, fleet.names, "both");
   await fleet.run(50);
-  const { raft } = fleet.find(old)!.lathe!;
+  const { raft } = fleet.find(old)!.control!;
   expect(raft!.isLeader).toEqual(true);
   expect(await settled(fleet, raft!.confirm())).toEqual(false);
   expect((await settled(fleet, fleet.port.call(old, "GET", "/v1/plan", undefined))).status).toEqual(503);
@@ -242,7 +243,7 @@
 const leasesLost = (fleet: SimFleet): number =>
   [...fleet.withRole("anvil"), ...fleet.withRole("vise")].reduce((sum, name) => {
     const life = fleet.find(name)!;
-    const status = (life.anvil ?? life.vise)!.status() as { leasesLost: number };
+    const status = (life.storage ?? life.edge)!.status() as { leasesLost: number };
     return sum + status.leasesLost;
   }, 0);
 
@@ -267,7 +268,7 @@
 test("the word of a proposer that gives up goes round where it is slow, and nothing older undoes it", async () => {
   const { fleet } = await founded(62);
   const old = fleet.proposer!;
-  const { voters } = fleet.find(old)!.lathe!.raft!.members;
+  const { voters } = fleet.find(old)!.control!.raft!.members;
   const first = voters.map(({ name }) => name).find((name) => name !== old);
   const delays: Record<string, number> = { append: 120, yield: 400 };
   fleet.wires.mutate = (from, to, bytes) => {
@@ -277,7 +278,7 @@
   };
   await fleet.run(1000);
   expect(fleet.proposer).toEqual(old);
-  fleet.find(old)!.lathe!.raft!.resign();
+  fleet.find(old)!.control!.raft!.resign();
   expect(await fleet.until(() => fleet.proposer !== undefined, 300)).toEqual(true);
   expect(fleet.proposer === old).toEqual(false);
 });
@@ -287,7 +288,7 @@
   const old = fleet.proposer!;
   fleet.wires.mutate = (from, _to, bytes) =>
     from === fleet.addressOf(old) && Wire.decode(bytes)?.body.case === "storeBatchReply" ? [] : undefined;
-  const others = lathes(fleet).filter((name) => name !== old);
+  const others = controlNodes(fleet).filter((name) => name !== old);
   const answered = new Map<string, string | undefined>();
   for (const name of others)
     void fleet
@@ -295,7 +296,7 @@
       .node.rpc.call(name, { case: "storeCall", value: { call: { case: "renew", value: { lease: "none" } } } }, 2000)
       .then((body) => answered.set(name, body?.case === "storeReply" ? body.value.outcome : undefined));
   await fleet.run(50);
-  fleet.find(old)!.lathe!.raft!.resign();
+  fleet.find(old)!.control!.raft!.resign();
   expect(await fleet.until(() => fleet.proposer !== undefined, 400)).toEqual(true);
   await fleet.run(100);
   expect(answered.get(fleet.proposer!)).toEqual("lost");
--- a/packages/testkit/src/sim/storeHistories.test.ts
+++ b/packages/testkit/src/sim/storeHistories.test.ts
@@ -21,7 +21,7 @@
 }
 interface Play {
   seed: number;
-  lathes: 3 | 5;
+  controlCount: 3 | 5;
   steps: Step[];
   troubles: Trouble[];
 }
@@ -29,7 +29,7 @@
 
 const play: fc.Arbitrary<Play> = fc.record({
   seed: fc.integer({ min: 1, max: 1_000_000 }),
-  lathes: fc.constantFrom(3 as const, 5 as const),
+  controlCount: fc.constantFrom(3 as const, 5 as const),
   steps: fc.array(
     fc.record({
       at: fc.oneof({ weight: 4, arbitrary: Troubles.burst }, { weight: 1, arbitrary: Troubles.afterBurst }),
@@ -128,8 +128,8 @@
   return kv === undefined ? undefined : Buffer.from(kv.value).toString();
 }
 
-async function played({ seed, lathes, steps, troubles }: Play): Promise<KeysHistory> {
-  const fleet = new SimFleet(seed, Scenario.machines(lathes, 0, 0));
+async function played({ seed, controlCount, steps, troubles }: Play): Promise<KeysHistory> {
+  const fleet = new SimFleet(seed, Scenario.machines(controlCount, 0, 0));
   fleet.startAll();
   expect(await fleet.until(() => fleet.proposer !== undefined, 15_000)).toEqual(true);
   const history = new KeysHistory(fleet);
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -226,7 +226,7 @@
 test("a push that overtakes the receipt which tells of its stream is not lost", async () => {
   const all = await served(60);
   const { fleet, publish } = all;
-  const { streams } = fleet.find("vise-1")!.vise!;
+  const { streams } = fleet.find("vise-1")!.edge!;
   const shard = streams.shardOf("6:notes/t1");
   const other = Array.from({ length: 40 }, (_, i) => `notes/u${i}`).find(
     (topic) => streams.shardOf(`6:${topic}`) === shard,
@@ -263,8 +263,8 @@
   const all = await served(68);
   const { fleet, publish } = all;
   await linked(all, "vise-1", "desk", []);
-  const { node, vise } = fleet.find("vise-1")!;
-  const holder = node.shards.find(vise!.streams.shardOf(node.plan.route("extra/t0")!.stream)).holder;
+  const { node, edge } = fleet.find("vise-1")!;
+  const holder = node.shards.find(edge!.streams.shardOf(node.plan.route("extra/t0")!.stream)).holder;
   const deaf = [fleet.addressOf("vise-1")];
   fleet.wires.mutate = (_from, to, bytes) => (deaf.includes(to) && isKind(bytes, "feedPush") ? [] : undefined);
   expect((await all.plan(["notes", "notices"]))["status"]).toEqual(200);
--- a/packages/testkit/src/slopes/slopeRecord.ts
+++ b/packages/testkit/src/slopes/slopeRecord.ts
@@ -5,7 +5,7 @@
 import { slopeRuns, type SlopeRun } from "./slopeRuns.js";
 
 const path = fileURLToPath(new URL("../../slopes.json", import.meta.url));
-const jig = fileURLToPath(new URL("../cranetrack-lab.js", import.meta.url));
+const lab = fileURLToPath(new URL("../cranetrack-lab.js", import.meta.url));
 
 /** The one file that the capacity page's figures come from. */
 export const SlopeRecord = {
@@ -31,7 +31,7 @@
   measure(name: string, sizes?: readonly number[]): MeasuredSlope {
     const run = SlopeRecord.find(name);
     const valueAt = (size: number): number =>
-      Number(execFileSync(process.execPath, [jig, "slope", name, "--only", `${size}`], { encoding: "utf8" }));
+      Number(execFileSync(process.execPath, [lab, "slope", name, "--only", `${size}`], { encoding: "utf8" }));
     const points = (sizes ?? run.sizes).map((size): [number, number] => [size, valueAt(size)]);
     const { what, unit, per } = run;
     const command = `jig slope ${name}${sizes === undefined ? "" : ` --sizes ${sizes.join()}`}`;
