--- a/packages/cli/src/fleetChecks.ts
+++ b/packages/cli/src/fleetChecks.ts
@@ -9,7 +9,7 @@
 }
 interface ShardState {
   shard: number;
-  holder: string;
+  leader: string;
   replicas: string[];
 }
 
@@ -36,7 +36,7 @@
   allHeld: (async (context) => {
     const seen = await status(context);
     if (seen === undefined) return "no node answers";
-    const free = seen.shards.filter((shard) => shard.holder === "").map((shard) => shard.shard);
+    const free = seen.shards.filter((shard) => shard.leader === "").map((shard) => shard.shard);
     if (seen.shards.length === 0) return "no shard has a replica set yet";
     return free.length === 0 ? undefined : `shards ${free.join(", ")} have no holder`;
   }) satisfies Check,
--- a/packages/cli/src/statusText.ts
+++ b/packages/cli/src/statusText.ts
@@ -3,7 +3,7 @@
   feed: { ageMs: number | null; isFresh: boolean };
   plan: { mark: number; spaces: string[] };
   members: Array<{ name: string; role: string; zone: string; http: string; state: string }>;
-  shards: Array<{ shard: number; holder: string; epoch: number; replicas: string[] }>;
+  shards: Array<{ shard: number; leader: string; epoch: number; replicas: string[] }>;
   risks: Array<{ space: string; budget: string; why: string }>;
   faults: { settings: string; last: string; garbledFrames: number };
 }
@@ -26,10 +26,10 @@
           member.state,
         ].join(" "),
       );
-    const holders = new Map<string, number>();
-    for (const { holder } of status.shards) holders.set(holder, (holders.get(holder) ?? 0) + 1);
-    for (const [holder, count] of [...holders].sort())
-      lines.push(holder === "" ? `${count} shards have no holder` : `${holder} holds ${count} shards`);
+    const leaders = new Map<string, number>();
+    for (const { leader } of status.shards) leaders.set(leader, (leaders.get(leader) ?? 0) + 1);
+    for (const [leader, count] of [...leaders].sort())
+      lines.push(leader === "" ? `${count} shards have no holder` : `${leader} holds ${count} shards`);
     const alive = new Set(status.members.filter((member) => member.state === "alive").map((member) => member.name));
     const weak = status.shards.filter((shard) => shard.replicas.some((name) => !alive.has(name)));
     if (weak.length > 0)
--- a/packages/control/src/consensus/proposals.test.ts
+++ b/packages/control/src/consensus/proposals.test.ts
@@ -13,7 +13,7 @@
   Promise.race([asked, new Promise<"open">((resolve) => setImmediate(() => resolve("open")))]);
 
 /** A proposer of three whose turns end when told to, and everything that it writes and sends. */
-function proposer(): {
+function leader(): {
   proposals: Proposals;
   log: ReplicaLog;
   writes: DiskChange[][];
@@ -43,7 +43,7 @@
 }
 
 test("what is proposed and confirmed in one turn costs a sync, a message of entries and a heartbeat", async () => {
-  const { proposals, log, writes, sent, turn } = proposer();
+  const { proposals, log, writes, sent, turn } = leader();
   const proposed = Array.from({ length: 50 }, (_, i) => proposals.propose(new Uint8Array([i]), entryKind.command));
   const confirmed = Array.from({ length: 50 }, () => proposals.confirm());
   expect([writes.length, sent.length]).toEqual([0, 0]);
@@ -59,7 +59,7 @@
 });
 
 test("a change of members does not wait for the turn, and stays behind what was asked before it", () => {
-  const { proposals, log, turn } = proposer();
+  const { proposals, log, turn } = leader();
   void proposals.propose(new Uint8Array([1]), entryKind.command);
   void proposals.propose(new Uint8Array([2]), entryKind.members);
   expect([1, 2].map((index) => log.at(index)?.kind)).toEqual([entryKind.command, entryKind.members]);
@@ -68,7 +68,7 @@
 });
 
 test("a term that ends before the turn does leaves nothing in the log, and everything asked is settled", async () => {
-  const { proposals, log, turn } = proposer();
+  const { proposals, log, turn } = leader();
   const proposed = proposals.propose(new Uint8Array([1]), entryKind.command);
   const confirmed = proposals.confirm();
   proposals.end();
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -64,7 +64,7 @@
   #replicator: LogReplicator | undefined;
   #commit: number;
   #applied: number;
-  #proposer = "";
+  #leader = "";
   #electionAt = 0;
   #votes = new Set<string>();
   /** 0 when not asking, else the term asked for. */
@@ -129,7 +129,7 @@
   get leaderName(): string {
     return this.#replicator !== undefined
       ? this.#rpc.name
-      : (VoterSets.all(this.members).find((one) => one.id === this.#proposer)?.name ?? "");
+      : (VoterSets.all(this.members).find((one) => one.id === this.#leader)?.name ?? "");
   }
 
   get members(): Members {
@@ -146,7 +146,7 @@
 
   /** Whether a majority stands behind what this lathe tells its feeds, and it has all that was committed. */
   get isInTouch(): boolean {
-    if (this.#replicator === undefined) return this.#proposer !== "" && this.#contact.isCurrent;
+    if (this.#replicator === undefined) return this.#leader !== "" && this.#contact.isCurrent;
     return this.isLeader && !this.#contact.hasJustResumed && this.#replicator.majorityAgo() < this.#contact.limitMs;
   }
 
@@ -198,8 +198,8 @@
     this.#contact.heard();
     this.#asking = 0;
     this.#rearm();
-    if (this.#proposer === sender) return;
-    this.#proposer = sender;
+    if (this.#leader === sender) return;
+    this.#leader = sender;
     this.emit("led");
   }
 
@@ -231,7 +231,7 @@
   #ask(isPre: boolean): void {
     this.#rearm();
     this.#isPre = isPre;
-    this.#proposer = "";
+    this.#leader = "";
     this.#asking = this.#log.term + 1;
     this.#votes = new Set([this.id]);
     const asking = this.#asking;
@@ -250,8 +250,7 @@
 
   async #vote(vote: Vote, from: string): Promise<undefined> {
     if (vote.founding !== this.founding || !Number.isSafeInteger(vote.term)) return undefined;
-    const isLed =
-      this.#replicator !== undefined || (this.#proposer !== "" && this.#contact.heardAgo < this.#electionMs);
+    const isLed = this.#replicator !== undefined || (this.#leader !== "" && this.#contact.heardAgo < this.#electionMs);
     const isGranted = judgeVote(vote, this.#log, isLed);
     if (!vote.isPre && !isLed && (vote.term > this.#log.term || isGranted)) {
       // What it asked for itself was a vote in an earlier term.
@@ -291,7 +290,7 @@
 
   #propose(): void {
     this.#asking = 0;
-    this.#proposer = this.id;
+    this.#leader = this.id;
     const names = (): Map<string, string> =>
       new Map([...VoterSets.all(this.members), ...this.members.learners].map((one) => [one.id, one.name]));
     const replicator = new LogReplicator({
@@ -330,8 +329,8 @@
   /** The proposer gave up: the others pass it on, for its word may be slow, and ask in turn, to split no votes. */
   #succeed({ term, sender, isSlow }: Yield): undefined {
     if (isSlow && term >= this.#log.term) this.#slowWatch.otherGaveWay(this.#clock.now());
-    if (term !== this.#log.term || sender !== this.#proposer || this.#replicator !== undefined) return undefined;
-    this.#proposer = "";
+    if (term !== this.#log.term || sender !== this.#leader || this.#replicator !== undefined) return undefined;
+    this.#leader = "";
     this.#yieldedTerm = term;
     this.#tellVoters({ case: "yield", value: { term, sender, isSlow } }, sender);
     const ids = VoterSets.ids(this.members).filter((id) => id !== sender);
@@ -346,7 +345,7 @@
     this.#logBuffer.note("no longer proposes", { why, term: this.#log.term });
     this.#replicator.stop();
     this.#replicator = undefined;
-    this.#proposer = "";
+    this.#leader = "";
     this.#rearm();
     this.#proposals.end();
     this.emit("deposed");
@@ -358,7 +357,7 @@
   }
 
   #advance(index: number): void {
-    const wasProposer = this.isLeader;
+    const wasLeader = this.isLeader;
     this.#commit = Math.max(this.#commit, Math.min(index, this.#log.lastIndex));
     while (this.#applied < this.#commit) {
       const entry = this.#log.at(this.#applied + 1)!;
@@ -372,7 +371,7 @@
       this.#proposals.applied(entry, applied);
       this.emit("applied", applied);
     }
-    if (!wasProposer && this.isLeader) this.emit("elected");
+    if (!wasLeader && this.isLeader) this.emit("elected");
     if (this.isLeader) this.memberExchange.end(this.#commit);
     // Its removal is committed: the others elect at once.
     if (this.isLeader && this.hasSettledMembers && !VoterSets.isVoter(this.members, this.id))
--- a/packages/control/src/drain/drainMachine.ts
+++ b/packages/control/src/drain/drainMachine.ts
@@ -1,6 +1,6 @@
 import type { Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { DrainKey } from "@cranetrack/core/keys/drainKey.js";
-import { HolderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
+import { ShardLeaderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
 import { MembersKey } from "@cranetrack/core/keys/membersKey.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
@@ -12,7 +12,7 @@
   wishes: Kv[];
   turn: number;
   sets: Array<{ shard: number; names: string[] }>;
-  holders: Set<string>;
+  leaders: Set<string>;
   /** Undefined where the leader is of a build that does not tell. */
   voters: string[] | undefined;
 }
@@ -81,9 +81,9 @@
   if (read.outcome !== "done") return undefined;
   const kvs = read.kvs!;
   const members = kvs.find((kv) => kv.key === MembersKey.name);
-  const holders = kvs
+  const leaders = kvs
     .filter((kv) => kv.key.startsWith("shards/") && kv.key.endsWith("/holder"))
-    .map((kv) => HolderKey.read(kv.value)?.name ?? "");
+    .map((kv) => ShardLeaderKey.read(kv.value)?.name ?? "");
   const sets = kvs
     .filter((kv) => kv.key.endsWith("/replicas"))
     .map((kv) => ({
@@ -94,32 +94,32 @@
     wishes: kvs.filter((kv) => DrainKey.machineOf(kv.key) !== undefined),
     turn: kvs.find((kv) => kv.key === DrainKey.turn)?.revision ?? 0,
     sets,
-    holders: new Set(holders),
+    leaders: new Set(leaders),
     voters: members === undefined ? undefined : MembersKey.read(members.value)?.voters,
   };
 }
 
-function inUse({ sets, holders, voters }: Standing): Set<string> {
-  return new Set([...sets.flatMap((set) => set.names), ...holders, ...(voters ?? [])]);
+function inUse({ sets, leaders, voters }: Standing): Set<string> {
+  return new Set([...sets.flatMap((set) => set.names), ...leaders, ...(voters ?? [])]);
 }
 
 function progressOf(standing: Standing, name: string): ApiReply {
-  const { sets, holders, voters } = standing;
+  const { sets, leaders, voters } = standing;
   const left = sets
     .filter((set) => set.names.includes(name))
     .map((set) => set.shard)
     .sort((a, b) => a - b);
   const isVoter = voters?.includes(name) ?? true;
-  const isHolder = holders.has(name);
+  const isLeader = leaders.has(name);
   return ApiReplies.done({
     machine: name,
     isAsked: isWished(standing, name),
-    isEmpty: left.length === 0 && !isHolder && !isVoter,
+    isEmpty: left.length === 0 && !isLeader && !isVoter,
     shardsLeft: left.length,
     of: sets.length,
     left,
     isVoter,
-    isHolder,
+    isHolder: isLeader,
   });
 }
 
--- a/packages/control/src/store/storeService.ts
+++ b/packages/control/src/store/storeService.ts
@@ -151,13 +151,13 @@
 
   async #pass(calls: StoreCall[]): Promise<Outcome[]> {
     const all = (outcome: Outcome): Outcome[] => calls.map(() => outcome);
-    const proposer = this.#raft.leaderName;
-    if (calls.some((call) => call.isForwarded) || proposer === "" || proposer === this.#node.rpc.name)
+    const leader = this.#raft.leaderName;
+    if (calls.some((call) => call.isForwarded) || leader === "" || leader === this.#node.rpc.name)
       return all({ outcome: "away", comeBack: 1, reason: "no proposer is known" });
     const kinds = new Set(calls.map((call) => call.call.case));
     const isRepeatable = calls.every((call) => mayRepeatStoreCall(call.call.case));
     const passed = this.#node.rpc.call(
-      proposer,
+      leader,
       { case: "storeBatch", value: { calls: calls.map(({ call }) => ({ call, isForwarded: true })) } },
       kinds.has("renew") ? 800 : 450,
     );
--- a/packages/core/src/feeds/shardsView.ts
+++ b/packages/core/src/feeds/shardsView.ts
@@ -2,15 +2,15 @@
 import type { Clock } from "../runtime/clock.js";
 import type { Change } from "./feedFollower.js";
 import type { ChangeJournal } from "./changeJournal.js";
-import { HolderKey } from "../keys/shardLeaderKey.js";
+import { ShardLeaderKey } from "../keys/shardLeaderKey.js";
 import { ReplicasKey } from "../keys/replicasKey.js";
 import type { ShardSet } from "./shardSet.js";
 
 export interface ShardRoute {
   set: ShardSet | undefined;
   setRevision: number;
-  holder: string;
-  holderId: string;
+  leader: string;
+  leaderId: string;
   epoch: number;
 }
 
@@ -27,7 +27,7 @@
   find(shard: number): ShardRoute {
     let route = this.#routes.get(shard);
     if (route === undefined)
-      this.#routes.set(shard, (route = { set: undefined, setRevision: 0, holder: "", holderId: "", epoch: 0 }));
+      this.#routes.set(shard, (route = { set: undefined, setRevision: 0, leader: "", leaderId: "", epoch: 0 }));
     return route;
   }
 
@@ -36,10 +36,10 @@
   }
 
   /** Resolves when the shard is no longer that holder's, or the due has passed: waiting for it has no use then. */
-  moved(shard: number, holder: string, clock: Clock, due: number): Promise<undefined> {
+  moved(shard: number, leader: string, clock: Clock, due: number): Promise<undefined> {
     return new Promise((resolve) => {
       const look = (changed: number): void => {
-        if (changed === shard && this.find(shard).holder !== holder) end();
+        if (changed === shard && this.find(shard).leader !== leader) end();
       };
       const beat = clock.once(due, () => end());
       const end = (): void => {
@@ -61,10 +61,10 @@
       route.set = value === undefined ? undefined : ReplicasKey.read(value);
       route.setRevision = value === undefined ? 0 : change.revision;
     } else {
-      const holder = value === undefined ? undefined : HolderKey.read(value);
-      route.holder = holder?.name ?? "";
-      route.holderId = holder?.id ?? "";
-      route.epoch = holder === undefined ? 0 : change.revision;
+      const leader = value === undefined ? undefined : ShardLeaderKey.read(value);
+      route.leader = leader?.name ?? "";
+      route.leaderId = leader?.id ?? "";
+      route.epoch = leader === undefined ? 0 : change.revision;
     }
     this.emit("changed", shard);
   }
--- a/packages/core/src/keys/keys.test.ts
+++ b/packages/core/src/keys/keys.test.ts
@@ -1,16 +1,16 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { HolderKey } from "./shardLeaderKey.js";
+import { ShardLeaderKey } from "./shardLeaderKey.js";
 import { ReplicasKey } from "./replicasKey.js";
 
 const bytes = (value: unknown): Uint8Array => Buffer.from(typeof value === "string" ? value : JSON.stringify(value));
 
 test("a holder's and a replica set's keys read back what was written, and take no other shape", () => {
-  const holder = { name: "anvil-1", id: "d1", lease: "l1" };
-  expect(HolderKey.read(HolderKey.write(holder))).toEqual(holder);
-  expect(HolderKey.read(bytes({ ...holder, newer: 1 }))).toEqual(holder);
-  for (const broken of ["", "{", "null", [], "7", {}, { ...holder, id: 7 }, { name: "a", id: "b" }])
-    expect(HolderKey.read(bytes(broken))).toEqual(undefined);
+  const leader = { name: "anvil-1", id: "d1", lease: "l1" };
+  expect(ShardLeaderKey.read(ShardLeaderKey.write(leader))).toEqual(leader);
+  expect(ShardLeaderKey.read(bytes({ ...leader, newer: 1 }))).toEqual(leader);
+  for (const broken of ["", "{", "null", [], "7", {}, { ...leader, id: 7 }, { name: "a", id: "b" }])
+    expect(ShardLeaderKey.read(bytes(broken))).toEqual(undefined);
   const set = { members: [{ id: "d1", name: "anvil-1", zone: "z" }] };
   expect(ReplicasKey.read(ReplicasKey.write(set))).toEqual(set);
   expect(ReplicasKey.read(bytes({ members: [] }))).toEqual({ members: [] });
--- a/packages/core/src/keys/shardLeaderKey.ts
+++ b/packages/core/src/keys/shardLeaderKey.ts
@@ -1,23 +1,23 @@
 import { JsonValue } from "./jsonValue.js";
 
 /** The holder's node, the identity of its disk, and the lease that the key is under. */
-export interface HolderRecord {
+export interface ShardLeaderRecord {
   name: string;
   id: string;
   lease: string;
 }
 
 /** The key that names a shard's holder; its revision is the shard's epoch. */
-export const HolderKey = {
+export const ShardLeaderKey = {
   of(shard: number): string {
     return `shards/${shard}/holder`;
   },
 
-  write(record: HolderRecord): Uint8Array {
+  write(record: ShardLeaderRecord): Uint8Array {
     return JsonValue.write(record);
   },
 
-  read(value: Uint8Array): HolderRecord | undefined {
+  read(value: Uint8Array): ShardLeaderRecord | undefined {
     return JsonValue.texts(JsonValue.read(value), ["name", "id", "lease"]);
   },
 };
--- a/packages/core/src/rpc/callKinds.ts
+++ b/packages/core/src/rpc/callKinds.ts
@@ -29,9 +29,9 @@
   },
   storeCall: { kind: "call", replies: ["storeReply"], repetition: { kind: "byContent" } },
   storeBatch: { kind: "call", replies: ["storeBatchReply"], repetition: { kind: "byContent" } },
-  pledge: {
+  prepare: {
     kind: "call",
-    replies: ["pledgeReply"],
+    replies: ["prepareReply"],
     repetition: repeatable("the epoch, which only one holder has: the same promise is kept again"),
   },
   shardPull: { kind: "call", replies: ["shardPullReply"], repetition: changesNothing },
@@ -73,7 +73,7 @@
   foundingReply: { kind: "reply" },
   storeReply: { kind: "reply" },
   storeBatchReply: { kind: "reply" },
-  pledgeReply: { kind: "reply" },
+  prepareReply: { kind: "reply" },
   shardPullReply: { kind: "reply" },
   publishReply: { kind: "reply" },
   followReply: { kind: "reply" },
--- a/packages/core/src/runtime/nodeStatus.ts
+++ b/packages/core/src/runtime/nodeStatus.ts
@@ -50,7 +50,7 @@
       })),
       shards: shards.all().map(([shard, route]) => ({
         shard,
-        holder: route.holder,
+        leader: route.leader,
         epoch: route.epoch,
         replicas: route.set?.members.map((member) => member.name) ?? [],
       })),
@@ -69,14 +69,14 @@
   #metrics(): string {
     const { membership, feed, plan, shards } = this.#node;
     const memory = process.memoryUsage();
-    const held = shards.all().filter(([, route]) => route.holder === this.#node.parts.settings.name).length;
+    const held = shards.all().filter(([, route]) => route.leader === this.#node.parts.settings.name).length;
     const figures: Record<string, number> = {
       plan_mark: plan.mark,
       feed_revision: feed.revision,
       feed_age_seconds: Number.isFinite(feed.age) ? feed.age / 1000 : -1,
       members_alive: membership.alive().length,
       shards_held: held,
-      shards_free: shards.all().filter(([, route]) => route.holder === "").length,
+      shards_free: shards.all().filter(([, route]) => route.leader === "").length,
       garbled_frames_total: this.#parts.garbled(),
       memory_rss_bytes: memory.rss,
       memory_heap_bytes: memory.heapUsed,
--- a/packages/core/src/store/storeClient.ts
+++ b/packages/core/src/store/storeClient.ts
@@ -10,7 +10,7 @@
 
 export type StoreChange = NonNullable<MessageInitShape<typeof StoreCallSchema>["call"]>;
 export type Outcome = { outcome: string } & Partial<
-  Pick<StoreReply, "revision" | "kvs" | "comeBack" | "reason" | "feeds" | "proposer">
+  Pick<StoreReply, "revision" | "kvs" | "comeBack" | "reason" | "feeds" | "leader">
 >;
 
 interface Asked {
--- a/packages/edge/src/fanout/countTopic.ts
+++ b/packages/edge/src/fanout/countTopic.ts
@@ -21,10 +21,10 @@
         : { outcome: "away", comeBack: fault.comeBack };
     }
     const shard = edge.streams.shardOf(route.stream);
-    const { holder } = shards.find(shard);
-    if (holder !== "") {
-      const ask = rpc.call(holder, { case: "countRequest", value: { shard, topics: [topic] } }, Math.min(callMs, left));
-      const reply = await Promise.race([ask, shards.moved(shard, holder, parts.clock, left)]);
+    const { leader } = shards.find(shard);
+    if (leader !== "") {
+      const ask = rpc.call(leader, { case: "countRequest", value: { shard, topics: [topic] } }, Math.min(callMs, left));
+      const reply = await Promise.race([ask, shards.moved(shard, leader, parts.clock, left)]);
       const found = reply?.case === "countReply" ? reply.value.counts[0] : undefined;
       // A holder that does not know the space is behind, or this edge is: which it is shows in a moment.
       if (found?.fault === "") return { outcome: "counted", count: found.count };
--- a/packages/edge/src/fanout/replicaFollow.ts
+++ b/packages/edge/src/fanout/replicaFollow.ts
@@ -22,7 +22,7 @@
 
   readonly #node: ClusterNode;
   readonly #shard: number;
-  readonly #atHolder: ShardFollow;
+  readonly #atLeader: ShardFollow;
   readonly #tails = new Map<string, StreamTail>();
   readonly #lacked = new Map<StreamTail, number>();
   readonly #left = new Set<string>();
@@ -36,10 +36,10 @@
   /** Rises when a follow is left; a receipt of an earlier turn is not heeded. */
   #turn = 0;
 
-  constructor(node: ClusterNode, shard: number, atHolder: ShardFollow) {
+  constructor(node: ClusterNode, shard: number, atLeader: ShardFollow) {
     this.#node = node;
     this.#shard = shard;
-    this.#atHolder = atHolder;
+    this.#atLeader = atLeader;
   }
 
   /** Whom this edge follows here now; empty where nobody. */
@@ -66,7 +66,7 @@
     if (tail.servedIncarnation === "") return;
     tail.servedIncarnation = "";
     this.#left.add(tail.stream);
-    this.#atHolder.add(tail);
+    this.#atLeader.add(tail);
   }
 
   /** Follows what the holder has confirmed and the replica does not serve yet. */
@@ -111,7 +111,7 @@
         tail.servedIncarnation = incarnation;
         // Where this edge is far behind it, the replica pushes from its own head on.
         if (from > tail.head) tail.learn(incarnation, from, 0);
-        this.#atHolder.quieten(tail);
+        this.#atLeader.quieten(tail);
       }
     }
     const early = this.#pushes.opened(isFull ? reply.value.number : undefined);
@@ -132,10 +132,10 @@
   }
 
   /** The replica's answer to a beat, if it gave one; and what the holder had applied before the beat was sent. */
-  beaten(beat: FollowInit, outcome: string | undefined, applied: number, appliedAtHolder: number): void {
+  beaten(beat: FollowInit, outcome: string | undefined, applied: number, appliedAtLeader: number): void {
     const { follow, seen } = this.#pushes;
     if (beat.follow !== follow || (outcome === "resync" && seen !== beat.seen)) return;
-    if (outcome !== "done" || applied < appliedAtHolder) this.fail();
+    if (outcome !== "done" || applied < appliedAtLeader) this.fail();
   }
 
   take(push: Push): void {
@@ -183,12 +183,12 @@
   /** The replica to follow: in this edge's region (zone, where there are none); nobody where the holder is. */
   #near(): string {
     const { shards, membership, rpc } = this.#node;
-    const { holder, set } = shards.find(this.#shard);
+    const { leader, set } = shards.find(this.#shard);
     const own = membership.self.region || membership.self.zone;
     const near = (set?.members ?? [])
       .filter(({ name, zone }) => (membership.find(name)?.region || zone) === own)
       .map(({ name }) => name);
-    if (holder === "" || near.includes(holder)) return "";
+    if (leader === "" || near.includes(leader)) return "";
     const alive = near.filter((name) => membership.isAlive(name) && !rpc.isUnresponsive(name));
     return Rendezvous.rank(RendezvousKeys.nearbyReplica(rpc.name), alive)[0] ?? "";
   }
--- a/packages/edge/src/fanout/shardFollow.test.ts
+++ b/packages/edge/src/fanout/shardFollow.test.ts
@@ -29,7 +29,7 @@
       clock: { once: (_ms: number, ring: () => void) => (turns.push(ring), { stop: () => undefined }) },
       random: { identity: () => `identity-${fulls}` },
     } as ClusterNode["parts"],
-    shards: { find: () => ({ holder: "anvil-1", epoch: 7 }) } as object as ClusterNode["shards"],
+    shards: { find: () => ({ leader: "anvil-1", epoch: 7 }) } as object as ClusterNode["shards"],
     rpc: {
       name: "vise-1",
       call: (_to: string, body: BodyInit): Promise<Body | undefined> => {
@@ -74,7 +74,7 @@
       clock: { once: (_ms: number, ring: () => void) => (turns.push(ring), { stop: () => undefined }) },
       random: { identity: () => "identity" },
     } as ClusterNode["parts"],
-    shards: { find: () => ({ holder: "anvil-1", epoch: 7 }) } as object as ClusterNode["shards"],
+    shards: { find: () => ({ leader: "anvil-1", epoch: 7 }) } as object as ClusterNode["shards"],
     rpc: {
       name: "vise-1",
       call: (_to: string, body: BodyInit): Promise<Body | undefined> =>
--- a/packages/edge/src/fanout/shardFollow.ts
+++ b/packages/edge/src/fanout/shardFollow.ts
@@ -57,8 +57,8 @@
     return this.#streams.size === 0;
   }
 
-  get holder(): string {
-    return this.#node.shards.find(this.#shard).holder;
+  get leader(): string {
+    return this.#node.shards.find(this.#shard).leader;
   }
 
   add(tail: StreamTail): void {
@@ -97,7 +97,7 @@
   /** The shard may have another holder now. */
   moved(): void {
     const route = this.#node.shards.find(this.#shard);
-    if (route.holder === "" || route.epoch === this.#epoch) return;
+    if (route.leader === "" || route.epoch === this.#epoch) return;
     this.#isStale = true;
     // Whatever the old holder was asked has no use any more.
     this.#isAsking = false;
@@ -107,7 +107,7 @@
 
   /** Asks the holder for what is missing; nothing to do where nothing is. */
   async tend(): Promise<void> {
-    if (this.#isAsking || this.isIdle || this.holder === "") return;
+    if (this.#isAsking || this.isIdle || this.leader === "") return;
     if (!this.#isStale && this.#asked.size === 0) return;
     this.#isAsking = true;
     const isFull = this.#isStale;
@@ -122,7 +122,7 @@
     const { follow, seen } = this.#pushes;
     const turn = this.#turn;
     const reply = await this.#node.rpc.call(
-      this.holder,
+      this.leader,
       {
         case: "follow",
         value: { shard: this.#shard, follow, seen, isFull, streams, serial: ++this.#serial },
@@ -209,7 +209,7 @@
 
   /** Messages after a place that the tail no longer has; undefined where the holder can't be asked now. */
   fetch(stream: string, incarnation: string, after: number): Promise<Fetched | undefined> {
-    return fetchMessages(this.#node, this.holder, { shard: this.#shard, stream, incarnation, after });
+    return fetchMessages(this.#node, this.leader, { shard: this.#shard, stream, incarnation, after });
   }
 
   /** One telling after the other, so that an older count never comes behind a newer one. */
@@ -217,7 +217,7 @@
     while (this.#counted.size > 0) {
       const beat = this.#isAsking || this.#isStale ? undefined : this.beat();
       if (beat === undefined) break;
-      const reply = await this.#node.rpc.call(this.holder, { case: "follow", value: beat }, 700);
+      const reply = await this.#node.rpc.call(this.leader, { case: "follow", value: beat }, 700);
       await this.beaten(beat, reply?.case === "followReply" ? reply.value.outcome : undefined);
     }
     this.#isTelling = false;
--- a/packages/edge/src/fanout/streamTable.ts
+++ b/packages/edge/src/fanout/streamTable.ts
@@ -72,7 +72,7 @@
 
   /** Who pushes a stream to this edge now. */
   serverOf(tail: StreamTail): string {
-    return tail.servedIncarnation !== "" ? this.#atReplicas[tail.shard]!.server : this.#follows[tail.shard]!.holder;
+    return tail.servedIncarnation !== "" ? this.#atReplicas[tail.shard]!.server : this.#follows[tail.shard]!.leader;
   }
 
   /** Messages after a place that the tail no longer has; the holder has them where the replica does not yet. */
@@ -135,12 +135,12 @@
     const due = this.#follows.flatMap((follow, shard): Beaten[] => {
       const atReplica = this.#atReplicas[shard]!;
       const { applied } = follow;
-      const beat = follow.holder === "" ? undefined : follow.beat();
+      const beat = follow.leader === "" ? undefined : follow.beat();
       const replicaBeat = atReplica.beat();
       const beats: Beaten[] = [];
       if (beat !== undefined)
         beats.push({
-          server: follow.holder,
+          server: follow.leader,
           beat,
           heed: (outcome, applied) => {
             if (outcome !== undefined && outcome !== "away") follow.applied = applied;
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -44,7 +44,7 @@
   const { spaceIncarnation } = route;
   const publish = { shard, session: session.id, ownerEpoch: session.epoch, spaceIncarnation, number, topic };
   const content = { payload: Buffer.from(payload), mayBeRepeat: isDoubtful };
-  const reply = await atHolder(edge, shard, end, { ...publish, ...content });
+  const reply = await atLeader(edge, shard, end, { ...publish, ...content });
   if (reply === undefined)
     return { outcome: "unsure", reason: "the topic's holder did not answer; the same number again", comeBack: 0.2 };
   if (reply !== "unresponsive" && reply.outcome === "unsure")
@@ -67,15 +67,15 @@
 async function isHeld(edge: EdgeParts, shard: number, end: number): Promise<boolean> {
   const { shards, parts } = edge.node;
   const left = Math.max(0, end - parts.clock.now());
-  if (shards.find(shard).holder === "") await shards.moved(shard, "", parts.clock, Math.min(claimMs, left));
-  return shards.find(shard).holder !== "";
+  if (shards.find(shard).leader === "") await shards.moved(shard, "", parts.clock, Math.min(claimMs, left));
+  return shards.find(shard).leader !== "";
 }
 
 /**
  * Hands a publish to the shard's holder, and to the next one where the shard changes hands meanwhile: its number
  * makes it the same message to both. Undefined where nobody answered; "mute" where nothing was handed over.
  */
-async function atHolder(
+async function atLeader(
   edge: EdgeParts,
   shard: number,
   end: number,
@@ -84,21 +84,21 @@
   const { rpc, membership, shards, parts } = edge.node;
   let isOpen = false;
   for (let left = end - parts.clock.now(); left > 0; left = end - parts.clock.now()) {
-    const { holder } = shards.find(shard);
-    if (rpc.isUnresponsive(holder) && !membership.isAlive(holder)) return isOpen ? undefined : "unresponsive";
+    const { leader } = shards.find(shard);
+    if (rpc.isUnresponsive(leader) && !membership.isAlive(leader)) return isOpen ? undefined : "unresponsive";
     const mayBeRepeat = isOpen || publish.mayBeRepeat === true;
     const call: CallInit = { case: "publish", value: { ...publish, mayBeRepeat } };
     // A short deadline gives this publish up, and not the holder, who may be slower than that and well.
     const body = await Promise.race([
-      rpc.call(holder, call, edge.publishDue),
-      shards.moved(shard, holder, parts.clock, left),
+      rpc.call(leader, call, edge.publishDue),
+      shards.moved(shard, leader, parts.clock, left),
     ]);
     const reply = body?.case === "publishReply" ? body.value : undefined;
     // Behind a try that nobody answered only what the log says for good is an answer to both.
     const isFinal = reply?.outcome === "accepted" || (reply?.outcome === "refused" && reply.code !== "unknown-topic");
     if (isFinal || (reply !== undefined && !isOpen && reply.reason !== "")) return reply;
     if (reply === undefined) isOpen = true;
-    const isMoved = shards.find(shard).holder !== holder;
+    const isMoved = shards.find(shard).leader !== leader;
     if (reply === undefined && !(isMoved && mayRepeat(call))) return undefined;
     if (!(await isHeld(edge, shard, end))) return isOpen ? undefined : reply;
     // Whoever has just claimed it does not serve yet.
--- a/packages/edge/src/subscriptions/askStarts.ts
+++ b/packages/edge/src/subscriptions/askStarts.ts
@@ -15,10 +15,10 @@
   const { rpc, shards, parts } = edge.node;
   const end = parts.clock.now() + mostMs;
   for (let left = mostMs; left > 0; left = end - parts.clock.now()) {
-    const { holder } = shards.find(shard);
-    if (holder !== "") {
-      const ask = rpc.call(holder, { case: "startRequest", value: { shard, places } }, Math.min(callMs, left));
-      const reply = await Promise.race([ask, shards.moved(shard, holder, parts.clock, left)]);
+    const { leader } = shards.find(shard);
+    if (leader !== "") {
+      const ask = rpc.call(leader, { case: "startRequest", value: { shard, places } }, Math.min(callMs, left));
+      const reply = await Promise.race([ask, shards.moved(shard, leader, parts.clock, left)]);
       if (reply?.case === "startReply" && reply.value.outcome === "done")
         return new Map(reply.value.starts.map((start) => [start.topic, start]));
     }
--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -55,11 +55,11 @@
   }
 
   get isOpen(): boolean {
-    const { holder, holderId, epoch, set } = this.#node.shards.find(this.#replica.shard);
+    const { leader, leaderId, epoch, set } = this.#node.shards.find(this.#replica.shard);
     const { id } = this.#replica;
     return (
-      holder !== "" &&
-      holderId !== id &&
+      leader !== "" &&
+      leaderId !== id &&
       set?.members.some((member) => member.id === id) === true &&
       this.#replica.heardAgo(epoch) < FollowerReads.heardMs &&
       this.#replica.behindMs < FollowerReads.behindMs &&
--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -2,7 +2,7 @@
 import type { ShardSet } from "@cranetrack/core/feeds/shardSet.js";
 import { RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { Holder } from "../shards/shardLeader.js";
+import type { ShardLeader } from "../shards/shardLeader.js";
 import type { Newcomers } from "./newcomers.js";
 import { Placement, type Location } from "./placement.js";
 
@@ -44,24 +44,24 @@
 
   readonly #node: ClusterNode;
   readonly #replica: { readonly shard: number; readonly id: string };
-  readonly #holder: Holder;
+  readonly #leader: ShardLeader;
   readonly #newcomers: Newcomers;
 
   constructor(
     node: ClusterNode,
     replica: { readonly shard: number; readonly id: string },
-    holder: Holder,
+    leader: ShardLeader,
     newcomers: Newcomers,
   ) {
     this.#node = node;
     this.#replica = replica;
-    this.#holder = holder;
+    this.#leader = leader;
     this.#newcomers = newcomers;
   }
 
   /** Undefined where nothing is to be done, or nobody is there to do it with. */
   next(isUrgentOnly: boolean): ReplicaChange | undefined {
-    const { members } = this.#holder.set;
+    const { members } = this.#leader.set;
     if (members.length > this.#wanted) return this.#shrink(members);
     for (const vacancy of this.#urgent(members)) {
       const change = this.#fill(vacancy, members);
@@ -166,7 +166,7 @@
   /** Live machines with a disk for topic logs that are not in the set, and are not to be emptied. */
   #free(out: Place | undefined): Candidate[] {
     const { membership, machines } = this.#node;
-    const staying = this.#holder.set.members.filter((member) => member !== out);
+    const staying = this.#leader.set.members.filter((member) => member !== out);
     const isFree = (member: Member): boolean =>
       member.logDisk !== "" &&
       member.logDisk !== out?.id &&
@@ -199,7 +199,7 @@
   }
 
   #heardAgo(member: Place): number {
-    return this.#holder.replicator?.heardAgo(member.id) ?? 0;
+    return this.#leader.replicator?.heardAgo(member.id) ?? 0;
   }
 
   #locate({ name, zone }: Place): Location {
--- a/packages/log-storage/src/repair/replicaRepair.ts
+++ b/packages/log-storage/src/repair/replicaRepair.ts
@@ -1,8 +1,8 @@
-import { HolderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
+import { ShardLeaderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import type { ShardSet } from "@cranetrack/core/feeds/shardSet.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { Holder } from "../shards/shardLeader.js";
+import type { ShardLeader } from "../shards/shardLeader.js";
 import type { Replica } from "../replication/replica.js";
 import type { Newcomers } from "./newcomers.js";
 import { ReplicaChoice, type ReplicaChange } from "./replicaChoice.js";
@@ -39,18 +39,18 @@
 
   readonly #node: ClusterNode;
   readonly #replica: Replica;
-  readonly #holder: Holder;
+  readonly #leader: ShardLeader;
   readonly #lease: string;
   readonly #choice: ReplicaChoice;
   #move: Move | undefined;
   #isWriting = false;
 
-  constructor(node: ClusterNode, replica: Replica, holder: Holder, lease: string, newcomers: Newcomers) {
+  constructor(node: ClusterNode, replica: Replica, leader: ShardLeader, lease: string, newcomers: Newcomers) {
     this.#node = node;
     this.#replica = replica;
-    this.#holder = holder;
+    this.#leader = leader;
     this.#lease = lease;
-    this.#choice = new ReplicaChoice(node, replica, holder, newcomers);
+    this.#choice = new ReplicaChoice(node, replica, leader, newcomers);
   }
 
   get progress(): { out: string; in: string; step: string; why: string } | undefined {
@@ -66,10 +66,10 @@
 
   /** One step further; a set that the store has taken is handed back to be held under its new epoch. */
   async beat(isUrgentOnly: boolean): Promise<Swap | undefined> {
-    if (!this.#holder.isServing || this.#isWriting) return undefined;
+    if (!this.#leader.isServing || this.#isWriting) return undefined;
     if (this.#move === undefined) this.#begin(isUrgentOnly);
     const move = this.#move;
-    const { replicator } = this.#holder;
+    const { replicator } = this.#leader;
     if (move === undefined || replicator === undefined) return undefined;
     if (move.step === "copying" && this.#isNear(move)) this.#joinIn(move);
     const joined = { set: move.set, newcomer: move.change.in?.id, joinedAt: move.joinedAt };
@@ -81,7 +81,7 @@
   #begin(isUrgentOnly: boolean): void {
     const change = this.#choice.next(isUrgentOnly);
     if (change === undefined) return;
-    const staying = this.#holder.set.members.filter((member) => member.id !== change.out?.id);
+    const staying = this.#leader.set.members.filter((member) => member.id !== change.out?.id);
     const members = change.in === undefined ? staying : [...staying, change.in];
     this.#move = {
       change,
@@ -90,8 +90,8 @@
       joinedAt: 0,
       startedAt: this.#node.parts.clock.now(),
     };
-    this.#holder.enlist([this.#holder.set], change.in === undefined ? [] : [change.in.id]);
-    this.#holder.replicator?.beat(Number.POSITIVE_INFINITY);
+    this.#leader.enlist([this.#leader.set], change.in === undefined ? [] : [change.in.id]);
+    this.#leader.replicator?.beat(Number.POSITIVE_INFINITY);
     this.#node.parts.log.note("changes a replica set", {
       shard: this.#replica.shard,
       out: change.out?.name ?? "",
@@ -102,25 +102,25 @@
 
   #isNear({ change }: Move): boolean {
     if (change.in === undefined) return true;
-    const match = this.#holder.replicator!.matchOf(change.in.id);
+    const match = this.#leader.replicator!.matchOf(change.in.id);
     return match > 0 && this.#replica.log.lastIndex - match <= ReplicaRepair.nearly;
   }
 
   #joinIn(move: Move): void {
     move.step = "joining";
     move.joinedAt = this.#replica.log.lastIndex;
-    this.#holder.enlist([this.#holder.set, move.set], []);
+    this.#leader.enlist([this.#leader.set, move.set], []);
   }
 
   #isLost({ change, startedAt }: Move): boolean {
     const isSilent =
-      change.in !== undefined && this.#holder.replicator!.heardAgo(change.in.id) > ReplicaRepair.newcomerLostMs;
+      change.in !== undefined && this.#leader.replicator!.heardAgo(change.in.id) > ReplicaRepair.newcomerLostMs;
     return isSilent || this.#node.parts.clock.now() - startedAt > ReplicaRepair.giveUpMs;
   }
 
   #drop(): void {
     this.#move = undefined;
-    this.#holder.enlist([this.#holder.set], []);
+    this.#leader.enlist([this.#leader.set], []);
   }
 
   async #decide(move: Move): Promise<Swap | undefined> {
@@ -128,25 +128,25 @@
     this.#isWriting = true;
     const { shard, id } = this.#replica;
     const isOut = move.change.out?.id === id;
-    const holderKey = HolderKey.of(shard);
+    const leaderKey = ShardLeaderKey.of(shard);
     const setKey = ReplicasKey.of(shard);
     const { setRevision } = this.#node.shards.find(shard);
     const checks = [
-      { key: holderKey, revision: this.#holder.epoch },
+      { key: leaderKey, revision: this.#leader.epoch },
       { key: setKey, revision: setRevision },
     ];
     const setPut = { key: setKey, value: ReplicasKey.write(move.set) };
-    const holderPut = {
-      key: holderKey,
-      value: HolderKey.write({ name: this.#node.rpc.name, id, lease: this.#lease }),
+    const leaderPut = {
+      key: leaderKey,
+      value: ShardLeaderKey.write({ name: this.#node.rpc.name, id, lease: this.#lease }),
       lease: this.#lease,
     };
     const written = await this.#node.store.txn(
-      isOut ? { checks, puts: [setPut], deletes: [holderKey] } : { checks, puts: [setPut, holderPut] },
+      isOut ? { checks, puts: [setPut], deletes: [leaderKey] } : { checks, puts: [setPut, leaderPut] },
     );
     this.#isWriting = false;
     if (written.outcome === "done") return { set: move.set, epoch: isOut ? 0 : written.revision! };
-    if (written.outcome === "conflict") this.#holder.stop("the store names another holder or set");
+    if (written.outcome === "conflict") this.#leader.stop("the store names another holder or set");
     return undefined;
   }
 }
--- a/packages/log-storage/src/replication/replica.ts
+++ b/packages/log-storage/src/replication/replica.ts
@@ -1,6 +1,6 @@
 import { EventEmitter } from "node:events";
 import { crc32 } from "node:zlib";
-import type { Entry, Pledge, ShardPull } from "@cranetrack/core/gen/cranetrack_pb.js";
+import type { Entry, Prepare, ShardPull } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { FollowerLog } from "@cranetrack/core/replication/followerLog.js";
 import { LogCompaction, type CompactionBounds } from "@cranetrack/core/replication/logCompaction.js";
 import { logGroupNames } from "@cranetrack/core/replication/logGroups.js";
@@ -129,16 +129,16 @@
   }
 
   /** A claimant asks for the promise to refuse all lower epochs. */
-  async pledge(pledge: Pledge): Promise<BodyInit> {
-    if (pledge.epoch < this.log.term || !Number.isSafeInteger(pledge.epoch))
-      return { case: "pledgeReply", value: { isPledged: false, epoch: this.log.term } };
-    this.#outbid(pledge.epoch);
-    if (pledge.epoch > this.log.term) await this.log.promise(pledge.epoch, "");
+  async prepare(prepare: Prepare): Promise<BodyInit> {
+    if (prepare.epoch < this.log.term || !Number.isSafeInteger(prepare.epoch))
+      return { case: "prepareReply", value: { isPromised: false, epoch: this.log.term } };
+    this.#outbid(prepare.epoch);
+    if (prepare.epoch > this.log.term) await this.log.promise(prepare.epoch, "");
     else await this.log.append([]);
     return {
-      case: "pledgeReply",
+      case: "prepareReply",
       value: {
-        isPledged: pledge.epoch === this.log.term,
+        isPromised: prepare.epoch === this.log.term,
         epoch: this.log.term,
         lastIndex: this.log.lastIndex,
         lastTerm: this.log.lastTerm,
--- a/packages/log-storage/src/shards/shardLeader.ts
+++ b/packages/log-storage/src/shards/shardLeader.ts
@@ -11,7 +11,7 @@
 
 type CommandInit = NonNullable<MessageInitShape<typeof ShardCommandSchema>["command"]>;
 
-interface HolderEvents {
+interface ShardLeaderEvents {
   serving: [];
   over: [why: string];
   applied: [applied: AppliedEntry];
@@ -22,7 +22,7 @@
  * that epoch is committed, so everything committed before is in its log.
  * Invariant: once over, it never serves again; the next claim makes another holder.
  */
-export class Holder extends EventEmitter<HolderEvents> implements CommitSource {
+export class ShardLeader extends EventEmitter<ShardLeaderEvents> implements CommitSource {
   static readonly silentMs = 700;
   /** Replicas that have heard everything are told so this often, and their answers show that they are there. */
   static readonly idleBeatMs = 250;
@@ -88,21 +88,21 @@
     const asked = others.map(async (member) => {
       const body = await this.#node.rpc.call(
         member.name,
-        { case: "pledge", value: { group: replica.log.group, epoch: this.epoch, receiver: member.id } },
+        { case: "prepare", value: { group: replica.log.group, epoch: this.epoch, receiver: member.id } },
         900,
       );
-      return body?.case === "pledgeReply" && body.value.isPledged ? { member, ...body.value } : undefined;
+      return body?.case === "prepareReply" && body.value.isPromised ? { member, ...body.value } : undefined;
     });
     await own;
-    const pledged = await this.#enough(asked, Math.floor(this.#set.members.length / 2));
-    if (pledged === undefined || this.#isOver) return false;
-    const best = pledged.reduce(
+    const promise = await this.#enough(asked, Math.floor(this.#set.members.length / 2));
+    if (promise === undefined || this.#isOver) return false;
+    const best = promise.reduce(
       (a, b) => (b.lastTerm > a.lastTerm || (b.lastTerm === a.lastTerm && b.lastIndex > a.lastIndex) ? b : a),
       {
         member: undefined as unknown,
         lastTerm: replica.log.lastTerm,
         lastIndex: replica.log.lastIndex,
-      } as (typeof pledged)[number],
+      } as (typeof promise)[number],
     );
     if (best.member !== undefined && !(await this.#pullFrom(best.member, best.lastIndex))) return false;
     if (this.#isOver || replica.log.term !== this.epoch) return false;
@@ -120,8 +120,8 @@
 
   beat(): void {
     if (this.#replicator === undefined) return;
-    if (this.#replicator.majorityAgo() > Holder.silentMs) return this.stop("no majority of the replicas answers");
-    this.#replicator.beat(Holder.idleBeatMs);
+    if (this.#replicator.majorityAgo() > ShardLeader.silentMs) return this.stop("no majority of the replicas answers");
+    this.#replicator.beat(ShardLeader.idleBeatMs);
   }
 
   /** Whom entries must be synced on from now on: one set, or the old and the new one. */
@@ -213,7 +213,7 @@
       const body = await this.#node.rpc.call(
         member.name,
         { case: "shardPull", value: { group: log.group, epoch: this.epoch, after, offset, receiver: member.id } },
-        Holder.pullMs,
+        ShardLeader.pullMs,
       );
       return body?.case === "shardPullReply" && !this.#isOver ? body.value : undefined;
     });
--- a/packages/log-storage/src/shards/shardLeadership.ts
+++ b/packages/log-storage/src/shards/shardLeadership.ts
@@ -1,11 +1,11 @@
 import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import { HolderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
+import { ShardLeaderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import type { ShardSet } from "@cranetrack/core/feeds/shardSet.js";
 import type { LeaseKeepAlive } from "@cranetrack/core/store/leaseKeepAlive.js";
 import { ShardService } from "./shardService.js";
-import { Holder } from "./shardLeader.js";
+import { ShardLeader } from "./shardLeader.js";
 import { Newcomers } from "../repair/newcomers.js";
 import { ReplicaRepair } from "../repair/replicaRepair.js";
 import { CommitNotices } from "../replication/commitNotices.js";
@@ -15,7 +15,7 @@
 interface Claim {
   replica: Replica;
   lease: string;
-  holder: Holder;
+  leader: ShardLeader;
   service: ShardService;
   repair: ReplicaRepair;
 }
@@ -24,7 +24,7 @@
  * Claims free shards for this disk, in rendezvous order, by compare-and-set; nobody assigns them.
  * Invariant: a holder here acts only while the lease that its key is under is held.
  */
-export class Claims {
+export class ShardLeadership {
   static readonly turnMs = 100;
   /** How often each held shard's replica set is looked at, and a change of it taken one step further. */
   static readonly repairMs = 100;
@@ -54,14 +54,14 @@
     this.#commits = new CommitNotices(node);
     this.#newcomers = new Newcomers(node.membership, node.parts.clock);
     lease.on("lost", () => {
-      for (const claim of [...this.#claims.values()]) claim.holder.stop("the lease was lost");
+      for (const claim of [...this.#claims.values()]) claim.leader.stop("the lease was lost");
     });
     node.plan.on("changed", () => {
-      for (const claim of this.#claims.values()) if (claim.holder.isServing) claim.service.planChanged();
+      for (const claim of this.#claims.values()) if (claim.leader.isServing) claim.service.planChanged();
     });
     node.shards.on("changed", (shard) => this.#heed(shard));
     node.parts.clock.every(100, () => this.#beat());
-    node.parts.clock.every(Claims.repairMs, () => this.#repairAll());
+    node.parts.clock.every(ShardLeadership.repairMs, () => this.#repairAll());
   }
 
   find(shard: number): Claim | undefined {
@@ -78,14 +78,14 @@
   }
 
   async release(shard: number, why: string): Promise<void> {
-    this.#claims.get(shard)?.holder.stop(why);
+    this.#claims.get(shard)?.leader.stop(why);
   }
 
   #beat(): void {
     if (!this.#lease.isHeld) return;
     for (const claim of [...this.#claims.values()]) {
-      claim.holder.beat();
-      if (claim.holder.isServing) claim.service.beat();
+      claim.leader.beat();
+      if (claim.leader.isServing) claim.service.beat();
     }
     if (!this.#node.feed.isFresh) return;
     for (const replica of this.#replicas) this.#consider(replica);
@@ -97,7 +97,7 @@
     for (const [shard, claim] of this.all()) {
       if (this.#mending.has(shard)) continue;
       const wasImproving = claim.repair.isImproving;
-      void this.#repair(shard, claim, improving >= Claims.mostImprovements);
+      void this.#repair(shard, claim, improving >= ShardLeadership.mostImprovements);
       if (!wasImproving && claim.repair.isImproving) improving += 1;
     }
   }
@@ -108,7 +108,7 @@
     this.#mending.delete(shard);
     if (swap === undefined) return this.#heed(shard);
     if (this.#claims.get(shard) === claim) this.#claims.delete(shard);
-    claim.holder.stop("the replica set was swapped");
+    claim.leader.stop("the replica set was swapped");
     if (swap.epoch > 0) void this.#guard(shard, () => this.#hold(claim.replica, swap.set, swap.epoch, claim.lease));
   }
 
@@ -116,16 +116,16 @@
     const { shard } = replica;
     const route = this.#node.shards.find(shard);
     // A holder of this name that is not this process was one before it: nobody needs to wait for its lease.
-    const isOwnKey = route.holder === this.#node.rpc.name && this.#claims.get(shard)?.holder.epoch !== route.epoch;
+    const isOwnKey = route.leader === this.#node.rpc.name && this.#claims.get(shard)?.leader.epoch !== route.epoch;
     if (this.#busy.has(shard) || this.#mending.has(shard)) return;
     if (isOwnKey) return void this.#guard(shard, () => this.#giveBack(shard, route.epoch));
     const rank = this.#rank(shard);
-    if (route.holder !== "" || rank === -1 || this.isDraining || this.#node.machines.isDraining(this.#node.rpc.name))
+    if (route.leader !== "" || rank === -1 || this.isDraining || this.#node.machines.isDraining(this.#node.rpc.name))
       return void this.#freeSince.delete(shard);
     const now = this.#node.parts.clock.now();
     const since = this.#freeSince.get(shard) ?? now;
     this.#freeSince.set(shard, since);
-    if (now - since >= rank * Claims.turnMs) void this.#guard(shard, () => this.#claim(replica));
+    if (now - since >= rank * ShardLeadership.turnMs) void this.#guard(shard, () => this.#claim(replica));
   }
 
   /** This disk's turn among the set's live members; -1 where it is no member. */
@@ -152,8 +152,8 @@
     const { set, setRevision } = this.#node.shards.find(shard);
     const lease = this.#lease.lease;
     if (set === undefined) return;
-    const key = HolderKey.of(shard);
-    const value = HolderKey.write({ name: this.#node.rpc.name, id: this.#id, lease });
+    const key = ShardLeaderKey.of(shard);
+    const value = ShardLeaderKey.write({ name: this.#node.rpc.name, id: this.#id, lease });
     const reply = await this.#node.store.txn({
       checks: [
         { key, revision: 0 },
@@ -168,37 +168,37 @@
   /** The store names this disk the holder under an epoch: serves once a majority has pledged it. */
   async #hold(replica: Replica, set: ShardSet, epoch: number, lease: string): Promise<void> {
     const { shard } = replica;
-    const holder = new Holder(replica, set, epoch, this.#node, this.#commits);
+    const leader = new ShardLeader(replica, set, epoch, this.#node, this.#commits);
     const service = new ShardService(
       this.#node,
       replica,
-      holder,
+      leader,
       this.#turn,
       () => this.#lease.isHeld && this.#lease.lease === lease,
     );
     const claim: Claim = {
       replica,
       lease,
-      holder,
+      leader,
       service,
-      repair: new ReplicaRepair(this.#node, replica, holder, lease, this.#newcomers),
+      repair: new ReplicaRepair(this.#node, replica, leader, lease, this.#newcomers),
     };
     this.#claims.set(shard, claim);
-    holder.on("over", (why) => void this.#over(shard, claim, why));
-    holder.on("serving", () => claim.service.planChanged());
-    if (!(await holder.takeOver())) holder.stop("no majority of the replicas pledged");
+    leader.on("over", (why) => void this.#over(shard, claim, why));
+    leader.on("serving", () => claim.service.planChanged());
+    if (!(await leader.takeOver())) leader.stop("no majority of the replicas pledged");
   }
 
   async #over(shard: number, claim: Claim, why: string): Promise<void> {
     if (this.#claims.get(shard) === claim) this.#claims.delete(shard);
-    this.#node.parts.log.note("gave up a shard", { shard, epoch: claim.holder.epoch, why });
+    this.#node.parts.log.note("gave up a shard", { shard, epoch: claim.leader.epoch, why });
     if (why === "the replica set was swapped") return;
     this.#freeSince.set(shard, this.#node.parts.clock.now() + 500);
-    await this.#giveBack(shard, claim.holder.epoch);
+    await this.#giveBack(shard, claim.leader.epoch);
   }
 
   async #giveBack(shard: number, epoch: number): Promise<void> {
-    const key = HolderKey.of(shard);
+    const key = ShardLeaderKey.of(shard);
     await this.#node.store.txn({ checks: [{ key, revision: epoch }], deletes: [key] });
   }
 
@@ -206,10 +206,10 @@
   #heed(shard: number): void {
     const claim = this.#claims.get(shard);
     const route = this.#node.shards.find(shard);
-    const isOwnSwap = this.#mending.has(shard) && route.holderId === this.#id;
-    if (claim !== undefined && route.epoch > claim.holder.epoch && !isOwnSwap)
-      claim.holder.stop("the store names another holder");
+    const isOwnSwap = this.#mending.has(shard) && route.leaderId === this.#id;
+    if (claim !== undefined && route.epoch > claim.leader.epoch && !isOwnSwap)
+      claim.leader.stop("the store names another holder");
     // Freed just now: whose turn it is need not wait for a beat.
-    if (route.holder === "" && this.#lease.isHeld && this.#node.feed.isFresh) this.#consider(this.#replicas[shard]!);
+    if (route.leader === "" && this.#lease.isHeld && this.#node.feed.isFresh) this.#consider(this.#replicas[shard]!);
   }
 }
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -23,7 +23,7 @@
 import { StreamLog, type Verdict } from "./streamLog.js";
 import { fetchFrom } from "../follows/fetchFrom.js";
 import { Follows } from "../follows/follows.js";
-import type { Holder } from "./shardLeader.js";
+import type { ShardLeader } from "./shardLeader.js";
 import { MemoryStreams } from "./memoryStreams.js";
 import type { PushTurn } from "../follows/pushTurn.js";
 import type { Replica } from "../replication/replica.js";
@@ -43,7 +43,7 @@
 
   readonly #node: ClusterNode;
   readonly #replica: Replica;
-  readonly #holder: Holder;
+  readonly #leader: ShardLeader;
   readonly #follows: Follows;
   readonly #standings: StreamStandings;
   readonly #isHeld: () => boolean;
@@ -59,31 +59,31 @@
   #servesSince = Infinity;
   #isTrimming = false;
 
-  constructor(node: ClusterNode, replica: Replica, holder: Holder, turn: PushTurn, isHeld: () => boolean) {
+  constructor(node: ClusterNode, replica: Replica, leader: ShardLeader, turn: PushTurn, isHeld: () => boolean) {
     this.#turn = turn;
     this.#node = node;
     this.#replica = replica;
-    this.#holder = holder;
+    this.#leader = leader;
     this.#isHeld = isHeld;
     this.#standings = new StreamStandings(node);
     this.#memory = new MemoryStreams(() => node.parts.random.identity());
     this.#follows = new Follows({
       node,
       shard: replica.shard,
-      epoch: holder.epoch,
+      epoch: leader.epoch,
       turn,
       find: (stream) => this.#find(stream),
       isInMemory: (stream) => this.#standings.isInMemory(stream),
     });
-    holder.on("applied", ({ verdict }) => {
+    leader.on("applied", ({ verdict }) => {
       if (verdict?.outcome === "accepted" && verdict.isFresh) void this.#push(verdict.stream);
     });
-    holder.on("serving", () => (this.#servesSince = node.parts.clock.now()));
+    leader.on("serving", () => (this.#servesSince = node.parts.clock.now()));
   }
 
   /** Whether claims, plan and epoch may be acted on now. */
   get isOpen(): boolean {
-    return this.#holder.isServing && this.#isHeld() && this.#node.feed.isFresh;
+    return this.#leader.isServing && this.#isHeld() && this.#node.feed.isFresh;
   }
 
   /** Numbers of one sender in one topic keep the order in which they come, whatever each waits for. */
@@ -115,7 +115,7 @@
     const known = this.#knownNow(stream, spaceIncarnation, publish);
     if (known !== undefined)
       return this.#standings.isInMemory(stream) ? this.#inMemory(stream, known) : PublishOutcomes.of(known);
-    if (this.#holder.occupancy > ShardService.mostPending)
+    if (this.#leader.occupancy > ShardService.mostPending)
       return {
         case: "publishReply",
         value: { outcome: "busy", code: "busy", reason: "too many publishes are waiting for the disk", comeBack: 0.5 },
@@ -131,7 +131,7 @@
       number,
       ownerEpoch: publish.ownerEpoch,
       payload: refusal === undefined ? publish.payload : new Uint8Array(),
-      at: this.#holder.at,
+      at: this.#leader.at,
       isVoid: refusal !== undefined,
     });
     if (this.#standings.isInMemory(stream)) {
@@ -139,7 +139,7 @@
         return PublishOutcomes.unsure("an earlier holder may have accepted this number, in another order");
       return this.#acceptInMemory(accept, refusal);
     }
-    const verdict = await this.#holder.propose({ case: "accept", value: accept });
+    const verdict = await this.#leader.propose({ case: "accept", value: accept });
     if (verdict === undefined)
       return PublishOutcomes.unsure("the holder lost its claim before the message was committed");
     if (verdict.outcome === "refused" && refusal !== undefined)
@@ -152,7 +152,7 @@
    * there: one order for all is promised, and the earlier one died with its holder.
    */
   #wouldReorder(stream: string, { order }: Owe): boolean {
-    return order !== "sender" && this.#memory.mayHavePredecessor(stream, this.#holder.at);
+    return order !== "sender" && this.#memory.mayHavePredecessor(stream, this.#leader.at);
   }
 
   /** Sequences in memory. */
@@ -168,7 +168,7 @@
    */
   async #inMemory(stream: string, verdict: Verdict): Promise<PublishOutcome> {
     const isUntaken = verdict.outcome === "refused" && verdict.code === StreamLog.wentBackwards;
-    if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#holder.at))
+    if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.at))
       return PublishOutcomes.unsure("an earlier holder may have accepted this number");
     if (verdict.outcome === "accepted" && !(await this.#push(stream)))
       return PublishOutcomes.unsure("the holder lost its claim before the message was pushed");
@@ -195,14 +195,14 @@
   async follow(follow: Follow, edge: string): Promise<BodyInit> {
     if (!this.isOpen) return { case: "followReply", value: { outcome: "away" } };
     if (follow.streams.length === 0 && !follow.isFull)
-      return { case: "followReply", value: { outcome: this.beaten(follow), epoch: this.#holder.epoch } };
+      return { case: "followReply", value: { outcome: this.beaten(follow), epoch: this.#leader.epoch } };
     const standings = follow.streams.map(({ stream, spaceIncarnation }) =>
       this.#standings.of(stream, spaceIncarnation),
     );
     const followed = follow.streams.filter((_, i) => standings[i] === "ours");
     await Promise.all(followed.map(({ stream, spaceIncarnation }) => this.#incarnationOf(stream, spaceIncarnation)));
     // A head may become somebody's start only if nobody has taken over meanwhile.
-    if (!this.isOpen || !(await this.#holder.confirm()) || !this.isOpen)
+    if (!this.isOpen || !(await this.#leader.confirm()) || !this.isOpen)
       return { case: "followReply", value: { outcome: "away" } };
     if (this.#follows.isLate(follow)) return { case: "followReply", value: { outcome: "resync" } };
     const { heads, number } = this.#follows.enrol(follow, followed, edge);
@@ -217,7 +217,7 @@
     });
     return {
       case: "followReply",
-      value: { outcome: "done", heads: [...heads, ...missing], epoch: this.#holder.epoch, number },
+      value: { outcome: "done", heads: [...heads, ...missing], epoch: this.#leader.epoch, number },
     };
   }
 
@@ -237,7 +237,7 @@
       asked.filter(({ fault }) => fault === "").map((one) => [one.stream, one.place.spaceIncarnation]),
     );
     await Promise.all([...good].map(([stream, spaceIncarnation]) => this.#incarnationOf(stream, spaceIncarnation)));
-    if (!this.isOpen || !(await this.#holder.confirm()) || !this.isOpen) return away;
+    if (!this.isOpen || !(await this.#leader.confirm()) || !this.isOpen) return away;
     const starts = asked.map(({ place, stream, fault }) => {
       const log = this.#find(stream);
       if (fault !== "") return create(TopicStartSchema, { topic: place.topic, outcome: fault });
@@ -276,7 +276,7 @@
     const now = this.#node.parts.clock.now();
     if (now - this.#tendedAt >= 1000) {
       this.#tendedAt = now;
-      this.#memory.tend(this.#holder.at, ShardService.forgetMs, (stream) => this.#follows.isFollowed(stream));
+      this.#memory.tend(this.#leader.at, ShardService.forgetMs, (stream) => this.#follows.isFollowed(stream));
     }
     if (now - this.#trimmedAt < 5000) return;
     this.#trimmedAt = now;
@@ -286,7 +286,7 @@
   async #trim(): Promise<void> {
     if (!this.isOpen || this.#isTrimming) return;
     const { state } = this.#replica;
-    const at = this.#holder.at;
+    const at = this.#leader.at;
     const streams = [...state.streams.values()].flatMap((log): Array<MessageInitShape<typeof TrimStreamSchema>> => {
       const { stream, incarnation } = log;
       const standing = this.#standings.of(stream, log.spaceIncarnation);
@@ -300,7 +300,7 @@
     const forgetBefore = Math.max(0, at - ShardService.forgetMs);
     if (streams.length === 0 && !state.hasOlder(forgetBefore)) return;
     this.#isTrimming = true;
-    await this.#holder.propose({ case: "trim", value: { streams, at, forgetBefore } });
+    await this.#leader.propose({ case: "trim", value: { streams, at, forgetBefore } });
     this.#isTrimming = false;
   }
 
@@ -316,19 +316,19 @@
   /** The stream's birth, made where there was none of this birth of its space; undefined where it could not be. */
   async #incarnationOf(stream: string, spaceIncarnation: number): Promise<string | undefined> {
     if (this.#standings.isInMemory(stream))
-      return this.#memory.take(stream, spaceIncarnation, this.#holder.at)?.incarnation;
+      return this.#memory.take(stream, spaceIncarnation, this.#leader.at)?.incarnation;
     const { streams } = this.#replica.state;
     let incarnation = this.#incarnations.get(stream);
     if (incarnation === undefined && (streams.get(stream)?.spaceIncarnation ?? 0) < spaceIncarnation) {
       const value = {
         stream,
         incarnation: Streams.incarnation(spaceIncarnation, this.#node.parts.random.identity()),
-        at: this.#holder.at,
+        at: this.#leader.at,
       };
       // Who comes when it was just made still waits behind those that have waited for it: in a stream's order of
       // arrival.
       const forget = (): void => void this.#incarnations.delete(stream);
-      incarnation = this.#holder
+      incarnation = this.#leader
         .propose({ case: "createStream", value })
         .then(() => void this.#node.parts.clock.once(0, forget));
       this.#incarnations.set(stream, incarnation);
@@ -368,8 +368,8 @@
   }
 
   #away(reason = "", comeBack = 0.5): PublishOutcome {
-    const { holder } = this.#node.shards.find(this.#replica.shard);
-    return { case: "publishReply", value: { outcome: "away", holder, comeBack, reason } };
+    const { leader } = this.#node.shards.find(this.#replica.shard);
+    return { case: "publishReply", value: { outcome: "away", leader, comeBack, reason } };
   }
 
   static #refusal(plan: Plan | undefined, owed: Owe, publish: Publish): { code: string; reason: string } | undefined {
--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -6,7 +6,7 @@
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { ShardService } from "./shards/shardService.js";
-import { Claims } from "./shards/shardLeadership.js";
+import { ShardLeadership } from "./shards/shardLeadership.js";
 import { Placement } from "./repair/placement.js";
 import { FollowerReads } from "./follows/followerReads.js";
 import { PushTurn } from "./follows/pushTurn.js";
@@ -28,7 +28,7 @@
   /** Of each shard; idle where its replica is the holder's, or this disk is not in its set. */
   readonly #reads: FollowerReads[] = [];
   readonly #turn: PushTurn;
-  #claims: Claims | undefined;
+  #claims: ShardLeadership | undefined;
   /** Invariant: synced before anybody hears it; a blank disk gets a new one. */
   #id = "";
   #foundAt = 0;
@@ -42,7 +42,7 @@
     this.#lease = new LeaseKeepAlive(`${settings.name}-shards`, settings.holderLeaseMs, node.store, clock, random);
   }
 
-  get claims(): Claims | undefined {
+  get claims(): ShardLeadership | undefined {
     return this.#claims;
   }
 
@@ -74,20 +74,22 @@
     this.#node.membership.self.logDisk = this.#id;
     const { rpc } = this.#node;
     const find = (group: string): Replica | undefined => this.#replicas.find((replica) => replica.log.group === group);
-    rpc.serve("pledge", (pledge) => (pledge.receiver === this.#id ? find(pledge.group)?.pledge(pledge) : undefined));
+    rpc.serve("prepare", (prepare) =>
+      prepare.receiver === this.#id ? find(prepare.group)?.prepare(prepare) : undefined,
+    );
     rpc.serve("shardPull", (pull) => (pull.receiver === this.#id ? find(pull.group)?.pull(pull) : undefined));
     rpc.serve(
       "publish",
       async (publish) =>
         (await this.#service(publish.shard)?.publish(publish)) ?? {
           case: "publishReply",
-          value: { outcome: "away", holder: this.#node.shards.find(publish.shard).holder },
+          value: { outcome: "away", leader: this.#node.shards.find(publish.shard).leader },
         },
     );
     rpc.serve("follow", (follow, frame) => {
       const away: BodyInit = {
         case: "followReply",
-        value: { outcome: "away", holder: this.#node.shards.find(follow.shard).holder },
+        value: { outcome: "away", leader: this.#node.shards.find(follow.shard).leader },
       };
       if (follow.isAtReplica) return this.#reads[follow.shard]?.follow(follow, frame.from) ?? away;
       return this.#service(follow.shard)?.follow(follow, frame.from) ?? away;
@@ -122,7 +124,7 @@
       "countRequest",
       (ask) => this.#service(ask.shard)?.count(ask) ?? { case: "countReply", value: { outcome: "away" } },
     );
-    this.#claims = new Claims(this.#node, this.#lease, this.#replicas, this.#id, this.#turn);
+    this.#claims = new ShardLeadership(this.#node, this.#lease, this.#replicas, this.#id, this.#turn);
     this.#lease.start();
     this.#node.parts.clock.every(100, () => this.#reads.forEach((reads) => reads.beat()));
     if (!this.#isSpare) this.#node.parts.clock.every(300, () => this.#foundSets());
@@ -135,15 +137,15 @@
   }
 
   status(): object {
-    const held = (this.#claims?.all() ?? []).map(([shard, { holder, repair }]) => ({
+    const held = (this.#claims?.all() ?? []).map(([shard, { leader, repair }]) => ({
       shard,
-      epoch: holder.epoch,
-      isServing: holder.isServing,
-      occupancy: holder.occupancy,
+      epoch: leader.epoch,
+      isServing: leader.isServing,
+      occupancy: leader.occupancy,
       move: repair.progress ?? null,
-      replicas: holder.set.members.map(({ id, name }) => ({
+      replicas: leader.set.members.map(({ id, name }) => ({
         name,
-        behind: this.#replicas[shard]!.log.lastIndex - (holder.replicator?.matchOf(id) ?? 0),
+        behind: this.#replicas[shard]!.log.lastIndex - (leader.replicator?.matchOf(id) ?? 0),
       })),
     }));
     return { hasLease: this.#lease.isHeld, leasesLost: this.#lease.losses, shelf: this.#id, held };
--- a/packages/testkit/src/fleet/drill.ts
+++ b/packages/testkit/src/fleet/drill.ts
@@ -173,7 +173,7 @@
         this.#fleet.withRole("vise"),
         this.#load.callers.map((caller) => caller.node),
       );
-    if (target === "holder") return most(this.#fleet.withRole("anvil"), await this.#fleet.holders());
+    if (target === "holder") return most(this.#fleet.withRole("anvil"), await this.#fleet.leaders());
     for (;;) {
       for (const name of this.#fleet.withRole("lathe")) {
         const { body } = await this.#fleet.call(name, "GET", "/v1/status");
--- a/packages/testkit/src/fleet/fleet.ts
+++ b/packages/testkit/src/fleet/fleet.ts
@@ -215,18 +215,18 @@
   }
 
   /** Who holds each shard, as one edge sees it; empty for a free one. */
-  async holders(): Promise<string[]> {
+  async leaders(): Promise<string[]> {
     const edge = this.withRole("vise").find((name) => this.isRunning(name))!;
     const { body } = await this.call(edge, "GET", "/v1/status");
-    return ((body["shards"] ?? []) as Array<{ holder: string }>).map((shard) => shard.holder);
+    return ((body["shards"] ?? []) as Array<{ leader: string }>).map((shard) => shard.leader);
   }
 
   /** Resolves when every shard has a holder, as one edge sees it. */
   async held(dueMs = 30_000): Promise<void> {
     const startedAt = performance.now();
     for (;;) {
-      const holders = await this.holders();
-      if (holders.length > 0 && holders.every((holder) => holder !== "")) return;
+      const leaders = await this.leaders();
+      if (leaders.length > 0 && leaders.every((leader) => leader !== "")) return;
       if (performance.now() - startedAt > dueMs) throw new Error("not every shard is held");
       await new Promise((resolve) => setTimeout(resolve, 100));
     }
--- a/packages/testkit/src/golden/adapter.ts
+++ b/packages/testkit/src/golden/adapter.ts
@@ -18,7 +18,7 @@
 import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 import { DrainKey } from "@cranetrack/core/keys/drainKey.js";
-import { HolderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
+import { ShardLeaderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
 import { MembersKey } from "@cranetrack/core/keys/membersKey.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
@@ -143,9 +143,9 @@
   },
   "shard leader": {
     encode: ({ nodeName, diskId, leaseId }: StableLeader) =>
-      HolderKey.write({ name: nodeName, id: diskId, lease: leaseId }),
+      ShardLeaderKey.write({ name: nodeName, id: diskId, lease: leaseId }),
     decode(bytes) {
-      const { name, id, lease } = HolderKey.read(bytes)!;
+      const { name, id, lease } = ShardLeaderKey.read(bytes)!;
       return { nodeName: name, diskId: id, leaseId: lease } satisfies StableLeader;
     },
   },
@@ -230,7 +230,7 @@
   versionOfAccepted: (key: string): number | undefined => AcceptedOrderKey.versionOf(key),
   drain: (machine: string): string => DrainKey.of(machine),
   machineOfDrain: (key: string): string | undefined => DrainKey.machineOf(key),
-  shardLeader: (shard: number): string => HolderKey.of(shard),
+  shardLeader: (shard: number): string => ShardLeaderKey.of(shard),
   replicaSet: (shard: number): string => ReplicasKey.of(shard),
   sessionOwner: (session: string): string => OwnerKey.of(session),
   sessionOfOwner: (key: string): string | undefined => OwnerKey.sessionOf(key),
--- a/packages/testkit/src/sabotage/membershipSabotages.ts
+++ b/packages/testkit/src/sabotage/membershipSabotages.ts
@@ -42,7 +42,7 @@
   {
     name: "a drain looks at replicas only",
     file: "control/dist/drain/drainMachine.js",
-    find: "left.length === 0 && !isHolder && !isVoter",
+    find: "left.length === 0 && !isLeader && !isVoter",
     put: "left.length === 0",
     test: `${sim}/drains.test.js`,
   },
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -68,12 +68,12 @@
   fleet.wires.mutate = undefined;
   expect(await done({ deletes: [key] })).toEqual("done");
   await fleet.run(2000);
-  expect(fleet.find(fleet.proposer!)!.control!.raft!.metadata.get(key)).toEqual(undefined);
+  expect(fleet.find(fleet.leader!)!.control!.raft!.metadata.get(key)).toEqual(undefined);
 });
 
 test("a transaction that a lathe passed on is not passed on again when another proposes; a revocation is", async () => {
   const { fleet } = await served(9102);
-  const old = fleet.proposer!;
+  const old = fleet.leader!;
   const passed: string[] = [];
   fleet.wires.mutate = (from, _to, bytes) => {
     const body = Wire.decode(bytes)?.body;
--- a/packages/testkit/src/sim/catchUp.ts
+++ b/packages/testkit/src/sim/catchUp.ts
@@ -63,7 +63,7 @@
   async #run(): Promise<CatchUpReport> {
     const fleet = this.#fleet;
     if (!(await this.#load.begin(0, 6, ["lathe-4"]))) throw new Error("the fleet did not begin");
-    const away = fleet.withRole("lathe").find((name) => name !== "lathe-4" && name !== fleet.proposer)!;
+    const away = fleet.withRole("lathe").find((name) => name !== "lathe-4" && name !== fleet.leader)!;
     this.#leave(away);
     void this.#change();
     if (!(await fleet.until(() => this.#made >= this.#options.changes, this.#options.changes * 2000)))
@@ -97,8 +97,8 @@
 
   /** All that was committed is applied there, and the changes went on meanwhile. */
   #isCaughtUp(name: string): boolean {
-    const { proposer } = this.#fleet;
-    const leader = proposer === undefined ? undefined : this.#raftOf(proposer);
+    const { leader: leaderName } = this.#fleet;
+    const leader = leaderName === undefined ? undefined : this.#raftOf(leaderName);
     const own = this.#raftOf(name);
     return own !== undefined && leader !== undefined && own.commit > 0 && own.commit >= leader.commit - 1;
   }
@@ -107,8 +107,8 @@
   async #change(): Promise<void> {
     this.#isChanging = true;
     while (this.#isChanging) {
-      const { proposer } = this.#fleet;
-      const node = proposer === undefined ? undefined : this.#fleet.find(proposer)?.node;
+      const { leader: leaderName } = this.#fleet;
+      const node = leaderName === undefined ? undefined : this.#fleet.find(leaderName)?.node;
       if (node !== undefined) {
         const answer = await putPlan(node, Buffer.from(this.#plan()), this.#document());
         if (answer.status === 200) this.#made += 1;
--- a/packages/testkit/src/sim/configurationCapacity.test.ts
+++ b/packages/testkit/src/sim/configurationCapacity.test.ts
@@ -30,7 +30,7 @@
 async function withDisks(seed: number, count: number, replicas = 3): Promise<SimFleet> {
   const fleet = new SimFleet(seed, machines(count, replicas));
   fleet.startAll();
-  expect(await fleet.until(() => fleet.proposer !== undefined, 10_000)).toEqual(true);
+  expect(await fleet.until(() => fleet.leader !== undefined, 10_000)).toEqual(true);
   await fleet.run(6000);
   return fleet;
 }
--- a/packages/testkit/src/sim/configurationStorm.test.ts
+++ b/packages/testkit/src/sim/configurationStorm.test.ts
@@ -194,7 +194,7 @@
     45: () => fleet.pause("vise-1", 3000),
     50: () => fleet.revive("vise-2"),
     55: () => fleet.isolate("anvil-2", fleet.names, "both"),
-    60: () => fleet.kill(fleet.proposer!),
+    60: () => fleet.kill(fleet.leader!),
     80: () => {
       for (const name of fleet.names) fleet.revive(name);
     },
--- a/packages/testkit/src/sim/cutActs.ts
+++ b/packages/testkit/src/sim/cutActs.ts
@@ -78,7 +78,7 @@
 
   /** Often the leader. */
   #oneOff(): string {
-    const leader = this.random.draw() < 0.5 ? this.fleet.proposer : undefined;
+    const leader = this.random.draw() < 0.5 ? this.fleet.leader : undefined;
     return leader ?? this.random.pick(this.counted);
   }
 
--- a/packages/testkit/src/sim/cutOff.test.ts
+++ b/packages/testkit/src/sim/cutOff.test.ts
@@ -96,9 +96,9 @@
 async function played(cut: Cut, meanwhile: Meanwhile): Promise<{ all: Served; sides: Sides; off: string[] }> {
   const all = await served(cut.seed, Scenario.machines(cut.controlCount));
   const { fleet, load } = all;
-  const sides = new Sides(all, await accepted(all, fleet.proposer!));
+  const sides = new Sides(all, await accepted(all, fleet.leader!));
   await fleet.run(1000);
-  const leader = fleet.proposer!;
+  const leader = fleet.leader!;
   const members = [leader, ...fleet.withRole("lathe").filter((name) => name !== leader)];
   const controlNodes = cut.isLeaderCut ? members.slice(0, cut.count) : members.slice(1, 1 + cut.count);
   const edge = fleet.withRole("vise").at(-1)!;
--- a/packages/testkit/src/sim/disks.test.ts
+++ b/packages/testkit/src/sim/disks.test.ts
@@ -11,7 +11,7 @@
   const controlNodes = Scenario.machines(count, 0, 0).map((one): Machine => ({ ...one, settings }));
   const fleet = new SimFleet(seed, [...controlNodes, ...Scenario.machines(0, 0, 1)]);
   for (const name of fleet.names) if (name !== "lathe-4") fleet.start(name);
-  expect(await fleet.until(() => fleet.proposer !== undefined, 6000)).toEqual(true);
+  expect(await fleet.until(() => fleet.leader !== undefined, 6000)).toEqual(true);
   await fleet.run(2000);
   return fleet;
 }
@@ -33,7 +33,7 @@
   fleet.diskOf("lathe-4").restore(fleet.diskOf("lathe-3").copy());
   expect(fleet.start("lathe-4").fault).toEqual("the data folder is that of lathe-3, and this is lathe-4");
   // Whoever led may just have been killed.
-  expect(await fleet.until(() => fleet.proposer !== undefined, 3000)).toEqual(true);
+  expect(await fleet.until(() => fleet.leader !== undefined, 3000)).toEqual(true);
   await fleet.run(1000);
   expect(await written(fleet, "later")).toEqual(true);
 });
@@ -41,7 +41,7 @@
 for (const starts of [1, 2])
   test(`a copy of a disk from ${starts} start(s) ago elects nobody`, async () => {
     const fleet = await founded(301 + starts, 3);
-    const leader = fleet.proposer!;
+    const leader = fleet.leader!;
     const [follower, other] = fleet.withRole("lathe").filter((name) => name !== leader);
     const older = fleet.diskOf(follower!).copy();
     // Started anew, it acknowledges what the copy does not have.
@@ -56,11 +56,11 @@
     fleet.diskOf(follower!).restore(older);
     fleet.start(follower!);
     await fleet.run(1500);
-    expect(fleet.proposer).toEqual(leader);
+    expect(fleet.leader).toEqual(leader);
     fleet.kill(leader);
-    expect(await fleet.until(() => fleet.proposer !== undefined, 5000)).toEqual(false);
+    expect(await fleet.until(() => fleet.leader !== undefined, 5000)).toEqual(false);
     fleet.start(leader);
-    expect(await fleet.until(() => fleet.proposer !== undefined, 5000)).toEqual(true);
+    expect(await fleet.until(() => fleet.leader !== undefined, 5000)).toEqual(true);
     await fleet.run(1000);
     expect(await written(fleet, "last")).toEqual(true);
     for (const name of [leader, other!])
--- a/packages/testkit/src/sim/drains.test.ts
+++ b/packages/testkit/src/sim/drains.test.ts
@@ -18,10 +18,10 @@
 
 const path = (name: string): string => `/v1/machines/${name}/emptying`;
 const voters = (fleet: SimFleet): string[] =>
-  fleet.proposer === undefined
+  fleet.leader === undefined
     ? []
     : fleet
-        .find(fleet.proposer)!
+        .find(fleet.leader)!
         .control!.raft!.members.voters.map((one) => one.name)
         .sort();
 const others = (fleet: SimFleet, ...names: string[]): string[] =>
@@ -53,7 +53,7 @@
     const all = await served(who === "leader" ? 201 : 202, machines(6));
     const { fleet, ask } = all;
     const [first, second, third] = voters(fleet);
-    const leaving = who === "leader" ? fleet.proposer! : [first, second, third].find((one) => one !== fleet.proposer)!;
+    const leaving = who === "leader" ? fleet.leader! : [first, second, third].find((one) => one !== fleet.leader)!;
     expect((await ask(others(fleet, leaving)[0]!, "PUT", path(leaving)))["status"]).toEqual(200);
     expect(await emptied(all, leaving, others(fleet, leaving))).toEqual(true);
     fleet.retire(leaving);
@@ -65,7 +65,7 @@
 test("a drain is not over while the machine votes, and its leadership is handed on", async () => {
   const all = await served(203, machines(6));
   const { fleet, ask } = all;
-  const leaving = fleet.proposer!;
+  const leaving = fleet.leader!;
   const standbys = others(fleet, ...voters(fleet));
   const [node] = others(fleet, leaving, ...standbys);
   // The standbys are there when the drain is asked for, and gone before one can vote.
@@ -76,7 +76,7 @@
   expect([status, progress["status"], progress["isVoter"], progress["isEmpty"]]).toEqual([200, 200, true, false]);
   for (const name of standbys) fleet.revive(name);
   expect(await emptied(all, leaving, others(fleet, leaving))).toEqual(true);
-  expect([voters(fleet).includes(leaving), fleet.proposer === leaving]).toEqual([false, false]);
+  expect([voters(fleet).includes(leaving), fleet.leader === leaving]).toEqual([false, false]);
 });
 
 test("a drained machine is not taken in again while the wish stands, and is once it is undone", async () => {
@@ -85,7 +85,7 @@
   const leaving = voters(fleet)[0]!;
   expect((await ask(others(fleet, leaving)[0]!, "PUT", path(leaving)))["status"]).toEqual(200);
   expect(await emptied(all, leaving, others(fleet, leaving))).toEqual(true);
-  const lost = voters(fleet).find((one) => one !== fleet.proposer)!;
+  const lost = voters(fleet).find((one) => one !== fleet.leader)!;
   fleet.kill(lost);
   await fleet.run(8000);
   expect(voters(fleet).includes(leaving)).toEqual(false);
@@ -96,11 +96,11 @@
 test("a drain that is over stays over while other voters are exchanged", async () => {
   const all = await served(215, machines(6));
   const { fleet, ask } = all;
-  const leaving = voters(fleet).find((one) => one !== fleet.proposer)!;
+  const leaving = voters(fleet).find((one) => one !== fleet.leader)!;
   expect((await ask(others(fleet, leaving)[0]!, "PUT", path(leaving)))["status"]).toEqual(200);
   expect(await emptied(all, leaving, others(fleet, leaving))).toEqual(true);
   const before = voters(fleet);
-  const lost = before.find((one) => one !== fleet.proposer)!;
+  const lost = before.find((one) => one !== fleet.leader)!;
   fleet.kill(lost);
   const node = others(fleet, leaving, lost)[0]!;
   while (voters(fleet).includes(lost) || voters(fleet).length < 3) {
@@ -112,7 +112,7 @@
 test("an order that was taken is acknowledged again: after another loss, and long after its machine left", async () => {
   const all = await served(205, machines(4));
   const { fleet, ask } = all;
-  const leaving = voters(fleet).find((one) => one !== fleet.proposer)!;
+  const leaving = voters(fleet).find((one) => one !== fleet.leader)!;
   const order = async (node: string): Promise<unknown> => (await ask(node, "PUT", path(leaving)))["status"];
   const [first, second] = others(fleet, leaving);
   expect(await order(first!)).toEqual(200);
@@ -153,7 +153,7 @@
 test("a node that lags behind the store refuses no drain, though it can ask the store", async () => {
   const all = await served(216, machines(3));
   const { fleet, ask } = all;
-  const node = voters(fleet).find((one) => one !== fleet.proposer)!;
+  const node = voters(fleet).find((one) => one !== fleet.leader)!;
   fleet.wires.mutate = (_from, to, bytes) =>
     to === fleet.addressOf(node) && Wire.decode(bytes)?.body.case === "feedPush" ? [] : undefined;
   expect(await fleet.until(() => !fleet.find(node)!.node.feed.isFresh, 10_000)).toEqual(true);
@@ -168,7 +168,7 @@
 test("two orders at once, of which only one can be kept: one is taken; the same one twice is taken twice", async () => {
   for (const seed of [208, 209, 210, 211, 212, 213]) {
     const { fleet } = await served(seed, machines(4));
-    const nodes = others(fleet, fleet.proposer!);
+    const nodes = others(fleet, fleet.leader!);
     const both = async (...names: [string, string]): Promise<unknown[]> => {
       const got: unknown[] = [];
       for (const [i, name] of names.entries())
@@ -178,7 +178,7 @@
     };
     // The two machines of one zone: either may go.
     expect(await both("lathe-1", "lathe-4")).toEqual([200, 409]);
-    const { metadata } = fleet.find(fleet.proposer!)!.control!.raft!;
+    const { metadata } = fleet.find(fleet.leader!)!.control!.raft!;
     const taken = metadata.range("machines/").map((kv) => kv.key.split("/")[1]!);
     expect(taken.length).toEqual(1);
     expect(await both(taken[0]!, taken[0]!)).toEqual([200, 200]);
@@ -201,7 +201,7 @@
   await write(gone[0]!, gone[1]!);
   await write(...gone.slice(2));
   expect((await ask("lathe-2", "PUT", path("lathe-1")))["status"]).toEqual(200);
-  const { metadata } = fleet.find(fleet.proposer!)!.control!.raft!;
+  const { metadata } = fleet.find(fleet.leader!)!.control!.raft!;
   const kept = metadata.range("machines/").map((kv) => kv.key.split("/")[1]!);
   expect(kept.length).toEqual(DrainMachine.mostWishes);
   expect(["vise-2", "lathe-1", gone[0]!, gone[1]!, gone[2]!].map((name) => kept.includes(name))).toEqual([
--- a/packages/testkit/src/sim/elections.test.ts
+++ b/packages/testkit/src/sim/elections.test.ts
@@ -15,16 +15,16 @@
     const { fleet } = await served(seed);
     const controlNodes = fleet.withRole("lathe");
     const termOf = (name: string): number => fleet.find(name)!.control!.raft!.term;
-    const before = termOf(fleet.proposer!);
+    const before = termOf(fleet.leader!);
     for (const controlNode of controlNodes) fleet.isolate(controlNode, controlNodes, "both");
     // Long enough for all to ask for votes, in vain.
     await fleet.run(500);
     fleet.wires.heal();
-    if (!(await fleet.until(() => fleet.proposer !== undefined, electedMs))) late.push(`${seed}: none`);
-    const elected = fleet.proposer;
+    if (!(await fleet.until(() => fleet.leader !== undefined, electedMs))) late.push(`${seed}: none`);
+    const elected = fleet.leader;
     await fleet.run(1000);
-    if (fleet.proposer !== elected) late.push(`${seed}: ${elected}, then ${fleet.proposer}`);
-    if (termOf(fleet.proposer!) > before + 1) split.push(seed);
+    if (fleet.leader !== elected) late.push(`${seed}: ${elected}, then ${fleet.leader}`);
+    if (termOf(fleet.leader!) > before + 1) split.push(seed);
   }
   expect(late).toEqual([]);
   expect([split.length <= mostSplit, split]).toEqual([true, split]);
@@ -40,7 +40,7 @@
     for (const controlNode of controlNodes) fleet.wires.slow.set(fleet.addressOf(controlNode), 100);
     await fleet.run(8000);
     changes.push(termOf() - before);
-    expect(fleet.proposer !== undefined).toEqual(true);
+    expect(fleet.leader !== undefined).toEqual(true);
   }
   expect([changes.every((count) => count <= 1), changes]).toEqual([true, changes]);
 });
--- a/packages/testkit/src/sim/faultActs.ts
+++ b/packages/testkit/src/sim/faultActs.ts
@@ -111,8 +111,8 @@
 
   /** The same while the lathe that proposes is frozen. */
   readonly raceFrozen: Act = (name, ms) => {
-    const proposer = this.#fleet.proposer;
-    if (proposer !== undefined) this.#fleet.pause(proposer, ms);
+    const leader = this.#fleet.leader;
+    if (leader !== undefined) this.#fleet.pause(leader, ms);
     this.race(name, ms);
     this.replan(name, ms);
     return ms;
@@ -194,10 +194,10 @@
 
   /** A shard's holder and the edge of some session fail at once, each in its own way. */
   readonly pair: Act = (_name, ms) => {
-    const holder = this.#fleet.holder;
+    const leaderName = this.#fleet.leaderName;
     const { node } = this.#random.pick(this.#load.callers);
     const ways = [this.kill, this.pause, this.isolate];
-    for (const name of [holder, node]) if (name !== undefined && name !== "") this.#random.pick(ways)(name, ms);
+    for (const name of [leaderName, node]) if (name !== undefined && name !== "") this.#random.pick(ways)(name, ms);
     return ms;
   };
 
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -10,7 +10,7 @@
 
 interface Scene extends Served {
   shard: number;
-  holder: string;
+  leaderName: string;
   /** The shard's replica in the reader's region, which is not the holder's. */
   replica: string;
   edge: string;
@@ -33,9 +33,9 @@
   const { fleet } = all;
   const { node, edge: edgeNode } = fleet.find("vise-1")!;
   const shard = edgeNode!.streams.shardOf(node.plan.route(topic)!.stream);
-  const { holder, set } = node.shards.find(shard);
-  const edge = fleet.withRole("vise").find((name) => fleet.zoneOf(name) !== fleet.zoneOf(holder))!;
-  const near = fleet.withRole("vise").find((name) => fleet.zoneOf(name) === fleet.zoneOf(holder))!;
+  const { leader: leaderName, set } = node.shards.find(shard);
+  const edge = fleet.withRole("vise").find((name) => fleet.zoneOf(name) !== fleet.zoneOf(leaderName))!;
+  const near = fleet.withRole("vise").find((name) => fleet.zoneOf(name) === fleet.zoneOf(leaderName))!;
   const replica = set!.members.find((member) => member.zone === fleet.zoneOf(edge))!.name;
   const reader = new Hand(fleet, edge, "desk", { subscriptions: [{ topic }] });
   const pen = new Hand(fleet, near, "pen", { subscriptions: [] });
@@ -72,7 +72,7 @@
     }
     return Math.round(Math.max(...acceptedAt.map((at, i) => (seenAt[i] ?? Infinity) - at)));
   };
-  return { ...all, shard, holder, replica, edge, reader, play };
+  return { ...all, shard, leaderName, replica, edge, reader, play };
 }
 
 /** Counts frames that push to an edge, by who sent them. */
@@ -103,13 +103,13 @@
 
 test("an edge is fed by its region's replica: the holder pushes it nothing, and counts its subscribers", async () => {
   const all = await scene(901);
-  const { fleet, shard, holder, replica, edge } = all;
+  const { fleet, shard, leaderName, replica, edge } = all;
   const counts = countPushes(fleet, edge);
   expect((await all.play(4000)) <= 50).toEqual(true);
   expectWhole(all);
   expect([...counts.keys()]).toEqual([replica]);
   expect(fleet.find(replica)!.storage!.reads[shard]!.count).toEqual(1);
-  const { service } = fleet.find(holder)!.storage!.claims!.find(shard)!;
+  const { service } = fleet.find(leaderName)!.storage!.claims!.find(shard)!;
   const reply = service.count({ $typeName: "cranetrack.v1.CountRequest", shard, topics: [topic] });
   expect(reply.case === "countReply" && reply.value.counts?.map(({ count }) => count)).toEqual([1]);
 });
@@ -165,21 +165,21 @@
     what: "the holder is killed and another takes over",
     seed: 907,
     mostMs: 1000,
-    begin: ({ fleet, holder }) => fleet.kill(holder),
-    end: ({ fleet, holder }) => void fleet.start(holder),
+    begin: ({ fleet, leaderName }) => fleet.kill(leaderName),
+    end: ({ fleet, leaderName }) => void fleet.start(leaderName),
   },
   {
     what: "the holder is frozen past its lease and another takes over",
     seed: 908,
     mostMs: 1000,
-    begin: ({ fleet, holder }) => fleet.pause(holder, 6000),
+    begin: ({ fleet, leaderName }) => fleet.pause(leaderName, 6000),
   },
 ];
 
 for (const { what, seed, mostMs, begin, end } of troubles) {
   test(`${what}: nothing is lost, doubled or out of order, and deliveries go on within ${mostMs} ms`, async () => {
     const all = await scene(seed);
-    const { fleet, holder } = all;
+    const { fleet, leaderName } = all;
     await all.play(1500);
     begin(all);
     await all.play(5000);
@@ -188,7 +188,7 @@
     expectWhole(all);
     expect(worst <= mostMs).toEqual(true);
     // In the end whoever feeds the edge is in its region again, be it a replica or the new holder.
-    const isNear = (): boolean => fleet.zoneOf(serverOf(all) || holder) === fleet.zoneOf(all.edge);
+    const isNear = (): boolean => fleet.zoneOf(serverOf(all) || leaderName) === fleet.zoneOf(all.edge);
     expect(await fleet.until(isNear, 40_000)).toEqual(true);
     await fleet.run(1000);
     const counts = countPushes(fleet, all.edge);
--- a/packages/testkit/src/sim/founding.test.ts
+++ b/packages/testkit/src/sim/founding.test.ts
@@ -14,8 +14,8 @@
 ];
 const isFounded = (fleet: SimFleet, name: string): boolean => fleet.find(name)?.control?.raft !== undefined;
 const voters = (fleet: SimFleet): string[] => {
-  const { proposer } = fleet;
-  const members = proposer === undefined ? undefined : fleet.find(proposer)!.control!.raft!.members;
+  const { leader } = fleet;
+  const members = leader === undefined ? undefined : fleet.find(leader)!.control!.raft!.members;
   return (members?.voters ?? []).map((one) => one.name).sort();
 };
 
@@ -64,7 +64,7 @@
   other.start("lathe-2");
   const { id } = other.find("lathe-2")!.control!.founding;
   const isIn = (): boolean =>
-    other.find(other.proposer ?? "")?.control!.raft!.members.voters.some((one) => one.id === id) === true;
+    other.find(other.leader ?? "")?.control!.raft!.members.voters.some((one) => one.id === id) === true;
   expect(await other.until(isIn, 10_000)).toEqual(true);
   for (const name of other.names) other.wipe(name);
   for (const name of other.names) other.configure(name, { mayFound: false });
@@ -150,7 +150,7 @@
   fleet.wipe("lathe-1");
   expect(await fleet.until(() => votes(fleet, "lathe-3", "lathe-4", "lathe-5"), 10_000)).toEqual(true);
   expect(await written(fleet, "third")).toEqual("done");
-  const { metadata } = fleet.find(fleet.proposer!)!.control!.raft!;
+  const { metadata } = fleet.find(fleet.leader!)!.control!.raft!;
   expect(["first", "second", "third"].map((key) => metadata.get(key) !== undefined)).toEqual([true, true, true]);
 
   // Both come back, one with its disk and one without: enough vote, so they stand by, and one is taken in again.
@@ -169,7 +169,7 @@
 for (const step of ["learner", "joint"] as const)
   test(`a voter that is back while it is replaced (${step}) leaves as many voters as there should be`, async () => {
     const fleet = await withStandbys(79);
-    const members = () => fleet.find(fleet.proposer ?? "")?.control!.raft!.members;
+    const members = () => fleet.find(fleet.leader ?? "")?.control!.raft!.members;
     const isAt = (): boolean => {
       const { learners = [], oldVoters = [] } = members() ?? {};
       return (step === "learner" ? learners : oldVoters).length > 0;
@@ -199,12 +199,12 @@
   new Hand(fleet, "vise-1", "s1", { subscriptions: [{ topic: "notes/t1" }] });
   await fleet.run(1000);
   expect((await publish("s1", 1))["status"]).toEqual(200);
-  const holders = fleet
+  const leaders = fleet
     .find("vise-1")!
     .node.shards.all()
-    .map(([, route]) => route.holder);
-  expect(holders.every((holder) => holder.startsWith("lathe-"))).toEqual(true);
-  const lost = fleet.holder!;
+    .map(([, route]) => route.leader);
+  expect(leaders.every((leaderName) => leaderName.startsWith("lathe-"))).toEqual(true);
+  const lost = fleet.leaderName!;
   fleet.kill(lost);
   await fleet.run(4000);
   expect((await publish("s1", 2))["status"]).toEqual(200);
--- a/packages/testkit/src/sim/freshness.test.ts
+++ b/packages/testkit/src/sim/freshness.test.ts
@@ -17,15 +17,15 @@
 test("a member that hears its leader but gets none of the entries hands out nothing, to nobody", async () => {
   const all = await served(501);
   const { fleet } = all;
-  const behind = fleet.withRole("lathe").find((name) => name !== fleet.proposer)!;
-  const before = await accepted(all, fleet.proposer!);
+  const behind = fleet.withRole("lathe").find((name) => name !== fleet.leader)!;
+  const before = await accepted(all, fleet.leader!);
   await fleet.run(1000);
   // As a wire does that carries small frames only.
   fleet.wires.mutate = (_from, to, bytes) => {
     const body = to === fleet.addressOf(behind) ? Wire.decode(bytes)?.body : undefined;
     return body?.case === "append" && body.value.entries.length > 0 ? [] : undefined;
   };
-  const mark = await accepted(all, fleet.proposer!);
+  const mark = await accepted(all, fleet.leader!);
   expect([before > 0, mark > before, inForceAt(fleet, behind)]).toEqual([true, true, before]);
   await fleet.run(boundMs);
   expect(actingOnOld(fleet, mark)).toEqual([]);
@@ -47,7 +47,7 @@
 test("a node that starts is told nothing older than what was acknowledged before, by a member that lags", async () => {
   const all = await served(504);
   const { fleet } = all;
-  const late = fleet.withRole("lathe").find((name) => name !== fleet.proposer)!;
+  const late = fleet.withRole("lathe").find((name) => name !== fleet.leader)!;
   fleet.wires.mutate = (_from, to, bytes) =>
     to === fleet.addressOf(late) && Wire.decode(bytes)?.body.case === "append" ? [{ bytes, delay: 300 }] : undefined;
   const edge = fleet.withRole("vise").find((name) => fleet.zoneOf(name) === fleet.zoneOf(late))!;
@@ -55,7 +55,7 @@
     await fleet.run(2000);
     fleet.kill(edge);
     await fleet.run(500);
-    const mark = await accepted(all, fleet.proposer!);
+    const mark = await accepted(all, fleet.leader!);
     const { feed, plan } = fleet.start(edge).node;
     while (feed.revision === 0) await fleet.run(5);
     expect([round, plan.mark]).toEqual([round, mark]);
@@ -70,7 +70,7 @@
   fleet.pause(frozen!, 20_000);
   const wakesAt = fleet.world.now + 20_000;
   await fleet.run(2000);
-  const mark = await accepted(all, fleet.proposer!);
+  const mark = await accepted(all, fleet.leader!);
   await fleet.run(wakesAt - fleet.world.now);
   const { feed, plan } = fleet.find(frozen!)!.node;
   expect(plan.mark < mark).toEqual(true);
@@ -86,12 +86,12 @@
 test("a member and a node that stood still together hand on nothing old when they wake", async () => {
   const all = await served(503);
   const { fleet } = all;
-  const together = [fleet.withRole("lathe").find((name) => name !== fleet.proposer)!, ...fleet.withRole("vise")];
+  const together = [fleet.withRole("lathe").find((name) => name !== fleet.leader)!, ...fleet.withRole("vise")];
   await fleet.run(1000);
   for (const name of together) fleet.pause(name, 20_000);
   const wakesAt = fleet.world.now + 20_000;
   await fleet.run(3000);
-  const mark = await accepted(all, fleet.proposer!);
+  const mark = await accepted(all, fleet.leader!);
   expect(mark > 0).toEqual(true);
   await fleet.run(wakesAt - fleet.world.now);
   const old = new Set<string>();
@@ -104,7 +104,7 @@
 
 test("a refused feed is asked for elsewhere at once, also where the refusal is lost", async () => {
   const { fleet } = await served(505);
-  const [alone] = fleet.withRole("lathe").filter((name) => name !== fleet.proposer);
+  const [alone] = fleet.withRole("lathe").filter((name) => name !== fleet.leader);
   const edge = fleet.withRole("vise").find((name) => fleet.zoneOf(name) === fleet.zoneOf(alone!))!;
   fleet.kill(edge);
   // It hears none but the edge, whom its refusals do not reach; nobody carries frames round.
@@ -130,11 +130,11 @@
   const { node } = fleet.find("vise-1")!;
   const { stream, spaceIncarnation } = node.plan.route("notes/t1")!;
   const shard = Rendezvous.shardOf(stream, node.parts.settings.shards);
-  const { holder } = node.shards.find(shard);
+  const { leader: leaderName } = node.shards.find(shard);
   const publish = async (number: number): Promise<string | undefined> => {
     const value = { shard, topic: "notes/t1", session: "direct", number, payload: Buffer.from("x"), spaceIncarnation };
     let outcome: string | undefined;
-    void node.rpc.call(holder, { case: "publish", value }, 800).then((body) => {
+    void node.rpc.call(leaderName, { case: "publish", value }, 800).then((body) => {
       outcome = body?.case === "publishReply" ? body.value.outcome : "nothing";
     });
     await fleet.until(() => outcome !== undefined, 2000);
@@ -143,10 +143,10 @@
   expect(await publish(1)).toEqual("accepted");
   // Its leases are renewed and its replicas answer; only news do not reach it.
   fleet.wires.mutate = (_from, to, bytes) =>
-    to === fleet.addressOf(holder) && Wire.decode(bytes)?.body.case === "feedPush" ? [] : undefined;
+    to === fleet.addressOf(leaderName) && Wire.decode(bytes)?.body.case === "feedPush" ? [] : undefined;
   const plan = SimPlans.write(load.nextMark, SimPlans.usual(), ["notices", "extra"]);
-  expect((await ask(fleet.proposer!, "PUT", "/v1/plan", JSON.stringify(plan)))["status"]).toEqual(200);
+  expect((await ask(fleet.leader!, "PUT", "/v1/plan", JSON.stringify(plan)))["status"]).toEqual(200);
   await fleet.run(FeedFollower.staleMs + 100);
-  expect(fleet.find(holder)!.node.plan.route("notes/t1") === undefined).toEqual(false);
+  expect(fleet.find(leaderName)!.node.plan.route("notes/t1") === undefined).toEqual(false);
   expect(await publish(2)).toEqual("away");
 });
--- a/packages/testkit/src/sim/hand.ts
+++ b/packages/testkit/src/sim/hand.ts
@@ -49,7 +49,7 @@
   const load = new SimLoad(fleet);
   expect(await load.begin(0)).toEqual(true);
   const { shards } = fleet.find("vise-1")!.node;
-  const isHeld = (): boolean => shards.all().length === 4 && shards.all().every(([, route]) => route.holder !== "");
+  const isHeld = (): boolean => shards.all().length === 4 && shards.all().every(([, route]) => route.leader !== "");
   expect(await fleet.until(isHeld, 10_000)).toEqual(true);
   await fleet.run(1000);
   const ask: Served["ask"] = async (node, method, path, body) => {
--- a/packages/testkit/src/sim/hostile.test.ts
+++ b/packages/testkit/src/sim/hostile.test.ts
@@ -61,7 +61,7 @@
   "snapshot",
   "vote",
   "storeCall",
-  "pledge",
+  "prepare",
   "founded",
   "forward",
   "publish",
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -87,11 +87,11 @@
     return [await settled(fleet, answer), took <= 200];
   };
   expect(await publish(1)).toEqual(["accepted", true]);
-  const holders = fleet.names.filter((name) => !name.startsWith("vise"));
-  fleet.isolate("vise-1", holders, "in");
+  const leaders = fleet.names.filter((name) => !name.startsWith("vise"));
+  fleet.isolate("vise-1", leaders, "in");
   expect(await publish(2)).toEqual(["unsure", true]);
   // A publish given up at its own deadline says nothing of the holder.
-  expect(holders.filter((name) => fleet.find("vise-1")!.node.rpc.isUnresponsive(name))).toEqual([]);
+  expect(leaders.filter((name) => fleet.find("vise-1")!.node.rpc.isUnresponsive(name))).toEqual([]);
   fleet.wires.heal();
   expect(await publish(2)).toEqual(["accepted", true]);
   for (const name of fleet.withRole("anvil")) fleet.kill(name);
--- a/packages/testkit/src/sim/memberChanges.test.ts
+++ b/packages/testkit/src/sim/memberChanges.test.ts
@@ -19,10 +19,10 @@
 }
 
 const members = (fleet: SimFleet) =>
-  fleet.proposer === undefined ? undefined : fleet.find(fleet.proposer)!.control!.raft!.members;
+  fleet.leader === undefined ? undefined : fleet.find(fleet.leader)!.control!.raft!.members;
 const voters = (fleet: SimFleet): string[] => (members(fleet)?.voters ?? []).map((one) => one.name).sort();
 const isVoting = (fleet: SimFleet, ...names: string[]): boolean =>
-  voters(fleet).join() === [...names].sort().join() && fleet.find(fleet.proposer!)!.control!.raft!.hasSettledMembers;
+  voters(fleet).join() === [...names].sort().join() && fleet.find(fleet.leader!)!.control!.raft!.hasSettledMembers;
 
 async function founded(
   seed: number,
@@ -98,7 +98,7 @@
     for (const name of ["lathe-1", "lathe-2", "lathe-4"]) fleet.kill(name);
     await fleet.run(300);
     for (const name of ["lathe-1", "lathe-2", "lathe-4"]) fleet.revive(name);
-    expect(await fleet.until(() => fleet.proposer !== undefined, 4000)).toEqual(true);
+    expect(await fleet.until(() => fleet.leader !== undefined, 4000)).toEqual(true);
     expect(await readsAll(fleet, writer)).toEqual(true);
   });
 
@@ -135,8 +135,8 @@
       const fleet = await founded(112, 5, ["lathe-4", "lathe-5"]);
       const writer = new Writer(fleet, 30);
       await fleet.run(500);
-      const [out, other] = ["lathe-1", "lathe-2", "lathe-3"].filter((name) => name !== fleet.proposer);
-      const leader = fleet.proposer!;
+      const [out, other] = ["lathe-1", "lathe-2", "lathe-3"].filter((name) => name !== fleet.leader);
+      const leader = fleet.leader!;
       fleet.retire(out!);
       fleet.start("lathe-4");
       const isAt = (): boolean => {
@@ -165,7 +165,7 @@
       const fleet = await founded(seed, 3);
       const writers = [new Writer(fleet, 20), new Writer(fleet, 20)];
       await fleet.run(500);
-      const lost = fleet.withRole("lathe").find((name) => name !== fleet.proposer)!;
+      const lost = fleet.withRole("lathe").find((name) => name !== fleet.leader)!;
       const before = members(fleet)!.voters.find((one) => one.name === lost)!.id;
       fleet.wipe(lost);
       await fleet.run(1500);
@@ -234,7 +234,7 @@
   const all = [1, 2, 3, 4, 5].map((i) => `lathe-${i}`);
   expect(await fleet.until(() => isVoting(fleet, ...all), 6000)).toEqual(true);
   await fleet.run(2000);
-  const old = fleet.proposer!;
+  const old = fleet.leader!;
   const raft = fleet.find(old)!.control!.raft!;
   const before = raft.commit;
   const self = raft.members.voters.find((one) => one.id === raft.id)!;
@@ -246,7 +246,7 @@
     const wasLeader = raft.isLeader && ms > 1000;
     expect({ ms, wasLeader, commit: raft.commit }).toEqual({ ms, wasLeader: false, commit: before });
   }
-  expect(fleet.proposer !== undefined && fleet.proposer !== old).toEqual(true);
+  expect(fleet.leader !== undefined && fleet.leader !== old).toEqual(true);
   fleet.wires.heal();
   expect(await fleet.until(() => raft.isInTouch && raft.members.voters.length === 5, 4000)).toEqual(true);
   expect(isVoting(fleet, ...all)).toEqual(true);
@@ -258,8 +258,8 @@
     const writer = new Writer(fleet);
     fleet.start("lathe-4");
     await fleet.run(syncMs);
-    const [first, second] = ["lathe-1", "lathe-2", "lathe-3"].filter((name) => name !== fleet.proposer);
-    const [leaving, lost] = who === "leader" ? [fleet.proposer!, first!] : [first!, second!];
+    const [first, second] = ["lathe-1", "lathe-2", "lathe-3"].filter((name) => name !== fleet.leader);
+    const [leaving, lost] = who === "leader" ? [fleet.leader!, first!] : [first!, second!];
     fleet.cycle(leaving);
     expect(await fleet.until(() => fleet.find(leaving) === undefined, 4500)).toEqual(true);
     fleet.retire(leaving);
@@ -268,7 +268,7 @@
     for (const name of rest) fleet.kill(name);
     await fleet.run(300);
     for (const name of rest) fleet.revive(name);
-    expect(await fleet.until(() => fleet.proposer !== undefined, 4000)).toEqual(true);
+    expect(await fleet.until(() => fleet.leader !== undefined, 4000)).toEqual(true);
     expect(await readsAll(fleet, writer)).toEqual(true);
   });
 
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { MemoryStreams } from "@cranetrack/log-storage/shards/memoryStreams.js";
 import type { ShardService } from "@cranetrack/log-storage/shards/shardService.js";
-import type { Holder } from "@cranetrack/log-storage/shards/shardLeader.js";
+import type { ShardLeader } from "@cranetrack/log-storage/shards/shardLeader.js";
 import type { PublishReply } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Wire, type Body } from "@cranetrack/core/rpc/wire.js";
 import { countTopic, type Count } from "@cranetrack/edge/fanout/countTopic.js";
@@ -27,15 +27,15 @@
   return hand;
 }
 
-function holderOf(
+function shardLeaderOf(
   { fleet }: Served,
   topic: string,
-): { name: string; shard: number; holder: Holder; service: ShardService } {
+): { name: string; shard: number; leader: ShardLeader; service: ShardService } {
   const { node, edge } = fleet.find("vise-2")!;
   const shard = edge!.streams.shardOf(node.plan.route(topic)!.stream);
-  const name = node.shards.find(shard).holder;
-  const { holder, service } = fleet.find(name)!.storage!.claims!.find(shard)!;
-  return { name, shard, holder, service };
+  const name = node.shards.find(shard).leader;
+  const { leader, service } = fleet.find(name)!.storage!.claims!.find(shard)!;
+  return { name, shard, leader, service };
 }
 
 async function counted({ fleet }: Served, topic: string, node = "vise-2"): Promise<Count> {
@@ -67,7 +67,7 @@
   for (const reader of readers) expect(reader.got("notes/t1")).toEqual([1, 2, 3, 4, 5]);
   expect(readers[1]!.got("extra/t0")).toEqual([1]);
   expect(logged(all)).toEqual(before);
-  const { shard } = holderOf(all, "notes/t1");
+  const { shard } = shardLeaderOf(all, "notes/t1");
   for (const name of fleet.withRole("anvil"))
     expect(fleet.find(name)!.storage!.replicas[shard]!.state.streams.has("notes/t1")).toEqual(false);
 });
@@ -96,11 +96,11 @@
   for (let number = 1; number <= 3; number += 1)
     expect((await publish("pen", number, "vise-2"))["receipt"]).toEqual("accepted");
   expect(await fleet.until(() => reader.got().length === 3, 2000)).toEqual(true);
-  const { name } = holderOf(all, "notes/t1");
+  const { name } = shardLeaderOf(all, "notes/t1");
   fleet.kill(name);
   expect(
     await fleet.until(
-      () => ![name, ""].includes(fleet.find("vise-2")!.node.shards.find(holderShard(all)).holder),
+      () => ![name, ""].includes(fleet.find("vise-2")!.node.shards.find(leaderShard(all)).leader),
       9000,
     ),
   ).toEqual(true);
@@ -119,7 +119,7 @@
   expect([reader.of("expired"), reader.of("ended"), reader.isClosed]).toEqual([[], [], false]);
 });
 
-function holderShard({ fleet }: Served): number {
+function leaderShard({ fleet }: Served): number {
   const { node, edge } = fleet.find("vise-2")!;
   return edge!.streams.shardOf(node.plan.route("notes/t1")!.stream);
 }
@@ -152,7 +152,7 @@
   const all = await keepingNothing(805);
   const { fleet } = all;
   for (const topic of ["notes/new", "notices/new"]) {
-    const { name, shard } = holderOf(all, topic);
+    const { name, shard } = shardLeaderOf(all, topic);
     const { rpc, plan } = fleet.find("vise-1")!.node;
     const publish = {
       shard,
@@ -176,7 +176,7 @@
   const all = await served(806);
   const { fleet } = all;
   const topic = "notes/fresh";
-  const { holder, service, shard, name } = holderOf(all, topic);
+  const { leader, service, shard, name } = shardLeaderOf(all, topic);
   const { spaceIncarnation } = fleet.find(name)!.node.plan.route(topic)!;
   const place = { shard, session: "pen", ownerEpoch: 9, topic, spaceIncarnation };
   const base = { ...place, payload: new Uint8Array(1), mayBeRepeat: false };
@@ -187,7 +187,7 @@
   };
   say(1);
   say(2);
-  holder.once("applied", () => say(3));
+  leader.once("applied", () => say(3));
   expect(await fleet.until(() => outcomes.size === 3, 3000)).toEqual(true);
   expect([...outcomes]).toEqual([
     [1, "accepted"],
@@ -202,7 +202,7 @@
   const topic = "notes/t1";
   const reader = await linked(all, "vise-1", "desk", [{ topic }]);
   await linked(all, "vise-2", "pen", []);
-  const { name, shard } = holderOf(all, topic);
+  const { name, shard } = shardLeaderOf(all, topic);
   const pen = fleet.addressOf("vise-2");
   // Number 1 is taken and pushed, and its receipt is lost.
   fleet.wires.mutate = (_from, to, bytes) =>
@@ -218,11 +218,11 @@
     from === pen && Wire.decode(bytes)?.body.case === "publish" ? [{ bytes, delay: 100 }] : undefined;
   void fleet.find(name)!.storage!.claims!.release(shard, "the test says so");
   const next = (): ShardService | undefined => {
-    const { holder } = fleet.find("vise-2")!.node.shards.find(shard);
-    const claim = fleet.find(holder)?.storage?.claims?.find(shard);
+    const { leader: leaderName } = fleet.find("vise-2")!.node.shards.find(shard);
+    const claim = fleet.find(leaderName)?.storage?.claims?.find(shard);
     return claim?.service.isOpen === true ? claim.service : undefined;
   };
-  const epoch = fleet.find(name)!.storage!.claims!.find(shard)?.holder.epoch;
+  const epoch = fleet.find(name)!.storage!.claims!.find(shard)?.leader.epoch;
   expect(epoch).toEqual(undefined);
   for (let ms = 0; ms < 3000 && next() === undefined; ms += 1) await fleet.run(1);
   const { spaceIncarnation } = fleet.find("vise-2")!.node.plan.route(topic)!;
@@ -256,9 +256,9 @@
   // At an edge that follows the topic only from now on: what it missed is fetched.
   const again = await linked(all, "vise-3", "desk", [{ topic, after }]);
   expect(await fleet.until(() => again.got().length === 1, 1000)).toEqual(true);
-  const { name, shard } = holderOf(all, topic);
+  const { name, shard } = shardLeaderOf(all, topic);
   fleet.kill(name);
-  const next = (): string => fleet.find("vise-2")!.node.shards.find(shard).holder;
+  const next = (): string => fleet.find("vise-2")!.node.shards.find(shard).leader;
   expect(await fleet.until(() => ![name, ""].includes(next()), 9000)).toEqual(true);
   // Its publisher had no receipt for it.
   for (const number of [2, 3]) {
@@ -280,7 +280,7 @@
   const readers = [await linked(all, "vise-1", "desk", [{ topic }]), await linked(all, "vise-3", "shelf", [{ topic }])];
   const pens = ["pen-a", "pen-b"];
   for (const pen of pens) await linked(all, "vise-2", pen, []);
-  const { name, shard } = holderOf(all, topic);
+  const { name, shard } = shardLeaderOf(all, topic);
   const [far, near] = [fleet.addressOf("vise-3"), fleet.addressOf("vise-2")];
   // One edge is given both messages; the other one's pushes are lost, and so are the receipts.
   fleet.wires.mutate = (_from, to, bytes) => {
@@ -296,7 +296,7 @@
   fleet.kill(name);
   await fleet.run(100);
   fleet.wires.mutate = undefined;
-  const next = (): string => fleet.find("vise-2")!.node.shards.find(shard).holder;
+  const next = (): string => fleet.find("vise-2")!.node.shards.find(shard).leader;
   expect(await fleet.until(() => ![name, ""].includes(next()), 9000)).toEqual(true);
   await fleet.run(500);
   // Both come again, the second one's first.
@@ -342,7 +342,7 @@
   await becomes(2);
   await becomes(3, "extra/t0");
   await becomes(0, "extra/t1");
-  const { name } = holderOf(all, "notes/t1");
+  const { name } = shardLeaderOf(all, "notes/t1");
   fleet.kill(name);
   await fleet.run(300);
   const seen = new Set<number>();
--- a/packages/testkit/src/sim/oldState.test.ts
+++ b/packages/testkit/src/sim/oldState.test.ts
@@ -38,7 +38,7 @@
 test("a restarted member with old state never leads, and serves nothing older than the others did", async () => {
   for (const seed of [701, 702, 703]) {
     const { fleet, load, controlNodes } = await founded(seed);
-    const old = controlNodes.find((name) => name !== fleet.proposer)!;
+    const old = controlNodes.find((name) => name !== fleet.leader)!;
     fleet.kill(old);
     const mark = await change(fleet, load, 5);
     const [current, other] = controlNodes.filter((name) => name !== old) as [string, string];
@@ -48,8 +48,8 @@
     fleet.start(old);
     await fleet.run(1500);
     fleet.start(current);
-    expect(await fleet.until(() => fleet.proposer !== undefined, 15_000)).toEqual(true);
-    expect(fleet.proposer).toEqual(current);
+    expect(await fleet.until(() => fleet.leader !== undefined, 15_000)).toEqual(true);
+    expect(fleet.leader).toEqual(current);
     expect(await fleet.until(() => fleet.find(old)!.control!.raft!.isInTouch, 5000)).toEqual(true);
     expect(await markAt(fleet, old)).toEqual(mark);
   }
@@ -57,7 +57,7 @@
 
 test("a blank disk has no vote of the member it was, so old state on one disk is no majority with it", async () => {
   const { fleet, load, controlNodes } = await founded(711);
-  const old = controlNodes.find((name) => name !== fleet.proposer)!;
+  const old = controlNodes.find((name) => name !== fleet.leader)!;
   fleet.kill(old);
   await change(fleet, load, 5);
   const [blank, other] = controlNodes.filter((name) => name !== old) as [string, string];
@@ -75,8 +75,8 @@
   const { fleet, load, controlNodes } = await founded(721);
   const mark = await change(fleet, load, 2);
   fleet.wires.mutate = (_from, _to, bytes) => (Wire.decode(bytes)?.body.case === "appendReply" ? [] : undefined);
-  const alive = controlNodes.filter((name) => name !== fleet.proposer);
-  fleet.kill(fleet.proposer!);
+  const alive = controlNodes.filter((name) => name !== fleet.leader);
+  fleet.kill(fleet.leader!);
   let wasElected = false;
   for (let i = 0; i < 80; i += 1) {
     await fleet.run(50);
@@ -87,6 +87,6 @@
   expect(wasElected).toEqual(true);
   expect([503, 504, 0]).toInclude((await markAt(fleet, alive[0]!)) as number);
   fleet.wires.heal();
-  expect(await fleet.until(() => fleet.proposer !== undefined, 10_000)).toEqual(true);
+  expect(await fleet.until(() => fleet.leader !== undefined, 10_000)).toEqual(true);
   expect(await markAt(fleet, alive[0]!)).toEqual(mark);
 });
--- a/packages/testkit/src/sim/orderActs.ts
+++ b/packages/testkit/src/sim/orderActs.ts
@@ -34,14 +34,14 @@
 
   /** The same, with the leader as well. */
   readonly ackKillTwo: Act = () =>
-    this.#afterAck((name) => this.#fall([name, this.fleet.proposer ?? name], (one) => this.fleet.kill(one)));
+    this.#afterAck((name) => this.#fall([name, this.fleet.leader ?? name], (one) => this.fleet.kill(one)));
 
   /** Its process ends, and the disk keeps what was written. */
   readonly ackCrash: Act = () => this.#afterAck((name) => this.#fall([name], (one) => this.fleet.crash(one)));
 
   /** 5 to 400 ms after a change was sent, acknowledged or not. */
   readonly sentKill: Act = () => {
-    const names = [this.random.pick(this.counted), this.fleet.proposer];
+    const names = [this.random.pick(this.counted), this.fleet.leader];
     this.#change();
     const ms = this.random.between(...OrderActs.sentMs);
     this.later(ms, () =>
--- a/packages/testkit/src/sim/orderHistories.test.ts
+++ b/packages/testkit/src/sim/orderHistories.test.ts
@@ -45,7 +45,7 @@
   const history = new OrderHistory();
   const operators = [0, 1].map(() => new SimOperator(fleet, history, lossOfAnswers));
   fleet.startAll();
-  expect(await fleet.until(() => fleet.proposer !== undefined, 15_000)).toEqual(true);
+  expect(await fleet.until(() => fleet.leader !== undefined, 15_000)).toEqual(true);
   const start = fleet.world.now;
   Troubles.cause(fleet, troubles);
   for (const { at: after, operator, input: order } of asked)
--- a/packages/testkit/src/sim/orders.test.ts
+++ b/packages/testkit/src/sim/orders.test.ts
@@ -102,7 +102,7 @@
   const { fleet } = orders;
   expect(await orders.put("lathe-1", 10, "a")).toEqual(200);
   expect(await orders.put("lathe-1", 12, "a")).toEqual(200);
-  const cut = fleet.proposer!;
+  const cut = fleet.leader!;
   const [other] = fleet.withRole("lathe").filter((name) => name !== cut);
   fleet.isolate(cut, fleet.names, "both");
   const all: Array<[version: number, content: string]> = [
--- a/packages/testkit/src/sim/replicaSets.test.ts
+++ b/packages/testkit/src/sim/replicaSets.test.ts
@@ -36,7 +36,7 @@
   fleet
     .find("vise-1")!
     .node.shards.all()
-    .filter(([, route]) => route.holder === name).length;
+    .filter(([, route]) => route.leader === name).length;
 
 async function begin(fleet: SimFleet, later: readonly string[]): Promise<SimLoad> {
   const load = new SimLoad(fleet);
@@ -67,11 +67,11 @@
  * machines of the sets run.
  */
 function unkept(fleet: SimFleet): number[] {
-  const { proposer } = fleet;
-  if (proposer === undefined) return [];
+  const { leader } = fleet;
+  if (leader === undefined) return [];
   const lives = fleet.names.flatMap((name) => fleet.find(name)?.control?.storage ?? fleet.find(name)?.storage ?? []);
   return fleet
-    .find(proposer)!
+    .find(leader)!
     .node.shards.all()
     .filter(([shard, { set }]) => {
       const committed = Math.max(...lives.map((storage) => storage.replicas[shard]!.applied));
@@ -115,7 +115,7 @@
     const fleet = new SimFleet(seed, storing(4), 12);
     const load = await begin(fleet, ["lathe-4"]);
     for (const name of fleet.withRole("lathe")) fleet.configure(name, { mayFound: false });
-    const lost = fleet.proposer!;
+    const lost = fleet.leader!;
     fleet.retire(lost);
     await fleet.run(1000);
     fleet.start("lathe-4");
@@ -222,7 +222,7 @@
     const regions = members.map(({ zone }) => Number(zone.split("-")[1]) % 3);
     expect([0, 1, 2].every((region) => regions.filter((one) => one === region).length <= 2)).toEqual(true);
   }
-  const { members } = fleet.find(fleet.proposer!)!.control!.raft!;
+  const { members } = fleet.find(fleet.leader!)!.control!.raft!;
   expect([members.voters.length, members.learners.length]).toEqual([5, 0]);
   const lost = setsOf(fleet)[0]!
     .slice(0, 2)
--- a/packages/testkit/src/sim/sessions.test.ts
+++ b/packages/testkit/src/sim/sessions.test.ts
@@ -241,10 +241,10 @@
     const { fleet, publish } = await served(19);
     const hand = new Hand(fleet, "vise-1", "desk", wish);
     expect(await fleet.until(() => hand.of("confirmed").length === 1, 5000)).toEqual(true);
-    const { holder, epoch } = fleet
+    const { leader: leaderName, epoch } = fleet
       .find("vise-1")!
       .node.shards.find(fleet.find("vise-1")!.edge!.streams.shardOf("6:notes/t1"));
-    fleet.isolate("vise-1", [holder], ways);
+    fleet.isolate("vise-1", [leaderName], ways);
     for (let number = 1; number <= 5; number += 1) {
       let reply = await publish("desk", number);
       for (let tries = 0; reply["receipt"] !== "accepted" && tries < 4; tries += 1)
@@ -255,6 +255,6 @@
     expect(hand.of("message").map((line) => line["number"])).toEqual([1, 2, 3, 4, 5]);
     // Nobody lost a claim over it.
     const after = fleet.find("vise-2")!.node.shards.find(fleet.find("vise-1")!.edge!.streams.shardOf("6:notes/t1"));
-    expect([after.holder, after.epoch]).toEqual([holder, epoch]);
+    expect([after.leader, after.epoch]).toEqual([leaderName, epoch]);
   });
 }
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -37,7 +37,7 @@
   fleet
     .find("vise-1")!
     .node.shards.all()
-    .every(([, route]) => route.holder !== "");
+    .every(([, route]) => route.leader !== "");
 
 async function judged(fleet: SimFleet, load: SimLoad): Promise<string[]> {
   expect(await load.settle(12_000)).toEqual(true);
@@ -50,8 +50,8 @@
   return edge!.streams.shardOf(node.plan.route(topic)!.stream);
 };
 
-const holderOf = (fleet: SimFleet, topic: string): string =>
-  fleet.find("vise-1")!.node.shards.find(streamShard(fleet, topic)).holder;
+const shardLeaderOf = (fleet: SimFleet, topic: string): string =>
+  fleet.find("vise-1")!.node.shards.find(streamShard(fleet, topic)).leader;
 
 async function acceptPlan(fleet: SimFleet, load: SimLoad, spaces: readonly string[]): Promise<number> {
   const mark = load.nextMark;
@@ -176,13 +176,13 @@
   async () => {
     const { fleet, load } = await loaded(36, Scenario.machines());
     for (let round = 0; round < 3; round += 1) {
-      const holders = new Set(
+      const leaders = new Set(
         fleet
           .find("vise-1")!
           .node.shards.all()
-          .map(([, route]) => route.holder),
+          .map(([, route]) => route.leader),
       );
-      const frozen = [...holders][0]!;
+      const frozen = [...leaders][0]!;
       fleet.pause(frozen, 7000);
       expect(
         await fleet.until(
@@ -191,7 +191,7 @@
             fleet
               .find("vise-1")!
               .node.shards.all()
-              .every(([, route]) => route.holder !== frozen),
+              .every(([, route]) => route.leader !== frozen),
           6000,
         ),
       ).toEqual(true);
@@ -206,8 +206,8 @@
     "again it is a new birth",
   async () => {
     const { fleet, load } = await loaded(37, Scenario.machines());
-    const holder = holderOf(fleet, "notes/t1");
-    fleet.isolate(holder, fleet.withRole("lathe"), "both");
+    const leaderName = shardLeaderOf(fleet, "notes/t1");
+    fleet.isolate(leaderName, fleet.withRole("lathe"), "both");
     await removeNotes(fleet, load);
     fleet.wires.heal();
     await fleet.run(3000);
@@ -251,12 +251,12 @@
 
 test("a holder that keeps its lease but hears nothing of plans stops taking messages", async () => {
   const { fleet, load } = await loaded(39, Scenario.machines());
-  const holder = holderOf(fleet, "notes/t1");
+  const leaderName = shardLeaderOf(fleet, "notes/t1");
   fleet.wires.mutate = (_from, to, bytes) =>
-    to === fleet.addressOf(holder) && Wire.decode(bytes)?.body.case === "feedPush" ? [] : undefined;
+    to === fleet.addressOf(leaderName) && Wire.decode(bytes)?.body.case === "feedPush" ? [] : undefined;
   const mark = await removeNotes(fleet, load);
   fleet.wires.heal();
-  expect(await fleet.until(() => fleet.find(holder)!.node.plan.mark === mark, 6000)).toEqual(true);
+  expect(await fleet.until(() => fleet.find(leaderName)!.node.plan.mark === mark, 6000)).toEqual(true);
 });
 
 test("status says which contracts are at risk just now, and why; and no more once the loss is mended", async () => {
@@ -290,13 +290,15 @@
 
 test("a holder that comes back with a blank disk gives up at once what its earlier self held", async () => {
   const { fleet } = await served(57);
-  const { holder } = fleet;
-  const routes = (): Array<[number, { holder: string; epoch: number }]> => fleet.find("vise-1")!.node.shards.all();
-  const held = routes().flatMap(([shard, route]) => (route.holder === holder ? [{ shard, epoch: route.epoch }] : []));
+  const { leaderName } = fleet;
+  const routes = (): Array<[number, { leader: string; epoch: number }]> => fleet.find("vise-1")!.node.shards.all();
+  const held = routes().flatMap(([shard, route]) =>
+    route.leader === leaderName ? [{ shard, epoch: route.epoch }] : [],
+  );
   expect(held.length > 0).toEqual(true);
-  fleet.wipe(holder!);
+  fleet.wipe(leaderName!);
   await fleet.run(50);
-  const { node } = fleet.start(holder!);
+  const { node } = fleet.start(leaderName!);
   const startedAt = fleet.world.now;
   const isFreed = (): boolean =>
     held.every(({ shard, epoch }) => node.shards.find(shard).epoch !== epoch && node.feed.revision > 0);
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -163,7 +163,7 @@
   }
 
   /** The lathe that proposes and knows that it does. */
-  get proposer(): string | undefined {
+  get leader(): string | undefined {
     return this.withRole("lathe").find((name) => {
       const life = this.find(name);
       return life?.control?.raft?.isLeader === true && life.body.pausedUntil <= this.world.now;
@@ -186,10 +186,10 @@
   }
 
   /** Whoever holds some shard, as the proposer sees it. */
-  get holder(): string | undefined {
-    const { proposer } = this;
-    const routes = proposer === undefined ? [] : this.find(proposer)!.node.shards.all();
-    return routes.map(([, route]) => route.holder).find((holder) => holder !== "");
+  get leaderName(): string | undefined {
+    const { leader } = this;
+    const routes = leader === undefined ? [] : this.find(leader)!.node.shards.all();
+    return routes.map(([, route]) => route.leader).find((leaderName) => leaderName !== "");
   }
 
   /** Whether one more disk may be lost: by the time since the last loss, or else once all before are mended. */
@@ -206,12 +206,12 @@
 
   /** Every disk that anything was promised on is there: no loss is still to be mended. */
   get isWhole(): boolean {
-    const { proposer } = this;
-    if (proposer === undefined) return false;
+    const { leader } = this;
+    if (leader === undefined) return false;
     const lives = this.names.map((name) => this.find(name)).filter((life) => life !== undefined);
     const shelves = new Set(lives.flatMap(({ control, storage }) => (control?.storage ?? storage)?.id ?? []));
     const controlNodes = new Set(lives.flatMap(({ control }) => control?.founding.id ?? []));
-    const { node, control } = this.find(proposer)!;
+    const { node, control } = this.find(leader)!;
     const sets = node.shards.all().map(([, route]) => route.set?.members ?? []);
     const voters = control!.raft!.members.voters.map((one) => one.id);
     return (
--- a/packages/testkit/src/sim/store.test.ts
+++ b/packages/testkit/src/sim/store.test.ts
@@ -10,7 +10,7 @@
 type Rollout = { taken: number; of: number; nodes: Array<{ name: string; hasTakenUp: boolean; why?: string }> };
 
 const controlNodes = (fleet: SimFleet): string[] => fleet.withRole("lathe");
-const proposer = (fleet: SimFleet): string | undefined =>
+const leader = (fleet: SimFleet): string | undefined =>
   controlNodes(fleet).find(
     (name) =>
       fleet.find(name)?.control?.raft?.isLeader === true && fleet.find(name)!.body.pausedUntil <= fleet.world.now,
@@ -39,7 +39,7 @@
     expect(controlNodes(fleet).some((name) => fleet.find(name)?.control?.raft !== undefined)).toEqual(false);
     expect(fleet.find("lathe-1")!.control!.founding.missing).toEqual(expect.includes("4 of 5 blank lathes"));
     fleet.start("lathe-4");
-    expect(await fleet.until(() => proposer(fleet) !== undefined, 8000)).toEqual(true);
+    expect(await fleet.until(() => leader(fleet) !== undefined, 8000)).toEqual(true);
     expect(new Set(controlNodes(fleet).map((name) => fleet.find(name)!.control!.founding.founding)).size).toEqual(1);
   },
 );
@@ -53,9 +53,7 @@
     for (const name of ["lathe-1", "lathe-2"]) fleet.start(name);
     const fresh = ["lathe-1", "lathe-2"].map((name) => fleet.find(name)!.control!.founding.id);
     const voters = (): string[] =>
-      proposer(fleet) === undefined
-        ? []
-        : fleet.find(proposer(fleet)!)!.control!.raft!.members.voters.map((one) => one.id);
+      leader(fleet) === undefined ? [] : fleet.find(leader(fleet)!)!.control!.raft!.members.voters.map((one) => one.id);
     expect(
       await fleet.until(() => voters().length === 5 && fresh.every((id) => voters().includes(id)), 20_000),
     ).toEqual(true);
@@ -72,14 +70,14 @@
   await fleet.run(15_000);
   expect(controlNodes(fleet).filter((name) => fleet.find(name)!.control!.raft !== undefined)).toEqual(["lathe-5"]);
   expect(fleet.find("lathe-1")!.control!.founding.missing).toEqual(expect.includes("lathe-5"));
-  expect(proposer(fleet)).toEqual(undefined);
+  expect(leader(fleet)).toEqual(undefined);
 });
 
 test(
   "a cut-off proposer gives up: the others elect, and what it was asked meanwhile is never " + "answered as done",
   async () => {
     const { fleet, load } = await founded(24);
-    const old = proposer(fleet)!;
+    const old = leader(fleet)!;
     const others = fleet.names.filter((name) => name !== old);
     fleet.isolate(old, others, "both");
     const asked = settled(fleet, fleet.port.call(old, "PUT", "/v1/plan", JSON.stringify(SimLoad.plan(50, ["notes"]))));
@@ -104,12 +102,12 @@
 
 test("a frozen proposer reads nothing stale when it wakes", async () => {
   const { fleet, load } = await founded(25);
-  const old = proposer(fleet)!;
+  const old = leader(fleet)!;
   fleet.pause(old, 6000);
-  await fleet.until(() => proposer(fleet) !== undefined && proposer(fleet) !== old, 5000);
+  await fleet.until(() => leader(fleet) !== undefined && leader(fleet) !== old, 5000);
   const mark = load.nextMark;
   const asked = settled(fleet, fleet.port.call(old, "GET", "/v1/plan", undefined));
-  const other = proposer(fleet)!;
+  const other = leader(fleet)!;
   let status = 0;
   void fleet.port
     .call(other, "PUT", "/v1/plan", JSON.stringify(SimLoad.plan(mark)))
@@ -201,7 +199,7 @@
     fleet.kill(name);
   }
   await fleet.run(4000);
-  expect(proposer(fleet) !== undefined).toEqual(true);
+  expect(leader(fleet) !== undefined).toEqual(true);
 });
 
 test("a first snapshot that takes longer than the looks at the feed still arrives", async () => {
@@ -215,7 +213,7 @@
 
 test("a proposer that was cut off a moment ago answers no read it cannot confirm", async () => {
   const { fleet } = await founded(30);
-  const old = proposer(fleet)!;
+  const old = leader(fleet)!;
   fleet.isolate(old, fleet.names, "both");
   await fleet.run(50);
   const { raft } = fleet.find(old)!.control!;
@@ -253,21 +251,21 @@
 ] as const) {
   test(`a proposer that ${what} gives way, and nobody loses a lease over it`, async () => {
     const { fleet } = await founded(61);
-    const old = fleet.proposer!;
+    const old = fleet.leader!;
     const before = leasesLost(fleet);
     const failedAt = fleet.world.now;
     fail(fleet, old);
-    expect(await fleet.until(() => fleet.proposer !== undefined && fleet.proposer !== old, 3000)).toEqual(true);
+    expect(await fleet.until(() => fleet.leader !== undefined && fleet.leader !== old, 3000)).toEqual(true);
     if (what === "hears nobody any more") expect(fleet.world.now - failedAt < 900).toEqual(true);
     await fleet.run(6000);
-    expect(fleet.proposer === old).toEqual(false);
+    expect(fleet.leader === old).toEqual(false);
     expect(leasesLost(fleet)).toEqual(before);
   });
 }
 
 test("the word of a proposer that gives up goes round where it is slow, and nothing older undoes it", async () => {
   const { fleet } = await founded(62);
-  const old = fleet.proposer!;
+  const old = fleet.leader!;
   const { voters } = fleet.find(old)!.control!.raft!.members;
   const first = voters.map(({ name }) => name).find((name) => name !== old);
   const delays: Record<string, number> = { append: 120, yield: 400 };
@@ -277,15 +275,15 @@
     return isSlow && delay !== undefined ? [{ bytes, delay }] : undefined;
   };
   await fleet.run(1000);
-  expect(fleet.proposer).toEqual(old);
+  expect(fleet.leader).toEqual(old);
   fleet.find(old)!.control!.raft!.resign();
-  expect(await fleet.until(() => fleet.proposer !== undefined, 300)).toEqual(true);
-  expect(fleet.proposer === old).toEqual(false);
+  expect(await fleet.until(() => fleet.leader !== undefined, 300)).toEqual(true);
+  expect(fleet.leader === old).toEqual(false);
 });
 
 test("a lathe that proposes itself carries on what it had passed on before; no other keeps it waiting", async () => {
   const { fleet } = await founded(63);
-  const old = fleet.proposer!;
+  const old = fleet.leader!;
   fleet.wires.mutate = (from, _to, bytes) =>
     from === fleet.addressOf(old) && Wire.decode(bytes)?.body.case === "storeBatchReply" ? [] : undefined;
   const others = controlNodes(fleet).filter((name) => name !== old);
@@ -297,9 +295,9 @@
       .then((body) => answered.set(name, body?.case === "storeReply" ? body.value.outcome : undefined));
   await fleet.run(50);
   fleet.find(old)!.control!.raft!.resign();
-  expect(await fleet.until(() => fleet.proposer !== undefined, 400)).toEqual(true);
+  expect(await fleet.until(() => fleet.leader !== undefined, 400)).toEqual(true);
   await fleet.run(100);
-  expect(answered.get(fleet.proposer!)).toEqual("lost");
+  expect(answered.get(fleet.leader!)).toEqual("lost");
   // Those that heard of the new proposer before its first entry was committed send their callers round again.
   expect(others.filter((name) => answered.get(name) === undefined)).toEqual([]);
 });
--- a/packages/testkit/src/sim/storeHistories.test.ts
+++ b/packages/testkit/src/sim/storeHistories.test.ts
@@ -131,7 +131,7 @@
 async function played({ seed, controlCount, steps, troubles }: Play): Promise<KeysHistory> {
   const fleet = new SimFleet(seed, Scenario.machines(controlCount, 0, 0));
   fleet.startAll();
-  expect(await fleet.until(() => fleet.proposer !== undefined, 15_000)).toEqual(true);
+  expect(await fleet.until(() => fleet.leader !== undefined, 15_000)).toEqual(true);
   const history = new KeysHistory(fleet);
   const start = fleet.world.now;
   Troubles.cause(fleet, troubles);
@@ -166,11 +166,11 @@
   for (let seed = 1; seed <= 5; seed += 1) {
     const fleet = new SimFleet(seed, Scenario.machines(3, 0, 0));
     fleet.startAll();
-    expect(await fleet.until(() => fleet.proposer !== undefined, 15_000)).toEqual(true);
+    expect(await fleet.until(() => fleet.leader !== undefined, 15_000)).toEqual(true);
     await fleet.run(1000);
     const history = new KeysHistory(fleet);
     const write: Step = { at: 0, client: 0, keys: ["test/x"], checked: 0, kind: "write" };
-    const leader = fleet.proposer!;
+    const leader = fleet.leader!;
     const others = fleet.withRole("lathe").filter((name) => name !== leader);
     void history.run(write);
     await fleet.run(500);
--- a/packages/testkit/src/sim/storeTroubles.ts
+++ b/packages/testkit/src/sim/storeTroubles.ts
@@ -63,7 +63,7 @@
 
   /** The control nodes, the leader of this moment at their head: where races and losses are to be met. */
   leaderFirst(fleet: SimFleet): string[] {
-    const leader = fleet.proposer;
+    const leader = fleet.leader;
     return fleet.withRole("lathe").toSorted((a, b) => Number(b === leader) - Number(a === leader));
   },
 
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -27,7 +27,7 @@
   for (let round = 0; round < 80; round += 1) {
     if (round % 20 === 0) fleet.wires.slow.clear();
     if (round % 20 === 0) fleet.wires.slow.set(fleet.addressOf(fleet.withRole("anvil")[(round / 20) % 3]!), 60);
-    if (round === 40) fleet.kill(fleet.holder!);
+    if (round === 40) fleet.kill(fleet.leaderName!);
     for (const [i, sender] of load.callers.slice(0, 2).entries())
       void sender.publish(`notices/t${(round + i) % 3}`, `round ${round} of ${sender.session}`);
     await fleet.run(40);
@@ -264,23 +264,23 @@
   const { fleet, publish } = all;
   await linked(all, "vise-1", "desk", []);
   const { node, edge } = fleet.find("vise-1")!;
-  const holder = node.shards.find(edge!.streams.shardOf(node.plan.route("extra/t0")!.stream)).holder;
+  const leaderName = node.shards.find(edge!.streams.shardOf(node.plan.route("extra/t0")!.stream)).leader;
   const deaf = [fleet.addressOf("vise-1")];
   fleet.wires.mutate = (_from, to, bytes) => (deaf.includes(to) && isKind(bytes, "feedPush") ? [] : undefined);
   expect((await all.plan(["notes", "notices"]))["status"]).toEqual(200);
-  expect(await fleet.until(() => fleet.find(holder)!.node.plan.mark === 2, 1000)).toEqual(true);
-  deaf.push(fleet.addressOf(holder));
+  expect(await fleet.until(() => fleet.find(leaderName)!.node.plan.mark === 2, 1000)).toEqual(true);
+  deaf.push(fleet.addressOf(leaderName));
   expect((await all.plan(["notes", "notices", "extra"]))["status"]).toEqual(200);
   const body = JSON.stringify({ topic: "extra/t0" });
   const asked = [publish("desk", 1, "vise-1", "extra/t0")];
   asked.push(all.ask("vise-1", "POST", "/v1/sessions/desk/subscriptions", body));
   for (const { status, comeBack } of await Promise.all(asked))
     expect([status, Number(comeBack) > 0]).toEqual([503, true]);
-  expect([node.plan.mark, fleet.find(holder)!.node.plan.mark]).toEqual([1, 2]);
+  expect([node.plan.mark, fleet.find(leaderName)!.node.plan.mark]).toEqual([1, 2]);
   fleet.wires.heal();
-  expect(await fleet.until(() => [node, fleet.find(holder)!.node].every(({ plan }) => plan.mark === 3), 4000)).toEqual(
-    true,
-  );
+  expect(
+    await fleet.until(() => [node, fleet.find(leaderName)!.node].every(({ plan }) => plan.mark === 3), 4000),
+  ).toEqual(true);
   expect((await publish("desk", 1, "vise-1", "extra/t0"))["receipt"]).toEqual("accepted");
 });
 
--- a/packages/testkit/src/slopes/nodeSlopes.ts
+++ b/packages/testkit/src/slopes/nodeSlopes.ts
@@ -1,6 +1,6 @@
 import { create, toBinary } from "@bufbuild/protobuf";
 import { KvSchema, MemberSchema, type Member } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { HolderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
+import { ShardLeaderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
 import { PlanReader } from "@cranetrack/core/configuration/configurationReader.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import { ShardsView } from "@cranetrack/core/feeds/shardsView.js";
@@ -17,10 +17,10 @@
     const node = (shard + i) % 3200;
     return { id: disk(node), name: `anvil-${node}`, zone: `zone-${i}` };
   });
-  const holder = { name: members[0]!.name, id: members[0]!.id, lease: `${members[0]!.name}/0123456789abcdef` };
+  const leader = { name: members[0]!.name, id: members[0]!.id, lease: `${members[0]!.name}/0123456789abcdef` };
   return [
     { key: ReplicasKey.of(shard), value: ReplicasKey.write({ members }), revision: shard + 1 },
-    { key: HolderKey.of(shard), value: HolderKey.write(holder), revision: shard + 2 },
+    { key: ShardLeaderKey.of(shard), value: ShardLeaderKey.write(leader), revision: shard + 2 },
   ];
 };
 const memberOf = (i: number): Member =>
