--- a/packages/core/src/transport/tcpTransport.ts
+++ b/packages/core/src/transport/tcpTransport.ts
@@ -59,14 +59,14 @@
   }
 
   send(address: string, bytes: Uint8Array, urgency: Urgency = "awaited"): void {
-    let link = this.#outward.get(address);
-    if (link === undefined) {
+    let connection = this.#outward.get(address);
+    if (connection === undefined) {
       const failed = this.#unreachable.get(address);
       if (failed !== undefined && performance.now() < failed.againAt)
         return void setImmediate(() => this.#lost(address));
-      link = this.#open(address);
+      connection = this.#open(address);
     }
-    link.send(bytes, urgency);
+    connection.send(bytes, urgency);
   }
 
   /** Bytes that wait for an address. */
@@ -76,7 +76,7 @@
 
   close(): void {
     this.#server.close();
-    for (const link of [...this.#outward.values(), ...this.#inward]) link.close();
+    for (const connection of [...this.#outward.values(), ...this.#inward]) connection.close();
   }
 
   static split(address: string): [string, number] {
@@ -87,38 +87,38 @@
   #open(address: string): TcpConnection {
     const [host, port] = TcpTransport.split(address);
     const socket = connect({ host, port, noDelay: true });
-    const link = new TcpConnection(socket, (frame) => this.#take(frame), true);
-    this.#outward.set(address, link);
-    const giveUp = setTimeout(() => link.close(), TcpTransport.connectDue);
+    const connection = new TcpConnection(socket, (frame) => this.#take(frame), true);
+    this.#outward.set(address, connection);
+    const giveUp = setTimeout(() => connection.close(), TcpTransport.connectDue);
     let isConnected = false;
     socket.once("connect", () => {
       clearTimeout(giveUp);
       isConnected = true;
       this.#unreachable.delete(address);
     });
-    link.onClose((isGarbled) => {
+    connection.onClose((isGarbled) => {
       clearTimeout(giveUp);
       if (isGarbled) this.#count(address);
-      if (this.#outward.get(address) !== link) return;
+      if (this.#outward.get(address) !== connection) return;
       this.#outward.delete(address);
       // A connection that was there and is reset says nothing of the next one.
-      if (isConnected && !link.isSilent) return this.#lost(address);
+      if (isConnected && !connection.isSilent) return this.#lost(address);
       const tries = (this.#unreachable.get(address)?.tries ?? 0) + 1;
       const pause = Math.min(TcpTransport.pauseMs * 2 ** (tries - 1), TcpTransport.mostPauseMs) * (0.5 + Math.random());
       this.#unreachable.set(address, { tries, againAt: performance.now() + pause });
       this.#lost(address);
     });
-    return link;
+    return connection;
   }
 
   #admit(socket: Socket): void {
     socket.setNoDelay(true);
     // An end that is gone without a word is noticed by the machine, sooner or later.
     socket.setKeepAlive(true, 10_000);
-    const link = new TcpConnection(socket, (frame) => this.#take(frame), false);
-    this.#inward.add(link);
-    link.onClose((isGarbled) => {
-      this.#inward.delete(link);
+    const connection = new TcpConnection(socket, (frame) => this.#take(frame), false);
+    this.#inward.add(connection);
+    connection.onClose((isGarbled) => {
+      this.#inward.delete(connection);
       if (isGarbled) this.#count(String(socket.remoteAddress));
     });
   }
--- a/packages/edge/src/connections/clientConnection.ts
+++ b/packages/edge/src/connections/clientConnection.ts
@@ -1,5 +1,5 @@
 /** A client's one long connection, as a session sees it. */
-export interface ClientLink {
+export interface ClientConnection {
   /** Bytes handed over and not yet taken by the network. */
   readonly waitingBytes: number;
   readonly isClosed: boolean;
--- a/packages/edge/src/connections/clientEndpoint.ts
+++ b/packages/edge/src/connections/clientEndpoint.ts
@@ -1,14 +1,14 @@
-import type { ClientLink } from "./clientConnection.js";
+import type { ClientConnection } from "./clientConnection.js";
 
 /** What a front that speaks to clients in its own way stands on, inside the process. Outcomes are values. */
-export interface Connections {
+export interface ClientEndpoint {
   /** Claims the session for this node and ties the link to it; all topics are brought by the client afterwards. */
-  connect(session: string, link: ClientLink): Promise<Connected>;
+  connect(session: string, connection: ClientConnection): Promise<Connected>;
   /** Subscribers of a topic now. */
   count(topic: string): Promise<Counted>;
 }
 
-export interface Connection {
+export interface SessionEndpoint {
   readonly session: string;
   /** Never throws. `confirmed`: messages follow on the link only after this promise has settled. */
   subscribe(topic: string, after?: string): Promise<Subscribed>;
@@ -18,14 +18,14 @@
 }
 
 export type Connected =
-  | { outcome: "open"; connection: Connection }
+  | { outcome: "open"; connection: SessionEndpoint }
   | { outcome: "away"; reason: string; comeBack: number }
   | { outcome: "malformed"; reason: string };
 
 export type Counted =
   { outcome: "counted"; count: number } | { outcome: "unknown-topic" } | { outcome: "away"; comeBack: number };
 
-export type Subscribed = { outcome: "confirmed"; place: string } | NotSubscribed;
+export type Subscribed = { outcome: "confirmed"; cursor: string } | NotSubscribed;
 
 export interface NotSubscribed {
   outcome:
@@ -43,7 +43,7 @@
  * never will be. `unsure`: may have been done; the same number again settles it.
  */
 export type Published =
-  | { outcome: "accepted"; place: string }
+  | { outcome: "accepted"; cursor: string }
   | { outcome: "refused"; code: string; reason: string }
   | { outcome: "away"; reason: string; comeBack: number }
   | { outcome: "unsure"; reason: string; comeBack: number };
--- a/packages/edge/src/connections/edgeClientEndpoint.ts
+++ b/packages/edge/src/connections/edgeClientEndpoint.ts
@@ -1,12 +1,12 @@
 import { SessionConnection } from "../sessions/sessionConnection.js";
-import type { ClientLink } from "./clientConnection.js";
+import type { ClientConnection } from "./clientConnection.js";
 import { countTopic } from "../fanout/countTopic.js";
 import { AdmitSession } from "../sessions/admitSession.js";
-import type { Connected, Connections, Counted } from "./clientEndpoint.js";
+import type { Connected, ClientEndpoint, Counted } from "./clientEndpoint.js";
 import type { EdgeParts } from "../edgeParts.js";
 
 /** The in-process interface of an edge for fronts that clients connect to. */
-export class EdgeConnections implements Connections {
+export class EdgeClientEndpoint implements ClientEndpoint {
   /** How long a connection waits for its session's old owner before it is told when to come back. */
   static readonly patienceMs = 800;
 
@@ -16,16 +16,16 @@
     this.#edge = edge;
   }
 
-  async connect(id: string, link: ClientLink): Promise<Connected> {
+  async connect(id: string, connection: ClientConnection): Promise<Connected> {
     if (!AdmitSession.isName(id)) return { outcome: "malformed", reason: "a session's name is malformed" };
-    const admitted = await AdmitSession.run(this.#edge, id, EdgeConnections.patienceMs);
+    const admitted = await AdmitSession.run(this.#edge, id, EdgeClientEndpoint.patienceMs);
     if (!("session" in admitted)) return { outcome: "away", reason: admitted.reason, comeBack: admitted.comeBack };
     const { session } = admitted;
-    if (link.isClosed) return { outcome: "away", reason: "the client is gone", comeBack: 0 };
-    AdmitSession.tie(this.#edge, session, link);
+    if (connection.isClosed) return { outcome: "away", reason: "the client is gone", comeBack: 0 };
+    AdmitSession.tie(this.#edge, session, connection);
     session.bringsTopics = true;
-    session.places.clear();
-    return { outcome: "open", connection: new SessionConnection(this.#edge, session, link) };
+    session.resumeCursors.clear();
+    return { outcome: "open", connection: new SessionConnection(this.#edge, session, connection) };
   }
 
   count(topic: string): Promise<Counted> {
--- a/packages/edge/src/connections/httpConnection.ts
+++ b/packages/edge/src/connections/httpConnection.ts
@@ -1,8 +1,8 @@
 import type { ServerResponse } from "node:http";
-import type { ClientLink } from "./clientConnection.js";
+import type { ClientConnection } from "./clientConnection.js";
 
 /** The answer of a link request, kept open: one JSON line after the other. */
-export class HttpLink implements ClientLink {
+export class HttpConnection implements ClientConnection {
   readonly #answer: ServerResponse;
   #isClosed = false;
   #whenClosed: () => void = () => undefined;
--- a/packages/edge/src/cranetrack-edge.ts
+++ b/packages/edge/src/cranetrack-edge.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 import { Program } from "@cranetrack/core/runtime/program.js";
-import { HttpLink } from "./connections/httpConnection.js";
+import { HttpConnection } from "./connections/httpConnection.js";
 import { EdgeNode } from "./edgeNode.js";
 import { EdgeCalls } from "./edgeCalls.js";
 
@@ -13,13 +13,13 @@
     stop: () => edge.drain(),
     isReady: () => edge.isReady,
     status: () => edge.status(),
-    take: ({ mostLinks, bufferBytes }) => Object.assign(edge.live, { mostLinks, bufferBytes }),
+    take: ({ mostLinks: maxConnections, bufferBytes }) => Object.assign(edge.live, { maxConnections, bufferBytes }),
     stream: {
-      pattern: EdgeCalls.linkPath,
+      pattern: EdgeCalls.connectionPath,
       open: (path, body, reply) =>
-        calls.link(decodeURIComponent(EdgeCalls.linkPath.exec(path)![1]!), body, () => {
+        calls.connection(decodeURIComponent(EdgeCalls.connectionPath.exec(path)![1]!), body, () => {
           reply.hijack();
-          return new HttpLink(reply.raw);
+          return new HttpConnection(reply.raw);
         }),
     },
   };
--- a/packages/edge/src/edgeCalls.ts
+++ b/packages/edge/src/edgeCalls.ts
@@ -3,8 +3,8 @@
 import type { ApiCall, Router } from "@cranetrack/core/http/router.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { BodyReader } from "@cranetrack/core/http/bodyReader.js";
-import type { ClientLink } from "./connections/clientConnection.js";
-import { enrolLink } from "./sessions/openConnection.js";
+import type { ClientConnection } from "./connections/clientConnection.js";
+import { openConnection } from "./sessions/openConnection.js";
 import { publishCall } from "./publishing/publishCall.js";
 import { readOwner } from "./sessions/readOwner.js";
 import { subscribeTopics } from "./subscriptions/subscribeTopics.js";
@@ -16,7 +16,7 @@
 
 /** The calls of an edge's HTTP interface. An edge with fronts of another kind does without them. */
 export class EdgeCalls {
-  static readonly linkPath = /^\/v1\/sessions\/([^/]+)\/link$/;
+  static readonly connectionPath = /^\/v1\/sessions\/([^/]+)\/link$/;
 
   readonly #edge: EdgeParts;
 
@@ -31,8 +31,8 @@
     );
   }
 
-  link(id: string, body: Uint8Array, open: () => ClientLink): Promise<ApiReply | undefined> {
-    return enrolLink(this.#edge, id, body, open);
+  connection(id: string, body: Uint8Array, open: () => ClientConnection): Promise<ApiReply | undefined> {
+    return openConnection(this.#edge, id, body, open);
   }
 
   async #subscribe(session: Session, body: Uint8Array): Promise<ApiReply> {
@@ -42,9 +42,9 @@
       return ApiReplies.fault(400, "malformed", "a topic is space/name", {
         problems: [{ path: "topic", problem: "must be space/name" }],
       });
-    if (session.link === undefined)
+    if (session.connection === undefined)
       return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { comeBack: 0.3 });
-    const faults = await subscribeTopics(this.#edge, session, session.link, [read.value]);
+    const faults = await subscribeTopics(this.#edge, session, session.connection, [read.value]);
     const fault = faults?.[0];
     if (faults === undefined) return ApiReplies.away("the subscriptions could not be kept", 0.5);
     if (fault === undefined) return ApiReplies.done({ receipt: "subscribed", topic: read.value.topic });
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -2,7 +2,7 @@
 import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
 import { LeaseKeepAlive } from "@cranetrack/core/store/leaseKeepAlive.js";
 import type { Router } from "@cranetrack/core/http/router.js";
-import type { ClientLink } from "./connections/clientConnection.js";
+import type { ClientConnection } from "./connections/clientConnection.js";
 import { SubscriptionKey } from "./sessions/subscriptionKey.js";
 import type { Session } from "./sessions/session.js";
 import { Sessions } from "./sessions/sessions.js";
@@ -23,15 +23,15 @@
   readonly beatMs = 300;
   readonly publishDue = 700;
   readonly sessionKeepMs = 900_000;
-  readonly live: { mostLinks: number; bufferBytes: number };
+  readonly live: { maxConnections: number; bufferBytes: number };
   isDraining = false;
-  enrolling = 0;
+  admitting = 0;
 
   constructor(node: ClusterNode, router: Router) {
     const { settings, clock, random } = node.parts;
     this.node = node;
     this.router = router;
-    this.live = { mostLinks: settings.mostLinks, bufferBytes: settings.bufferBytes };
+    this.live = { maxConnections: settings.mostLinks, bufferBytes: settings.bufferBytes };
     this.lease = new LeaseKeepAlive(settings.name, settings.edgeLeaseMs, node.store, clock, random);
     this.sessions = new Sessions(node, this.lease);
     this.streams = new StreamTable(node);
@@ -47,7 +47,7 @@
 
   status(): object {
     return {
-      links: this.sessions.links,
+      links: this.sessions.connections,
       sessions: this.sessions.table.size,
       keptPulls: this.sessions.keptPulls,
       streams: this.streams.count,
@@ -61,10 +61,10 @@
     this.lease.start();
   }
 
-  maySend(session: Session, link: ClientLink): boolean {
-    if (!this.lease.isHeld || session.isStopped || session.link !== link) return false;
-    if (link.waitingBytes <= this.live.bufferBytes) return true;
-    session.unlink("the reader is too slow", 0.5, this.node.parts.clock.now());
+  maySend(session: Session, connection: ClientConnection): boolean {
+    if (!this.lease.isHeld || session.isStopped || session.connection !== connection) return false;
+    if (connection.waitingBytes <= this.live.bufferBytes) return true;
+    session.disconnect("the reader is too slow", 0.5, this.node.parts.clock.now());
     return false;
   }
 
@@ -105,10 +105,10 @@
   #beat(): void {
     const isLost = this.node.feed.age > EdgeNode.outOfTouchMs;
     for (const session of this.sessions.table.values()) {
-      const { link } = session;
-      if (link === undefined) continue;
-      if (isLost) session.unlink("this node is out of touch", 0.2, this.node.parts.clock.now());
-      else if (this.maySend(session, link) && !session.bringsTopics) link.send({ kind: "beat" });
+      const { connection } = session;
+      if (connection === undefined) continue;
+      if (isLost) session.disconnect("this node is out of touch", 0.2, this.node.parts.clock.now());
+      else if (this.maySend(session, connection) && !session.bringsTopics) connection.send({ kind: "beat" });
     }
   }
 
--- a/packages/edge/src/edgeParts.ts
+++ b/packages/edge/src/edgeParts.ts
@@ -1,7 +1,7 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { LeaseKeepAlive } from "@cranetrack/core/store/leaseKeepAlive.js";
 import type { Router } from "@cranetrack/core/http/router.js";
-import type { ClientLink } from "./connections/clientConnection.js";
+import type { ClientConnection } from "./connections/clientConnection.js";
 import type { Session } from "./sessions/session.js";
 import type { Sessions } from "./sessions/sessions.js";
 import type { PlanCheck } from "./publishing/configurationCheck.js";
@@ -20,8 +20,8 @@
   readonly sessionKeepMs: number;
   readonly isDraining: boolean;
   /** Link requests under way that will count as links if they succeed. */
-  enrolling: number;
-  readonly live: { mostLinks: number; bufferBytes: number };
+  admitting: number;
+  readonly live: { maxConnections: number; bufferBytes: number };
   /** False once the claim is gone or the reader too slow; the link is closed then. */
-  maySend(session: Session, link: ClientLink): boolean;
+  maySend(session: Session, connection: ClientConnection): boolean;
 }
--- a/packages/edge/src/publishing/publishCall.ts
+++ b/packages/edge/src/publishing/publishCall.ts
@@ -34,7 +34,7 @@
   const answer = await publishMessage(edge, session, topic, number, payload);
   switch (answer.outcome) {
     case "accepted":
-      return ApiReplies.done({ receipt: "accepted", topic, number, place: answer.place });
+      return ApiReplies.done({ receipt: "accepted", topic, number, place: answer.cursor });
     case "refused":
       return ApiReplies.fault(statuses[answer.code] ?? 409, answer.code, answer.reason, {
         details: { receipt: "refused" },
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -2,7 +2,7 @@
 import { Plans } from "@cranetrack/core/configuration/configuration.js";
 import { mayRepeat, type CallInit } from "@cranetrack/core/rpc/callKinds.js";
 import type { PublishReply, PublishSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { Places } from "../subscriptions/cursor.js";
+import { Cursors } from "../subscriptions/cursor.js";
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
 
@@ -12,7 +12,7 @@
 
 /** What became of a publish; `away` and `refused` promise that it was not done and never will be. */
 export type PublishOutcome =
-  | { outcome: "accepted"; place: string }
+  | { outcome: "accepted"; cursor: string }
   | { outcome: "refused"; code: string; reason: string }
   | { outcome: "away"; reason: string; comeBack: number; code?: string }
   | { outcome: "unsure"; reason: string; comeBack: number };
@@ -52,7 +52,7 @@
   if (!isDoubtful || (reply !== "unresponsive" && reply.outcome === "accepted")) session.numbers.settled(topic, number);
   if (reply === "unresponsive") return givenUp("the topic's holder does not answer", 0.2);
   const { outcome, code, reason, comeBack, incarnation, seq } = reply;
-  if (outcome === "accepted") return { outcome: "accepted", place: Places.write(incarnation, seq) };
+  if (outcome === "accepted") return { outcome: "accepted", cursor: Cursors.write(incarnation, seq) };
   if (outcome === "refused") return { outcome: "refused", code, reason };
   return givenUp(reason || "the topic is changing hands", comeBack || 0.5, code || undefined);
 }
--- a/packages/edge/src/sessions/admitSession.ts
+++ b/packages/edge/src/sessions/admitSession.ts
@@ -1,4 +1,4 @@
-import type { ClientLink } from "../connections/clientConnection.js";
+import type { ClientConnection } from "../connections/clientConnection.js";
 import type { Session } from "./session.js";
 import type { EdgeParts } from "../edgeParts.js";
 
@@ -23,13 +23,13 @@
       await new Promise<void>((resolve) => void node.parts.clock.once(AdmitSession.againMs, resolve));
     if (!lease.isHeld || !node.feed.isFresh)
       return { reason: "this node is out of touch with the store", comeBack: 1, code: "unavailable" };
-    if (sessions.links + edge.enrolling >= edge.live.mostLinks) {
+    if (sessions.connections + edge.admitting >= edge.live.maxConnections) {
       const comeBack = 1 + node.parts.random.draw() * 2;
       return { reason: "this node has as many links as it takes", comeBack, code: "full" };
     }
-    edge.enrolling += 1;
+    edge.admitting += 1;
     const claimed = await sessions.claim(id, end - node.parts.clock.now());
-    edge.enrolling -= 1;
+    edge.admitting -= 1;
     if ("comeBack" in claimed) return { ...claimed, code: "session-elsewhere" };
     const { session } = claimed;
     if (edge.isDraining || session.isStopped)
@@ -38,12 +38,12 @@
   },
 
   /** Ties a connection to its session in place of an older one. */
-  tie(edge: EdgeParts, session: Session, link: ClientLink): void {
+  tie(edge: EdgeParts, session: Session, connection: ClientConnection): void {
     const { clock } = edge.node.parts;
-    session.unlink("replaced by a newer link", 0, clock.now());
-    session.link = link;
-    link.onClose(() => {
-      if (session.link === link) session.unlink("closed by the client", 0, clock.now());
+    session.disconnect("replaced by a newer link", 0, clock.now());
+    session.connection = connection;
+    connection.onClose(() => {
+      if (session.connection === connection) session.disconnect("closed by the client", 0, clock.now());
     });
   },
 };
--- a/packages/edge/src/sessions/openConnection.ts
+++ b/packages/edge/src/sessions/openConnection.ts
@@ -2,25 +2,25 @@
 import { Plans } from "@cranetrack/core/configuration/configuration.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { BodyReader } from "@cranetrack/core/http/bodyReader.js";
-import type { ClientLink } from "../connections/clientConnection.js";
-import { Places } from "../subscriptions/cursor.js";
+import type { ClientConnection } from "../connections/clientConnection.js";
+import { Cursors } from "../subscriptions/cursor.js";
 import type { Session } from "./session.js";
 import type { EdgeParts } from "../edgeParts.js";
 import { AdmitSession } from "./admitSession.js";
 import type { Wish } from "../subscriptions/findStarts.js";
 import { subscribeTopics } from "../subscriptions/subscribeTopics.js";
 
-const linkBody = type({
+const connectionBody = type({
   "+": "reject",
   "subscriptions?": type({ "+": "reject", topic: "string", "after?": "string" }).array().atMostLength(100_000),
 });
 
 /** A client's long connection, new or resumed, from its request to its confirmed subscriptions. */
-export async function enrolLink(
+export async function openConnection(
   edge: EdgeParts,
   id: string,
   body: Uint8Array,
-  open: () => ClientLink,
+  open: () => ClientConnection,
 ): Promise<ApiReply | undefined> {
   if (!AdmitSession.isName(id))
     return ApiReplies.fault(
@@ -29,7 +29,7 @@
       "a session is named by 1 to 64 letters, digits, dots, dashes and underscores",
       { problems: [{ path: "session", problem: "is malformed" }] },
     );
-  const read = BodyReader.read(body.length === 0 ? Buffer.from("{}") : body, linkBody);
+  const read = BodyReader.read(body.length === 0 ? Buffer.from("{}") : body, connectionBody);
   if ("reply" in read) return read.reply;
   const faulty = (read.value.subscriptions ?? []).findIndex((wish) => !Plans.isTopic(wish.topic));
   if (faulty !== -1)
@@ -39,11 +39,11 @@
   const admitted = await AdmitSession.run(edge, id);
   if (!("session" in admitted)) return ApiReplies.away(admitted.reason, admitted.comeBack, admitted.code);
   const { session } = admitted;
-  const link = open();
-  AdmitSession.tie(edge, session, link);
+  const connection = open();
+  AdmitSession.tie(edge, session, connection);
   session.bringsTopics = false;
-  const kept: Wish[] = [...session.places.keys()].map((topic) => ({ topic }));
-  link.send({
+  const kept: Wish[] = [...session.resumeCursors.keys()].map((topic) => ({ topic }));
+  connection.send({
     kind: "open",
     session: id,
     node: edge.node.rpc.name,
@@ -51,8 +51,8 @@
     numbers: session.numbers.highestByTopic(),
   });
   forgetOthers(session, read.value.subscriptions);
-  const faults = await subscribeTopics(edge, session, link, read.value.subscriptions ?? kept);
-  if (session.link === link) for (const fault of faults ?? []) link.send({ kind: "fault", ...fault });
+  const faults = await subscribeTopics(edge, session, connection, read.value.subscriptions ?? kept);
+  if (session.connection === connection) for (const fault of faults ?? []) connection.send({ kind: "fault", ...fault });
   return undefined;
 }
 
@@ -60,9 +60,9 @@
 function forgetOthers(session: Session, wishes: readonly Wish[] | undefined): void {
   if (wishes === undefined) return;
   const wanted = new Set(wishes.map((wish) => wish.topic));
-  for (const topic of session.places.keys()) if (!wanted.has(topic)) session.places.delete(topic);
+  for (const topic of session.resumeCursors.keys()) if (!wanted.has(topic)) session.resumeCursors.delete(topic);
   for (const { topic, after } of wishes) {
-    const place = Places.read(after);
-    if (place !== undefined) session.places.set(topic, place);
+    const cursor = Cursors.read(after);
+    if (cursor !== undefined) session.resumeCursors.set(topic, cursor);
   }
 }
--- a/packages/edge/src/sessions/session.ts
+++ b/packages/edge/src/sessions/session.ts
@@ -1,6 +1,6 @@
-import type { ClientLink } from "../connections/clientConnection.js";
+import type { ClientConnection } from "../connections/clientConnection.js";
 import type { StreamCursor } from "../subscriptions/streamCursor.js";
-import type { Place } from "../subscriptions/cursor.js";
+import type { Cursor } from "../subscriptions/cursor.js";
 import { PublishNumbers } from "../publishing/publishNumbers.js";
 
 /**
@@ -15,10 +15,10 @@
   readonly isWhole: boolean;
   readonly numbers = new PublishNumbers();
   /** Cursors of topics without a live subscription: shipped, or left by an earlier link. */
-  readonly places = new Map<string, Place>();
+  readonly resumeCursors = new Map<string, Cursor>();
   /** By topic: the cursor of its stream. Topics of one stream share one. */
   readonly subscriptions = new Map<string, StreamCursor>();
-  link: ClientLink | undefined;
+  connection: ClientConnection | undefined;
   /** Topics being looked up for the link that there is: they count against the plan's limit already. */
   joining = 0;
   /** The client brings its topics and places with every connection: none are kept for it in between. */
@@ -33,19 +33,19 @@
   }
 
   /** Stops deliveries on the present link, keeps their cursors, and says goodbye. */
-  unlink(reason: string, comeBack: number, now: number, address = ""): void {
-    const { link } = this;
-    if (link === undefined) return;
-    this.link = undefined;
+  disconnect(reason: string, comeBack: number, now: number, address = ""): void {
+    const { connection } = this;
+    if (connection === undefined) return;
+    this.connection = undefined;
     this.joining = 0;
     this.leftAt = now;
     if (!this.bringsTopics)
-      for (const [topic, cursor] of this.subscriptions) this.places.set(topic, cursor.placeOf(topic));
+      for (const [topic, cursor] of this.subscriptions) this.resumeCursors.set(topic, cursor.cursorOf(topic));
     for (const cursor of this.cursors()) cursor.stop();
     this.subscriptions.clear();
-    if (link.isClosed) return;
-    link.send({ kind: "goodbye", reason, comeBack, ...(address === "" ? {} : { address }) });
-    link.close();
+    if (connection.isClosed) return;
+    connection.send({ kind: "goodbye", reason, comeBack, ...(address === "" ? {} : { address }) });
+    connection.close();
   }
 
   cursors(): ReadonlySet<StreamCursor> {
@@ -53,9 +53,9 @@
   }
 
   /** Places of everything, linked or not. */
-  allPlaces(): Map<string, Place> {
-    const places = new Map(this.places);
-    for (const [topic, cursor] of this.subscriptions) places.set(topic, cursor.placeOf(topic));
-    return places;
+  allCursors(): Map<string, Cursor> {
+    const resumeCursors = new Map(this.resumeCursors);
+    for (const [topic, cursor] of this.subscriptions) resumeCursors.set(topic, cursor.cursorOf(topic));
+    return resumeCursors;
   }
 }
--- a/packages/edge/src/sessions/sessionConnection.ts
+++ b/packages/edge/src/sessions/sessionConnection.ts
@@ -1,8 +1,8 @@
 import { Plans } from "@cranetrack/core/configuration/configuration.js";
-import type { ClientLink } from "../connections/clientConnection.js";
-import { Places } from "../subscriptions/cursor.js";
+import type { ClientConnection } from "../connections/clientConnection.js";
+import { Cursors } from "../subscriptions/cursor.js";
 import type { TopicFault } from "../publishing/topicFault.js";
-import type { Connection, Subscribed } from "../connections/clientEndpoint.js";
+import type { SessionEndpoint, Subscribed } from "../connections/clientEndpoint.js";
 import type { Session } from "./session.js";
 import type { EdgeParts } from "../edgeParts.js";
 import { findStarts, type Start } from "../subscriptions/findStarts.js";
@@ -25,18 +25,18 @@
  * Invariants: a topic is pending from its call until it joined or failed; what is asked for in one turn is
  * looked up together; nothing of a topic is delivered in the turn in which its subscription is confirmed.
  */
-export class SessionConnection implements Connection {
+export class SessionConnection implements SessionEndpoint {
   readonly #edge: EdgeParts;
   readonly #session: Session;
-  readonly #link: ClientLink;
+  readonly #connection: ClientConnection;
   /** By topic, the call that is under way; a later one takes the place of one that was left meanwhile. */
   readonly #pending = new Map<string, Pending>();
   #asked: Asked[] = [];
 
-  constructor(edge: EdgeParts, session: Session, link: ClientLink) {
+  constructor(edge: EdgeParts, session: Session, connection: ClientConnection) {
     this.#edge = edge;
     this.#session = session;
-    this.#link = link;
+    this.#connection = connection;
   }
 
   get session(): string {
@@ -48,8 +48,8 @@
     if (refusal !== undefined) return Promise.resolve(refusal);
     const cursor = this.#session.subscriptions.get(topic);
     if (cursor !== undefined) {
-      const { incarnation, seq } = cursor.placeOf(topic);
-      return Promise.resolve({ outcome: "confirmed", place: Places.write(incarnation, seq) });
+      const { incarnation, seq } = cursor.cursorOf(topic);
+      return Promise.resolve({ outcome: "confirmed", cursor: Cursors.write(incarnation, seq) });
     }
     return this.#pending.get(topic)?.outcome ?? this.#ask(topic, after);
   }
@@ -71,12 +71,12 @@
   }
 
   close(): void {
-    if (this.#session.link !== this.#link) return;
-    this.#session.unlink("closed by the client", 0, this.#edge.node.parts.clock.now());
+    if (this.#session.connection !== this.#connection) return;
+    this.#session.disconnect("closed by the client", 0, this.#edge.node.parts.clock.now());
   }
 
   get #isCurrent(): boolean {
-    return this.#session.link === this.#link && !this.#session.isStopped && this.#edge.lease.isHeld;
+    return this.#session.connection === this.#connection && !this.#session.isStopped && this.#edge.lease.isHeld;
   }
 
   #refusal(topic: string): Subscribed | undefined {
@@ -120,7 +120,7 @@
     const start = starts.find((one) => one.topic === topic);
     if (start !== undefined && start.expired !== "") return { outcome: "expired", reason: start.expired };
     if (start !== undefined)
-      return { outcome: "confirmed", place: Places.write(start.place.incarnation, start.place.seq) };
+      return { outcome: "confirmed", cursor: Cursors.write(start.cursor.incarnation, start.cursor.seq) };
     const fault = faults.find((one) => one.topic === topic);
     const outcome = faultOutcomes.find((one) => one === fault?.code) ?? "away";
     return { outcome, reason: fault?.reason ?? "the topic could not be looked up", comeBack: fault?.comeBack };
@@ -136,7 +136,7 @@
     const wanted = new Set(asked.filter((one) => this.#isPending(one)).map(({ topic }) => topic));
     for (const topic of wanted) this.#pending.delete(topic);
     const joining = starts.filter(({ topic }) => wanted.delete(topic));
-    if (this.#isCurrent) joinStreams(this.#edge, this.#session, this.#link, joining, () => undefined);
+    if (this.#isCurrent) joinStreams(this.#edge, this.#session, this.#connection, joining, () => undefined);
     for (const { tail } of starts) this.#edge.streams.leave(tail);
   }
 }
--- a/packages/edge/src/sessions/sessions.ts
+++ b/packages/edge/src/sessions/sessions.ts
@@ -56,10 +56,10 @@
     return this.#shipped.size;
   }
 
-  get links(): number {
-    let links = 0;
-    for (const session of this.#table.values()) if (session.link !== undefined) links += 1;
-    return links;
+  get connections(): number {
+    let connections = 0;
+    for (const session of this.#table.values()) if (session.connection !== undefined) connections += 1;
+    return connections;
   }
 
   find(id: string): Session | undefined {
@@ -122,9 +122,9 @@
     this.#prepare(session);
     const key = OwnerKey.of(session.id);
     const lease = SubscriptionKey.leaseOf(session.id);
-    const puts = [...session.allPlaces()].map(([topic, place]) => ({
+    const puts = [...session.allCursors()].map(([topic, cursor]) => ({
       key: SubscriptionKey.of(session.id, topic),
-      value: SubscriptionKey.write(place),
+      value: SubscriptionKey.write(cursor),
       lease,
     }));
     const released = await this.#node.store.txn({ checks: [{ key, revision: session.epoch }], puts, deletes: [key] });
@@ -135,7 +135,7 @@
   /** Closes every link; the sessions stay to be pulled until released. */
   goodbye(reason: string, comeBack: () => number, addressFor: (session: string) => string): void {
     for (const session of this.#table.values())
-      session.unlink(reason, comeBack(), this.#node.parts.clock.now(), addressFor(session.id));
+      session.disconnect(reason, comeBack(), this.#node.parts.clock.now(), addressFor(session.id));
   }
 
   async #pull(
@@ -190,7 +190,7 @@
     const session = this.#table.get(pull.session);
     const again = this.#shipped.get(`${pull.session}@${pull.ownerRevision}`);
     if (session === undefined || session.epoch !== pull.ownerRevision) return again?.body ?? this.#shipNothing(pull);
-    session.unlink("taken over", 0, this.#node.parts.clock.now());
+    session.disconnect("taken over", 0, this.#node.parts.clock.now());
     this.emit("step", "stopped", pull.session);
     return this.#prepare(session);
   }
@@ -198,7 +198,7 @@
   #prepare(session: Session): BodyInit {
     session.isStopped = true;
     this.#table.delete(session.id);
-    const subscriptions = [...session.allPlaces()].map(([topic, { incarnation, seq }]) => ({
+    const subscriptions = [...session.allCursors()].map(([topic, { incarnation, seq }]) => ({
       topic,
       incarnation,
       cursor: seq,
@@ -230,18 +230,19 @@
 
   #fill(session: Session, kvs: Kv[], shipped: PullReply | undefined): void {
     for (const kv of kvs) {
-      const place = SubscriptionKey.read(kv.value);
-      if (place !== undefined) session.places.set(kv.key.slice(SubscriptionKey.prefix(session.id).length), place);
+      const cursor = SubscriptionKey.read(kv.value);
+      if (cursor !== undefined)
+        session.resumeCursors.set(kv.key.slice(SubscriptionKey.prefix(session.id).length), cursor);
     }
     for (const { topic, incarnation, cursor } of shipped?.subscriptions ?? [])
-      session.places.set(topic, { incarnation, seq: cursor });
+      session.resumeCursors.set(topic, { incarnation, seq: cursor });
     session.numbers.take(shipped?.numbers ?? []);
   }
 
   #dropAll(): void {
     for (const session of [...this.#table.values()]) {
       session.isStopped = true;
-      session.unlink("this node lost its lease", 0.2, this.#node.parts.clock.now());
+      session.disconnect("this node lost its lease", 0.2, this.#node.parts.clock.now());
     }
     this.#table.clear();
   }
@@ -252,6 +253,6 @@
     for (const [id, at] of this.#orphans) if (now - at > Sessions.keepIdleMs) this.#orphans.delete(id);
     if (!this.#lease.isHeld) return;
     for (const session of [...this.#table.values()])
-      if (session.link === undefined && now - session.leftAt > Sessions.keepIdleMs) void this.release(session);
+      if (session.connection === undefined && now - session.leftAt > Sessions.keepIdleMs) void this.release(session);
   }
 }
--- a/packages/edge/src/sessions/subscriptionKey.ts
+++ b/packages/edge/src/sessions/subscriptionKey.ts
@@ -1,4 +1,4 @@
-import { Places, type Place } from "../subscriptions/cursor.js";
+import { Cursors, type Cursor } from "../subscriptions/cursor.js";
 
 /** The keys of a session's subscriptions: each topic with the place from which it is owed. */
 export const SubscriptionKey = {
@@ -15,11 +15,11 @@
     return `session:${session}`;
   },
 
-  write({ incarnation, seq }: Place): Uint8Array {
-    return Buffer.from(Places.write(incarnation, seq));
+  write({ incarnation, seq }: Cursor): Uint8Array {
+    return Buffer.from(Cursors.write(incarnation, seq));
   },
 
-  read(value: Uint8Array): Place | undefined {
-    return Places.read(Buffer.from(value).toString());
+  read(value: Uint8Array): Cursor | undefined {
+    return Cursors.read(Buffer.from(value).toString());
   },
 };
--- a/packages/edge/src/subscriptions/askStarts.ts
+++ b/packages/edge/src/subscriptions/askStarts.ts
@@ -1,5 +1,5 @@
 import type { MessageInitShape } from "@bufbuild/protobuf";
-import type { TopicPlaceSchema, TopicStart } from "@cranetrack/core/gen/cranetrack_pb.js";
+import type { TopicCursorSchema, TopicStart } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { EdgeParts } from "../edgeParts.js";
 
 const mostMs = 1500;
@@ -10,14 +10,14 @@
 export async function askStarts(
   edge: EdgeParts,
   shard: number,
-  places: Array<MessageInitShape<typeof TopicPlaceSchema>>,
+  cursors: Array<MessageInitShape<typeof TopicCursorSchema>>,
 ): Promise<Map<string, TopicStart> | undefined> {
   const { rpc, shards, parts } = edge.node;
   const end = parts.clock.now() + mostMs;
   for (let left = mostMs; left > 0; left = end - parts.clock.now()) {
     const { leader } = shards.find(shard);
     if (leader !== "") {
-      const ask = rpc.call(leader, { case: "startRequest", value: { shard, places } }, Math.min(callMs, left));
+      const ask = rpc.call(leader, { case: "startRequest", value: { shard, cursors } }, Math.min(callMs, left));
       const reply = await Promise.race([ask, shards.moved(shard, leader, parts.clock, left)]);
       if (reply?.case === "startReply" && reply.value.outcome === "done")
         return new Map(reply.value.starts.map((start) => [start.topic, start]));
--- a/packages/edge/src/subscriptions/cursor.ts
+++ b/packages/edge/src/subscriptions/cursor.ts
@@ -1,15 +1,15 @@
-export interface Place {
+export interface Cursor {
   incarnation: string;
   seq: number;
 }
 
 /** A client's place in a topic: an opaque string to the client, stream's birth and sequence number to us. */
-export const Places = {
+export const Cursors = {
   write(incarnation: string, seq: number): string {
     return `${incarnation}.${seq}`;
   },
 
-  read(text: unknown): Place | undefined {
+  read(text: unknown): Cursor | undefined {
     if (typeof text !== "string") return undefined;
     const found = /^([0-9a-f]{1,14}-[0-9a-f]{6,20})\.(0|[1-9][0-9]{0,15})$/.exec(text);
     return found === null ? undefined : { incarnation: found[1]!, seq: Number(found[2]) };
--- a/packages/edge/src/subscriptions/findStarts.ts
+++ b/packages/edge/src/subscriptions/findStarts.ts
@@ -2,7 +2,7 @@
 import type { TopicStart } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Plans } from "@cranetrack/core/configuration/configuration.js";
 import type { StreamRoute } from "@cranetrack/core/configuration/streams.js";
-import { Places, type Place } from "./cursor.js";
+import { Cursors, type Cursor } from "./cursor.js";
 import type { TopicFault } from "../publishing/topicFault.js";
 import type { Session } from "../sessions/session.js";
 import type { StreamTail } from "../fanout/streamTail.js";
@@ -18,7 +18,7 @@
 export interface Start {
   topic: string;
   tail: StreamTail;
-  place: Place;
+  cursor: Cursor;
   /** Why delivery does not go on from the client's place. */
   expired: string;
 }
@@ -27,7 +27,7 @@
   tail: StreamTail;
   route: StreamRoute;
   /** The client's own place, else the one kept for it; none for a topic that it never had. */
-  place: Place | undefined;
+  cursor: Cursor | undefined;
   isAsked: boolean;
 }
 
@@ -44,14 +44,14 @@
   const unrouted: string[] = [];
   const routed: Routed[] = [];
   for (const { topic, after } of wishes) {
-    const asked = Places.read(after);
+    const asked = Cursors.read(after);
     const route = edge.node.plan.route(topic);
     if (after !== undefined && asked === undefined)
       faults.push({ topic, code: "malformed-place", reason: "the place is malformed" });
     else if (route === undefined) unrouted.push(topic);
     else {
-      const place = asked ?? session.places.get(topic);
-      routed.push({ topic, tail: edge.streams.take(route), route, place, isAsked: asked !== undefined });
+      const cursor = asked ?? session.resumeCursors.get(topic);
+      routed.push({ topic, tail: edge.streams.take(route), route, cursor, isAsked: asked !== undefined });
     }
   }
   const starts: Start[] = [];
@@ -75,24 +75,24 @@
 }
 
 /** What the tail shows by itself: a place it has passed in the same birth, of a topic that the plan owes. */
-function heardStart(edge: EdgeParts, { topic, tail, place }: Routed): Start | undefined {
+function heardStart(edge: EdgeParts, { topic, tail, cursor }: Routed): Start | undefined {
   if (!tail.isKnown || Plans.owed(edge.node.plan.plan, topic) === undefined) return undefined;
-  if (place === undefined)
-    return { topic, tail, place: { incarnation: tail.incarnation, seq: tail.head }, expired: "" };
-  const isHeard = place.incarnation === tail.incarnation && place.seq >= tail.low && place.seq <= tail.head;
-  return isHeard ? { topic, tail, place, expired: "" } : undefined;
+  if (cursor === undefined)
+    return { topic, tail, cursor: { incarnation: tail.incarnation, seq: tail.head }, expired: "" };
+  const isHeard = cursor.incarnation === tail.incarnation && cursor.seq >= tail.low && cursor.seq <= tail.head;
+  return isHeard ? { topic, tail, cursor, expired: "" } : undefined;
 }
 
 async function judge(edge: EdgeParts, unsure: readonly Routed[]): Promise<Array<Start | TopicFault>> {
   const shards = Grouped.by(unsure, ({ tail }) => tail.shard);
   const judged = await Promise.all(
     [...shards].map(async ([shard, list]) => {
-      const places = list.map(({ topic, route: { spaceIncarnation }, place }) => ({
+      const cursors = list.map(({ topic, route: { spaceIncarnation }, cursor }) => ({
         topic,
         spaceIncarnation,
-        ...place,
+        ...cursor,
       }));
-      const answers = await askStarts(edge, shard, places);
+      const answers = await askStarts(edge, shard, cursors);
       return list.map((one) => settle(one, answers?.get(one.topic)));
     }),
   );
@@ -112,5 +112,5 @@
   if (outcome === "unknown-place" && isAsked) return { topic, code: outcome, reason };
   // A kept place that the log does not know can only be of a log that is gone.
   const expired = outcome === "known" ? "" : reason;
-  return { topic, tail, place: { incarnation, seq }, expired };
+  return { topic, tail, cursor: { incarnation, seq }, expired };
 }
--- a/packages/edge/src/subscriptions/joinStreams.ts
+++ b/packages/edge/src/subscriptions/joinStreams.ts
@@ -1,5 +1,5 @@
 import { Grouped } from "@cranetrack/core/store/grouped.js";
-import type { ClientLink } from "../connections/clientConnection.js";
+import type { ClientConnection } from "../connections/clientConnection.js";
 import { StreamCursor } from "./streamCursor.js";
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
@@ -12,7 +12,7 @@
 export function joinStreams(
   edge: EdgeParts,
   session: Session,
-  link: ClientLink,
+  connection: ClientConnection,
   starts: readonly Start[],
   whenJoined: (start: Start, cursor: StreamCursor) => void,
 ): void {
@@ -24,17 +24,17 @@
       cursor = new StreamCursor({
         table: edge.streams,
         tail: edge.streams.take(tail.route),
-        link,
+        connection,
         clock: edge.node.parts.clock,
-        maySend: () => edge.maySend(session, link),
+        maySend: () => edge.maySend(session, connection),
         onEnd: (topic) => session.subscriptions.delete(topic),
       });
     }
     for (const start of joining) {
-      if (!edge.maySend(session, link)) return cursor.stop();
-      cursor.add(start.topic, start.place);
+      if (!edge.maySend(session, connection)) return cursor.stop();
+      cursor.add(start.topic, start.cursor);
       session.subscriptions.set(start.topic, cursor);
-      session.places.delete(start.topic);
+      session.resumeCursors.delete(start.topic);
       whenJoined(start, cursor);
     }
     cursor.start();
--- a/packages/edge/src/subscriptions/streamCursor.ts
+++ b/packages/edge/src/subscriptions/streamCursor.ts
@@ -2,15 +2,15 @@
 import { Plans, type Plan } from "@cranetrack/core/configuration/configuration.js";
 import type { Beat, Clock } from "@cranetrack/core/runtime/clock.js";
 import { PublisherOrder } from "../fanout/publisherOrder.js";
-import { Places, type Place } from "./cursor.js";
+import { Cursors, type Cursor } from "./cursor.js";
 import type { StreamTable } from "../fanout/streamTable.js";
 import type { StreamTail } from "../fanout/streamTail.js";
-import type { ClientLink } from "../connections/clientConnection.js";
+import type { ClientConnection } from "../connections/clientConnection.js";
 
 interface CursorParts {
   table: StreamTable;
   tail: StreamTail;
-  link: ClientLink;
+  connection: ClientConnection;
   clock: Clock;
   /** False closes the link: nothing may be sent any more. */
   maySend: () => boolean;
@@ -52,7 +52,7 @@
   }
 
   /** Adds a topic from its place on; the cursor goes back to it where it must, and no other topic with it. */
-  add(topic: string, start: Place): void {
+  add(topic: string, start: Cursor): void {
     if (this.#topics.size === 0 && this.incarnation === "") {
       this.incarnation = start.incarnation;
       this.cursor = start.seq;
@@ -75,7 +75,7 @@
     void this.#pump();
   }
 
-  placeOf(topic: string): Place {
+  cursorOf(topic: string): Cursor {
     return { incarnation: this.incarnation, seq: Math.max(this.#topics.get(topic) ?? 0, this.cursor) };
   }
 
@@ -152,9 +152,9 @@
     const { session, number, payload, seq, topic } = message;
     const from = this.#topics.get(topic);
     if (from === undefined || seq <= from || this.#isRepeat(message)) return;
-    const place = Places.write(this.incarnation, seq);
+    const cursor = Cursors.write(this.incarnation, seq);
     const text = Buffer.from(payload).toString();
-    this.#parts.link.send({ kind: "message", topic, sender: session, number, place, payload: text });
+    this.#parts.connection.send({ kind: "message", topic, sender: session, number, place: cursor, payload: text });
   }
 
   /** What an earlier holder's stream brought, or something before it: published again for want of a receipt. */
@@ -188,7 +188,7 @@
 
   #expire(topic: string, low: number, reason: string): void {
     this.#topics.set(topic, low);
-    this.#parts.link.send({ kind: "expired", topic, place: Places.write(this.incarnation, low), reason });
+    this.#parts.connection.send({ kind: "expired", topic, place: Cursors.write(this.incarnation, low), reason });
   }
 
   #endAll(fault: string): void {
@@ -199,6 +199,6 @@
     if (this.#isStopped || !this.#topics.has(topic)) return;
     this.remove(topic);
     this.#parts.onEnd(topic);
-    this.#parts.link.send({ kind: "ended", topic, reason });
+    this.#parts.connection.send({ kind: "ended", topic, reason });
   }
 }
--- a/packages/edge/src/subscriptions/subscribeTopics.ts
+++ b/packages/edge/src/subscriptions/subscribeTopics.ts
@@ -1,8 +1,8 @@
 import { Plans } from "@cranetrack/core/configuration/configuration.js";
-import type { ClientLink } from "../connections/clientConnection.js";
+import type { ClientConnection } from "../connections/clientConnection.js";
 import type { StreamCursor } from "./streamCursor.js";
 import { OwnerKey } from "../sessions/ownerKey.js";
-import { Places } from "./cursor.js";
+import { Cursors } from "./cursor.js";
 import { SubscriptionKey } from "../sessions/subscriptionKey.js";
 import type { TopicFault } from "../publishing/topicFault.js";
 import type { Session } from "../sessions/session.js";
@@ -18,7 +18,7 @@
 export async function subscribeTopics(
   edge: EdgeParts,
   session: Session,
-  link: ClientLink,
+  connection: ClientConnection,
   wishes: readonly Wish[],
 ): Promise<TopicFault[] | undefined> {
   const fresh = wishes.filter(
@@ -26,26 +26,32 @@
   );
   for (const { topic } of wishes) {
     const cursor = session.subscriptions.get(topic);
-    if (cursor !== undefined) confirm(link, topic, cursor);
+    if (cursor !== undefined) confirm(connection, topic, cursor);
   }
   const room = Plans.mostSubscriptions(edge.node.plan.plan) - session.subscriptions.size - session.joining;
   const admitted = fresh.slice(0, Math.max(0, room));
   session.joining += admitted.length;
   const { starts, faults } = await findStarts(edge, session, admitted);
   const isKept = starts.length === 0 || (await keep(edge, session, starts));
-  if (isKept && session.link === link)
-    joinStreams(edge, session, link, starts, ({ topic, place, expired }, cursor) => {
+  if (isKept && session.connection === connection)
+    joinStreams(edge, session, connection, starts, ({ topic, cursor: startCursor, expired }, cursor) => {
       if (expired !== "")
-        link.send({ kind: "expired", topic, place: Places.write(place.incarnation, place.seq), reason: expired });
-      confirm(link, topic, cursor);
+        connection.send({
+          kind: "expired",
+          topic,
+          place: Cursors.write(startCursor.incarnation, startCursor.seq),
+          reason: expired,
+        });
+      confirm(connection, topic, cursor);
     });
-  if (session.link === link) session.joining -= admitted.length;
+  if (session.connection === connection) session.joining -= admitted.length;
   for (const { tail } of starts) edge.streams.leave(tail);
   const tooMany = fresh.slice(admitted.length).map(({ topic }) => {
     return { topic, code: "too-many", reason: "a connection may have no more topics by the plan in force" };
   });
   if (isKept) return [...faults, ...tooMany];
-  if (session.link === link) session.unlink("the subscriptions could not be kept", 0.5, edge.node.parts.clock.now());
+  if (session.connection === connection)
+    session.disconnect("the subscriptions could not be kept", 0.5, edge.node.parts.clock.now());
   return undefined;
 }
 
@@ -53,8 +59,8 @@
 async function keep(edge: EdgeParts, session: Session, starts: readonly Start[]): Promise<boolean> {
   const lease = SubscriptionKey.leaseOf(session.id);
   const checks = [{ key: OwnerKey.of(session.id), revision: session.epoch }];
-  const puts = starts.map(({ topic, place }) => {
-    return { key: SubscriptionKey.of(session.id, topic), value: SubscriptionKey.write(place), lease };
+  const puts = starts.map(({ topic, cursor: startCursor }) => {
+    return { key: SubscriptionKey.of(session.id, topic), value: SubscriptionKey.write(startCursor), lease };
   });
   const written = await edge.node.store.txn({ checks, puts });
   if (written.outcome !== "lost") return written.outcome === "done";
@@ -62,7 +68,7 @@
   return (await edge.node.store.txn({ checks, puts })).outcome === "done";
 }
 
-function confirm(link: ClientLink, topic: string, cursor: StreamCursor): void {
-  const { incarnation, seq } = cursor.placeOf(topic);
-  link.send({ kind: "confirmed", topic, place: Places.write(incarnation, seq) });
+function confirm(connection: ClientConnection, topic: string, cursor: StreamCursor): void {
+  const { incarnation, seq } = cursor.cursorOf(topic);
+  connection.send({ kind: "confirmed", topic, place: Cursors.write(incarnation, seq) });
 }
--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -76,7 +76,7 @@
     if (!this.isOpen) return { case: "followReply", value: { outcome: "away" } };
     if (this.#follows.isLate(follow)) return { case: "followReply", value: { outcome: "resync" } };
     const followed = follow.streams.filter((at) => this.#isHere(at));
-    const { heads, number } = this.#follows.enrol(follow, followed, edge);
+    const { heads, number } = this.#follows.admit(follow, followed, edge);
     const found = new Set(heads.map((head) => head.stream));
     const missing = follow.streams.flatMap(({ stream }) =>
       found.has(stream) ? [] : [create(StreamHeadSchema, { stream, fault: "behind" })],
--- a/packages/log-storage/src/follows/follows.test.ts
+++ b/packages/log-storage/src/follows/follows.test.ts
@@ -24,7 +24,7 @@
     table.push([stream]);
   };
   const at = { stream, incarnation, after: 0, spaceIncarnation: 1 };
-  table.enrol(say({ isFull: true, serial: 1, streams: [at] }), say({ streams: [at] }).streams, "edge");
+  table.admit(say({ isFull: true, serial: 1, streams: [at] }), say({ streams: [at] }).streams, "edge");
   return { table, pushed, add };
 }
 
@@ -38,7 +38,7 @@
   expect(table.beat(say({ serial: 3, seen: 2, quiet: [{ stream, incarnation }] }))).toEqual(true);
   add();
   expect(pushed.length).toEqual(2);
-  table.enrol(say({ serial: 4 }), say({ streams: [{ stream, incarnation, after: 2 }] }).streams, "edge");
+  table.admit(say({ serial: 4 }), say({ streams: [{ stream, incarnation, after: 2 }] }).streams, "edge");
   add();
   expect(pushed[2]!.batches[0]!.messages.map(({ seq }) => seq)).toEqual([3, 4]);
 });
--- a/packages/log-storage/src/follows/follows.ts
+++ b/packages/log-storage/src/follows/follows.ts
@@ -114,7 +114,7 @@
   }
 
   /** Enrols streams and returns their heads and the number the next push follows on. */
-  enrol(follow: Follow, followed: readonly StreamAt[], edge: string): { heads: StreamHead[]; number: number } {
+  admit(follow: Follow, followed: readonly StreamAt[], edge: string): { heads: StreamHead[]; number: number } {
     let following = this.#follows.get(follow.follow);
     if (follow.isFull || following === undefined) {
       for (const old of [...this.#follows.values()]) if (old.edge === edge) this.#drop(old);
--- a/packages/log-storage/src/shards/memoryStreams.test.ts
+++ b/packages/log-storage/src/shards/memoryStreams.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
 import { create } from "@bufbuild/protobuf";
-import { AcceptSchema, TopicPlaceSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
+import { AcceptSchema, TopicCursorSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { expect } from "earl";
 import { startInMemory } from "./startOf.js";
 import { MemoryStreams } from "./memoryStreams.js";
@@ -57,7 +57,7 @@
   const log = streams.find(stream)!;
   log.trim(2);
   const from = (incarnation: string, seq: number): unknown[] => {
-    const { outcome, seq: start } = startInMemory(log, create(TopicPlaceSchema, { topic: stream, incarnation, seq }));
+    const { outcome, seq: start } = startInMemory(log, create(TopicCursorSchema, { topic: stream, incarnation, seq }));
     return [outcome, start];
   };
   expect([
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -205,7 +205,7 @@
     if (!this.isOpen || !(await this.#leader.confirm()) || !this.isOpen)
       return { case: "followReply", value: { outcome: "away" } };
     if (this.#follows.isLate(follow)) return { case: "followReply", value: { outcome: "resync" } };
-    const { heads, number } = this.#follows.enrol(follow, followed, edge);
+    const { heads, number } = this.#follows.admit(follow, followed, edge);
     const found = new Set(heads.map((head) => head.stream));
     const missing = follow.streams.flatMap(({ stream }, i) =>
       found.has(stream)
@@ -225,25 +225,25 @@
   async start(ask: StartRequest): Promise<BodyInit> {
     const away: BodyInit = { case: "startReply", value: { outcome: "away" } };
     if (!this.isOpen) return away;
-    const asked = ask.places.map((place) => {
-      const route = this.#node.plan.route(place.topic);
-      const standing = this.#standings.ofIncarnation(route?.spaceIncarnation, place.spaceIncarnation);
-      const owed = Plans.owed(this.#node.plan.plan, place.topic);
+    const asked = ask.cursors.map((cursor) => {
+      const route = this.#node.plan.route(cursor.topic);
+      const standing = this.#standings.ofIncarnation(route?.spaceIncarnation, cursor.spaceIncarnation);
+      const owed = Plans.owed(this.#node.plan.plan, cursor.topic);
       const stream = route?.stream ?? "";
       const fault = standing !== "ours" ? "behind" : owed === undefined ? "unknown-topic" : "";
-      return { place, stream, fault: fault === "" && !this.#isOurs(stream) ? "behind" : fault };
+      return { cursor, stream, fault: fault === "" && !this.#isOurs(stream) ? "behind" : fault };
     });
     const good = new Map(
-      asked.filter(({ fault }) => fault === "").map((one) => [one.stream, one.place.spaceIncarnation]),
+      asked.filter(({ fault }) => fault === "").map((one) => [one.stream, one.cursor.spaceIncarnation]),
     );
     await Promise.all([...good].map(([stream, spaceIncarnation]) => this.#incarnationOf(stream, spaceIncarnation)));
     if (!this.isOpen || !(await this.#leader.confirm()) || !this.isOpen) return away;
-    const starts = asked.map(({ place, stream, fault }) => {
+    const starts = asked.map(({ cursor, stream, fault }) => {
       const log = this.#find(stream);
-      if (fault !== "") return create(TopicStartSchema, { topic: place.topic, outcome: fault });
-      if (log?.spaceIncarnation !== place.spaceIncarnation)
-        return create(TopicStartSchema, { topic: place.topic, outcome: "behind" });
-      return this.#standings.isInMemory(stream) ? startInMemory(log, place) : startOf(log, place);
+      if (fault !== "") return create(TopicStartSchema, { topic: cursor.topic, outcome: fault });
+      if (log?.spaceIncarnation !== cursor.spaceIncarnation)
+        return create(TopicStartSchema, { topic: cursor.topic, outcome: "behind" });
+      return this.#standings.isInMemory(stream) ? startInMemory(log, cursor) : startOf(log, cursor);
     });
     return { case: "startReply", value: { outcome: "done", starts } };
   }
--- a/packages/log-storage/src/shards/startOf.ts
+++ b/packages/log-storage/src/shards/startOf.ts
@@ -1,10 +1,10 @@
 import { create } from "@bufbuild/protobuf";
-import { TopicStartSchema, type TopicPlace, type TopicStart } from "@cranetrack/core/gen/cranetrack_pb.js";
+import { TopicStartSchema, type TopicCursor, type TopicStart } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 import type { StreamLog } from "./streamLog.js";
 
 /** Where a topic's subscription starts, judged by the committed log. Without a place it is the head. */
-export function startOf(log: StreamLog, { topic, incarnation, seq, spaceIncarnation }: TopicPlace): TopicStart {
+export function startOf(log: StreamLog, { topic, incarnation, seq, spaceIncarnation }: TopicCursor): TopicStart {
   const answer = (outcome: string, at: number, reason = ""): TopicStart =>
     create(TopicStartSchema, { topic, outcome, incarnation: log.incarnation, seq: at, reason });
   if (incarnation === "") return answer("known", log.head);
@@ -21,7 +21,7 @@
  * The same in a stream that keeps nothing: a place of another birth, or one that is no place, starts at the head,
  * for nothing older is owed; one in the tail goes on from there.
  */
-export function startInMemory(log: StreamLog, { topic, incarnation, seq }: TopicPlace): TopicStart {
+export function startInMemory(log: StreamLog, { topic, incarnation, seq }: TopicCursor): TopicStart {
   const isHere = incarnation === log.incarnation && seq <= log.head;
   return create(TopicStartSchema, {
     topic,
--- a/packages/testkit/src/callers/caller.ts
+++ b/packages/testkit/src/callers/caller.ts
@@ -1,5 +1,5 @@
 import type { Beat, Clock } from "@cranetrack/core/runtime/clock.js";
-import type { CallerPort, PortLink, PortReply } from "./callerPort.js";
+import type { CallerPort, PortConnection, PortReply } from "./callerPort.js";
 import type { History } from "../checker/history.js";
 
 interface CallerParts {
@@ -25,7 +25,7 @@
   readonly #places = new Map<string, string | undefined>();
   readonly #numbers = new Map<string, number>();
   readonly #busy = new Map<string, Promise<boolean>>();
-  #link: PortLink | undefined;
+  #connection: PortConnection | undefined;
   #node = "";
   #isOpen = false;
   #isWanted = false;
@@ -46,7 +46,7 @@
     this.#parts = parts;
   }
 
-  get isLinked(): boolean {
+  get isConnected(): boolean {
     return this.#isOpen;
   }
 
@@ -115,7 +115,7 @@
       history.add({ kind: "tried", at: this.#now, sender: this.session, topic, number, payload });
       const body = JSON.stringify({ topic, number, payload });
       const asked = port.call(node, "POST", `/v1/sessions/${this.session}/messages`, body);
-      const reply = await Promise.race([asked, this.#cutLink()]);
+      const reply = await Promise.race([asked, this.#cutConnection()]);
       const about = { at: this.#now, sender: this.session, topic, number };
       if (reply.status === 200) {
         history.add({ kind: "accepted", ...about, place: String(reply.body["place"]) });
@@ -135,7 +135,7 @@
   }
 
   /** Settles when the present link breaks: what was asked over it is asked again on the next, under its number. */
-  #cutLink(): Promise<PortReply> {
+  #cutConnection(): Promise<PortReply> {
     return new Promise((resolve) => {
       this.#whenCut.push(() => resolve({ status: 0, body: {}, comeBack: 0 }));
       if (this.#whenCut.length > 200) this.#whenCut.shift();
@@ -148,7 +148,7 @@
   }
 
   async #connect(): Promise<void> {
-    if (!this.#isWanted || this.#link !== undefined) return;
+    if (!this.#isWanted || this.#connection !== undefined) return;
     const attempt = ++this.#attempt;
     const node = this.#pick();
     const subscriptions = [...this.#places].map(([topic, after]) =>
@@ -156,7 +156,7 @@
     );
     this.#confirmed.clear();
     const isCurrent = (): boolean => attempt === this.#attempt && this.#isWanted;
-    const got = await this.#parts.port.link(
+    const got = await this.#parts.port.connection(
       node,
       this.session,
       { subscriptions },
@@ -172,7 +172,7 @@
       },
     );
     if (!isCurrent()) return void ("close" in got && got.close());
-    if ("close" in got) this.#link = got;
+    if ("close" in got) this.#connection = got;
     else this.#again(Math.min(3000, (got.comeBack ?? 0.5) * 1000 + this.#parts.draw() * 100));
   }
 
@@ -256,8 +256,8 @@
     this.#isOpen = false;
     for (const giveUp of this.#whenCut.splice(0)) giveUp();
     this.#attempt += 1;
-    this.#link?.close();
-    this.#link = undefined;
+    this.#connection?.close();
+    this.#connection = undefined;
   }
 
   #again(ms: number): void {
--- a/packages/testkit/src/callers/callerPort.ts
+++ b/packages/testkit/src/callers/callerPort.ts
@@ -3,18 +3,18 @@
   body: Record<string, unknown>;
   comeBack: number | undefined;
 }
-export interface PortLink {
+export interface PortConnection {
   close(): void;
 }
 
 /** How a stand-in reaches nodes: over HTTP in a real fleet, through virtual wires in the simulator. */
 export interface CallerPort {
   /** Opens a link; resolves with the receipt where it was refused. */
-  link(
+  connection(
     node: string,
     session: string,
     body: object,
     heed: { line(line: Record<string, unknown>): void; closed(): void },
-  ): Promise<PortLink | PortReply>;
+  ): Promise<PortConnection | PortReply>;
   call(node: string, method: string, path: string, body: string | undefined): Promise<PortReply>;
 }
--- a/packages/testkit/src/callers/httpPort.ts
+++ b/packages/testkit/src/callers/httpPort.ts
@@ -1,5 +1,5 @@
 import { Agent, request } from "undici";
-import type { CallerPort, PortLink, PortReply } from "./callerPort.js";
+import type { CallerPort, PortConnection, PortReply } from "./callerPort.js";
 
 /** Calls over HTTP/1.1, as a caller of the service makes them. */
 export class HttpPort implements CallerPort {
@@ -10,12 +10,12 @@
     this.#addressOf = addressOf;
   }
 
-  async link(
+  async connection(
     node: string,
     session: string,
     body: object,
     heed: { line(line: Record<string, unknown>): void; closed(): void },
-  ): Promise<PortLink | PortReply> {
+  ): Promise<PortConnection | PortReply> {
     const giveUp = new AbortController();
     try {
       const answer = await request(`http://${this.#addressOf(node)}/v1/sessions/${session}/link`, {
--- a/packages/testkit/src/callers/pipelinedPublisher.ts
+++ b/packages/testkit/src/callers/pipelinedPublisher.ts
@@ -42,7 +42,7 @@
   publish(topic: string): void {
     const { caller, clock } = this.#parts;
     const open = this.#open.get(topic) ?? 0;
-    if (!caller.isLinked || open >= PipelinedPublisher.mostOpen) return;
+    if (!caller.isConnected || open >= PipelinedPublisher.mostOpen) return;
     this.#open.set(topic, open + 1);
     const number = ++this.#number;
     const end = clock.now() + PipelinedPublisher.deadlineMs;
@@ -55,7 +55,7 @@
     const { clock, caller, history } = this.#parts;
     const { topic, number } = message;
     while (clock.now() < message.end) {
-      if (!caller.isLinked) {
+      if (!caller.isConnected) {
         await this.#wait();
         continue;
       }
--- a/packages/testkit/src/checker/passingRules.ts
+++ b/packages/testkit/src/checker/passingRules.ts
@@ -16,20 +16,20 @@
   const breaches: Breach[] = [];
   const fates = fatesOf(seen);
   /** By subscriber, then by topic and publisher: the last number on the present link. */
-  const links = new Map<string, Map<string, number>>();
+  const connections = new Map<string, Map<string, number>>();
   for (const one of seen) {
-    if (one.kind === "linked") links.set(one.subscriber, new Map());
-    if (one.kind === "ended") forget(links.get(one.subscriber), one.topic);
+    if (one.kind === "linked") connections.set(one.subscriber, new Map());
+    if (one.kind === "ended") forget(connections.get(one.subscriber), one.topic);
     if (one.kind !== "received") continue;
-    const fault = faultOf(one, fates.get(keyOf(one)), links.get(one.subscriber) ?? new Map<string, number>());
+    const fault = faultOf(one, fates.get(keyOf(one)), connections.get(one.subscriber) ?? new Map<string, number>());
     if (fault !== undefined) breaches.push({ ...fault, at: one.at });
   }
   return breaches;
 }
 
 /** What comes after a subscription's end is another subscription's. */
-function forget(link: Map<string, number> | undefined, topic: string): void {
-  for (const key of link?.keys() ?? []) if (key.startsWith(`${topic} `)) link!.delete(key);
+function forget(connection: Map<string, number> | undefined, topic: string): void {
+  for (const key of connection?.keys() ?? []) if (key.startsWith(`${topic} `)) connection!.delete(key);
 }
 
 function faultOf(
--- a/packages/testkit/src/checker/soakRules.test.ts
+++ b/packages/testkit/src/checker/soakRules.test.ts
@@ -9,25 +9,25 @@
 };
 const refused = (number: number): Seen => ({ kind: "refused", at: 0, sender: "pen", topic: "p/t", number, code: "x" });
 const unsure = (number: number): Seen => ({ kind: "unsure", at: 0, sender: "pen", topic: "p/t", number });
-const linked: Seen = { kind: "linked", at: 0, subscriber: "desk", node: "vise-1" };
+const connectedEvent: Seen = { kind: "linked", at: 0, subscriber: "desk", node: "vise-1" };
 const got = (number: number, payload = `p${number}`): Seen => {
   return { kind: "received", at: 1, subscriber: "desk", topic: "p/t", sender: "pen", number, payload };
 };
 const rulesOf = (...seen: Seen[]): string[] => judgePassing(seen).map(({ rule }) => rule);
 
 test("on one link numbers rise, and none comes twice; a new link begins anew", () => {
-  const sent = [tried(1), tried(2), tried(3), linked];
+  const sent = [tried(1), tried(2), tried(3), connectedEvent];
   expect(rulesOf(...sent, got(1), got(3))).toEqual([]);
   expect(rulesOf(...sent, got(2), got(2))).toEqual(["twice"]);
   expect(rulesOf(...sent, got(3), got(1))).toEqual(["sender-order"]);
-  expect(rulesOf(...sent, got(3), linked, got(3))).toEqual([]);
+  expect(rulesOf(...sent, got(3), connectedEvent, got(3))).toEqual([]);
 });
 
 test("nothing comes that nobody sent, that was changed, or of which every try was refused", () => {
-  expect(rulesOf(linked, got(1))).toEqual(["nobody-sent"]);
-  expect(rulesOf(tried(1), linked, got(1, "other"))).toEqual(["changed-bytes"]);
-  expect(rulesOf(tried(1), refused(1), linked, got(1))).toEqual(["refused-delivered"]);
-  expect(rulesOf(tried(1), unsure(1), tried(1), refused(1), linked, got(1))).toEqual([]);
+  expect(rulesOf(connectedEvent, got(1))).toEqual(["nobody-sent"]);
+  expect(rulesOf(tried(1), connectedEvent, got(1, "other"))).toEqual(["changed-bytes"]);
+  expect(rulesOf(tried(1), refused(1), connectedEvent, got(1))).toEqual(["refused-delivered"]);
+  expect(rulesOf(tried(1), unsure(1), tried(1), refused(1), connectedEvent, got(1))).toEqual([]);
 });
 
 test("a read is as new as what was accepted, or read elsewhere, before it was asked", () => {
--- a/packages/testkit/src/fleet/deployments.ts
+++ b/packages/testkit/src/fleet/deployments.ts
@@ -12,7 +12,7 @@
   name: string;
   zones: string[];
   edges: number;
-  links: number;
+  connections: number;
   /** The topics anybody publishes on, and how many a caller reads. */
   shared: { space: string; topics: number; perSecond: number; reads: number };
   /** The topics a few senders publish on. */
@@ -36,7 +36,7 @@
     name: "reefline",
     zones: ["brisbane", "townsville", "toowoomba"],
     edges: 9,
-    links: 400,
+    connections: 400,
     shared: { space: "clips", topics: 435, perSecond: 140, reads: 8 },
     broadcast: { space: "rundown", topics: 15, perSecond: 15, reads: 3, senders: 3 },
   },
@@ -44,7 +44,7 @@
     name: "adwen",
     zones: ["accra", "kumasi", "takoradi"],
     edges: 6,
-    links: 410,
+    connections: 410,
     shared: { space: "quotes", topics: 715, perSecond: 200, reads: 8 },
     broadcast: { space: "cuts", topics: 15, perSecond: 15, reads: 3, senders: 3 },
   },
@@ -52,7 +52,7 @@
     name: "small",
     zones: ["north", "south", "west"],
     edges: 2,
-    links: 24,
+    connections: 24,
     shared: { space: "notes", topics: 20, perSecond: 30, reads: 4 },
     broadcast: { space: "notices", topics: 2, perSecond: 5, reads: 2, senders: 1 },
   },
@@ -61,7 +61,7 @@
     name: "control",
     zones: ["north", "south", "west"],
     edges: 3,
-    links: 24,
+    connections: 24,
     shared: { space: "notes", topics: 24, perSecond: 40, reads: 4 },
     broadcast: { space: "notices", topics: 2, perSecond: 5, reads: 2, senders: 1 },
     passing: { space: "passing", topics: 4, perSecond: 40, senders: 3, readers: 6 },
--- a/packages/testkit/src/fleet/fleet.test.ts
+++ b/packages/testkit/src/fleet/fleet.test.ts
@@ -95,9 +95,9 @@
     const lines: Array<Record<string, unknown>> = [];
     let isOpen = false;
     // An edge that loses its lease on a busy machine closes its connections: the guest comes back, as any client does.
-    const connect = async (): ReturnType<typeof fleet.port.link> => {
+    const connect = async (): ReturnType<typeof fleet.port.connection> => {
       let isClosed = false;
-      const opened = await fleet.port.link(
+      const opened = await fleet.port.connection(
         edge,
         "guest",
         { subscriptions: [{ topic: "notes/t1" }] },
@@ -115,8 +115,8 @@
       while (!isOpen && !isClosed) await fleet.call(edge, "GET", "/healthz");
       return opened;
     };
-    let link = await connect();
-    while (!isOpen) link = await connect();
+    let connection = await connect();
+    while (!isOpen) connection = await connect();
     const publish = (body: string, node = edge, session = "guest"): Promise<PortReply> =>
       fleet.call(node, "POST", `/v1/sessions/${session}/messages`, body);
     const message = { topic: "notes/t1", number: 1, payload: "x" };
@@ -161,7 +161,7 @@
     expect((await publish(JSON.stringify({ ...message, number: 3 }), other)).status).toEqual(200);
     while (!lines.some((line) => line["kind"] === "message")) await fleet.call(edge, "GET", "/healthz");
     expect(lines.filter((line) => line["kind"] === "message").map((line) => line["number"])).toEqual([3]);
-    if ("close" in link) link.close();
+    if ("close" in connection) connection.close();
     expect(fleet.fallen).toEqual([]);
   },
 );
@@ -178,14 +178,14 @@
     expect((await fleet.call("vise-1", "GET", "/readyz")).status).toEqual(200);
     writeFileSync(path, JSON.stringify({ ...(JSON.parse(good) as object), mostLinks: 0 + 1 }));
     while ((await faultOf()) !== "") await fleet.call("vise-1", "GET", "/healthz");
-    const links = await Promise.all(
+    const connections = await Promise.all(
       [1, 2].map((i) =>
-        fleet.port.link("vise-1", `crowd-${i}`, {}, { line: () => undefined, closed: () => undefined }),
+        fleet.port.connection("vise-1", `crowd-${i}`, {}, { line: () => undefined, closed: () => undefined }),
       ),
     );
-    const full = links.find((link) => !("close" in link)) as PortReply;
+    const full = connections.find((connection) => !("close" in connection)) as PortReply;
     expect([full.status, codeOf(full)]).toEqual([503, "full"]);
-    for (const link of links) if ("close" in link) link.close();
+    for (const connection of connections) if ("close" in connection) connection.close();
     writeFileSync(path, good);
     fleet.signal("vise-1", "SIGHUP");
   },
--- a/packages/testkit/src/fleet/load.ts
+++ b/packages/testkit/src/fleet/load.ts
@@ -56,7 +56,7 @@
     await this.putPlan(Deployments.plan(deployment, (await this.markInForce()) + 1));
     await this.#wait(1500);
     const { shared, broadcast } = deployment;
-    for (let i = 0; i < deployment.links * share; i += 1) {
+    for (let i = 0; i < deployment.connections * share; i += 1) {
       const session = i < broadcast.senders ? `sender-${i + 1}` : `caller-${i + 1}`;
       this.#zoneOf.set(session, deployment.zones[i % deployment.zones.length]!);
       const caller = new Caller({
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -138,7 +138,7 @@
     });
     caller.start([]);
     const beat = this.#clock.every(Soak.probeMs, () => {
-      if (caller.isLinked && caller.open < Soak.mostProbes)
+      if (caller.isConnected && caller.open < Soak.mostProbes)
         void caller.publish(`${this.#random.pick(SoakOperators.addedSpaces)}/t0`, `probe ${this.#random.identity()}`);
     });
     return {
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -119,7 +119,7 @@
   {
     name: "a slow reader's buffer has no bound",
     file: "edge/dist/edgeNode.js",
-    find: "link.waitingBytes <= this.live.bufferBytes",
+    find: "connection.waitingBytes <= this.live.bufferBytes",
     put: "true",
     test: `${sim}/sessions.test.js`,
   },
@@ -196,8 +196,8 @@
   {
     name: "an edge judges a place by what it has heard",
     file: "edge/dist/subscriptions/findStarts.js",
-    find: 'return isHeard ? { topic, tail, place, expired: "" } : undefined;',
-    put: 'return { topic, tail, place: { incarnation: tail.incarnation, seq: tail.head }, expired: isHeard ? "" : "unheard" };',
+    find: 'return isHeard ? { topic, tail, cursor, expired: "" } : undefined;',
+    put: 'return { topic, tail, cursor: { incarnation: tail.incarnation, seq: tail.head }, expired: isHeard ? "" : "unheard" };',
     test: `${sim}/streams.test.js`,
   },
   {
--- a/packages/testkit/src/sim/connections.test.ts
+++ b/packages/testkit/src/sim/connections.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
-import type { ClientLink } from "@cranetrack/edge/connections/clientConnection.js";
-import type { Connection } from "@cranetrack/edge/connections/clientEndpoint.js";
-import { EdgeConnections } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
+import type { ClientConnection } from "@cranetrack/edge/connections/clientConnection.js";
+import type { SessionEndpoint } from "@cranetrack/edge/connections/clientEndpoint.js";
+import { EdgeClientEndpoint } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
 import { expect } from "earl";
 import { served } from "./hand.js";
 import type { SimFleet } from "./simFleet.js";
@@ -9,7 +9,7 @@
 type Line = Record<string, unknown>;
 
 /** A client's end of an in-process connection. */
-class Wire implements ClientLink {
+class Wire implements ClientConnection {
   readonly lines: Line[] = [];
   waitingBytes = 0;
   isClosed = false;
@@ -41,16 +41,20 @@
   return answer!.value;
 }
 
-async function open(fleet: SimFleet, edge: string, session: string): Promise<{ wire: Wire; connection: Connection }> {
+async function open(
+  fleet: SimFleet,
+  edge: string,
+  session: string,
+): Promise<{ wire: Wire; connection: SessionEndpoint }> {
   const wire = new Wire();
-  const answer = await settled(fleet, new EdgeConnections(fleet.find(edge)!.edge!).connect(session, wire));
+  const answer = await settled(fleet, new EdgeClientEndpoint(fleet.find(edge)!.edge!).connect(session, wire));
   if (answer.outcome !== "open") throw new Error(`not connected: ${JSON.stringify(answer)}`);
   return { wire, connection: answer.connection };
 }
 
-async function place(fleet: SimFleet, connection: Connection, after?: string): Promise<string> {
+async function place(fleet: SimFleet, connection: SessionEndpoint, after?: string): Promise<string> {
   const answer = await settled(fleet, connection.subscribe("notes/t1", after));
-  return answer.outcome === "confirmed" ? answer.place : answer.outcome;
+  return answer.outcome === "confirmed" ? answer.cursor : answer.outcome;
 }
 
 test("a connection's topics go with it: pulled, stopped and shipped, it goes on at the client's place", async () => {
@@ -77,7 +81,7 @@
     linesBefore = second.wire.lines.length;
     return answer;
   });
-  expect(await settled(fleet, confirmed)).toEqual({ outcome: "confirmed", place: start });
+  expect(await settled(fleet, confirmed)).toEqual({ outcome: "confirmed", cursor: start });
   expect(linesBefore).toEqual(0);
   expect(await fleet.until(() => second.wire.numbers().length === 2, 2000)).toEqual(true);
   expect(second.wire.numbers()).toEqual([1, 2]);
@@ -117,7 +121,7 @@
   await fleet.run(100);
   const { edge } = fleet.start("vise-1");
   expect(edge!.lease.isHeld).toEqual(false);
-  const answer = await settled(fleet, new EdgeConnections(edge!).connect("desk", new Wire()));
+  const answer = await settled(fleet, new EdgeClientEndpoint(edge!).connect("desk", new Wire()));
   expect(answer.outcome).toEqual("open");
 });
 
@@ -134,7 +138,7 @@
     await connection.unsubscribe("notes/t1");
     return connection.subscribe("notes/t1", later);
   });
-  expect(await settled(fleet, again)).toEqual({ outcome: "confirmed", place: later });
+  expect(await settled(fleet, again)).toEqual({ outcome: "confirmed", cursor: later });
   expect((await settled(fleet, pen.connection.publish("notes/t1", 4, "x"))).outcome).toEqual("accepted");
   expect(await fleet.until(() => wire.numbers().includes(4), 2000)).toEqual(true);
   expect(wire.numbers()).toEqual([4]);
--- a/packages/testkit/src/sim/hand.ts
+++ b/packages/testkit/src/sim/hand.ts
@@ -15,7 +15,7 @@
 
   constructor(fleet: SimFleet, node: string, session: string, body: object) {
     const heed = { line: (line: Line) => void this.lines.push(line), closed: () => void (this.isClosed = true) };
-    void fleet.port.link(node, session, body, heed).then((got) => {
+    void fleet.port.connection(node, session, body, heed).then((got) => {
       if ("close" in got) this.close = () => got.close();
       else this.reply = { status: got.status, ...got.body, comeBack: got.comeBack };
     });
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
-import type { Connection, Published } from "@cranetrack/edge/connections/clientEndpoint.js";
-import { EdgeConnections } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
+import type { SessionEndpoint, Published } from "@cranetrack/edge/connections/clientEndpoint.js";
+import { EdgeClientEndpoint } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
 import { expect } from "earl";
 import { Hand, served, type Served } from "./hand.js";
 import type { SimFleet } from "./simFleet.js";
@@ -13,10 +13,10 @@
   return answer!.value;
 }
 
-async function open(fleet: SimFleet): Promise<Connection> {
-  const link = { waitingBytes: 0, isClosed: false, send: () => undefined, close: () => undefined };
-  const connections = new EdgeConnections(fleet.find("vise-1")!.edge!);
-  const answer = await settled(fleet, connections.connect("desk", { ...link, onClose: () => undefined }));
+async function open(fleet: SimFleet): Promise<SessionEndpoint> {
+  const connection = { waitingBytes: 0, isClosed: false, send: () => undefined, close: () => undefined };
+  const connections = new EdgeClientEndpoint(fleet.find("vise-1")!.edge!);
+  const answer = await settled(fleet, connections.connect("desk", { ...connection, onClose: () => undefined }));
   if (answer.outcome !== "open") throw new Error(`not connected: ${JSON.stringify(answer)}`);
   return answer.connection;
 }
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -20,10 +20,15 @@
   return all;
 }
 
-async function linked({ fleet }: Served, node: string, session: string, wishes: readonly object[]): Promise<Hand> {
+async function connectSession(
+  { fleet }: Served,
+  node: string,
+  session: string,
+  wishes: readonly object[],
+): Promise<Hand> {
   const hand = new Hand(fleet, node, session, { subscriptions: wishes });
-  const isLinked = (): boolean => hand.of("open").length > 0 && hand.of("confirmed").length === wishes.length;
-  expect(await fleet.until(isLinked, 5000)).toEqual(true);
+  const isConnected = (): boolean => hand.of("open").length > 0 && hand.of("confirmed").length === wishes.length;
+  expect(await fleet.until(isConnected, 5000)).toEqual(true);
   return hand;
 }
 
@@ -51,9 +56,9 @@
 test("a space that keeps nothing is delivered in order, from memory, and writes no log", async () => {
   const all = await keepingNothing(801);
   const { fleet, publish } = all;
-  const readers = [await linked(all, "vise-1", "desk", [{ topic: "notes/t1" }])];
-  readers.push(await linked(all, "vise-3", "shelf", [{ topic: "notes/t1" }, { topic: "extra/t0" }]));
-  await linked(all, "vise-2", "pen", []);
+  const readers = [await connectSession(all, "vise-1", "desk", [{ topic: "notes/t1" }])];
+  readers.push(await connectSession(all, "vise-3", "shelf", [{ topic: "notes/t1" }, { topic: "extra/t0" }]));
+  await connectSession(all, "vise-2", "pen", []);
   const before = logged(all);
   for (let number = 1; number <= 5; number += 1) {
     const reply = await publish("pen", number, "vise-2");
@@ -75,7 +80,7 @@
 test("numbers that go backwards and payloads that are too large are refused in memory as in a log", async () => {
   const all = await keepingNothing(802);
   const { publish, ask, fleet } = all;
-  await linked(all, "vise-2", "pen", []);
+  await connectSession(all, "vise-2", "pen", []);
   expect((await publish("pen", 4, "vise-2"))["receipt"]).toEqual("accepted");
   // An earlier holder might have taken it, as long as anybody would still repeat it.
   expect((await publish("pen", 3, "vise-2"))["status"]).toEqual(504);
@@ -91,8 +96,8 @@
 test("the holder changes in the middle: silent, no message twice, the sender's order holds", async () => {
   const all = await keepingNothing(803);
   const { fleet, publish } = all;
-  const reader = await linked(all, "vise-1", "desk", [{ topic: "notes/t1" }]);
-  await linked(all, "vise-2", "pen", []);
+  const reader = await connectSession(all, "vise-1", "desk", [{ topic: "notes/t1" }]);
+  await connectSession(all, "vise-2", "pen", []);
   for (let number = 1; number <= 3; number += 1)
     expect((await publish("pen", number, "vise-2"))["receipt"]).toEqual("accepted");
   expect(await fleet.until(() => reader.got().length === 3, 2000)).toEqual(true);
@@ -127,21 +132,21 @@
 test("a place of another birth, or of nowhere, is confirmed without a word where nothing is kept", async () => {
   const all = await keepingNothing(804);
   const { fleet, publish } = all;
-  const reader = await linked(all, "vise-1", "desk", [{ topic: "notes/t1" }]);
-  await linked(all, "vise-2", "pen", []);
+  const reader = await connectSession(all, "vise-1", "desk", [{ topic: "notes/t1" }]);
+  await connectSession(all, "vise-2", "pen", []);
   for (let number = 1; number <= 2; number += 1) await publish("pen", number, "vise-2");
   expect(await fleet.until(() => reader.got().length === 2, 2000)).toEqual(true);
   const place = String(reader.of("message")[0]!["place"]);
   reader.close();
   await publish("pen", 3, "vise-2");
   // From the tail, as long as it has it.
-  const soon = await linked(all, "vise-3", "desk", [{ topic: "notes/t1", after: place }]);
+  const soon = await connectSession(all, "vise-3", "desk", [{ topic: "notes/t1", after: place }]);
   expect(await fleet.until(() => soon.got().length === 2, 2000)).toEqual(true);
   expect(soon.got("notes/t1")).toEqual([2, 3]);
   soon.close();
   await fleet.run(15_000);
   for (const after of [place, "1-0123456789.7", "ffffff-0123456789.3"]) {
-    const again = await linked(all, "vise-1", "desk", [{ topic: "notes/t1", after }]);
+    const again = await connectSession(all, "vise-1", "desk", [{ topic: "notes/t1", after }]);
     expect([again.of("expired"), again.of("fault"), again.got()]).toEqual([[], [], []]);
     again.close();
     await fleet.run(200);
@@ -200,8 +205,8 @@
   const all = await keepingNothing(809);
   const { fleet } = all;
   const topic = "notes/t1";
-  const reader = await linked(all, "vise-1", "desk", [{ topic }]);
-  await linked(all, "vise-2", "pen", []);
+  const reader = await connectSession(all, "vise-1", "desk", [{ topic }]);
+  await connectSession(all, "vise-2", "pen", []);
   const { name, shard } = shardLeaderOf(all, topic);
   const pen = fleet.addressOf("vise-2");
   // Number 1 is taken and pushed, and its receipt is lost.
@@ -245,8 +250,8 @@
   const all = await keepingNothing(810);
   const { fleet, publish } = all;
   const topic = "notes/t1";
-  await linked(all, "vise-2", "pen", []);
-  const first = await linked(all, "vise-1", "desk", [{ topic }]);
+  await connectSession(all, "vise-2", "pen", []);
+  const first = await connectSession(all, "vise-1", "desk", [{ topic }]);
   expect((await publish("pen", 1, "vise-2"))["receipt"]).toEqual("accepted");
   expect(await fleet.until(() => first.got().length === 1, 1000)).toEqual(true);
   const after = first.of("message")[0]!["place"];
@@ -254,7 +259,7 @@
   await fleet.run(100);
   expect((await publish("pen", 2, "vise-2"))["receipt"]).toEqual("accepted");
   // At an edge that follows the topic only from now on: what it missed is fetched.
-  const again = await linked(all, "vise-3", "desk", [{ topic, after }]);
+  const again = await connectSession(all, "vise-3", "desk", [{ topic, after }]);
   expect(await fleet.until(() => again.got().length === 1, 1000)).toEqual(true);
   const { name, shard } = shardLeaderOf(all, topic);
   fleet.kill(name);
@@ -277,9 +282,12 @@
   const all = await keepingNothing(811);
   const { fleet } = all;
   const topic = "extra/t0";
-  const readers = [await linked(all, "vise-1", "desk", [{ topic }]), await linked(all, "vise-3", "shelf", [{ topic }])];
+  const readers = [
+    await connectSession(all, "vise-1", "desk", [{ topic }]),
+    await connectSession(all, "vise-3", "shelf", [{ topic }]),
+  ];
   const pens = ["pen-a", "pen-b"];
-  for (const pen of pens) await linked(all, "vise-2", pen, []);
+  for (const pen of pens) await connectSession(all, "vise-2", pen, []);
   const { name, shard } = shardLeaderOf(all, topic);
   const [far, near] = [fleet.addressOf("vise-3"), fleet.addressOf("vise-2")];
   // One edge is given both messages; the other one's pushes are lost, and so are the receipts.
@@ -330,8 +338,8 @@
   expect([await count(), await count("nowhere/t1")]).toEqual([0, "unknown-topic"]);
   const wishes = ["notes/t1", "extra/t0"].map((topic) => ({ topic }));
   const hands: Hand[] = [];
-  for (let i = 0; i < 6; i += 1) hands.push(await linked(all, `vise-${(i % 3) + 1}`, `desk-${i}`, wishes));
-  await linked(all, "vise-1", "other", [{ topic: "extra/t1" }]);
+  for (let i = 0; i < 6; i += 1) hands.push(await connectSession(all, `vise-${(i % 3) + 1}`, `desk-${i}`, wishes));
+  await connectSession(all, "vise-1", "other", [{ topic: "extra/t1" }]);
   await fleet.run(100);
   expect([await count(), await count("extra/t0"), await count("extra/t1")]).toEqual([6, 6, 1]);
   hands[1]!.close();
@@ -357,8 +365,8 @@
 test("a contract that begins to keep, and one that ceases to, moves its streams and delivery goes on", async () => {
   const all = await served(808);
   const { fleet, publish } = all;
-  const reader = await linked(all, "vise-1", "desk", [{ topic: "notes/t1" }]);
-  await linked(all, "vise-2", "pen", []);
+  const reader = await connectSession(all, "vise-1", "desk", [{ topic: "notes/t1" }]);
+  await connectSession(all, "vise-2", "pen", []);
   let number = 0;
   for (const keep of [120, 0, 120, 0]) {
     const reply = await all.plan(["notes", "notices", "extra"], (spaces) => (spaces["notes"]![0]!.owe["keep"] = keep));
--- a/packages/testkit/src/sim/sessions.test.ts
+++ b/packages/testkit/src/sim/sessions.test.ts
@@ -228,7 +228,7 @@
     for (let number = 2; number <= 40; number += 1)
       expect((await publish("pen", number, "vise-2"))["receipt"]).toEqual("accepted");
     expect(await fleet.until(() => reader.isClosed, 5000)).toEqual(true);
-    expect(fleet.find("vise-1")!.edge!.sessions.find("slow")!.link).toEqual(undefined);
+    expect(fleet.find("vise-1")!.edge!.sessions.find("slow")!.connection).toEqual(undefined);
     fleet.port.stalled.clear();
     const again = new Hand(fleet, "vise-3", "slow", { subscriptions: [{ topic: "notes/t1", after }] });
     expect(await fleet.until(() => again.of("message").length === 39, 5000)).toEqual(true);
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -244,7 +244,7 @@
     expect((await call(fleet, "PUT", "/v1/machines/anvil-1/emptying")).status).toEqual(200);
     expect(await fleet.until(() => setsOf(fleet).every((set) => set.includes("anvil-4")), 40_000)).toEqual(true);
     load.dropAll();
-    expect(await fleet.until(() => fleet.find("vise-2")!.edge!.sessions.links > 0, 8000)).toEqual(true);
+    expect(await fleet.until(() => fleet.find("vise-2")!.edge!.sessions.connections > 0, 8000)).toEqual(true);
     expect(await judged(fleet, load)).toEqual([]);
   },
 );
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -235,7 +235,7 @@
   get unsettled(): string {
     return this.callers
       .filter((caller) => !caller.isSettled || caller.open > 0)
-      .map((caller) => `${caller.session} (${caller.isLinked ? "linked" : "away"}, ${caller.open} open)`)
+      .map((caller) => `${caller.session} (${caller.isConnected ? "linked" : "away"}, ${caller.open} open)`)
       .join(", ");
   }
 
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -1,5 +1,5 @@
-import type { ClientLink } from "@cranetrack/edge/connections/clientConnection.js";
-import type { CallerPort, PortLink, PortReply } from "../callers/callerPort.js";
+import type { ClientConnection } from "@cranetrack/edge/connections/clientConnection.js";
+import type { CallerPort, PortConnection, PortReply } from "../callers/callerPort.js";
 import type { SimNode } from "./simNode.js";
 import type { SimWorld } from "./simWorld.js";
 import { Router } from "@cranetrack/core/http/router.js";
@@ -40,12 +40,12 @@
     this.#nodes = nodes;
   }
 
-  async link(
+  async connection(
     name: string,
     session: string,
     body: object,
     heed: { line(line: Record<string, unknown>): void; closed(): void },
-  ): Promise<PortLink | PortReply> {
+  ): Promise<PortConnection | PortReply> {
     const simNode = this.#nodes.find(name);
     if (simNode?.edge === undefined) return this.#later(away);
     const state = { isOpen: false, isClientGone: false, isServerGone: false, whenClosed: (): void => undefined };
@@ -60,7 +60,7 @@
     };
     let waitingBytes = 0;
     const { stalled } = this;
-    const link: ClientLink = {
+    const connection: ClientConnection = {
       get waitingBytes() {
         return waitingBytes;
       },
@@ -87,15 +87,15 @@
         state.whenClosed();
       });
     };
-    return this.#ask<PortLink | PortReply>(
+    return this.#ask<PortConnection | PortReply>(
       simNode,
       (settle) => {
         forget = simNode.onFall(closeClient);
         void simNode
-          .edgeCalls!.link(session, Buffer.from(JSON.stringify(body)), () => {
+          .edgeCalls!.connection(session, Buffer.from(JSON.stringify(body)), () => {
             state.isOpen = true;
             settle({ close });
-            return link;
+            return connection;
           })
           .then((reply) => {
             if (reply === undefined) return;
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -12,10 +12,15 @@
 
 const isKind = (bytes: Uint8Array, ...kinds: string[]): boolean => kinds.includes(Wire.decode(bytes)?.body.case ?? "");
 
-async function linked({ fleet }: Served, node: string, session: string, topics: readonly string[]): Promise<Hand> {
+async function connectSession(
+  { fleet }: Served,
+  node: string,
+  session: string,
+  topics: readonly string[],
+): Promise<Hand> {
   const hand = new Hand(fleet, node, session, { subscriptions: topics.map((topic) => ({ topic })) });
-  const isLinked = (): boolean => hand.of("open").length > 0 && hand.of("confirmed").length === topics.length;
-  expect(await fleet.until(isLinked, 5000)).toEqual(true);
+  const isConnected = (): boolean => hand.of("open").length > 0 && hand.of("confirmed").length === topics.length;
+  expect(await fleet.until(isConnected, 5000)).toEqual(true);
   return hand;
 }
 
@@ -43,8 +48,8 @@
 test("a link that resumes with several places in a stream reads from the lowest and skips what each had", async () => {
   const all = await served(52);
   const { fleet, publish } = all;
-  const reader = await linked(all, "vise-1", "desk", ["notices/t0", "notices/t1"]);
-  await linked(all, "vise-2", "sender-1", []);
+  const reader = await connectSession(all, "vise-1", "desk", ["notices/t0", "notices/t1"]);
+  await connectSession(all, "vise-2", "sender-1", []);
   const say = async (number: number, topic: string): Promise<void> => {
     expect((await publish("sender-1", number, "vise-2", topic))["receipt"]).toEqual("accepted");
   };
@@ -69,8 +74,8 @@
   await all.plan(["notes", "notices", "extra"], (spaces) => {
     spaces["extra"]![0]!.owe["keep"] = 46;
   });
-  const reader = await linked(all, "vise-1", "desk", ["extra/t0", "extra/t1"]);
-  await linked(all, "vise-2", "pen", []);
+  const reader = await connectSession(all, "vise-1", "desk", ["extra/t0", "extra/t1"]);
+  await connectSession(all, "vise-2", "pen", []);
   expect((await publish("pen", 1, "vise-2", "extra/t0"))["receipt"]).toEqual("accepted");
   expect((await publish("pen", 1, "vise-2", "extra/t1"))["receipt"]).toEqual("accepted");
   expect(await fleet.until(() => reader.got().length === 2, 3000)).toEqual(true);
@@ -90,8 +95,8 @@
 test("a place that is ahead of what an edge has heard is no unknown place: the holder is asked", async () => {
   const all = await served(54);
   const { fleet, publish } = all;
-  const here = await linked(all, "vise-1", "desk", ["notes/t1"]);
-  const there = await linked(all, "vise-2", "other", ["notes/t1"]);
+  const here = await connectSession(all, "vise-1", "desk", ["notes/t1"]);
+  const there = await connectSession(all, "vise-2", "other", ["notes/t1"]);
   // From now on the second edge hears nothing of the topic any more: no push, and no look at what it missed.
   const late = fleet.addressOf("vise-2");
   fleet.wires.mutate = (_from, to, bytes) => (to === late && isKind(bytes, "push", "followReply") ? [] : undefined);
@@ -111,7 +116,7 @@
 test("a space removed and made again has a new birth, though the holder saw neither plan", async () => {
   const all = await served(55);
   const { fleet, publish } = all;
-  const reader = await linked(all, "vise-1", "desk", ["notes/t1"]);
+  const reader = await connectSession(all, "vise-1", "desk", ["notes/t1"]);
   expect((await publish("desk", 1))["receipt"]).toEqual("accepted");
   expect(await fleet.until(() => reader.got().length === 1, 2000)).toEqual(true);
   const before = placeOf(reader, "notes/t1");
@@ -160,7 +165,7 @@
   const { fleet, ask } = all;
   await all.plan(["notes", "notices"]);
   await fleet.run(1000);
-  await linked(all, "vise-1", "desk", []);
+  await connectSession(all, "vise-1", "desk", []);
   const deaf = fleet.addressOf("vise-1");
   fleet.wires.mutate = (_from, to, bytes) => (to === deaf && isKind(bytes, "feedPush") ? [] : undefined);
   expect((await all.plan(["notes", "notices", "extra"]))["status"]).toEqual(200);
@@ -181,8 +186,8 @@
 test("an edge that missed more than a push may carry gets all of it without anybody's next message", async () => {
   const all = await served(58);
   const { fleet, publish } = all;
-  const reader = await linked(all, "vise-1", "desk", ["notes/t1"]);
-  await linked(all, "vise-2", "pen", []);
+  const reader = await connectSession(all, "vise-1", "desk", ["notes/t1"]);
+  await connectSession(all, "vise-2", "pen", []);
   const late = fleet.addressOf("vise-1");
   fleet.wires.mutate = (_from, to, bytes) => (to === late && isKind(bytes, "push", "followReply") ? [] : undefined);
   for (let number = 1; number <= 350; number += 1)
@@ -194,7 +199,7 @@
 test("places of another space, stream or birth, or made up, get an answer for their topic alone", async () => {
   const all = await served(59);
   const { fleet, publish } = all;
-  const reader = await linked(all, "vise-1", "desk", ["notes/t1", "notes/t2", "extra/t0"]);
+  const reader = await connectSession(all, "vise-1", "desk", ["notes/t1", "notes/t2", "extra/t0"]);
   const afters: Record<string, string> = {
     "notes/t1": placeOf(reader, "extra/t0"),
     "notes/t2": "ffffff-0123456789.3",
@@ -231,12 +236,12 @@
   const other = Array.from({ length: 40 }, (_, i) => `notes/u${i}`).find(
     (topic) => streams.shardOf(`6:${topic}`) === shard,
   )!;
-  await linked(all, "vise-2", "pen", []);
-  await linked(all, "vise-1", "desk", ["notes/t1"]);
+  await connectSession(all, "vise-2", "pen", []);
+  await connectSession(all, "vise-1", "desk", ["notes/t1"]);
   const late = fleet.addressOf("vise-1");
   fleet.wires.mutate = (_from, to, bytes) =>
     to === late && isKind(bytes, "followReply") ? [{ bytes, delay: 400 }] : undefined;
-  const reader = await linked(all, "vise-1", "reader", [other]);
+  const reader = await connectSession(all, "vise-1", "reader", [other]);
   await fleet.run(50);
   expect((await publish("pen", 1, "vise-2", other))["receipt"]).toEqual("accepted");
   expect(await fleet.until(() => reader.got().length === 1, 2000)).toEqual(true);
@@ -245,7 +250,7 @@
 test("an edge that slept through a space's removal and return is told to come back, never 404", async () => {
   const all = await served(65);
   const { fleet, publish } = all;
-  await linked(all, "vise-1", "desk", []);
+  await connectSession(all, "vise-1", "desk", []);
   const deaf = fleet.addressOf("vise-1");
   fleet.wires.mutate = (_from, to, bytes) => (to === deaf && isKind(bytes, "feedPush") ? [] : undefined);
   expect((await all.plan(["notes", "notices"]))["status"]).toEqual(200);
@@ -262,7 +267,7 @@
 test("a holder that has heard of a space's removal, and not of its return, says come back, never 404", async () => {
   const all = await served(68);
   const { fleet, publish } = all;
-  await linked(all, "vise-1", "desk", []);
+  await connectSession(all, "vise-1", "desk", []);
   const { node, edge } = fleet.find("vise-1")!;
   const leaderName = node.shards.find(edge!.streams.shardOf(node.plan.route("extra/t0")!.stream)).leader;
   const deaf = [fleet.addressOf("vise-1")];
@@ -296,7 +301,7 @@
     expect((await all.ask("lathe-2", "PUT", "/v1/plan", text))["status"]).toEqual(200);
     await fleet.run(2000);
   };
-  await linked(all, "vise-2", "pen", []);
+  await connectSession(all, "vise-2", "pen", []);
   const places: string[] = [];
   let number = 0;
   const life = async (isMiddle: boolean): Promise<void> => {
@@ -307,7 +312,7 @@
       expect(hand.of("expired").length).toEqual(1);
       hand.close();
     }
-    const reader = await linked(all, "vise-1", `desk-${places.length}`, [topic, "notes/t1"]);
+    const reader = await connectSession(all, "vise-1", `desk-${places.length}`, [topic, "notes/t1"]);
     expect((await publish("pen", 1, "vise-2", topic))["receipt"]).toEqual("accepted");
     expect((await publish("pen", (number += 1), "vise-2", "notes/t1"))["receipt"]).toEqual("accepted");
     expect(await fleet.until(() => reader.got().length === 2, 3000)).toEqual(true);
@@ -315,7 +320,7 @@
     // The other topics of the space go on.
     const subscriptions = [{ topic: "notes/t1", after: placeOf(reader, "notes/t1") }];
     reader.close();
-    const staying = await linked(all, "vise-1", "staying", [topic, "notes/t2"]);
+    const staying = await connectSession(all, "vise-1", "staying", [topic, "notes/t2"]);
     await put(!isMiddle);
     expect(staying.of("ended").map((line) => line["topic"])).toEqual([topic]);
     staying.close();
@@ -334,7 +339,7 @@
   const all = await served(67);
   const { fleet, publish, load } = all;
   const topic = "notes/deep/t1";
-  const reader = await linked(all, "vise-1", "desk", [topic]);
+  const reader = await connectSession(all, "vise-1", "desk", [topic]);
   expect((await publish("desk", 1, "vise-1", topic))["receipt"]).toEqual("accepted");
   expect(await fleet.until(() => reader.got().length === 1, 2000)).toEqual(true);
   const after = placeOf(reader, topic);
@@ -367,8 +372,8 @@
     ask("lathe-2", "PUT", "/v1/plan", JSON.stringify({ mark: load.nextMark, spaces: of }));
   expect((await put(spaces))["status"]).toEqual(200);
   await fleet.run(2000);
-  const reader = await linked(at, "vise-2", "reader", ["anything", "notes/t1"]);
-  await linked(at, "vise-1", "writer", []);
+  const reader = await connectSession(at, "vise-2", "reader", ["anything", "notes/t1"]);
+  await connectSession(at, "vise-1", "writer", []);
   expect((await publish("writer", 1, "vise-1", "anything"))["status"]).toEqual(200);
   expect((await publish("writer", 2, "vise-1", "notes/t1"))["status"]).toEqual(200);
   expect(await fleet.until(() => reader.got().length === 2, 3000)).toEqual(true);
--- a/packages/testkit/src/slopes/edgeSlopes.ts
+++ b/packages/testkit/src/slopes/edgeSlopes.ts
@@ -6,8 +6,8 @@
 import { create } from "@bufbuild/protobuf";
 import { StreamMessageSchema, type StreamMessage } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { HostClock } from "@cranetrack/core/runtime/hostClock.js";
-import type { ClientLink } from "@cranetrack/edge/connections/clientConnection.js";
-import { HttpLink } from "@cranetrack/edge/connections/httpConnection.js";
+import type { ClientConnection } from "@cranetrack/edge/connections/clientConnection.js";
+import { HttpConnection } from "@cranetrack/edge/connections/httpConnection.js";
 import { StreamCursor } from "@cranetrack/edge/subscriptions/streamCursor.js";
 import { Session } from "@cranetrack/edge/sessions/session.js";
 import type { StreamTable } from "@cranetrack/edge/fanout/streamTable.js";
@@ -19,7 +19,7 @@
 const incarnation = "1-0123456789abcdef";
 const tableOf = (): StreamTable =>
   ({ counts: new SubscriberCounts(() => undefined), leave: () => undefined }) as object as StreamTable;
-const silent: ClientLink = {
+const silent: ClientConnection = {
   waitingBytes: 0,
   isClosed: false,
   send: () => undefined,
@@ -32,8 +32,14 @@
   tail.learn(incarnation, 0, 0);
   return tail;
 }
-function subscribe(table: StreamTable, session: Session, tail: StreamTail, topic: string, link: ClientLink): void {
-  const cursor = new StreamCursor({ table, tail, link, clock, maySend: () => true, onEnd: () => undefined });
+function subscribe(
+  table: StreamTable,
+  session: Session,
+  tail: StreamTail,
+  topic: string,
+  connection: ClientConnection,
+): void {
+  const cursor = new StreamCursor({ table, tail, connection, clock, maySend: () => true, onEnd: () => undefined });
   cursor.add(topic, { incarnation, seq: tail.head });
   session.subscriptions.set(topic, cursor);
   cursor.start();
@@ -48,7 +54,7 @@
   });
 
 /** Real sockets at this edge, one subscription each on one stream, and what a message to all of them costs. */
-async function links(count: number): Promise<{ bytes: number; delivery: number }> {
+async function connections(count: number): Promise<{ bytes: number; delivery: number }> {
   const before = Meter.live();
   const rssBefore = process.memoryUsage().rss;
   const table = tableOf();
@@ -56,10 +62,10 @@
   const sessions = new Map<string, Session>();
   const server = createServer((_ask, answer) => {
     const session = new Session(`caller-${sessions.size}`, 1);
-    session.link = new HttpLink(answer);
-    session.link.send({ kind: "open" });
+    session.connection = new HttpConnection(answer);
+    session.connection.send({ kind: "open" });
     sessions.set(session.id, session);
-    subscribe(table, session, tail, "notes/busy", session.link);
+    subscribe(table, session, tail, "notes/busy", session.connection);
   }).listen(0, "127.0.0.1");
   await once(server, "listening");
   const { port } = server.address() as AddressInfo;
@@ -82,11 +88,11 @@
 
 export const EdgeSlopes = {
   async connectionBytes(count: number): Promise<number> {
-    return (await links(count)).bytes;
+    return (await connections(count)).bytes;
   },
 
   async deliveryProcessor(count: number): Promise<number> {
-    return (await links(count)).delivery;
+    return (await connections(count)).delivery;
   },
 
   subscriptionBytes(count: number): number {
