--- a/packages/cli/src/cli.ts
+++ b/packages/cli/src/cli.ts
@@ -102,7 +102,7 @@
     else {
       this.#err.write(`spanner: ${fault?.message ?? reply.text} (${fault?.code ?? reply.status})\n`);
       for (const { path, problem } of fault?.problems ?? []) this.#err.write(`  ${path}: ${problem}\n`);
-      if (reply.comeBack !== undefined) this.#err.write(`  come back in ${reply.comeBack} s\n`);
+      if (reply.retryAfterSeconds !== undefined) this.#err.write(`  come back in ${reply.retryAfterSeconds} s\n`);
     }
     return reply.status === 0 || reply.status >= 500 ? Cli.exits.away : Cli.exits.refused;
   }
@@ -160,7 +160,7 @@
           .map(([arg, about]) => `  --${arg === "node" ? "target" : arg}: ${about}\n`)
           .join(
             "",
-          )}${runbook.steps.map((step, i) => `${i + 1}. ${step.title} (within ${step.dueMs / 1000} s)\n`).join("")}`,
+          )}${runbook.steps.map((step, i) => `${i + 1}. ${step.title} (within ${step.timeoutMs / 1000} s)\n`).join("")}`,
       );
       return Cli.exits.done;
     }
--- a/packages/cli/src/fleetClient.ts
+++ b/packages/cli/src/fleetClient.ts
@@ -9,7 +9,7 @@
   text: string;
   body: Record<string, unknown>;
   /** Seconds. */
-  comeBack: number | undefined;
+  retryAfterSeconds: number | undefined;
 }
 
 /** Calls any node of the fleet over HTTP; the next one where the retry policy lets it. */
@@ -53,15 +53,15 @@
       const status = answer.statusCode;
       const text = await answer.body.text();
       const retryAfter = answer.headers["retry-after"];
-      const comeBack = retryAfter === undefined ? undefined : Number(retryAfter);
-      return { kind: "answered", status, reply: { status, text, body: FleetClient.#parse(text), comeBack } };
+      const retryAfterSeconds = retryAfter === undefined ? undefined : Number(retryAfter);
+      return { kind: "answered", status, reply: { status, text, body: FleetClient.#parse(text), retryAfterSeconds } };
     } catch (error) {
       return RetryPolicy.unansweredFor(error);
     }
   }
 
   static #noAnswer(code: string, message: string): FleetReply {
-    return { status: 0, text: "", body: { error: { code, message } }, comeBack: undefined };
+    return { status: 0, text: "", body: { error: { code, message } }, retryAfterSeconds: undefined };
   }
 
   close(): Promise<void> {
--- a/packages/cli/src/runbooks/runbook.ts
+++ b/packages/cli/src/runbooks/runbook.ts
@@ -17,7 +17,7 @@
   act?: (context: RunbookContext) => Promise<string | undefined>;
   /** Must come to hold after the step, by the due. */
   after: Check;
-  dueMs: number;
+  timeoutMs: number;
 }
 
 /** A procedure that can be read and run: it stops at the first step whose check fails. */
--- a/packages/cli/src/runbooks/runbookRunner.ts
+++ b/packages/cli/src/runbooks/runbookRunner.ts
@@ -44,7 +44,7 @@
     const failed = await step.act?.(this.#context);
     if (failed !== undefined) return { step: step.title, outcome: "failed", why: failed };
     let why = await step.after(this.#context);
-    for (let waited = 0; why !== undefined && waited < step.dueMs; waited += RunbookRunner.lookMs) {
+    for (let waited = 0; why !== undefined && waited < step.timeoutMs; waited += RunbookRunner.lookMs) {
       await this.#context.wait(RunbookRunner.lookMs);
       why = await step.after(this.#context);
     }
--- a/packages/control/src/configuration/configurationArchive.test.ts
+++ b/packages/control/src/configuration/configurationArchive.test.ts
@@ -49,8 +49,8 @@
   const folder = join(mkdtempSync(join(tmpdir(), "cranetrack-plans-")), "plans");
   const journal = new ChangeJournal<Change>();
   const log = new LogBuffer("test", () => undefined);
-  const mostBytes = 60_000;
-  const archive = new PlanArchive(folder, new PlanView(journal), log, mostBytes);
+  const maxBytes = 60_000;
+  const archive = new PlanArchive(folder, new PlanView(journal), log, maxBytes);
   const sizes: number[] = [];
   for (let mark = 1; mark <= 3 * PlanArchive.lookEach + 5; mark += 1) {
     journal.append({ key: IncarnationsKey.name, value: IncarnationsKey.write({ mark, spaces: {} }), revision: mark });
@@ -65,7 +65,7 @@
     sizes.push(names.reduce((sum, name) => sum + statSync(name).size, 0));
   }
   // Two archives, each of what is allowed and what comes between two looks: three objects and their folders a commit.
-  expect(Math.max(...sizes) < 2 * (mostBytes + PlanArchive.lookEach * 20_000)).toEqual(true);
+  expect(Math.max(...sizes) < 2 * (maxBytes + PlanArchive.lookEach * 20_000)).toEqual(true);
   expect((await archive.marks()).length).toEqual(5);
   expect(existsSync(archive.earlierFolder)).toEqual(true);
 });
@@ -81,5 +81,5 @@
   await archive.settled();
   const marks = await archive.marks();
   expect(marks[0]).toEqual(50);
-  expect(marks.length <= PlanArchive.mostWaiting + 1).toEqual(true);
+  expect(marks.length <= PlanArchive.maxWaiting + 1).toEqual(true);
 });
--- a/packages/control/src/configuration/configurationArchive.ts
+++ b/packages/control/src/configuration/configurationArchive.ts
@@ -16,25 +16,25 @@
   static readonly author = { name: "cranetrack", email: "cranetrack@localhost" };
   static readonly file = "plan.json";
   /** Bytes on the disk from which on an archive is full; there are at most two of that size. */
-  static readonly mostBytes = 8 * 1024 * 1024;
+  static readonly maxBytes = 8 * 1024 * 1024;
   /** The size is looked at each so many commits: that reads the whole folder. */
   static readonly lookEach = 25;
   /** Plans that may wait to be committed; of more the oldest are left out. */
-  static readonly mostWaiting = 8;
+  static readonly maxWaiting = 8;
 
   readonly #folder: string;
   readonly #log: LogBuffer;
   readonly #queue = new PQueue({ concurrency: 1 });
   #kept = 0;
   readonly #waiting: Array<{ mark: number; text: string }> = [];
-  readonly #mostBytes: number;
+  readonly #maxBytes: number;
   /** Commits since the archive's size was looked at. */
   #commits = 0;
 
-  constructor(folder: string, plan: PlanView, log: LogBuffer, mostBytes = PlanArchive.mostBytes) {
+  constructor(folder: string, plan: PlanView, log: LogBuffer, maxBytes = PlanArchive.maxBytes) {
     this.#folder = folder;
     this.#log = log;
-    this.#mostBytes = mostBytes;
+    this.#maxBytes = maxBytes;
     plan.on("changed", () => this.#follow(plan.mark, plan.text));
   }
 
@@ -62,7 +62,7 @@
 
   #follow(mark: number, text: string): void {
     this.#waiting.push({ mark, text });
-    if (this.#waiting.length > PlanArchive.mostWaiting) this.#waiting.shift();
+    if (this.#waiting.length > PlanArchive.maxWaiting) this.#waiting.shift();
     void this.#queue.add(async () => {
       const next = this.#waiting.shift();
       if (next !== undefined) await this.#keep(next.mark, next.text);
@@ -82,7 +82,7 @@
   async #turnWhenFull(): Promise<void> {
     this.#commits += 1;
     if (this.#commits % PlanArchive.lookEach !== 0) return;
-    if ((await PlanArchive.#sizeOf(this.#folder)) < this.#mostBytes) return;
+    if ((await PlanArchive.#sizeOf(this.#folder)) < this.#maxBytes) return;
     await fs.rm(this.earlierFolder, { recursive: true, force: true });
     await fs.rename(this.#folder, this.earlierFolder);
   }
--- a/packages/control/src/configuration/getRollout.ts
+++ b/packages/control/src/configuration/getRollout.ts
@@ -6,7 +6,7 @@
 /** How far the plan in force has got: the acknowledgements of all lathes' feeds, counted by node. */
 export async function getRollout(node: ClusterNode): Promise<ApiReply> {
   const present = await node.store.read([PlanKey.name]);
-  if (present.outcome !== "done") return ApiReplies.away("no majority of the lathes answers");
+  if (present.outcome !== "done") return ApiReplies.unavailable("no majority of the lathes answers");
   const inForce = present.kvs![0];
   if (inForce === undefined) return ApiReplies.fault(404, "no-plan", "no plan was ever accepted");
   const mark = PlanKey.markOf(inForce.value);
--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -11,7 +11,7 @@
 import { planCapacity } from "./configurationCapacity.js";
 
 /** Of an order that loses a race again and again, each time to another one that was taken. */
-const mostTries = 8;
+const maxAttempts = 8;
 
 /**
  * A whole plan under a rising mark, with the operators' own document about it: accepted once a majority of the
@@ -22,8 +22,8 @@
  * effect, once its content is recorded; without one it is refused as stale.
  */
 export async function putPlan(node: ClusterNode, body: Uint8Array, document?: Uint8Array): Promise<ApiReply> {
-  if (Math.max(body.length, document?.length ?? 0) > Plans.mostBytes)
-    return ApiReplies.fault(413, "too-large", `a plan and its document may have ${Plans.mostBytes} bytes each`);
+  if (Math.max(body.length, document?.length ?? 0) > Plans.maxBytes)
+    return ApiReplies.fault(413, "too-large", `a plan and its document may have ${Plans.maxBytes} bytes each`);
   const json = JsonBody.read(body);
   if ("reply" in json) return json.reply;
   const read = PlanSchema.read(json.value);
@@ -31,11 +31,11 @@
   // With a document the body is this node's translation, and its faults may be those of this node's settings.
   if ("faults" in read && (document === undefined || mark === 0)) return invalid(read.faults);
   const order = { version: mark, body, document };
-  for (let tries = 0; tries < mostTries; tries += 1) {
+  for (let tries = 0; tries < maxAttempts; tries += 1) {
     const reply = await tryOrder(node, order, read);
     if (reply !== "conflict") return reply;
   }
-  return ApiReplies.unsure("other plans came between; the same plan again settles it");
+  return ApiReplies.unknown("other plans came between; the same plan again settles it");
 }
 
 async function tryOrder(node: ClusterNode, order: Order, read: PlanRead): Promise<ApiReply | "conflict"> {
@@ -51,7 +51,7 @@
     case "taken-by-other":
       return stale(mark, standing.versionInForce, "was taken with other content");
     case "forgotten":
-      return ApiReplies.away(`mark ${mark} is so old that its content is forgotten`);
+      return ApiReplies.unavailable(`mark ${mark} is so old that its content is forgotten`);
     case "superseded":
       if (document === undefined) return stale(mark, standing.versionInForce, "is not above the one in force");
       return "faults" in read ? invalid(read.faults) : record(node, order, facts);
@@ -117,7 +117,7 @@
     case "conflict":
       return "conflict";
     case "unsure":
-      return ApiReplies.unsure("the lathes did not answer in time; the same plan again settles it");
+      return ApiReplies.unknown("the lathes did not answer in time; the same plan again settles it");
     default:
       return noMajority();
   }
@@ -141,7 +141,7 @@
 }
 
 function noMajority(): ApiReply {
-  return ApiReplies.away("no majority of the lathes answers");
+  return ApiReplies.unavailable("no majority of the lathes answers");
 }
 
 function invalid(problems: PlanFault[]): ApiReply {
@@ -152,7 +152,7 @@
 /** What this node sees of the fleet may be incomplete, and may change: never a refusal for good. */
 function noCapacity(problems: PlanFault[]): ApiReply {
   const message = "machines are missing for what the plan promises, as this node sees the fleet; nothing was changed";
-  return ApiReplies.fault(503, "no-capacity", message, { problems, comeBack: 1 });
+  return ApiReplies.fault(503, "no-capacity", message, { problems, retryAfterSeconds: 1 });
 }
 
 function stale(mark: number, markInForce: number, why: string): ApiReply {
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -93,7 +93,7 @@
     self.diskStarts = this.#identity.starts!;
     this.#isReady = true;
     if (this.founding !== "") return void this.emit("founded");
-    this.#node.parts.clock.every(250, () => void this.#beat());
+    this.#node.parts.clock.every(250, () => void this.#tick());
   }
 
   #keep(): Promise<void> {
@@ -103,7 +103,7 @@
     return this.#disk.write([{ key: "identity", value: Buffer.from(JSON.stringify(this.#identity)) }]);
   }
 
-  async #beat(): Promise<void> {
+  async #tick(): Promise<void> {
     if (this.founding !== "" || this.#isAsking || !this.#isReady) return;
     this.#isAsking = true;
     const controlNodes = this.#node.membership.alive("lathe").filter((member) => member.disk !== "");
@@ -205,6 +205,6 @@
     this.isStandingBy = outcome === "standby" || (outcome === "away" && this.isStandingBy);
     if (!this.isStandingBy) return;
     this.missing = "stands by: enough lathes vote";
-    this.#restUntil = clock.now() + MembershipStatus.beatMs;
+    this.#restUntil = clock.now() + MembershipStatus.tickIntervalMs;
   }
 }
--- a/packages/control/src/consensus/leaderContact.test.ts
+++ b/packages/control/src/consensus/leaderContact.test.ts
@@ -17,12 +17,12 @@
   expect(contact.isCurrent).toEqual(false);
   contact.current();
   clock.ms += 75;
-  contact.beat();
+  contact.tick();
   expect([contact.isCurrent, contact.heardAgo]).toEqual([true, 75]);
   // It hears its leader all the time, and is not current any more.
   for (let i = 0; i < 5; i += 1) {
     clock.ms += 75;
-    contact.beat();
+    contact.tick();
     contact.heard();
   }
   expect([contact.isCurrent, contact.heardAgo]).toEqual([false, 0]);
@@ -42,7 +42,7 @@
     [75, true],
   ] as const) {
     clock.ms += ms;
-    contact.beat();
+    contact.tick();
     contact.current();
     expect([ms, contact.isCurrent]).toEqual([ms, isCurrent]);
   }
--- a/packages/control/src/consensus/leaderContact.ts
+++ b/packages/control/src/consensus/leaderContact.ts
@@ -16,14 +16,14 @@
   readonly #stoppedMs: number;
   #heardAt: number;
   #currentAt = -Infinity;
-  #beatAt: number;
+  #heartbeatAt: number;
   #resumedAt = -Infinity;
 
   constructor(clock: Clock, electionMs: number) {
     this.#clock = clock;
     this.limitMs = electionMs * LeaderContact.limit;
     this.#stoppedMs = electionMs * LeaderContact.stopped;
-    this.#heardAt = this.#beatAt = clock.now();
+    this.#heardAt = this.#heartbeatAt = clock.now();
   }
 
   /** Milliseconds since the leader's last message, whatever came of it. */
@@ -41,9 +41,9 @@
   }
 
   /** To be called at every timer of the member. */
-  beat(): void {
+  tick(): void {
     this.#notice();
-    this.#beatAt = this.#clock.now();
+    this.#heartbeatAt = this.#clock.now();
   }
 
   heard(): void {
@@ -56,6 +56,7 @@
   }
 
   #notice(): void {
-    if (this.#clock.now() - this.#beatAt > this.#stoppedMs) this.#resumedAt = this.#beatAt = this.#clock.now();
+    if (this.#clock.now() - this.#heartbeatAt > this.#stoppedMs)
+      this.#resumedAt = this.#heartbeatAt = this.#clock.now();
   }
 }
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -43,8 +43,8 @@
   deposed: [];
   led: [];
 }> {
-  static readonly beatMs = 75;
-  static readonly turnMs = 80;
+  static readonly heartbeatIntervalMs = 75;
+  static readonly electionTurnMs = 80;
 
   readonly metadata = new Metadata();
   readonly id: string;
@@ -119,7 +119,7 @@
     };
     parts.groups.enlist(this.#log.group, ownMessages(this.id, parts.isTrusted, group));
     this.#rearm();
-    this.#clock.every(RaftNode.beatMs, () => this.#beat());
+    this.#clock.every(RaftNode.heartbeatIntervalMs, () => this.#tick());
   }
 
   get isLeader(): boolean {
@@ -203,14 +203,14 @@
     this.emit("led");
   }
 
-  #beat(): void {
+  #tick(): void {
     const now = this.#clock.now();
-    this.#contact.beat();
+    this.#contact.tick();
     if (this.#replicator !== undefined) {
       if (this.#replicator.majorityAgo() > this.#contact.limitMs) return this.#stepDown("no majority answers");
       if (this.#slowWatch.isSlow(now, this.#replicator.answerMs)) return this.#giveWay(now);
       this.#replicator.askWaiting();
-      return this.#replicator.beat();
+      return this.#replicator.sendHeartbeats();
     }
     const mayLead = this.memberExchange.voting(this.#commit).some((one) => one.id === this.id);
     if (mayLead && now >= this.#electionAt && !this.#isResigned && !this.#isStandingBy) this.#ask(true);
@@ -313,7 +313,7 @@
     this.#enlist();
     this.#noopIndex = this.#log.lastIndex + 1;
     void this.propose(new Uint8Array(), entryKind.noop);
-    replicator.beat();
+    replicator.sendHeartbeats();
   }
 
   standBy(): void {
@@ -335,7 +335,7 @@
     this.#tellVoters({ case: "yield", value: { term, sender, isSlow } }, sender);
     const ids = VoterSets.ids(this.members).filter((id) => id !== sender);
     const rank = Rendezvous.rank(RendezvousKeys.electionAfter(term), ids).indexOf(this.id);
-    this.#electionAt = this.#clock.now() + rank * RaftNode.turnMs;
+    this.#electionAt = this.#clock.now() + rank * RaftNode.electionTurnMs;
     return undefined;
   }
 
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -38,7 +38,7 @@
       const read = await readPlan(node);
       if (read.outcome === "done") return ApiReplies.done(read.document);
       if (read.outcome === "none") return ApiReplies.fault(404, "no-plan", "no plan was ever accepted");
-      return ApiReplies.away("no majority of the lathes answers");
+      return ApiReplies.unavailable("no majority of the lathes answers");
     });
     const emptying = /^\/v1\/machines\/([^/]+)\/emptying$/;
     router.on("PUT", emptying, (call) => DrainMachine.ask(node, call.params[0]!));
--- a/packages/control/src/drain/drainMachine.ts
+++ b/packages/control/src/drain/drainMachine.ts
@@ -28,13 +28,13 @@
    * Wishes that are kept. Beyond, the oldest are dropped whose machines are gone and hold nothing, so that an order
    * is known again until so many later ones were taken.
    */
-  mostWishes: 256,
+  maxWishes: 256,
   /** How often a wish is judged anew because another was recorded meanwhile. */
-  mostTries: 4,
+  maxAttempts: 4,
 
   /** `rampSeconds`: how long the machine may take over it; kept with the wish. */
   async ask(node: ClusterNode, name: string, rampSeconds?: number): Promise<ApiReply> {
-    for (let tries = 0; tries < DrainMachine.mostTries; tries += 1) {
+    for (let tries = 0; tries < DrainMachine.maxAttempts; tries += 1) {
       const standing = await readStanding(node);
       if (standing === undefined) return unavailable();
       if (isWished(standing, name)) return progressOf(standing, name);
@@ -54,7 +54,7 @@
       });
       if (outcome === "done") return DrainMachine.progress(node, name);
       if (outcome === "unsure")
-        return ApiReplies.unsure("the control nodes did not answer in time; the same request again settles it");
+        return ApiReplies.unknown("the control nodes did not answer in time; the same request again settles it");
       if (outcome !== "conflict") return unavailable();
     }
     return unavailable();
@@ -63,7 +63,7 @@
   async undo(node: ClusterNode, name: string): Promise<ApiReply> {
     const written = await node.store.txn({ deletes: [DrainKey.of(name)] });
     if (written.outcome !== "done")
-      return ApiReplies.unsure("the control nodes did not answer in time; the same request again settles it");
+      return ApiReplies.unknown("the control nodes did not answer in time; the same request again settles it");
     return DrainMachine.progress(node, name);
   },
 
@@ -73,7 +73,7 @@
   },
 };
 
-const unavailable = (): ApiReply => ApiReplies.away("no majority of the control nodes answers");
+const unavailable = (): ApiReply => ApiReplies.unavailable("no majority of the control nodes answers");
 const isWished = ({ wishes }: Standing, name: string): boolean => wishes.some((kv) => kv.key === DrainKey.of(name));
 
 async function readStanding(node: ClusterNode): Promise<Standing | undefined> {
@@ -125,7 +125,7 @@
 
 /** The keys of the oldest wishes beyond the bound whose machines have left and hold nothing. */
 function outlived({ membership }: ClusterNode, standing: Standing): string[] {
-  const surplus = standing.wishes.length + 1 - DrainMachine.mostWishes;
+  const surplus = standing.wishes.length + 1 - DrainMachine.maxWishes;
   if (surplus <= 0 || standing.voters === undefined) return [];
   const used = inUse(standing);
   return standing.wishes
--- a/packages/control/src/membership/diskWatch.ts
+++ b/packages/control/src/membership/diskWatch.ts
@@ -22,7 +22,7 @@
  */
 export class DiskWatch {
   /** Disks that are kept in mind; the ones heard of first are dropped. */
-  static readonly mostDisks = 1024;
+  static readonly maxDisks = 1024;
 
   readonly #membership: DiskRecords;
   readonly #seen = new Map<string, Seen>();
@@ -44,7 +44,7 @@
   #look(): void {
     for (const member of this.#membership.all()) if (member.disk !== "" && member.diskStarts > 0) this.#note(member);
     for (const id of this.#seen.keys()) {
-      if (this.#seen.size <= DiskWatch.mostDisks) break;
+      if (this.#seen.size <= DiskWatch.maxDisks) break;
       this.#seen.delete(id);
     }
   }
--- a/packages/control/src/membership/handOverVote.ts
+++ b/packages/control/src/membership/handOverVote.ts
@@ -2,7 +2,7 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
 /** How long a process that stops waits for another to vote in its place; the process has a few seconds in all. */
-const mostMs = 2500;
+const maxMs = 2500;
 const pauseMs = 100;
 const readMs = 400;
 
@@ -13,7 +13,7 @@
  */
 export async function handOverVote(node: ClusterNode): Promise<void> {
   const { clock } = node.parts;
-  const end = clock.now() + mostMs;
+  const end = clock.now() + maxMs;
   // One that is taken in says so before it votes.
   const standbys = node.membership.alive("lathe").filter((one) => !one.isInStore && isStaying(node, one.name));
   while (clock.now() < end && standbys.some((one) => isStaying(node, one.name))) {
--- a/packages/control/src/membership/memberChanges.ts
+++ b/packages/control/src/membership/memberChanges.ts
@@ -24,7 +24,7 @@
  * to leave is never taken in.
  */
 export class MemberChanges {
-  static readonly beatMs = 150;
+  static readonly tickIntervalMs = 150;
   /**
    * A learner is caught up that had, within so long, all that the leader had before (thesis, 4.2.1): what it lacks then
    * can be sent while the others commit without it. In place of a voter that is lost it takes nothing from them.
@@ -47,7 +47,7 @@
   constructor(node: ClusterNode, raft: RaftNode) {
     this.#node = node;
     this.#raft = raft;
-    node.parts.clock.every(MemberChanges.beatMs, () => this.#tend());
+    node.parts.clock.every(MemberChanges.tickIntervalMs, () => this.#tend());
   }
 
   /**
@@ -182,8 +182,8 @@
 
   #isGoneLearner(one: StoreMember): boolean {
     const { heardAgo } = this.#raft.matchOf(one.id);
-    const mostMs = Math.max(MemberChanges.learnerMs, this.#node.parts.settings.replaceVoterMs);
-    return heardAgo > mostMs || this.#isBlank(one) || this.#isToLeave(one.name);
+    const maxMs = Math.max(MemberChanges.learnerMs, this.#node.parts.settings.replaceVoterMs);
+    return heardAgo > maxMs || this.#isBlank(one) || this.#isToLeave(one.name);
   }
 
   /** Its process is stopping, or operators want it drained, as the store itself says and not a feed of it. */
--- a/packages/control/src/membership/membershipStatus.ts
+++ b/packages/control/src/membership/membershipStatus.ts
@@ -7,7 +7,7 @@
  */
 export class MembershipStatus {
   /** How often a control node that stands by asks again: it has to be known when a voter is lost. */
-  static readonly beatMs = 500;
+  static readonly tickIntervalMs = 500;
   static readonly silentMs = 1500;
 
   readonly #node: ClusterNode;
@@ -20,7 +20,7 @@
     this.#raft = raft;
     this.#inTouchAt = node.parts.clock.now();
     this.#set(true);
-    node.parts.clock.every(MembershipStatus.beatMs, () => void this.#beat());
+    node.parts.clock.every(MembershipStatus.tickIntervalMs, () => void this.#tick());
   }
 
   /** Asks to be taken in, or kept in mind; returns what the store says. */
@@ -31,7 +31,7 @@
     return body?.case === "storeReply" ? body.value.outcome : "away";
   }
 
-  async #beat(): Promise<void> {
+  async #tick(): Promise<void> {
     const { clock } = this.#node.parts;
     if (this.#raft.isInTouch) {
       this.#inTouchAt = clock.now();
--- a/packages/control/src/store/acceptedOrders.test.ts
+++ b/packages/control/src/store/acceptedOrders.test.ts
@@ -41,7 +41,7 @@
     this.metadata.install(snapshot);
   }
 }
-const most = AcceptedOrderKey.mostRecords;
+const most = AcceptedOrderKey.maxRecords;
 
 test("the highest versions are remembered, and what was dropped is never recorded again", () => {
   const machine = new Machine();
--- a/packages/control/src/store/acceptedOrders.ts
+++ b/packages/control/src/store/acceptedOrders.ts
@@ -41,7 +41,7 @@
   surplus(keys: KeyReader, puts: readonly Kv[]): { floor: Kv; dropped: string[] } | undefined {
     if (versionsIn(puts).length === 0) return undefined;
     const records = keys.range(AcceptedOrderKey.prefix);
-    const dropped = records.slice(0, Math.max(0, records.length - AcceptedOrderKey.mostRecords)).map(({ key }) => key);
+    const dropped = records.slice(0, Math.max(0, records.length - AcceptedOrderKey.maxRecords)).map(({ key }) => key);
     if (dropped.length === 0) return undefined;
     const highest = AcceptedOrderKey.versionOf(dropped.at(-1)!) ?? 0;
     return { floor: floorKv(Math.max(highest, AcceptedOrders.floor(keys))), dropped };
--- a/packages/control/src/store/feeds.ts
+++ b/packages/control/src/store/feeds.ts
@@ -40,15 +40,15 @@
  * than what the leader had committed when the feed was opened.
  */
 export class Feeds {
-  static readonly mostChanges = 20_000;
-  static readonly beatMs = 500;
+  static readonly maxChanges = 20_000;
+  static readonly tickIntervalMs = 500;
   /**
    * Large values are told at most once in this time and a millisecond for each `paceBytes` of them, the newest then:
    * a node reads them whole after each change. Never less often than each `mostPaceMs`.
    */
   static readonly paceMs = 100;
   static readonly paceBytes = 2000;
-  static readonly mostPaceMs = 1000;
+  static readonly maxPaceMs = 1000;
   /** A lathe that still lacks what was committed when the feed was opened lets go of it after this. */
   static readonly behindMs = 1500;
   static readonly #outOfTouch = "out of touch with the majority";
@@ -80,7 +80,7 @@
     });
     node.rpc.serve("feedOpen", (open) => this.#open(open));
     node.rpc.serve("feedAck", (ack) => this.#ack(ack));
-    node.parts.clock.every(50, () => this.#beat());
+    node.parts.clock.every(50, () => this.#tick());
   }
 
   states(): FeedState[] {
@@ -100,8 +100,8 @@
     for (const kv of changes) this.#dropLarge(kv.key);
     this.#changes.push(...changes);
     for (const kv of changes) if (ValueHistory.isLarge(kv)) this.#large.add(kv.key);
-    if (this.#changes.length > Feeds.mostChanges) {
-      const cut = this.#changes.splice(0, this.#changes.length - Feeds.mostChanges / 2);
+    if (this.#changes.length > Feeds.maxChanges) {
+      const cut = this.#changes.splice(0, this.#changes.length - Feeds.maxChanges / 2);
       this.#since = cut.at(-1)!.revision;
     }
     if (changes.length === 0 || this.#isTurnDue) return;
@@ -174,7 +174,7 @@
     return undefined;
   }
 
-  #beat(): void {
+  #tick(): void {
     const now = this.#node.parts.clock.now();
     for (const feed of this.#feeds.values()) {
       this.#begin(feed);
@@ -183,7 +183,7 @@
       else if (now - feed.heardAt > 5000) this.#feeds.delete(feed.feed);
       else if (!feed.isReady) continue;
       else if (feed.number !== feed.ackedNumber) this.#againIfLate(feed, now);
-      else if (now - feed.toldAt >= Feeds.beatMs || this.#isOwed(feed)) this.#tell(feed);
+      else if (now - feed.toldAt >= Feeds.tickIntervalMs || this.#isOwed(feed)) this.#tell(feed);
     }
   }
 
@@ -214,7 +214,7 @@
       ? feed.prefixes.flatMap((prefix) => this.#raft.metadata.range(prefix))
       : this.#after(from).filter((kv) => Feeds.#isFollowed(feed, kv));
     const large = whole.filter(ValueHistory.isLarge).reduce((sum, kv) => sum + kv.value.length, 0);
-    if (large > 0) feed.paceTo = now + Math.min(Feeds.paceMs + large / Feeds.paceBytes, Feeds.mostPaceMs);
+    if (large > 0) feed.paceTo = now + Math.min(Feeds.paceMs + large / Feeds.paceBytes, Feeds.maxPaceMs);
     const kvs = whole.map((kv) => this.#values.packSince(kv, isSnapshot ? 0 : from));
     feed.told = this.#raft.metadata.revision;
     this.#node.rpc.send(feed.name, {
--- a/packages/control/src/store/leases.ts
+++ b/packages/control/src/store/leases.ts
@@ -7,7 +7,7 @@
  * majority, or after the present proposer was elected.
  */
 export class Leases {
-  static readonly beatMs = 25;
+  static readonly tickIntervalMs = 25;
 
   readonly #raft: RaftNode;
   readonly #clock: Clock;
@@ -23,7 +23,7 @@
     raft.on("elected", () => this.#begin());
     raft.on("deposed", () => this.#due.clear());
     raft.on("applied", () => this.#follow());
-    clock.every(Leases.beatMs, () => this.#beat());
+    clock.every(Leases.tickIntervalMs, () => this.#tick());
   }
 
   /** True where the lease was there to renew. The caller confirms the proposer before and answers after. */
@@ -54,7 +54,7 @@
     for (const lease of this.#ending) if (!leases.has(lease)) this.#ending.delete(lease);
   }
 
-  #beat(): void {
+  #tick(): void {
     if (!this.#raft.isLeader) return;
     for (const [lease, due] of this.#due) {
       if (this.#clock.now() < due || this.#ending.has(lease)) continue;
--- a/packages/control/src/store/storeService.ts
+++ b/packages/control/src/store/storeService.ts
@@ -74,7 +74,7 @@
           toBinary(StoreCommandSchema, create(StoreCommandSchema, { command: call.call })),
         );
         return applied === undefined
-          ? { outcome: "unsure", comeBack: 1 }
+          ? { outcome: "unsure", retryAfterSeconds: 1 }
           : { outcome: applied.outcome, revision: applied.revision, kvs: this.#packed(applied.kvs) };
       }
       case "read":
@@ -82,11 +82,11 @@
       case "renew": {
         const { lease } = call.call.value;
         const isThere = this.#leases.renew(lease);
-        if (!(await this.#raft.confirm())) return { outcome: "away", comeBack: 1 };
+        if (!(await this.#raft.confirm())) return { outcome: "away", retryAfterSeconds: 1 };
         return { outcome: isThere ? "done" : "lost" };
       }
       case "join":
-        if (!(await this.#raft.confirm())) return { outcome: "away", comeBack: 1 };
+        if (!(await this.#raft.confirm())) return { outcome: "away", retryAfterSeconds: 1 };
         return this.#memberChanges.join(call.call.value);
       default:
         return { outcome: "refused", reason: "unknown call" };
@@ -129,7 +129,7 @@
   }
 
   async #read({ keys, prefixes, known }: Read): Promise<Outcome> {
-    if (!(await this.#raft.confirm())) return { outcome: "away", comeBack: 1 };
+    if (!(await this.#raft.confirm())) return { outcome: "away", retryAfterSeconds: 1 };
     const { metadata } = this.#raft;
     const members = keys.includes(MembersKey.name) ? this.#members() : [];
     const single = keys
@@ -153,7 +153,7 @@
     const all = (outcome: Outcome): Outcome[] => calls.map(() => outcome);
     const leader = this.#raft.leaderName;
     if (calls.some((call) => call.isForwarded) || leader === "" || leader === this.#node.rpc.name)
-      return all({ outcome: "away", comeBack: 1, reason: "no proposer is known" });
+      return all({ outcome: "away", retryAfterSeconds: 1, reason: "no proposer is known" });
     const kinds = new Set(calls.map((call) => call.call.case));
     const isRepeatable = calls.every((call) => mayRepeatStoreCall(call.call.case));
     const passed = this.#node.rpc.call(
@@ -165,7 +165,7 @@
     const body = await (isRepeatable ? this.#unlessLed(passed) : passed);
     if (body === "led") return this.#runAll(calls);
     if (body?.case === "storeBatchReply" && body.value.replies.length === calls.length) return body.value.replies;
-    return all({ outcome: "unsure", comeBack: 0.5 });
+    return all({ outcome: "unsure", retryAfterSeconds: 0.5 });
   }
 
   /** What was passed on, or word that another proposes now: maybe this lathe itself. */
--- a/packages/control/src/store/valueHistory.test.ts
+++ b/packages/control/src/store/valueHistory.test.ts
@@ -55,7 +55,7 @@
   const few = new ValueHistory();
   for (let revision = 1; revision <= 200; revision += 1) few.keep([kvOf(revision)]);
   const newest = kvOf(200);
-  const oldest = 200 - ValueHistory.mostVersions + 1;
+  const oldest = 200 - ValueHistory.maxVersions + 1;
   expect(few.packSince(newest, oldest).baseRevision).toEqual(oldest);
   expect(few.packSince(newest, oldest - 1).packing).toEqual(packing.deflated);
 
@@ -64,6 +64,6 @@
   for (let revision = 1; revision <= 12; revision += 1) large.keep([kvOf(revision, valueOf(revision))]);
   const last = kvOf(12, valueOf(12));
   const first = kvOf(1, valueOf(1));
-  expect(first.value.length * 12 > ValueHistory.mostBytes * 3).toEqual(true);
+  expect(first.value.length * 12 > ValueHistory.maxBytes * 3).toEqual(true);
   expect(told(large.packSince(last, 1), first, last)).toEqual([packing.difference, 1, true]);
 });
--- a/packages/control/src/store/valueHistory.ts
+++ b/packages/control/src/store/valueHistory.ts
@@ -7,9 +7,9 @@
  * Invariant: a key's versions are contiguous, oldest first, and the last is the key's value.
  */
 export class ValueHistory {
-  static readonly mostVersions = 64;
+  static readonly maxVersions = 64;
   /** Of one key; two versions are kept in any case. */
-  static readonly mostBytes = 2 * 1024 * 1024;
+  static readonly maxBytes = 2 * 1024 * 1024;
 
   readonly #versions = new Map<string, KeptVersion[]>();
   /** Forms of the newest version that were made, by the revision of their base. */
@@ -89,8 +89,8 @@
     const versions = this.#versions.get(key) ?? [];
     this.#versions.set(key, versions);
     versions.push({ revision, packed: { value, packing: packing.none, baseRevision: 0 } });
-    if (versions.length > ValueHistory.mostVersions) versions.shift();
-    while (versions.length > 2 && bytesOf(versions) > ValueHistory.mostBytes) ValueHistory.#shrink(versions);
+    if (versions.length > ValueHistory.maxVersions) versions.shift();
+    while (versions.length > 2 && bytesOf(versions) > ValueHistory.maxBytes) ValueHistory.#shrink(versions);
   }
 
   /**
--- a/packages/core/src/configuration/configuration.ts
+++ b/packages/core/src/configuration/configuration.ts
@@ -42,8 +42,8 @@
 /** The operators' configuration: data, checked whole where it is put, judged by pure functions on every node. */
 export const Plans = {
   /** Of a plan, and of the operators' document about it: 5,000 routes have about 1.2 MB. */
-  mostBytes: 4 * 1024 * 1024,
-  mostSpaces: 16_384,
+  maxBytes: 4 * 1024 * 1024,
+  maxSpaces: 16_384,
   /** Bytes of a payload, and topics of a connection, where the plan names no other limit. */
   usualPayloadBytes: 65_536,
   usualSubscriptions: 500,
@@ -81,12 +81,12 @@
   },
 
   /** Bytes that a message under this contract may have: the plan's limit holds for all, whatever a contract allows. */
-  mostPayload(plan: Plan | undefined, owed: Owe): number {
+  maxPayload(plan: Plan | undefined, owed: Owe): number {
     return Math.min(owed.maxBytes ?? Plans.usualPayloadBytes, plan?.limits?.payloadBytes ?? Infinity);
   },
 
   /** Topics that one connection may have. */
-  mostSubscriptions(plan: Plan | undefined): number {
+  maxSubscriptions(plan: Plan | undefined): number {
     return plan?.limits?.subscriptions ?? Plans.usualSubscriptions;
   },
 
--- a/packages/core/src/configuration/configurationSchema.ts
+++ b/packages/core/src/configuration/configurationSchema.ts
@@ -3,24 +3,24 @@
 import { PlanReader } from "./configurationReader.js";
 
 /** Versions are exact in a double. */
-const mostMark = Number.MAX_SAFE_INTEGER;
+const maxMark = Number.MAX_SAFE_INTEGER;
 /** Ten years. */
-const mostKeepSeconds = 315_360_000;
-const mostPayloadBytes = 262_144;
+const maxRetentionSeconds = 315_360_000;
+const maxPayloadBytes = 262_144;
 
 const wholeNumber = (least: number, most: number) =>
   v.pipe(v.number(), v.integer(), v.minValue(least), v.maxValue(most));
 const shortText = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 
 const owe = v.strictObject({
-  keep: v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(mostKeepSeconds)),
+  keep: v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(maxRetentionSeconds)),
   order: v.picklist(["sender", "topic", "space", "one"]),
   fault_budget: v.strictObject({
     machines: v.optional(wholeNumber(0, 2)),
     zones: v.optional(wholeNumber(0, 1)),
   }),
   publishers: v.optional(v.pipe(v.array(v.string()), v.maxLength(1000))),
-  maxBytes: v.optional(wholeNumber(1, mostPayloadBytes)),
+  maxBytes: v.optional(wholeNumber(1, maxPayloadBytes)),
 });
 
 const when = v.strictObject({ topic: v.optional(shortText), topicPrefix: v.optional(shortText) });
@@ -33,12 +33,12 @@
 });
 
 const planType = v.strictObject({
-  mark: wholeNumber(1, mostMark),
-  spaces: v.pipe(v.array(space), v.maxLength(Plans.mostSpaces)),
+  mark: wholeNumber(1, maxMark),
+  spaces: v.pipe(v.array(space), v.maxLength(Plans.maxSpaces)),
   limits: v.optional(
     v.strictObject({
       subscriptions: v.optional(wholeNumber(0, 100_000)),
-      payloadBytes: v.optional(wholeNumber(1, mostPayloadBytes)),
+      payloadBytes: v.optional(wholeNumber(1, maxPayloadBytes)),
     }),
   ),
 });
--- a/packages/core/src/configuration/prefixIndex.test.ts
+++ b/packages/core/src/configuration/prefixIndex.test.ts
@@ -6,8 +6,8 @@
 const prefixes = letters.flatMap((one) => letters.flatMap((two) => letters.map((three) => `${one}${two}${three}`)));
 
 /** What the index stands for: a walk over all items, of which the first with the longest prefix counts. */
-function walk(items: readonly string[], text: string, mostLength: number): string | undefined {
-  const fitting = items.filter((prefix) => text.startsWith(prefix) && prefix.length <= mostLength);
+function walk(items: readonly string[], text: string, maxLength: number): string | undefined {
+  const fitting = items.filter((prefix) => text.startsWith(prefix) && prefix.length <= maxLength);
   return fitting.reduce<string | undefined>(
     (best, prefix) => (best === undefined || prefix.length > best.length ? prefix : best),
     undefined,
--- a/packages/core/src/configuration/prefixIndex.ts
+++ b/packages/core/src/configuration/prefixIndex.ts
@@ -21,9 +21,9 @@
   }
 
   /** The item with the longest prefix of a text among those up to a length. */
-  longest(text: string, mostLength = text.length): Item | undefined {
+  longest(text: string, maxLength = text.length): Item | undefined {
     for (const length of this.#lengths) {
-      if (length > mostLength || length > text.length) continue;
+      if (length > maxLength || length > text.length) continue;
       const found = this.#items.get(text.slice(0, length));
       if (found !== undefined) return found;
     }
--- a/packages/core/src/configuration/streams.test.ts
+++ b/packages/core/src/configuration/streams.test.ts
@@ -119,9 +119,9 @@
 
 test("ended prefixes are bounded: beyond that the space that has their topics is born again", () => {
   const incarnation = new MemoryIncarnation().put(1, { "a/": "topic" });
-  for (let i = 0; i <= IncarnationsKey.mostEnded; i += 1)
+  for (let i = 0; i <= IncarnationsKey.maxEnded; i += 1)
     incarnation.put(2 * i + 2, { "a/": "topic", [`a/${i}/`]: "topic" }).put(2 * i + 3, { "a/": "topic" });
-  const mark = 2 * IncarnationsKey.mostEnded + 3;
+  const mark = 2 * IncarnationsKey.maxEnded + 3;
   expect([incarnation.route("a/0/x")?.spaceIncarnation, incarnation.route("a/1/x")?.spaceIncarnation]).toEqual([
     mark,
     mark,
--- a/packages/core/src/feeds/feedFollower.ts
+++ b/packages/core/src/feeds/feedFollower.ts
@@ -36,7 +36,7 @@
   /** A lathe says at once whether it takes a feed. */
   static readonly acceptMs = 500;
   /** Feeds not accepted in time that are remembered: slow machines answer late, and asking anew makes it no sooner. */
-  static readonly mostUnaccepted = 4;
+  static readonly maxUnaccepted = 4;
   /** A first snapshot may take this long; asking elsewhere sooner only makes it later. What follows is short. */
   static readonly openMs = 2500;
   /** After a lathe let go of the feed; it may have been told so at once. */
@@ -160,7 +160,7 @@
   #remember(feed: string, controlNode: string): void {
     this.#unaccepted.set(feed, { controlNode, askedAt: this.#askedAt });
     const [oldest] = this.#unaccepted.keys();
-    if (this.#unaccepted.size > FeedFollower.mostUnaccepted) this.#unaccepted.delete(oldest!);
+    if (this.#unaccepted.size > FeedFollower.maxUnaccepted) this.#unaccepted.delete(oldest!);
   }
 
   /** The first push of a feed that was not accepted in time makes it the feed; it is as old as its question. */
--- a/packages/core/src/feeds/shardsView.ts
+++ b/packages/core/src/feeds/shardsView.ts
@@ -36,14 +36,14 @@
   }
 
   /** Resolves when the shard is no longer that holder's, or the due has passed: waiting for it has no use then. */
-  moved(shard: number, leader: string, clock: Clock, due: number): Promise<undefined> {
+  moved(shard: number, leader: string, clock: Clock, timeoutMs: number): Promise<undefined> {
     return new Promise((resolve) => {
       const look = (changed: number): void => {
         if (changed === shard && this.find(shard).leader !== leader) end();
       };
-      const beat = clock.once(due, () => end());
+      const timer = clock.once(timeoutMs, () => end());
       const end = (): void => {
-        beat.stop();
+        timer.stop();
         this.off("changed", look);
         resolve(undefined);
       };
--- a/packages/core/src/http/apiReply.ts
+++ b/packages/core/src/http/apiReply.ts
@@ -7,7 +7,7 @@
 export interface ApiReply {
   status: number;
   body: unknown;
-  comeBack?: number | undefined;
+  retryAfterSeconds?: number | undefined;
 }
 
 /** The one error shape. */
@@ -20,18 +20,18 @@
     status: number,
     code: string,
     message: string,
-    more: { problems?: ApiProblem[]; comeBack?: number | undefined; details?: object } = {},
+    more: { problems?: ApiProblem[]; retryAfterSeconds?: number | undefined; details?: object } = {},
   ): ApiReply {
-    const { problems, comeBack, details } = more;
+    const { problems, retryAfterSeconds, details } = more;
     return {
       status,
-      comeBack,
+      retryAfterSeconds,
       body: {
         error: {
           code,
           message,
           ...(problems === undefined ? {} : { problems }),
-          ...(comeBack === undefined ? {} : { comeBack }),
+          ...(retryAfterSeconds === undefined ? {} : { comeBack: retryAfterSeconds }),
           ...details,
         },
       },
@@ -39,12 +39,12 @@
   },
 
   /** Given up on at once; nothing was changed. */
-  away(message: string, comeBack = 1, code = "unavailable"): ApiReply {
-    return ApiReplies.fault(503, code, message, { comeBack });
+  unavailable(message: string, retryAfterSeconds = 1, code = "unavailable"): ApiReply {
+    return ApiReplies.fault(503, code, message, { retryAfterSeconds });
   },
 
   /** It may or may not have been carried out; the same call again settles it. */
-  unsure(message: string, comeBack = 0.5): ApiReply {
-    return ApiReplies.fault(504, "unsure", message, { comeBack });
+  unknown(message: string, retryAfterSeconds = 0.5): ApiReply {
+    return ApiReplies.fault(504, "unsure", message, { retryAfterSeconds });
   },
 };
--- a/packages/core/src/http/httpServer.ts
+++ b/packages/core/src/http/httpServer.ts
@@ -10,7 +10,7 @@
   readonly #app: FastifyInstance;
 
   constructor(router: Router, stream?: { pattern: RegExp; open: Stream }) {
-    this.#app = fastify({ bodyLimit: Router.mostPlanBody, forceCloseConnections: true, exposeHeadRoutes: false });
+    this.#app = fastify({ bodyLimit: Router.maxPlanBody, forceCloseConnections: true, exposeHeadRoutes: false });
     this.#app.removeAllContentTypeParsers();
     this.#app.addContentTypeParser("*", { parseAs: "buffer" }, (_request, body, done) => done(null, body));
     this.#app.setErrorHandler((fault: { statusCode?: number; message: string }, _request, reply) => {
@@ -40,8 +40,8 @@
     await this.#app.close();
   }
   static #answer(reply: FastifyReply, apiReply: ApiReply): FastifyReply {
-    if (apiReply.comeBack !== undefined)
-      void reply.header("Retry-After", String(Math.max(1, Math.ceil(apiReply.comeBack))));
+    if (apiReply.retryAfterSeconds !== undefined)
+      void reply.header("Retry-After", String(Math.max(1, Math.ceil(apiReply.retryAfterSeconds))));
     const type = typeof apiReply.body === "string" ? "text/plain; charset=utf-8" : "application/json; charset=utf-8";
     const bytes =
       typeof apiReply.body === "string" ? Buffer.from(apiReply.body) : Buffer.from(Router.encode(apiReply.body));
--- a/packages/core/src/http/router.ts
+++ b/packages/core/src/http/router.ts
@@ -23,10 +23,10 @@
  * Every node takes every call: what it cannot do itself it passes on, once, to a node that can.
  */
 export class Router {
-  static readonly mostBody = 1_200_000;
+  static readonly maxBody = 1_200_000;
   /** Of a plan; a little more than it may have, so that one beyond its bound is told what that is. */
-  static readonly mostPlanBody = Plans.mostBytes + 200_000;
-  static readonly forwardDue = 2500;
+  static readonly maxPlanBody = Plans.maxBytes + 200_000;
+  static readonly forwardTimeoutMs = 2500;
 
   readonly #node: ClusterNode;
   readonly #routes: Route[] = [];
@@ -42,7 +42,11 @@
       const reply = await this.run(pass.method, pass.path, pass.body, true);
       return {
         case: "forwardReply",
-        value: { status: reply.status, body: Router.encode(reply.body), comeBack: reply.comeBack ?? 0 },
+        value: {
+          status: reply.status,
+          body: Router.encode(reply.body),
+          retryAfterSeconds: reply.retryAfterSeconds ?? 0,
+        },
       };
     });
   }
@@ -56,7 +60,7 @@
   }
 
   async run(method: string, path: string, body: Uint8Array, isForwarded = false): Promise<ApiReply> {
-    const most = path === "/v1/plan" ? Router.mostPlanBody : Router.mostBody;
+    const most = path === "/v1/plan" ? Router.maxPlanBody : Router.maxBody;
     if (body.length > most) return ApiReplies.fault(413, "too-large", `a body may have ${most} bytes`);
     const matching = this.#routes.filter((route) => route.pattern.test(path));
     const route = matching.find((one) => one.method === method);
@@ -79,9 +83,9 @@
       const reply = await this.forwardTo(name, call.method, call.path, call.body);
       if (reply !== undefined) return reply;
       if (!mayRepeat({ case: "forward", value: call }))
-        return ApiReplies.unsure(`${name} did not answer; the same call again settles it`);
+        return ApiReplies.unknown(`${name} did not answer; the same call again settles it`);
     }
-    return ApiReplies.away(`no ${role} answers`);
+    return ApiReplies.unavailable(`no ${role} answers`);
   }
 
   async forwardTo(
@@ -89,13 +93,13 @@
     method: string,
     path: string,
     body: Uint8Array,
-    due = Router.forwardDue,
+    timeoutMs = Router.forwardTimeoutMs,
   ): Promise<ApiReply | undefined> {
     const pass: CallInit = { case: "forward", value: { method, path, body } };
-    const reply = await this.#node.rpc.call(name, pass, due);
+    const reply = await this.#node.rpc.call(name, pass, timeoutMs);
     if (reply?.case !== "forwardReply") return undefined;
-    const { status, comeBack } = reply.value;
-    return { status, body: reply.value.body, comeBack: comeBack > 0 ? comeBack : undefined };
+    const { status, retryAfterSeconds } = reply.value;
+    return { status, body: reply.value.body, retryAfterSeconds: retryAfterSeconds > 0 ? retryAfterSeconds : undefined };
   }
 
   static #params(pattern: RegExp, path: string): string[] {
--- a/packages/core/src/keys/acceptedOrderKey.ts
+++ b/packages/core/src/keys/acceptedOrderKey.ts
@@ -9,7 +9,7 @@
   /** Holds the highest version whose record may have been dropped; at or below it no record is made any more. */
   floor: "documents/orders-floor",
   /** So many versions are remembered, the highest ones: about 0.3 MB of a snapshot. */
-  mostRecords: 2048,
+  maxRecords: 2048,
 
   /** Of equal length, so the order of the keys is that of the versions. */
   of(version: number): string {
--- a/packages/core/src/keys/incarnationsKey.ts
+++ b/packages/core/src/keys/incarnationsKey.ts
@@ -18,7 +18,7 @@
 export const IncarnationsKey = {
   name: "plan/births",
   /** So many ended prefixes are told apart; for the eldest ones beyond, the space that has their topics is reborn. */
-  mostEnded: 256,
+  maxEnded: 256,
 
   write(record: Omit<IncarnationsRecord, "ended"> & Partial<IncarnationsRecord>): Uint8Array {
     return JsonValue.write(record);
@@ -57,7 +57,7 @@
       later.add(one[0]);
       return isKept;
     });
-    for (const [prefix] of ended.splice(IncarnationsKey.mostEnded))
+    for (const [prefix] of ended.splice(IncarnationsKey.maxEnded))
       incarnations.set(heirOf(index, prefix)!.prefix, mark);
     return { mark, spaces: Object.fromEntries(incarnations), ended: Object.fromEntries(ended) };
   },
--- a/packages/core/src/membership/addressBook.ts
+++ b/packages/core/src/membership/addressBook.ts
@@ -8,7 +8,7 @@
  */
 export class AddressBook {
   static readonly most = 16;
-  static readonly beatMs = 5000;
+  static readonly tickIntervalMs = 5000;
 
   readonly #disk: Disk;
   readonly #membership: Membership;
@@ -26,7 +26,7 @@
   }
 
   start(): void {
-    this.#clock.every(AddressBook.beatMs, () => void this.#keep());
+    this.#clock.every(AddressBook.tickIntervalMs, () => void this.#keep());
   }
 
   async #keep(): Promise<void> {
--- a/packages/core/src/membership/memberTable.ts
+++ b/packages/core/src/membership/memberTable.ts
@@ -21,7 +21,7 @@
 export class MemberTable {
   static readonly buckets = 32;
   /** Whole numbers up to here can still rise. */
-  static readonly mostVersion = 2 ** 52;
+  static readonly maxVersion = 2 ** 52;
 
   readonly #known = new Map<string, Known>();
   readonly #digests = new Uint32Array(MemberTable.buckets);
@@ -40,7 +40,7 @@
   }
 
   static isSound(member: Member): boolean {
-    const isWhole = (value: number): boolean => value >= 0 && value < MemberTable.mostVersion;
+    const isWhole = (value: number): boolean => value >= 0 && value < MemberTable.maxVersion;
     return member.name !== "" && member.address !== "" && isWhole(member.incarnation) && isWhole(member.version);
   }
 
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -20,7 +20,7 @@
  */
 export class Membership extends EventEmitter<{ changed: []; suspected: [name: string] }> {
   /** Heartbeats and questions to partners go out in turn, one of them in each such time. */
-  static readonly beatMs = 300;
+  static readonly heartbeatIntervalMs = 300;
   /** Silence before a member is asked directly and through others, and before it is suspected. */
   static readonly probeMs = 900;
   static readonly suspectMs = 1400;
@@ -30,9 +30,9 @@
   static readonly partners = 8;
   /** Others that are asked whether they reach a silent member; and how many partners are told a change. */
   static readonly helpers = 3;
-  static readonly pingDue = 350;
+  static readonly pingTimeoutMs = 350;
   /** A helper's word needs its own ping first. */
-  static readonly helpDue = 900;
+  static readonly helpTimeoutMs = 900;
   static readonly spreadMs = 30;
   static readonly compareMs = 10_000;
   /** How soon tables are compared again after a comparison that brought news. */
@@ -52,7 +52,7 @@
   #beats = 0;
   #ownText = "";
   #heardAt: number;
-  #beatAt: number;
+  #heartbeatAt: number;
   #compareAt: number;
   #isSpreading = false;
   /** Whether another's whole table was ever received. */
@@ -75,7 +75,7 @@
     this.#rpc = rpc;
     this.#clock = clock;
     this.#random = random;
-    this.#heardAt = this.#beatAt = clock.now();
+    this.#heardAt = this.#heartbeatAt = clock.now();
     this.#compareAt = clock.now() + Membership.compareMs * random.draw();
     this.#table.put(this.self, clock.now());
     rpc.addressOf = (name) => this.find(name)?.address;
@@ -87,8 +87,8 @@
   }
 
   start(): void {
-    this.#beat();
-    this.#clock.every(Membership.beatMs, () => this.#beat());
+    this.#tick();
+    this.#clock.every(Membership.heartbeatIntervalMs, () => this.#tick());
   }
 
   find(name: string): Member | undefined {
@@ -142,11 +142,11 @@
     this.#spread();
   }
 
-  #beat(): void {
+  #tick(): void {
     const now = this.#clock.now();
     // Who slept itself knows nothing of the others' silence.
-    if (now - this.#beatAt > 2 * Membership.beatMs) this.#detector.restart();
-    this.#beatAt = now;
+    if (now - this.#heartbeatAt > 2 * Membership.heartbeatIntervalMs) this.#detector.restart();
+    this.#heartbeatAt = now;
     this.#notice();
     this.#detector.judge();
     this.#forget();
@@ -301,7 +301,7 @@
     if (
       known?.member.isSuspected !== true ||
       known.member.state === "left" ||
-      now - known.accusedAt < Membership.beatMs
+      now - known.accusedAt < Membership.heartbeatIntervalMs
     )
       return;
     known.accusedAt = now;
@@ -309,12 +309,12 @@
   }
 
   #makeDetector(): FailureDetector {
-    const { probeMs, suspectMs, pingDue, helpDue, helpers } = Membership;
+    const { probeMs, suspectMs, pingTimeoutMs, helpTimeoutMs, helpers } = Membership;
     return new FailureDetector({
       self: this.self.name,
       rpc: this.#rpc,
       clock: this.#clock,
-      times: { probeMs, suspectMs, pingMs: pingDue, helpMs: helpDue, helpers },
+      times: { probeMs, suspectMs, pingMs: pingTimeoutMs, helpMs: helpTimeoutMs, helpers },
       find: (name) => this.find(name),
       draw: (count, except) => this.#draw(count, except),
       ask: ({ address, name }) => this.#tell(address, name, { isAsking: true }),
--- a/packages/core/src/replication/followerLog.test.ts
+++ b/packages/core/src/replication/followerLog.test.ts
@@ -239,7 +239,7 @@
     send: (_id, body) => void sent.push(body),
   });
   replicator.enlist([["a", "b", "c"]], []);
-  for (now = 0; now < 5000; now += 500) replicator.beat();
+  for (now = 0; now < 5000; now += 500) replicator.sendHeartbeats();
   const refusal = { group: "g", sender: "b", receiver: "a", term: 2, isAccepted: false, match: 10, round: 0 };
   replicator.take(create(AppendReplySchema, refusal));
   expect(new Set(sent.map((body) => body.case))).toEqual(new Set(["append"]));
--- a/packages/core/src/replication/logCompaction.test.ts
+++ b/packages/core/src/replication/logCompaction.test.ts
@@ -122,16 +122,16 @@
   const folder = mkdtempSync(join(tmpdir(), "cranetrack-compaction-"));
   try {
     let isFull = false;
-    const mostBytes = 1_000_000;
+    const maxBytes = 1_000_000;
     const disk = await JournalDisk.open(folder, {
-      mostBytes,
+      maxBytes,
       compactAt: 100_000,
       retryMs: 1,
       onFull: () => (isFull = true),
     });
     await applyAll(new ReplicaLog(disk, "g"), 500, 10_000);
     expect(isFull).toEqual(false);
-    expect(statSync(join(folder, "journal")).size < mostBytes).toEqual(true);
+    expect(statSync(join(folder, "journal")).size < maxBytes).toEqual(true);
     await disk.close();
   } finally {
     rmSync(folder, { recursive: true });
--- a/packages/core/src/replication/logReplicator.ts
+++ b/packages/core/src/replication/logReplicator.ts
@@ -133,7 +133,7 @@
    * what to send again; an answer that is late changes nothing in what is known. A replica that has heard everything
    * is sent nothing until `idleMs` after the last time.
    */
-  beat(idleMs = 0): void {
+  sendHeartbeats(idleMs = 0): void {
     for (const [id, peer] of this.#peers) {
       const isTold = !peer.isWaiting && peer.next > this.#log.lastIndex && peer.told === this.commit;
       if (isTold && this.#clock.now() - peer.sentAt < idleMs) continue;
--- a/packages/core/src/replication/replicaLog.ts
+++ b/packages/core/src/replication/replicaLog.ts
@@ -62,10 +62,10 @@
   }
 
   /** Entries after an index, as many as fit a frame. */
-  after(index: number, mostBytes = 1024 * 1024): Entry[] {
+  after(index: number, maxBytes = 1024 * 1024): Entry[] {
     const found: Entry[] = [];
     let size = 0;
-    for (let i = index + 1; i <= this.lastIndex && size < mostBytes; i += 1) {
+    for (let i = index + 1; i <= this.lastIndex && size < maxBytes; i += 1) {
       const entry = this.at(i)!;
       size += entry.data.length + 32;
       found.push(entry);
--- a/packages/core/src/replication/replication.test.ts
+++ b/packages/core/src/replication/replication.test.ts
@@ -203,7 +203,7 @@
   const beatAt = (time: number): string => {
     now = time;
     sent.length = 0;
-    replicator.beat(250);
+    replicator.sendHeartbeats(250);
     return sent.join();
   };
   replicator.enlist([["a", "b", "c"]], []);
@@ -229,13 +229,13 @@
   const ticking = { ...clock, now: () => now };
   const replicator = new LogReplicator({ log, clock: ticking, self: "a", term: 2, commit: 0, send: () => undefined });
   replicator.enlist([["a", "b", "c"]], []);
-  replicator.beat();
+  replicator.sendHeartbeats();
   now = 400;
   expect(replicator.answerMs).toEqual(400);
   replicator.take(reply("b", 0));
   now = 500;
   expect(replicator.answerMs).toEqual(400);
-  replicator.beat();
+  replicator.sendHeartbeats();
   replicator.take(reply("c", 0));
   expect(replicator.answerMs).toEqual(400);
 });
@@ -367,6 +367,6 @@
   void log.append([entry(2, 2)]).then(() => replicator.kick());
   await disk.sync();
   replicator.take(reply("b", 2));
-  replicator.beat();
+  replicator.sendHeartbeats();
   expect(replicator.untold()).toEqual([]);
 });
--- a/packages/core/src/replication/snapshotAssembly.ts
+++ b/packages/core/src/replication/snapshotAssembly.ts
@@ -12,15 +12,15 @@
  * Invariant: holds at most one snapshot, of at most `mostBytes`, and of it the first `received` bytes.
  */
 export class SnapshotAssembly {
-  static readonly mostBytes = 64 * 1024 * 1024;
+  static readonly maxBytes = 64 * 1024 * 1024;
 
-  readonly #mostBytes: number;
+  readonly #maxBytes: number;
   #of: Identity | undefined;
   #bytes: Uint8Array = new Uint8Array();
   #received = 0;
 
-  constructor(mostBytes = SnapshotAssembly.mostBytes) {
-    this.#mostBytes = mostBytes;
+  constructor(maxBytes = SnapshotAssembly.maxBytes) {
+    this.#maxBytes = maxBytes;
   }
 
   take(piece: Snapshot): PieceOutcome {
@@ -48,7 +48,7 @@
   #isSane({ offset, size, state }: Snapshot): boolean {
     const areCounts = [offset, size].every((count) => Number.isSafeInteger(count) && count >= 0);
     const isEmpty = state.length === 0 && size > 0;
-    return areCounts && !isEmpty && size <= this.#mostBytes && offset + state.length <= size;
+    return areCounts && !isEmpty && size <= this.#maxBytes && offset + state.length <= size;
   }
 
   #isOfThis(piece: Identity): boolean {
--- a/packages/core/src/replication/snapshotPieces.test.ts
+++ b/packages/core/src/replication/snapshotPieces.test.ts
@@ -12,7 +12,7 @@
 import { SnapshotSender } from "./snapshotSender.js";
 
 const kib = 1024;
-const beatMs = 75;
+const heartbeatIntervalMs = 75;
 const disk = (): Disk => ({ read: () => [], write: () => Promise.resolve() });
 const turn = (): Promise<void> => new Promise((resolve) => void setImmediate(resolve));
 const image = (bytes: number): Uint8Array => Uint8Array.from({ length: bytes }, (_, i) => (i * 31) % 251);
@@ -76,8 +76,8 @@
   }
 
   async run(ms: number): Promise<void> {
-    for (const end = this.now + ms; this.now < end; this.now += beatMs) {
-      this.replicator.beat();
+    for (const end = this.now + ms; this.now < end; this.now += heartbeatIntervalMs) {
+      this.replicator.sendHeartbeats();
       await this.#deliver();
     }
   }
@@ -135,7 +135,7 @@
 test("confirming that nobody has taken over sends no piece again", async () => {
   const pair = await Pair.over(image(600 * kib));
   pair.isLost = (body) => body.case === "snapshot";
-  await pair.run(beatMs);
+  await pair.run(heartbeatIntervalMs);
   for (let i = 0; i < 50; i += 1) void pair.replicator.confirm();
   expect(pair.pieces.length).toEqual(1);
 });
--- a/packages/core/src/replication/snapshotSender.ts
+++ b/packages/core/src/replication/snapshotSender.ts
@@ -21,7 +21,7 @@
   static readonly pieceBytes = 256 * 1024;
   /** After how long an unanswered piece is sent again; doubled each time, up to the most. */
   static readonly firstRetryMs = 400;
-  static readonly mostRetryMs = 3200;
+  static readonly maxRetryMs = 3200;
 
   readonly image: SnapshotImage;
   #offset = 0;
@@ -45,7 +45,7 @@
   /** The piece to be sent now; undefined while an answer to the last one is still waited for. */
   next(now: number): SnapshotPiece | undefined {
     if (!this.#isNew && now - this.#sentAt < this.#retryMs) return undefined;
-    this.#retryMs = this.#isNew ? SnapshotSender.firstRetryMs : Math.min(this.#retryMs * 2, SnapshotSender.mostRetryMs);
+    this.#retryMs = this.#isNew ? SnapshotSender.firstRetryMs : Math.min(this.#retryMs * 2, SnapshotSender.maxRetryMs);
     this.#isNew = false;
     this.#sentAt = now;
     const end = Math.min(this.#offset + SnapshotSender.pieceBytes, this.image.state.length);
--- a/packages/core/src/rpc/callKinds.ts
+++ b/packages/core/src/rpc/callKinds.ts
@@ -45,9 +45,9 @@
     replies: ["followReply"],
     repetition: repeatable("the follow's identity and its serial: what is not newer is not heeded"),
   },
-  followBeats: {
+  followHeartbeats: {
     kind: "call",
-    replies: ["followBeatsReply"],
+    replies: ["followHeartbeatsReply"],
     repetition: repeatable("each beat's follow and serial: what is not newer is not heeded"),
   },
   fetch: { kind: "call", replies: ["fetchReply"], repetition: changesNothing },
@@ -79,7 +79,7 @@
   followReply: { kind: "reply" },
   fetchReply: { kind: "reply" },
   startReply: { kind: "reply" },
-  followBeatsReply: { kind: "reply" },
+  followHeartbeatsReply: { kind: "reply" },
   countReply: { kind: "reply" },
   pullReply: { kind: "reply" },
   forwardReply: { kind: "reply" },
--- a/packages/core/src/rpc/rpcEndpoint.ts
+++ b/packages/core/src/rpc/rpcEndpoint.ts
@@ -134,15 +134,15 @@
     this.#transport.send(address, this.#encode(to, { id: 0, isReply: false, body }), "background");
   }
 
-  call(to: string, body: CallInit, due: number): Promise<Body | undefined> {
+  call(to: string, body: CallInit, timeoutMs: number): Promise<Body | undefined> {
     return new Promise((resolve) => {
       const settle = (reply: Body | undefined): void => {
-        beat.stop();
+        timer.stop();
         this.#waiting.delete(waiting.id);
         resolve(reply);
       };
       const waiting = { id: 0, settle, to, body, isOnce: !mayRepeat(body), calleeIncarnation: 0 };
-      const beat = this.#clock.once(due, () => this.#silent(waiting));
+      const timer = this.#clock.once(timeoutMs, () => this.#silent(waiting));
       this.#open(waiting);
     });
   }
--- a/packages/core/src/rpc/servedCalls.ts
+++ b/packages/core/src/rpc/servedCalls.ts
@@ -5,7 +5,7 @@
  */
 export class ServedCalls {
   /** Numbers remembered for each life of a caller; older ones lie below the floor. */
-  static readonly mostNumbers = 1024;
+  static readonly maxNumbers = 1024;
   /** Lives remembered; the one that called longest ago is forgotten first. */
   static readonly maxIncarnations = 4096;
 
@@ -20,7 +20,7 @@
     if (this.#lives.size > ServedCalls.maxIncarnations) this.#lives.delete(this.#lives.keys().next().value!);
     if (number <= incarnation.floor || incarnation.begun.has(number)) return false;
     incarnation.begun.add(number);
-    if (incarnation.begun.size > ServedCalls.mostNumbers) ServedCalls.#raiseFloor(incarnation);
+    if (incarnation.begun.size > ServedCalls.maxNumbers) ServedCalls.#raiseFloor(incarnation);
     return true;
   }
 
--- a/packages/core/src/runtime/clock.ts
+++ b/packages/core/src/runtime/clock.ts
@@ -1,5 +1,5 @@
 /** Cancels a beat that has not come yet; a second call does nothing. */
-export interface Beat {
+export interface TimerHandle {
   stop(): void;
 }
 
@@ -10,6 +10,6 @@
 export interface Clock {
   now(): number;
   /** After no time: once what came in together has been taken. */
-  once(ms: number, ring: () => void): Beat;
-  every(ms: number, ring: () => void): Beat;
+  once(ms: number, ring: () => void): TimerHandle;
+  every(ms: number, ring: () => void): TimerHandle;
 }
--- a/packages/core/src/runtime/clusterNode.ts
+++ b/packages/core/src/runtime/clusterNode.ts
@@ -15,7 +15,7 @@
 
 /** What every process of the fleet is made of, whatever its role. */
 export class ClusterNode {
-  static readonly #mostChanges = 2000;
+  static readonly #maxChanges = 2000;
   /** Some thousands of whole configurations would be more than a process's memory. */
   static readonly #withoutLarge = (change: Change): Change =>
     change.value !== undefined && PackedValue.isLarge(change.value) ? { ...change, value: new Uint8Array() } : change;
@@ -26,7 +26,7 @@
   readonly groups: LogGroups;
   readonly membership: Membership;
   readonly store: StoreClient;
-  readonly journal = new ChangeJournal<Change>(ClusterNode.#mostChanges, ClusterNode.#withoutLarge);
+  readonly journal = new ChangeJournal<Change>(ClusterNode.#maxChanges, ClusterNode.#withoutLarge);
   readonly feed: FeedFollower;
   readonly machines: MachinesView;
   readonly plan: PlanView;
--- a/packages/core/src/runtime/hostClock.ts
+++ b/packages/core/src/runtime/hostClock.ts
@@ -1,21 +1,21 @@
-import type { Beat, Clock } from "./clock.js";
+import type { TimerHandle, Clock } from "./clock.js";
 
 export class HostClock implements Clock {
   now(): number {
     return performance.now();
   }
 
-  once(ms: number, ring: () => void): Beat {
+  once(ms: number, ring: () => void): TimerHandle {
     if (ms <= 0) {
       const turn = setImmediate(ring);
       return { stop: () => clearImmediate(turn) };
     }
-    const beat = setTimeout(ring, ms);
-    return { stop: () => clearTimeout(beat) };
+    const timer = setTimeout(ring, ms);
+    return { stop: () => clearTimeout(timer) };
   }
 
-  every(ms: number, ring: () => void): Beat {
-    const beat = setInterval(ring, ms);
-    return { stop: () => clearInterval(beat) };
+  every(ms: number, ring: () => void): TimerHandle {
+    const timer = setInterval(ring, ms);
+    return { stop: () => clearInterval(timer) };
   }
 }
--- a/packages/core/src/runtime/invariantMonitor.test.ts
+++ b/packages/core/src/runtime/invariantMonitor.test.ts
@@ -16,17 +16,17 @@
 
 test("violations are counted by name, and the first ones are logged with what is known", () => {
   const { monitor, logged } = monitored();
-  for (let i = 0; i < InvariantMonitor.mostLogged + 5; i += 1) monitor.violated("publisherOrder", { number: i });
+  for (let i = 0; i < InvariantMonitor.maxLogged + 5; i += 1) monitor.violated("publisherOrder", { number: i });
   monitor.violated("committedLog", { index: 7 });
-  expect(monitor.countOf("publisherOrder")).toEqual(InvariantMonitor.mostLogged + 5);
-  expect(monitor.total).toEqual(InvariantMonitor.mostLogged + 6);
+  expect(monitor.countOf("publisherOrder")).toEqual(InvariantMonitor.maxLogged + 5);
+  expect(monitor.total).toEqual(InvariantMonitor.maxLogged + 6);
   expect(monitor.counts()).toEqual({
-    publisherOrder: InvariantMonitor.mostLogged + 5,
+    publisherOrder: InvariantMonitor.maxLogged + 5,
     configurationRead: 0,
     configurationVersion: 0,
     committedLog: 1,
   });
-  expect(logged.length).toEqual(InvariantMonitor.mostLogged);
+  expect(logged.length).toEqual(InvariantMonitor.maxLogged);
   expect(logged[0]).toEqual({ text: InvariantMonitor.logText, context: { invariant: "publisherOrder", number: 0 } });
 });
 
--- a/packages/core/src/runtime/invariantMonitor.ts
+++ b/packages/core/src/runtime/invariantMonitor.ts
@@ -15,7 +15,7 @@
 
 /** Counts violations of the process's invariants and logs each of the first ones, with what is known about it. */
 export class InvariantMonitor {
-  static readonly mostLogged = 20;
+  static readonly maxLogged = 20;
   /** What the line in the log begins with. */
   static readonly logText = "an invariant is violated";
 
@@ -41,7 +41,7 @@
 
   violated(name: InvariantName, context: Record<string, string | number>): void {
     this.#counts.set(name, this.countOf(name) + 1);
-    if (this.total <= InvariantMonitor.mostLogged)
+    if (this.total <= InvariantMonitor.maxLogged)
       this.#log.fault(InvariantMonitor.logText, { invariant: name, ...context });
   }
 }
--- a/packages/core/src/runtime/nodeStatus.ts
+++ b/packages/core/src/runtime/nodeStatus.ts
@@ -21,7 +21,7 @@
     router.on("GET", /^\/v1\/status$/, () => ApiReplies.done(this.status()));
     router.on("GET", /^\/healthz$/, () => ApiReplies.done({ health: "alive" }));
     router.on("GET", /^\/readyz$/, () =>
-      parts.isReady() ? ApiReplies.done({ ready: true }) : ApiReplies.away("this node does not serve yet", 1),
+      parts.isReady() ? ApiReplies.done({ ready: true }) : ApiReplies.unavailable("this node does not serve yet", 1),
     );
     router.on("GET", /^\/metrics$/, () => ({ status: 200, body: this.#metrics() }));
   }
--- a/packages/core/src/runtime/programHost.ts
+++ b/packages/core/src/runtime/programHost.ts
@@ -129,8 +129,8 @@
     if (data === undefined) return undefined;
     if (disk === "journal") {
       const { JournalDisk } = await import("../storage/journalDisk.js");
-      const mostBytes = diskMb === undefined ? undefined : diskMb * 1_000_000;
-      return JournalDisk.open(data, { mostBytes, onFull: (text) => log.fault(text) });
+      const maxBytes = diskMb === undefined ? undefined : diskMb * 1_000_000;
+      return JournalDisk.open(data, { maxBytes, onFull: (text) => log.fault(text) });
     }
     const { LmdbDisk } = await import("../storage/lmdbDisk.js");
     return new LmdbDisk(data);
--- a/packages/core/src/storage/journalDisk.test.ts
+++ b/packages/core/src/storage/journalDisk.test.ts
@@ -162,7 +162,7 @@
     said.push(fault);
     told();
   };
-  const disk = await JournalDisk.open(folder, { mostBytes: 4000, compactAt: 1000, retryMs: 1, onFull });
+  const disk = await JournalDisk.open(folder, { maxBytes: 4000, compactAt: 1000, retryMs: 1, onFull });
   const big = Buffer.alloc(900, "x");
   await disk.write([{ key: "a", value: big }]);
   let isWritten = false;
--- a/packages/core/src/storage/journalDisk.ts
+++ b/packages/core/src/storage/journalDisk.ts
@@ -20,7 +20,7 @@
 }
 export interface JournalOptions {
   /** Room for everything in the folder; none given, none minded. */
-  mostBytes?: number | undefined;
+  maxBytes?: number | undefined;
   /** The seam of the tests. */
   sync?: (file: FileHandle) => Promise<void>;
   onFull?: (text: string) => void;
@@ -40,8 +40,8 @@
   static readonly #room = new Set(["ENOSPC", "EDQUOT", "EFBIG"]);
 
   readonly #folder: string;
-  readonly #options: Required<Omit<JournalOptions, "mostBytes">>;
-  readonly #mostBytes: number;
+  readonly #options: Required<Omit<JournalOptions, "maxBytes">>;
+  readonly #maxBytes: number;
   readonly #index = new Map<string, Kept>();
   #file: FileHandle;
   #end = JournalDisk.#head.length;
@@ -58,7 +58,7 @@
   private constructor(folder: string, file: FileHandle, options: JournalOptions) {
     this.#folder = folder;
     this.#file = file;
-    this.#mostBytes = options.mostBytes ?? Infinity;
+    this.#maxBytes = options.maxBytes ?? Infinity;
     this.#options = {
       sync: options.sync ?? ((synced) => synced.datasync()),
       onFull: options.onFull ?? (() => undefined),
@@ -133,11 +133,11 @@
     const size = JournalRecord.headBytes + changes.reduce((sum, change) => sum + JournalRecord.sizeOf(change), 0);
     const live = this.#liveBytes + changes.reduce((sum, change) => sum + this.#growth(change), 0);
     // Beside the file there is always room for the next one.
-    const hasRoom = (): boolean => this.#end + size + live <= this.#mostBytes;
+    const hasRoom = (): boolean => this.#end + size + live <= this.#maxBytes;
     try {
       const isLong = this.#end + size > Math.max(this.#options.compactAt, 2 * this.#liveBytes, this.#longFrom);
       if (isLong || (!hasRoom() && this.#end > 1.25 * this.#liveBytes)) await this.#tryCompact();
-      if (!hasRoom()) return this.#isFull(`${this.#liveBytes} bytes are kept, ${this.#mostBytes} is the room`);
+      if (!hasRoom()) return this.#isFull(`${this.#liveBytes} bytes are kept, ${this.#maxBytes} is the room`);
       const record = JournalRecord.encode(this.#sequence + 1, changes);
       await JournalDisk.#writeAt(this.#file, record, this.#end);
       await this.#options.sync(this.#file);
--- a/packages/core/src/store/fossilDelta.test.ts
+++ b/packages/core/src/store/fossilDelta.test.ts
@@ -3,7 +3,7 @@
 import { expect } from "earl";
 import { FossilDelta } from "./fossilDelta.js";
 
-const mostBytes = 100_000;
+const maxBytes = 100_000;
 
 /** Texts with much in common, of every length modulo four, and bytes of all values. */
 function* texts(): Iterable<Buffer> {
@@ -23,7 +23,7 @@
   for (const text of texts()) {
     for (const source of [before, Buffer.from(text.subarray(text.length >> 1))]) {
       const delta = createDelta(source, text);
-      const read = FossilDelta.apply(source, delta, mostBytes);
+      const read = FossilDelta.apply(source, delta, maxBytes);
       expect([Buffer.compare(read, text), Buffer.compare(read, applyDelta(source, delta))]).toEqual([0, 0]);
     }
     before = text;
@@ -36,9 +36,9 @@
   expect(Buffer.compare(FossilDelta.apply(source, delta, target.length), target)).toEqual(0);
   expect(() => FossilDelta.apply(source, delta, target.length - 1)).toThrow("too large");
   for (let end = 0; end < delta.length; end += 1)
-    expect(() => FossilDelta.apply(source, delta.subarray(0, end), mostBytes)).toThrow();
-  expect(() => FossilDelta.apply(source.subarray(1), delta, mostBytes)).toThrow();
-  expect(() => FossilDelta.apply(Buffer.from(source).reverse(), delta, mostBytes)).toThrow("checksum");
-  expect(() => FossilDelta.apply(source, Buffer.from("~~~~~\n"), mostBytes)).toThrow();
-  expect(() => FossilDelta.apply(source, Buffer.from("A\nA@0,A@0,A;"), mostBytes)).toThrow();
+    expect(() => FossilDelta.apply(source, delta.subarray(0, end), maxBytes)).toThrow();
+  expect(() => FossilDelta.apply(source.subarray(1), delta, maxBytes)).toThrow();
+  expect(() => FossilDelta.apply(Buffer.from(source).reverse(), delta, maxBytes)).toThrow("checksum");
+  expect(() => FossilDelta.apply(source, Buffer.from("~~~~~\n"), maxBytes)).toThrow();
+  expect(() => FossilDelta.apply(source, Buffer.from("A\nA@0,A@0,A;"), maxBytes)).toThrow();
 });
--- a/packages/core/src/store/fossilDelta.ts
+++ b/packages/core/src/store/fossilDelta.ts
@@ -6,11 +6,11 @@
  */
 export const FossilDelta = {
   /** Throws where the difference is damaged, was made from another source, or gives more than `mostBytes`. */
-  apply(source: Uint8Array, delta: Uint8Array, mostBytes: number): Uint8Array {
+  apply(source: Uint8Array, delta: Uint8Array, maxBytes: number): Uint8Array {
     const reader = new DeltaReader(delta);
     const size = reader.integer();
     reader.expect("\n");
-    if (size > mostBytes) throw new RangeError("the result is too large");
+    if (size > maxBytes) throw new RangeError("the result is too large");
     const target = new Uint8Array(size);
     for (let at = 0; ;) {
       const count = reader.integer();
--- a/packages/core/src/store/largeValues.ts
+++ b/packages/core/src/store/largeValues.ts
@@ -9,7 +9,7 @@
  * Invariant: a version kept here is what the store had under that revision. It may be an old one.
  */
 export class LargeValues {
-  static readonly mostKeys = 8;
+  static readonly maxKeys = 8;
 
   readonly #versions = new Map<string, ValueVersion>();
 
@@ -59,6 +59,6 @@
     this.#versions.delete(key);
     this.#versions.set(key, { value, revision });
     const [eldest] = this.#versions.keys();
-    if (this.#versions.size > LargeValues.mostKeys) this.#versions.delete(eldest!);
+    if (this.#versions.size > LargeValues.maxKeys) this.#versions.delete(eldest!);
   }
 }
--- a/packages/core/src/store/leaseKeepAlive.ts
+++ b/packages/core/src/store/leaseKeepAlive.ts
@@ -1,6 +1,6 @@
 import { EventEmitter } from "node:events";
 import type { RandomSource } from "../runtime/random.js";
-import type { Beat, Clock } from "../runtime/clock.js";
+import type { TimerHandle, Clock } from "../runtime/clock.js";
 import type { StoreChange, StoreClient } from "./storeClient.js";
 
 /**
@@ -21,8 +21,8 @@
   #until = -Infinity;
   #isEnded = false;
   #isAsking = false;
-  #edge: Beat | undefined;
-  #retry: Beat | undefined;
+  #edge: TimerHandle | undefined;
+  #retry: TimerHandle | undefined;
   lease = "";
   /** Leases lost since the start, however it came. */
   losses = 0;
--- a/packages/core/src/store/packedValue.test.ts
+++ b/packages/core/src/store/packedValue.test.ts
@@ -52,9 +52,9 @@
     const unpacked = PackedValue.unpack({ ...difference, value }, base);
     expect(unpacked === undefined || same(unpacked, routes(300, 5))).toEqual(true);
   }
-  const bomb = PackedValue.pack(Buffer.alloc(PackedValue.mostBytes + 1, "a"));
+  const bomb = PackedValue.pack(Buffer.alloc(PackedValue.maxBytes + 1, "a"));
   expect([bomb.packing, PackedValue.unpack(bomb, undefined)]).toEqual([packing.deflated, undefined]);
-  const large = PackedValue.pack(Buffer.alloc(PackedValue.mostBytes + 1, routes(300, 4)), base);
+  const large = PackedValue.pack(Buffer.alloc(PackedValue.maxBytes + 1, routes(300, 4)), base);
   expect([large.packing, PackedValue.unpack(large, base)]).toEqual([packing.difference, undefined]);
   expect(PackedValue.unpack({ value: base.value, packing: 9, baseRevision: 7 }, base)).toEqual(undefined);
 });
--- a/packages/core/src/store/packedValue.ts
+++ b/packages/core/src/store/packedValue.ts
@@ -26,14 +26,14 @@
  */
 export const PackedValue = {
   /** Smaller values travel as they are. */
-  leastBytes: 512,
+  minBytes: 512,
   /** No value unpacks to more than this, whatever its bytes say. */
-  mostBytes: 16 * 1024 * 1024,
+  maxBytes: 16 * 1024 * 1024,
   /** A difference this much smaller than the value is taken without deflating the value for a comparison. */
   clearGain: 32,
 
   isLarge(value: Uint8Array): boolean {
-    return value.length >= PackedValue.leastBytes;
+    return value.length >= PackedValue.minBytes;
   },
 
   /** The smallest form of a value for a receiver that has the base. */
@@ -56,11 +56,11 @@
     if (packed.packing === packing.none) return packed.value;
     try {
       if (packed.packing === packing.deflated)
-        return inflateRawSync(packed.value, { maxOutputLength: PackedValue.mostBytes });
+        return inflateRawSync(packed.value, { maxOutputLength: PackedValue.maxBytes });
       if (base?.revision !== packed.baseRevision) return undefined;
       if (packed.packing === packing.omitted) return base.value;
       if (packed.packing !== packing.difference) return undefined;
-      return FossilDelta.apply(base.value, packed.value, PackedValue.mostBytes);
+      return FossilDelta.apply(base.value, packed.value, PackedValue.maxBytes);
     } catch {
       return undefined;
     }
--- a/packages/core/src/store/storeClient.ts
+++ b/packages/core/src/store/storeClient.ts
@@ -10,7 +10,7 @@
 
 export type StoreChange = NonNullable<MessageInitShape<typeof StoreCallSchema>["call"]>;
 export type Outcome = { outcome: string } & Partial<
-  Pick<StoreReply, "revision" | "kvs" | "comeBack" | "reason" | "feeds" | "leader">
+  Pick<StoreReply, "revision" | "kvs" | "retryAfterSeconds" | "reason" | "feeds" | "leader">
 >;
 
 interface Asked {
@@ -22,7 +22,7 @@
 export class StoreClient {
   /** How long one lathe gets for a call that may as well be made twice; longer for what another might undo. */
   static readonly readMs = 300;
-  static readonly mostBatch = 200;
+  static readonly maxBatch = 200;
   static readonly waitMs = 200;
   static readonly tryMs: Readonly<Record<string, number>> = { txn: 700, renew: 800 };
 
@@ -45,9 +45,9 @@
   }
 
   /** Large values go as differences. Where the store has not the base, nothing was done, and they go whole. */
-  async txn(txn: MessageInitShape<typeof TxnSchema>, due = 1200): Promise<Outcome> {
-    const end = this.#clock.now() + due;
-    let written = await this.call({ case: "txn", value: this.#values.pack(txn) }, due);
+  async txn(txn: MessageInitShape<typeof TxnSchema>, timeoutMs = 1200): Promise<Outcome> {
+    const end = this.#clock.now() + timeoutMs;
+    let written = await this.call({ case: "txn", value: this.#values.pack(txn) }, timeoutMs);
     if (written.outcome === "rebase") {
       this.#values.forget();
       written = await this.call({ case: "txn", value: this.#values.pack(txn) }, end - this.#clock.now());
@@ -57,29 +57,29 @@
   }
 
   /** Large values that this client has are not sent again, and changed ones come as differences. */
-  async read(keys: string[], prefixes: string[] = [], due = 1200): Promise<Outcome> {
-    const end = this.#clock.now() + due;
+  async read(keys: string[], prefixes: string[] = [], timeoutMs = 1200): Promise<Outcome> {
+    const end = this.#clock.now() + timeoutMs;
     const ask = (left: number): Promise<Outcome> =>
       this.call({ case: "read", value: { keys, prefixes, known: this.#values.knownOf(keys) } }, left);
-    const read = await ask(due);
+    const read = await ask(timeoutMs);
     if (this.#values.unpack(read.kvs ?? [])) return read;
     this.#values.forget();
     const whole = await ask(end - this.#clock.now());
-    return this.#values.unpack(whole.kvs ?? []) ? whole : { outcome: "away", comeBack: 0.3 };
+    return this.#values.unpack(whole.kvs ?? []) ? whole : { outcome: "away", retryAfterSeconds: 0.3 };
   }
 
   /**
    * Ends by `due` with an outcome: `unsure` where a change may have been carried out, `away` where it was not and never
    * will be. After `away` the next lathe is asked; after a silence or `unsure` only if the call may be repeated.
    */
-  async call(call: StoreChange, due = 1200): Promise<Outcome> {
-    const end = this.#clock.now() + due;
-    const mostMs = StoreClient.tryMs[call.case ?? "read"] ?? StoreClient.readMs;
+  async call(call: StoreChange, timeoutMs = 1200): Promise<Outcome> {
+    const end = this.#clock.now() + timeoutMs;
+    const maxMs = StoreClient.tryMs[call.case ?? "read"] ?? StoreClient.readMs;
     let isUnknown = false;
     for (const name of this.#order()) {
       const left = end - this.#clock.now();
       if (left <= 20) break;
-      const reply = await this.#timed(name, call, Math.min(left, mostMs));
+      const reply = await this.#timed(name, call, Math.min(left, maxMs));
       if (reply !== undefined && reply.outcome !== "away" && reply.outcome !== "unsure") {
         this.#favourite = name;
         return reply;
@@ -88,37 +88,37 @@
       isUnknown = true;
       if (!mayRepeatStoreCall(call.case)) break;
     }
-    if (isUnknown) return { outcome: "unsure", comeBack: 0.5, reason: "no lathe said what became of it" };
-    return { outcome: "away", comeBack: 1, reason: "no majority of lathes answers" };
+    if (isUnknown) return { outcome: "unsure", retryAfterSeconds: 0.5, reason: "no lathe said what became of it" };
+    return { outcome: "away", retryAfterSeconds: 1, reason: "no majority of lathes answers" };
   }
 
-  async #timed(name: string, call: StoreChange, due: number): Promise<StoreReply | undefined> {
+  async #timed(name: string, call: StoreChange, timeoutMs: number): Promise<StoreReply | undefined> {
     const id = ++this.#lastCall;
     this.#open.set(id, { name, at: this.#clock.now() });
-    const reply = await this.#ask(name, call, due);
+    const reply = await this.#ask(name, call, timeoutMs);
     this.#open.delete(id);
     return reply;
   }
 
-  #ask(name: string, call: StoreChange, due: number): Promise<StoreReply | undefined> {
-    const key = `${name} ${call.case} ${due}`;
+  #ask(name: string, call: StoreChange, timeoutMs: number): Promise<StoreReply | undefined> {
+    const key = `${name} ${call.case} ${timeoutMs}`;
     const batch = this.#batches.get(key) ?? [];
     if (batch.length === 0)
       this.#clock.once(0, () => {
         if (this.#batches.get(key) === batch) this.#batches.delete(key);
-        void this.#send(name, batch, due);
+        void this.#send(name, batch, timeoutMs);
       });
-    if (batch.length < StoreClient.mostBatch) this.#batches.set(key, batch);
+    if (batch.length < StoreClient.maxBatch) this.#batches.set(key, batch);
     else this.#batches.delete(key);
     return new Promise((resolve) => batch.push({ call, settle: resolve }));
   }
 
-  async #send(name: string, batch: readonly Asked[], due: number): Promise<void> {
+  async #send(name: string, batch: readonly Asked[], timeoutMs: number): Promise<void> {
     const calls = batch.map(({ call }) => ({ call }));
     const body = await this.#rpc.call(
       name,
       calls.length === 1 ? { case: "storeCall", value: calls[0]! } : { case: "storeBatch", value: { calls } },
-      due,
+      timeoutMs,
     );
     if (body?.case === "storeReply") return batch[0]!.settle(body.value);
     const replies = body?.case === "storeBatchReply" ? body.value.replies : [];
--- a/packages/core/src/transport/tcpConnection.ts
+++ b/packages/core/src/transport/tcpConnection.ts
@@ -10,7 +10,7 @@
  */
 export class TcpConnection {
   /** Bytes that may wait for a peer that does not read; what comes beyond is dropped, frame by frame. */
-  static readonly mostWaiting = 8 * 1024 * 1024;
+  static readonly maxWaiting = 8 * 1024 * 1024;
   /**
    * How often a connection in use is pinged, by what it carries; and how long it may stay silent then. A call that is
    * not answered finds a dead connection sooner; pings are for what nobody answers. At 700 ms they were more than half
@@ -64,7 +64,7 @@
   send(bytes: Uint8Array, urgency: Urgency = "awaited"): void {
     if (this.#isClosed) return;
     // A longer frame than may wait goes out alone.
-    if (this.waiting > 0 && this.waiting + bytes.length > TcpConnection.mostWaiting) return void (this.dropped += 1);
+    if (this.waiting > 0 && this.waiting + bytes.length > TcpConnection.maxWaiting) return void (this.dropped += 1);
     const place = Wire.envelopeIn(bytes);
     const envelope = place === undefined ? undefined : bytes.subarray(...place);
     if (envelope !== undefined && this.#sent !== undefined && Buffer.compare(this.#sent, envelope) === 0)
--- a/packages/core/src/transport/tcpTransport.test.ts
+++ b/packages/core/src/transport/tcpTransport.test.ts
@@ -97,7 +97,7 @@
   const lost = new Promise<string>((resolve) => sender.onLost(resolve));
   const startedAt = performance.now();
   for (let i = 0; i < 100; i += 1) sender.send(address, ping("x".repeat(1024 * 1024)));
-  expect(sender.waiting(address) <= TcpConnection.mostWaiting).toEqual(true);
+  expect(sender.waiting(address) <= TcpConnection.maxWaiting).toEqual(true);
   expect(await lost).toEqual(address);
   const tookMs = performance.now() - startedAt;
   expect([tookMs > 1500, tookMs < 4000, sender.isReachable(address)]).toEqual([true, true, false]);
--- a/packages/core/src/transport/tcpTransport.ts
+++ b/packages/core/src/transport/tcpTransport.ts
@@ -6,10 +6,10 @@
 
 /** Frames over held TCP connections: one outward link an address, as many inward as come. */
 export class TcpTransport implements Transport {
-  static readonly connectDue = 1000;
+  static readonly connectTimeoutMs = 1000;
   /** Pauses between tries to reach an address: the first, doubled with every failure, up to the longest. */
   static readonly pauseMs = 40;
-  static readonly mostPauseMs = 500;
+  static readonly maxPauseMs = 500;
 
   readonly address: string;
   readonly #listen: string;
@@ -89,7 +89,7 @@
     const socket = connect({ host, port, noDelay: true });
     const connection = new TcpConnection(socket, (frame) => this.#take(frame), true);
     this.#outward.set(address, connection);
-    const giveUp = setTimeout(() => connection.close(), TcpTransport.connectDue);
+    const giveUp = setTimeout(() => connection.close(), TcpTransport.connectTimeoutMs);
     let isConnected = false;
     socket.once("connect", () => {
       clearTimeout(giveUp);
@@ -104,7 +104,7 @@
       // A connection that was there and is reset says nothing of the next one.
       if (isConnected && !connection.isSilent) return this.#lost(address);
       const tries = (this.#unreachable.get(address)?.tries ?? 0) + 1;
-      const pause = Math.min(TcpTransport.pauseMs * 2 ** (tries - 1), TcpTransport.mostPauseMs) * (0.5 + Math.random());
+      const pause = Math.min(TcpTransport.pauseMs * 2 ** (tries - 1), TcpTransport.maxPauseMs) * (0.5 + Math.random());
       this.#unreachable.set(address, { tries, againAt: performance.now() + pause });
       this.#lost(address);
     });
--- a/packages/edge/src/connections/clientEndpoint.ts
+++ b/packages/edge/src/connections/clientEndpoint.ts
@@ -19,11 +19,11 @@
 
 export type Connected =
   | { outcome: "open"; connection: SessionEndpoint }
-  | { outcome: "away"; reason: string; comeBack: number }
+  | { outcome: "away"; reason: string; retryAfterSeconds: number }
   | { outcome: "malformed"; reason: string };
 
 export type Counted =
-  { outcome: "counted"; count: number } | { outcome: "unknown-topic" } | { outcome: "away"; comeBack: number };
+  { outcome: "counted"; count: number } | { outcome: "unknown-topic" } | { outcome: "away"; retryAfterSeconds: number };
 
 export type Subscribed = { outcome: "confirmed"; cursor: string } | NotSubscribed;
 
@@ -31,7 +31,7 @@
   outcome:
     "unknown-topic" | "malformed-place" | "unknown-place" | "expired" | "too-many" | "malformed" | "away" | "moved";
   reason: string;
-  comeBack?: number;
+  retryAfterSeconds?: number;
 }
 
 export interface Unsubscribed {
@@ -45,5 +45,5 @@
 export type Published =
   | { outcome: "accepted"; cursor: string }
   | { outcome: "refused"; code: string; reason: string }
-  | { outcome: "away"; reason: string; comeBack: number }
-  | { outcome: "unsure"; reason: string; comeBack: number };
+  | { outcome: "away"; reason: string; retryAfterSeconds: number }
+  | { outcome: "unsure"; reason: string; retryAfterSeconds: number };
--- a/packages/edge/src/connections/edgeClientEndpoint.ts
+++ b/packages/edge/src/connections/edgeClientEndpoint.ts
@@ -19,9 +19,10 @@
   async connect(id: string, connection: ClientConnection): Promise<Connected> {
     if (!AdmitSession.isName(id)) return { outcome: "malformed", reason: "a session's name is malformed" };
     const admitted = await AdmitSession.run(this.#edge, id, EdgeClientEndpoint.patienceMs);
-    if (!("session" in admitted)) return { outcome: "away", reason: admitted.reason, comeBack: admitted.comeBack };
+    if (!("session" in admitted))
+      return { outcome: "away", reason: admitted.reason, retryAfterSeconds: admitted.retryAfterSeconds };
     const { session } = admitted;
-    if (connection.isClosed) return { outcome: "away", reason: "the client is gone", comeBack: 0 };
+    if (connection.isClosed) return { outcome: "away", reason: "the client is gone", retryAfterSeconds: 0 };
     AdmitSession.tie(this.#edge, session, connection);
     session.bringsTopics = true;
     session.resumeCursors.clear();
--- a/packages/edge/src/edgeCalls.ts
+++ b/packages/edge/src/edgeCalls.ts
@@ -43,12 +43,12 @@
         problems: [{ path: "topic", problem: "must be space/name" }],
       });
     if (session.connection === undefined)
-      return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { comeBack: 0.3 });
+      return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { retryAfterSeconds: 0.3 });
     const faults = await subscribeTopics(this.#edge, session, session.connection, [read.value]);
     const fault = faults?.[0];
-    if (faults === undefined) return ApiReplies.away("the subscriptions could not be kept", 0.5);
+    if (faults === undefined) return ApiReplies.unavailable("the subscriptions could not be kept", 0.5);
     if (fault === undefined) return ApiReplies.done({ receipt: "subscribed", topic: read.value.topic });
-    if (fault.comeBack !== undefined) return ApiReplies.away(fault.reason, fault.comeBack);
+    if (fault.retryAfterSeconds !== undefined) return ApiReplies.unavailable(fault.reason, fault.retryAfterSeconds);
     const status = fault.code === "unknown-topic" ? 404 : fault.code === "malformed-place" ? 400 : 409;
     return ApiReplies.fault(status, fault.code, fault.reason);
   }
@@ -58,10 +58,10 @@
     if (session !== undefined) return act(session);
     const owner = call.isForwarded ? undefined : (await readOwner(this.#edge.node.store, call.params[0]!))?.owner;
     if (owner === undefined || owner.node === "" || owner.node === this.#edge.node.rpc.name)
-      return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { comeBack: 0.3 });
+      return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { retryAfterSeconds: 0.3 });
     return (
       (await this.#edge.router.forwardTo(owner.node, call.method, call.path, call.body)) ??
-      ApiReplies.unsure("the session's owner did not answer")
+      ApiReplies.unknown("the session's owner did not answer")
     );
   }
 }
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -20,9 +20,9 @@
   readonly streams: StreamTable;
   readonly planCheck: PlanCheck;
   readonly router: Router;
-  readonly beatMs = 300;
-  readonly publishDue = 700;
-  readonly sessionKeepMs = 900_000;
+  readonly heartbeatIntervalMs = 300;
+  readonly publishTimeoutMs = 700;
+  readonly sessionRetentionMs = 900_000;
   readonly live: { maxConnections: number; bufferBytes: number };
   isDraining = false;
   admitting = 0;
@@ -37,7 +37,7 @@
     this.streams = new StreamTable(node);
     this.planCheck = new PlanCheck(node.store);
     node.plan.on("changed", () => this.#planChanged());
-    clock.every(this.beatMs, () => this.#beat());
+    clock.every(this.heartbeatIntervalMs, () => this.#tick());
     clock.every(200_000, () => this.#renewSessions());
   }
 
@@ -102,7 +102,7 @@
       for (const cursor of session.cursors()) cursor.planChanged(plan);
   }
 
-  #beat(): void {
+  #tick(): void {
     const isLost = this.node.feed.age > EdgeNode.outOfTouchMs;
     for (const session of this.sessions.table.values()) {
       const { connection } = session;
--- a/packages/edge/src/edgeParts.ts
+++ b/packages/edge/src/edgeParts.ts
@@ -15,9 +15,9 @@
   readonly streams: StreamTable;
   readonly planCheck: PlanCheck;
   readonly router: Router;
-  readonly beatMs: number;
-  readonly publishDue: number;
-  readonly sessionKeepMs: number;
+  readonly heartbeatIntervalMs: number;
+  readonly publishTimeoutMs: number;
+  readonly sessionRetentionMs: number;
   readonly isDraining: boolean;
   /** Link requests under way that will count as links if they succeed. */
   admitting: number;
--- a/packages/edge/src/fanout/countTopic.ts
+++ b/packages/edge/src/fanout/countTopic.ts
@@ -1,24 +1,24 @@
 import type { EdgeParts } from "../edgeParts.js";
 
-const mostMs = 1500;
+const maxMs = 1500;
 const callMs = 500;
 const againMs = 80;
-const comeBack = 0.5;
+const retryAfterSeconds = 0.5;
 
 export type Count =
-  { outcome: "counted"; count: number } | { outcome: "unknown-topic" } | { outcome: "away"; comeBack: number };
+  { outcome: "counted"; count: number } | { outcome: "unknown-topic" } | { outcome: "away"; retryAfterSeconds: number };
 
 /** Subscribers of a topic at all edges, told by the shard's holder, and by the next one while it changes hands. */
 export async function countTopic(edge: EdgeParts, topic: string): Promise<Count> {
   const { rpc, shards, parts, plan } = edge.node;
-  const end = parts.clock.now() + mostMs;
-  for (let left = mostMs; left > 0; left = end - parts.clock.now()) {
+  const end = parts.clock.now() + maxMs;
+  for (let left = maxMs; left > 0; left = end - parts.clock.now()) {
     const route = plan.route(topic);
     if (route === undefined) {
       const fault = await edge.planCheck.faultOf(topic);
-      return fault.comeBack === undefined
+      return fault.retryAfterSeconds === undefined
         ? { outcome: "unknown-topic" }
-        : { outcome: "away", comeBack: fault.comeBack };
+        : { outcome: "away", retryAfterSeconds: fault.retryAfterSeconds };
     }
     const shard = edge.streams.shardOf(route.stream);
     const { leader } = shards.find(shard);
@@ -31,5 +31,5 @@
     }
     await new Promise<void>((resolve) => void parts.clock.once(againMs, resolve));
   }
-  return { outcome: "away", comeBack };
+  return { outcome: "away", retryAfterSeconds };
 }
--- a/packages/edge/src/fanout/fetchMessages.ts
+++ b/packages/edge/src/fanout/fetchMessages.ts
@@ -10,7 +10,7 @@
   trims: ReadonlyMap<string, number>;
 }
 
-const dueMs = 800;
+const timeoutMs = 800;
 const limit = 500;
 
 /** Messages after a place that the tail no longer has; undefined where that server can't tell them now. */
@@ -20,7 +20,7 @@
   fetch: MessageInitShape<typeof FetchSchema> & { incarnation: string },
 ): Promise<Fetched | undefined> {
   if (server === "") return undefined;
-  const reply = await node.rpc.call(server, { case: "fetch", value: { ...fetch, limit } }, dueMs);
+  const reply = await node.rpc.call(server, { case: "fetch", value: { ...fetch, limit } }, timeoutMs);
   if (reply?.case !== "fetchReply") return undefined;
   const { outcome, low, batch, trims } = reply.value;
   if ((outcome !== "done" && outcome !== "trimmed") || batch?.incarnation !== fetch.incarnation) return undefined;
--- a/packages/edge/src/fanout/publisherOrder.test.ts
+++ b/packages/edge/src/fanout/publisherOrder.test.ts
@@ -30,7 +30,7 @@
 
 test("it is bounded: who was silent longest is forgotten first", () => {
   const order = new PublisherOrder();
-  for (let i = 0; i < PublisherOrder.mostPublishers; i += 1) order.faultOf(message(i + 1, 7, `pen-${i}`), 0);
+  for (let i = 0; i < PublisherOrder.maxPublishers; i += 1) order.faultOf(message(i + 1, 7, `pen-${i}`), 0);
   order.faultOf(message(1, 8, "pen-0"), 0);
   order.faultOf(message(1, 1, "more"), 0);
   expect(order.faultOf(message(1, 1, "pen-1"), 0)).toEqual(undefined);
--- a/packages/edge/src/fanout/publisherOrder.ts
+++ b/packages/edge/src/fanout/publisherOrder.ts
@@ -12,7 +12,7 @@
  * anew, so what is older than half of that counts for nothing here.
  */
 export class PublisherOrder {
-  static readonly mostPublishers = 1000;
+  static readonly maxPublishers = 1000;
   static readonly rememberedMs = 300_000;
 
   readonly #last = new Map<string, LastMessage>();
@@ -25,7 +25,7 @@
     const isLate = last !== undefined && number <= last.number && now - last.at < PublisherOrder.rememberedMs;
     this.#last.delete(key);
     this.#last.set(key, { number: isLate ? last.number : number, at: now });
-    if (this.#last.size > PublisherOrder.mostPublishers) this.#forgetOne();
+    if (this.#last.size > PublisherOrder.maxPublishers) this.#forgetOne();
     return isLate ? last.number : undefined;
   }
 
--- a/packages/edge/src/fanout/replicaFollow.ts
+++ b/packages/edge/src/fanout/replicaFollow.ts
@@ -15,7 +15,7 @@
 export class ReplicaFollow {
   /** A replica that was left is tried again so much later; longer each time, unless it had served a while. */
   static readonly againMs = 2000;
-  static readonly mostAgainMs = 16_000;
+  static readonly maxRepeatMs = 16_000;
   static readonly provenMs = 10_000;
   /** When a stream is asked for again that the replica did not have in its birth. */
   static readonly lackedMs = 400;
@@ -120,7 +120,7 @@
   }
 
   /** What asks whether all pushes were seen; undefined where nothing is followed here. */
-  beat(): FollowInit | undefined {
+  heartbeat(): FollowInit | undefined {
     void this.tend();
     const { follow, seen } = this.#pushes;
     if (follow === "" || this.#isAsking) return undefined;
@@ -132,14 +132,19 @@
   }
 
   /** The replica's answer to a beat, if it gave one; and what the holder had applied before the beat was sent. */
-  beaten(beat: FollowInit, outcome: string | undefined, applied: number, appliedAtLeader: number): void {
+  onHeartbeatOutcome(
+    heartbeat: FollowInit,
+    outcome: string | undefined,
+    applied: number,
+    appliedAtLeader: number,
+  ): void {
     const { follow, seen } = this.#pushes;
-    if (beat.follow !== follow || (outcome === "resync" && seen !== beat.seen)) return;
+    if (heartbeat.follow !== follow || (outcome === "resync" && seen !== heartbeat.seen)) return;
     if (outcome !== "done" || applied < appliedAtLeader) this.fail();
   }
 
   take(push: Push): void {
-    if (push.follow === this.#pushes.follow && push.isAway) return this.fail();
+    if (push.follow === this.#pushes.follow && push.isUnavailable) return this.fail();
     const order = this.#pushes.take(push);
     if (order === "gap") return this.fail();
     if (order !== "next") return;
@@ -162,7 +167,7 @@
     const now = this.#now();
     if (now - this.#since > ReplicaFollow.provenMs) this.#waitMs = ReplicaFollow.againMs;
     this.#againAt = now + this.#waitMs;
-    this.#waitMs = Math.min(2 * this.#waitMs, ReplicaFollow.mostAgainMs);
+    this.#waitMs = Math.min(2 * this.#waitMs, ReplicaFollow.maxRepeatMs);
     this.#leave();
   }
 
--- a/packages/edge/src/fanout/shardFollow.test.ts
+++ b/packages/edge/src/fanout/shardFollow.test.ts
@@ -61,8 +61,8 @@
   await new Promise<void>((resolve) => setImmediate(resolve));
   expect([tail.isKnown, tail.head, tail.messages.length]).toEqual([true, 3, 3]);
   // The holder counts one push, and so does this edge: its beat is answered with "done".
-  const beat = follow.beat()!;
-  expect([beat.seen, asked()]).toEqual([1, 1]);
+  const heartbeat = follow.heartbeat()!;
+  expect([heartbeat.seen, asked()]).toEqual([1, 1]);
 });
 
 test("a push that overtakes the receipt which tells of its stream is asked for again", async () => {
--- a/packages/edge/src/fanout/shardFollow.ts
+++ b/packages/edge/src/fanout/shardFollow.ts
@@ -21,7 +21,7 @@
  * makes the edge follow again, in full, from what it has.
  */
 export class ShardFollow {
-  static readonly beatMs = 500;
+  static readonly tickIntervalMs = 500;
   static readonly againMs = 60;
 
   readonly #node: ClusterNode;
@@ -161,7 +161,7 @@
   }
 
   /** What asks whether all pushes were seen, the answer to a lost last push; undefined where there is more to ask. */
-  beat(): FollowInit | undefined {
+  heartbeat(): FollowInit | undefined {
     if (this.isIdle && this.#left.size === 0) return undefined;
     if (this.#isAsking || this.#isStale || this.#asked.size > 0) return void this.tend();
     const counts = [...this.#counted].flatMap(([tail, topics]) => {
@@ -183,9 +183,9 @@
   }
 
   /** The holder's answer to a beat, if it gave one. */
-  async beaten(beat: FollowInit, outcome: string | undefined): Promise<void> {
+  async onHeartbeatOutcome(heartbeat: FollowInit, outcome: string | undefined): Promise<void> {
     const { follow, seen } = this.#pushes;
-    if (outcome === "done" || beat.follow !== follow || (outcome === "resync" && seen !== beat.seen)) return;
+    if (outcome === "done" || heartbeat.follow !== follow || (outcome === "resync" && seen !== heartbeat.seen)) return;
     this.#isStale = true;
     await this.tend();
   }
@@ -215,10 +215,10 @@
   /** One telling after the other, so that an older count never comes behind a newer one. */
   async #tell(): Promise<void> {
     while (this.#counted.size > 0) {
-      const beat = this.#isAsking || this.#isStale ? undefined : this.beat();
-      if (beat === undefined) break;
-      const reply = await this.#node.rpc.call(this.leader, { case: "follow", value: beat }, 700);
-      await this.beaten(beat, reply?.case === "followReply" ? reply.value.outcome : undefined);
+      const heartbeat = this.#isAsking || this.#isStale ? undefined : this.heartbeat();
+      if (heartbeat === undefined) break;
+      const reply = await this.#node.rpc.call(this.leader, { case: "follow", value: heartbeat }, 700);
+      await this.onHeartbeatOutcome(heartbeat, reply?.case === "followReply" ? reply.value.outcome : undefined);
     }
     this.#isTelling = false;
   }
--- a/packages/edge/src/fanout/streamTable.ts
+++ b/packages/edge/src/fanout/streamTable.ts
@@ -10,9 +10,9 @@
 import { StreamTail } from "./streamTail.js";
 import { SubscriberCounts } from "./subscriberCounts.js";
 
-interface Beaten {
+interface PendingHeartbeat {
   server: string;
-  beat: FollowInit;
+  heartbeat: FollowInit;
   heed: (outcome: string | undefined, applied: number) => void;
 }
 
@@ -59,7 +59,7 @@
       void this.#atReplicas[shard]?.tend();
     });
     node.plan.on("changed", () => this.#planChanged());
-    node.parts.clock.every(ShardFollow.beatMs, () => this.#beat());
+    node.parts.clock.every(ShardFollow.tickIntervalMs, () => this.#tick());
   }
 
   get count(): number {
@@ -115,53 +115,54 @@
   }
 
   /** Resolves once the stream's holder has told of it, or said that it has none, or the due has passed. */
-  known(tail: StreamTail, due: number): Promise<void> {
+  known(tail: StreamTail, timeoutMs: number): Promise<void> {
     if (tail.isKnown) return Promise.resolve();
     return new Promise((resolve) => {
       const end = (): void => {
-        beat.stop();
+        timer.stop();
         tail.off("grown", end);
         tail.off("ended", end);
         resolve();
       };
-      const beat = this.#node.parts.clock.once(due, end);
+      const timer = this.#node.parts.clock.once(timeoutMs, end);
       tail.on("grown", end);
       tail.on("ended", end);
     });
   }
 
   /** One call to each node for all its shards, those that it holds and those that it is followed at as a replica. */
-  #beat(): void {
-    const due = this.#follows.flatMap((follow, shard): Beaten[] => {
+  #tick(): void {
+    const due = this.#follows.flatMap((follow, shard): PendingHeartbeat[] => {
       const atReplica = this.#atReplicas[shard]!;
       const { applied } = follow;
-      const beat = follow.leader === "" ? undefined : follow.beat();
-      const replicaBeat = atReplica.beat();
-      const beats: Beaten[] = [];
-      if (beat !== undefined)
-        beats.push({
+      const heartbeat = follow.leader === "" ? undefined : follow.heartbeat();
+      const replicaHeartbeat = atReplica.heartbeat();
+      const heartbeats: PendingHeartbeat[] = [];
+      if (heartbeat !== undefined)
+        heartbeats.push({
           server: follow.leader,
-          beat,
+          heartbeat,
           heed: (outcome, applied) => {
             if (outcome !== undefined && outcome !== "away") follow.applied = applied;
-            void follow.beaten(beat, outcome);
+            void follow.onHeartbeatOutcome(heartbeat, outcome);
           },
         });
-      if (replicaBeat !== undefined)
-        beats.push({
+      if (replicaHeartbeat !== undefined)
+        heartbeats.push({
           server: atReplica.server,
-          beat: replicaBeat,
-          heed: (outcome, appliedThere) => atReplica.beaten(replicaBeat, outcome, appliedThere, applied),
+          heartbeat: replicaHeartbeat,
+          heed: (outcome, appliedThere) =>
+            atReplica.onHeartbeatOutcome(replicaHeartbeat, outcome, appliedThere, applied),
         });
-      return beats;
+      return heartbeats;
     });
-    for (const [server, list] of Grouped.by(due, (one) => one.server)) void this.#beatServer(server, list);
+    for (const [server, list] of Grouped.by(due, (one) => one.server)) void this.#sendHeartbeatTo(server, list);
   }
 
-  async #beatServer(server: string, list: readonly Beaten[]): Promise<void> {
-    const beats = list.map(({ beat }) => beat);
-    const reply = await this.#node.rpc.call(server, { case: "followBeats", value: { beats } }, 700);
-    const { outcomes, applied } = reply?.case === "followBeatsReply" ? reply.value : { outcomes: [], applied: [] };
+  async #sendHeartbeatTo(server: string, list: readonly PendingHeartbeat[]): Promise<void> {
+    const heartbeats = list.map(({ heartbeat }) => heartbeat);
+    const reply = await this.#node.rpc.call(server, { case: "followHeartbeats", value: { heartbeats } }, 700);
+    const { outcomes, applied } = reply?.case === "followHeartbeatsReply" ? reply.value : { outcomes: [], applied: [] };
     for (const [i, { heed }] of list.entries()) heed(outcomes[i], applied[i] ?? 0);
   }
 
--- a/packages/edge/src/fanout/streamTail.ts
+++ b/packages/edge/src/fanout/streamTail.ts
@@ -20,7 +20,7 @@
   disorder: [fault: OrderFault];
 }> {
   static readonly most = 400;
-  static readonly mostBytes = 2 * 1024 * 1024;
+  static readonly maxBytes = 2 * 1024 * 1024;
 
   readonly route: StreamRoute;
   readonly shard: number;
@@ -84,7 +84,7 @@
       this.#bytes += message.payload.length;
     }
     this.head = fresh.at(-1)!.seq;
-    while (this.messages.length > StreamTail.most || this.#bytes > StreamTail.mostBytes)
+    while (this.messages.length > StreamTail.most || this.#bytes > StreamTail.maxBytes)
       this.#bytes -= this.messages.shift()!.payload.length;
     this.emit("grown");
   }
--- a/packages/edge/src/publishing/configurationCheck.ts
+++ b/packages/edge/src/publishing/configurationCheck.ts
@@ -26,7 +26,7 @@
     if (prefixes !== undefined && prefixes.longest(topic) === undefined)
       return { topic, code: "unknown-topic", reason: `the plan in force has no rule for ${topic}` };
     const reason = prefixes === undefined ? "the store does not answer" : "this node has not heard of the space yet";
-    return { topic, code: "unavailable", reason, comeBack: 0.3 };
+    return { topic, code: "unavailable", reason, retryAfterSeconds: 0.3 };
   }
 
   /** Questions that come during a read share the next one. */
--- a/packages/edge/src/publishing/publishCall.ts
+++ b/packages/edge/src/publishing/publishCall.ts
@@ -4,7 +4,7 @@
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { BodyReader } from "@cranetrack/core/http/bodyReader.js";
 import type { EdgeParts } from "../edgeParts.js";
-import { publishDue, publishMessage } from "./publishMessage.js";
+import { publishTimeoutMs, publishMessage } from "./publishMessage.js";
 import { readOwner } from "../sessions/readOwner.js";
 
 const messageBody = type({
@@ -40,9 +40,9 @@
         details: { receipt: "refused" },
       });
     case "unsure":
-      return ApiReplies.unsure(answer.reason, answer.comeBack);
+      return ApiReplies.unknown(answer.reason, answer.retryAfterSeconds);
     default:
-      return ApiReplies.away(answer.reason, answer.comeBack, answer.code ?? "unavailable");
+      return ApiReplies.unavailable(answer.reason, answer.retryAfterSeconds, answer.code ?? "unavailable");
   }
 }
 
@@ -50,8 +50,8 @@
 async function passOn(edge: EdgeParts, id: string, topic: string, call: ApiCall): Promise<ApiReply> {
   const owner = call.isForwarded ? undefined : (await readOwner(edge.node.store, id))?.owner;
   if (owner === undefined || owner.node === "" || owner.node === edge.node.rpc.name)
-    return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { comeBack: 0.3 });
-  const due = 1.4 * publishDue(edge, topic);
+    return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { retryAfterSeconds: 0.3 });
+  const due = 1.4 * publishTimeoutMs(edge, topic);
   const reply = await edge.router.forwardTo(owner.node, "POST", call.path, call.body, due);
-  return reply ?? ApiReplies.unsure("the session's owner did not answer; the same number again settles it");
+  return reply ?? ApiReplies.unknown("the session's owner did not answer; the same number again settles it");
 }
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -14,8 +14,8 @@
 export type PublishOutcome =
   | { outcome: "accepted"; cursor: string }
   | { outcome: "refused"; code: string; reason: string }
-  | { outcome: "away"; reason: string; comeBack: number; code?: string }
-  | { outcome: "unsure"; reason: string; comeBack: number };
+  | { outcome: "away"; reason: string; retryAfterSeconds: number; code?: string }
+  | { outcome: "unsure"; reason: string; retryAfterSeconds: number };
 
 /** One publish of an owned session, to its final answer. The shard's holder alone judges it. */
 export async function publishMessage(
@@ -26,17 +26,17 @@
   payload: string,
 ): Promise<PublishOutcome> {
   const { node } = edge;
-  const end = node.parts.clock.now() + publishDue(edge, topic);
+  const end = node.parts.clock.now() + publishTimeoutMs(edge, topic);
   // What an earlier try may have handed over can't be promised undone.
   const isDoubtful = !session.isWhole || session.numbers.isOpen(topic, number);
-  const givenUp = (reason: string, comeBack: number, code?: string): PublishOutcome =>
+  const givenUp = (reason: string, retryAfterSeconds: number, code?: string): PublishOutcome =>
     isDoubtful
-      ? { outcome: "unsure", reason, comeBack }
-      : { outcome: "away", reason, comeBack, ...(code === undefined ? {} : { code }) };
+      ? { outcome: "unsure", reason, retryAfterSeconds }
+      : { outcome: "away", reason, retryAfterSeconds, ...(code === undefined ? {} : { code }) };
   const route = node.plan.route(topic);
   if (route === undefined) {
-    const { code, reason, comeBack } = await edge.planCheck.faultOf(topic);
-    return comeBack === undefined ? { outcome: "refused", code, reason } : givenUp(reason, comeBack);
+    const { code, reason, retryAfterSeconds } = await edge.planCheck.faultOf(topic);
+    return retryAfterSeconds === undefined ? { outcome: "refused", code, reason } : givenUp(reason, retryAfterSeconds);
   }
   const shard = edge.streams.shardOf(route.stream);
   if (!(await isHeld(edge, shard, end))) return givenUp("the topic has no holder just now", 0.1);
@@ -46,21 +46,25 @@
   const content = { payload: Buffer.from(payload), mayBeRepeat: isDoubtful };
   const reply = await atLeader(edge, shard, end, { ...publish, ...content });
   if (reply === undefined)
-    return { outcome: "unsure", reason: "the topic's holder did not answer; the same number again", comeBack: 0.2 };
+    return {
+      outcome: "unsure",
+      reason: "the topic's holder did not answer; the same number again",
+      retryAfterSeconds: 0.2,
+    };
   if (reply !== "unresponsive" && reply.outcome === "unsure")
-    return { outcome: "unsure", reason: reply.reason, comeBack: reply.comeBack };
+    return { outcome: "unsure", reason: reply.reason, retryAfterSeconds: reply.retryAfterSeconds };
   if (!isDoubtful || (reply !== "unresponsive" && reply.outcome === "accepted")) session.numbers.settled(topic, number);
   if (reply === "unresponsive") return givenUp("the topic's holder does not answer", 0.2);
-  const { outcome, code, reason, comeBack, incarnation, seq } = reply;
+  const { outcome, code, reason, retryAfterSeconds, incarnation, seq } = reply;
   if (outcome === "accepted") return { outcome: "accepted", cursor: Cursors.write(incarnation, seq) };
   if (outcome === "refused") return { outcome: "refused", code, reason };
-  return givenUp(reason || "the topic is changing hands", comeBack || 0.5, code || undefined);
+  return givenUp(reason || "the topic is changing hands", retryAfterSeconds || 0.5, code || undefined);
 }
 
 /** How long a publish may take: its space's deadline is its callers', who must hear the answer well before it. */
-export function publishDue(edge: EdgeParts, topic: string): number {
+export function publishTimeoutMs(edge: EdgeParts, topic: string): number {
   const { deadlineMs = Infinity } = Plans.spaceOf(edge.node.plan.plan, topic) ?? {};
-  return Math.min(edge.publishDue, deadlineMs / 2);
+  return Math.min(edge.publishTimeoutMs, deadlineMs / 2);
 }
 
 /** A shard that has just become free is claimed in a moment. */
@@ -90,7 +94,7 @@
     const call: CallInit = { case: "publish", value: { ...publish, mayBeRepeat } };
     // A short deadline gives this publish up, and not the holder, who may be slower than that and well.
     const body = await Promise.race([
-      rpc.call(leader, call, edge.publishDue),
+      rpc.call(leader, call, edge.publishTimeoutMs),
       shards.moved(shard, leader, parts.clock, left),
     ]);
     const reply = body?.case === "publishReply" ? body.value : undefined;
--- a/packages/edge/src/publishing/publishNumbers.ts
+++ b/packages/edge/src/publishing/publishNumbers.ts
@@ -16,7 +16,7 @@
  * topic are remembered, the highest.
  */
 export class PublishNumbers {
-  static readonly mostOpen = 64;
+  static readonly maxOpen = 64;
 
   readonly #topics = new Map<string, TopicNumbers>();
 
@@ -32,7 +32,7 @@
     const numbers = this.#of(topic);
     numbers.highest = Math.max(numbers.highest, number);
     numbers.open.add(number);
-    if (numbers.open.size > PublishNumbers.mostOpen) numbers.open.delete(Math.min(...numbers.open));
+    if (numbers.open.size > PublishNumbers.maxOpen) numbers.open.delete(Math.min(...numbers.open));
   }
 
   settled(topic: string, number: number): void {
--- a/packages/edge/src/publishing/topicFault.ts
+++ b/packages/edge/src/publishing/topicFault.ts
@@ -3,5 +3,5 @@
   topic: string;
   code: string;
   reason: string;
-  comeBack?: number;
+  retryAfterSeconds?: number;
 }
--- a/packages/edge/src/sessions/admitSession.ts
+++ b/packages/edge/src/sessions/admitSession.ts
@@ -2,7 +2,7 @@
 import type { Session } from "./session.js";
 import type { EdgeParts } from "../edgeParts.js";
 
-export type Admitted = { session: Session } | { reason: string; comeBack: number; code: string };
+export type Admitted = { session: Session } | { reason: string; retryAfterSeconds: number; code: string };
 
 const sessionName = /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/;
 
@@ -17,23 +17,23 @@
   /** Makes this node the session's owner, or says when to come back; waits up to `patience` ms for what it lacks. */
   async run(edge: EdgeParts, id: string, patience = 0): Promise<Admitted> {
     const { sessions, node, lease } = edge;
-    if (edge.isDraining) return { reason: "this node is stopping", comeBack: 0.2, code: "stopping" };
+    if (edge.isDraining) return { reason: "this node is stopping", retryAfterSeconds: 0.2, code: "stopping" };
     const end = node.parts.clock.now() + patience;
     while ((!lease.isHeld || !node.feed.isFresh) && node.parts.clock.now() < end)
       await new Promise<void>((resolve) => void node.parts.clock.once(AdmitSession.againMs, resolve));
     if (!lease.isHeld || !node.feed.isFresh)
-      return { reason: "this node is out of touch with the store", comeBack: 1, code: "unavailable" };
+      return { reason: "this node is out of touch with the store", retryAfterSeconds: 1, code: "unavailable" };
     if (sessions.connections + edge.admitting >= edge.live.maxConnections) {
-      const comeBack = 1 + node.parts.random.draw() * 2;
-      return { reason: "this node has as many links as it takes", comeBack, code: "full" };
+      const retryAfterSeconds = 1 + node.parts.random.draw() * 2;
+      return { reason: "this node has as many links as it takes", retryAfterSeconds, code: "full" };
     }
     edge.admitting += 1;
     const claimed = await sessions.claim(id, end - node.parts.clock.now());
     edge.admitting -= 1;
-    if ("comeBack" in claimed) return { ...claimed, code: "session-elsewhere" };
+    if ("retryAfterSeconds" in claimed) return { ...claimed, code: "session-elsewhere" };
     const { session } = claimed;
     if (edge.isDraining || session.isStopped)
-      return { reason: "the session moved on meanwhile", comeBack: 0.3, code: "session-elsewhere" };
+      return { reason: "the session moved on meanwhile", retryAfterSeconds: 0.3, code: "session-elsewhere" };
     return { session };
   },
 
--- a/packages/edge/src/sessions/openConnection.ts
+++ b/packages/edge/src/sessions/openConnection.ts
@@ -37,7 +37,8 @@
       problems: [{ path: `subscriptions.${faulty}.topic`, problem: "must be space/name" }],
     });
   const admitted = await AdmitSession.run(edge, id);
-  if (!("session" in admitted)) return ApiReplies.away(admitted.reason, admitted.comeBack, admitted.code);
+  if (!("session" in admitted))
+    return ApiReplies.unavailable(admitted.reason, admitted.retryAfterSeconds, admitted.code);
   const { session } = admitted;
   const connection = open();
   AdmitSession.tie(edge, session, connection);
@@ -47,7 +48,7 @@
     kind: "open",
     session: id,
     node: edge.node.rpc.name,
-    beatMs: edge.beatMs,
+    beatMs: edge.heartbeatIntervalMs,
     numbers: session.numbers.highestByTopic(),
   });
   forgetOthers(session, read.value.subscriptions);
--- a/packages/edge/src/sessions/session.ts
+++ b/packages/edge/src/sessions/session.ts
@@ -33,7 +33,7 @@
   }
 
   /** Stops deliveries on the present link, keeps their cursors, and says goodbye. */
-  disconnect(reason: string, comeBack: number, now: number, address = ""): void {
+  disconnect(reason: string, retryAfterSeconds: number, now: number, address = ""): void {
     const { connection } = this;
     if (connection === undefined) return;
     this.connection = undefined;
@@ -44,7 +44,7 @@
     for (const cursor of this.cursors()) cursor.stop();
     this.subscriptions.clear();
     if (connection.isClosed) return;
-    connection.send({ kind: "goodbye", reason, comeBack, ...(address === "" ? {} : { address }) });
+    connection.send({ kind: "goodbye", reason, comeBack: retryAfterSeconds, ...(address === "" ? {} : { address }) });
     connection.close();
   }
 
--- a/packages/edge/src/sessions/sessionConnection.ts
+++ b/packages/edge/src/sessions/sessionConnection.ts
@@ -64,7 +64,7 @@
 
   publish(topic: string, number: number, payload: string): Promise<PublishOutcome> {
     if (!this.#isCurrent)
-      return Promise.resolve({ outcome: "unsure", reason: "the session moved on meanwhile", comeBack: 0.3 });
+      return Promise.resolve({ outcome: "unsure", reason: "the session moved on meanwhile", retryAfterSeconds: 0.3 });
     if (!Plans.isTopic(topic) || !Number.isSafeInteger(number) || number < 1)
       return Promise.resolve({ outcome: "refused", code: "malformed", reason: "the topic or number is malformed" });
     return publishMessage(this.#edge, this.#session, topic, number, payload);
@@ -83,10 +83,10 @@
     if (!this.#isCurrent) return { outcome: "moved", reason: "the session moved on meanwhile" };
     if (!Plans.isTopic(topic)) return { outcome: "malformed", reason: "the topic is malformed" };
     if (!this.#edge.node.feed.isFresh)
-      return { outcome: "away", reason: "this node is out of touch with the store", comeBack: 0.5 };
+      return { outcome: "away", reason: "this node is out of touch with the store", retryAfterSeconds: 0.5 };
     const isKnown = this.#session.subscriptions.has(topic) || this.#pending.has(topic);
     const count = this.#session.subscriptions.size + this.#pending.size;
-    const most = Plans.mostSubscriptions(this.#edge.node.plan.plan);
+    const most = Plans.maxSubscriptions(this.#edge.node.plan.plan);
     if (!isKnown && count >= most) return { outcome: "too-many", reason: `a connection may have ${most} topics` };
     return undefined;
   }
@@ -123,7 +123,11 @@
       return { outcome: "confirmed", cursor: Cursors.write(start.cursor.incarnation, start.cursor.seq) };
     const fault = faults.find((one) => one.topic === topic);
     const outcome = faultOutcomes.find((one) => one === fault?.code) ?? "away";
-    return { outcome, reason: fault?.reason ?? "the topic could not be looked up", comeBack: fault?.comeBack };
+    return {
+      outcome,
+      reason: fault?.reason ?? "the topic could not be looked up",
+      retryAfterSeconds: fault?.retryAfterSeconds,
+    };
   }
 
   /** Not left again since, nor asked for anew after that. */
--- a/packages/edge/src/sessions/sessions.ts
+++ b/packages/edge/src/sessions/sessions.ts
@@ -8,7 +8,7 @@
 import { readOwner, type Owner } from "./readOwner.js";
 import { Session } from "./session.js";
 
-export type Claimed = { session: Session } | { comeBack: number; reason: string };
+export type Claimed = { session: Session } | { retryAfterSeconds: number; reason: string };
 interface Shipped {
   body: BodyInit;
   at: number;
@@ -22,7 +22,7 @@
  * present lease.
  */
 export class Sessions extends EventEmitter<{ step: [step: string, session: string] }> {
-  static readonly pullDue = 700;
+  static readonly pullTimeoutMs = 700;
   /** What lies between the end of a lease and everybody's hearing of it; and what is soon enough to be waited for. */
   static readonly expiryMs = 100;
   static readonly soonMs = 400;
@@ -75,41 +75,43 @@
     const end = clock.now() + patience;
     for (;;) {
       const claimed = await this.#claimOnce(id);
-      if ("session" in claimed || clock.now() + claimed.comeBack * 1000 > end) return claimed;
-      await new Promise<void>((resolve) => void clock.once(claimed.comeBack * 1000, resolve));
+      if ("session" in claimed || clock.now() + claimed.retryAfterSeconds * 1000 > end) return claimed;
+      await new Promise<void>((resolve) => void clock.once(claimed.retryAfterSeconds * 1000, resolve));
     }
   }
 
   async #claimOnce(id: string): Promise<Claimed> {
     const own = this.find(id);
     if (own !== undefined) return { session: own };
-    if (this.#claiming.has(id)) return { comeBack: 0.1, reason: "another resume of this session is under way" };
+    if (this.#claiming.has(id))
+      return { retryAfterSeconds: 0.1, reason: "another resume of this session is under way" };
     this.#claiming.add(id);
     let claimed = await this.#claim(id);
     // The owner's lease was lost while it was being asked: its key is free now.
     if (claimed === "freed") claimed = await this.#claim(id);
     this.#claiming.delete(id);
-    return claimed === "freed" ? { comeBack: 0.1, reason: "the session is changing hands" } : claimed;
+    return claimed === "freed" ? { retryAfterSeconds: 0.1, reason: "the session is changing hands" } : claimed;
   }
 
   async #claim(id: string): Promise<Claimed | "freed"> {
     const { lease } = this.#lease;
-    if (!this.#lease.isHeld) return { comeBack: 1, reason: "this node has no lease" };
+    if (!this.#lease.isHeld) return { retryAfterSeconds: 1, reason: "this node has no lease" };
     const key = OwnerKey.of(id);
     const read = await readOwner(this.#node.store, id, [SubscriptionKey.prefix(id)]);
-    if (read === undefined) return { comeBack: 1, reason: "the store does not answer" };
+    if (read === undefined) return { retryAfterSeconds: 1, reason: "the store does not answer" };
     const { owner } = read;
     const shipped = owner === undefined || owner.node === "" ? undefined : await this.#pull(id, owner, lease);
-    if (shipped === "freed" || (shipped !== undefined && "comeBack" in shipped)) return shipped;
+    if (shipped === "freed" || (shipped !== undefined && "retryAfterSeconds" in shipped)) return shipped;
     const value = OwnerKey.write({ node: this.#node.rpc.name, lease });
     const written = await this.#node.store.txn({
       checks: [{ key, revision: owner?.revision ?? 0 }],
       puts: [{ key, value, lease }],
     });
-    if (written.outcome === "conflict") return { comeBack: 0.1, reason: "another resume of this session won" };
+    if (written.outcome === "conflict") return { retryAfterSeconds: 0.1, reason: "another resume of this session won" };
     const revision = written.outcome === "done" ? written.revision! : await this.#settle(id, lease, written.outcome);
-    if (revision === 0) return { comeBack: 0.3, reason: "the owner key could not be written" };
-    if (!this.#lease.isHeld || this.#lease.lease !== lease) return { comeBack: 1, reason: "this node lost its lease" };
+    if (revision === 0) return { retryAfterSeconds: 0.3, reason: "the owner key could not be written" };
+    if (!this.#lease.isHeld || this.#lease.lease !== lease)
+      return { retryAfterSeconds: 1, reason: "this node lost its lease" };
     this.emit("step", "owner-written", id);
     const session = new Session(id, revision, !this.#orphans.delete(id));
     this.#fill(session, read.kvs, shipped?.state);
@@ -133,21 +135,21 @@
   }
 
   /** Closes every link; the sessions stay to be pulled until released. */
-  goodbye(reason: string, comeBack: () => number, addressFor: (session: string) => string): void {
+  goodbye(reason: string, retryAfterSeconds: () => number, addressFor: (session: string) => string): void {
     for (const session of this.#table.values())
-      session.disconnect(reason, comeBack(), this.#node.parts.clock.now(), addressFor(session.id));
+      session.disconnect(reason, retryAfterSeconds(), this.#node.parts.clock.now(), addressFor(session.id));
   }
 
   async #pull(
     id: string,
     owner: Owner,
     lease: string,
-  ): Promise<{ state: PullReply } | { comeBack: number; reason: string } | "freed" | undefined> {
+  ): Promise<{ state: PullReply } | { retryAfterSeconds: number; reason: string } | "freed" | undefined> {
     if (owner.node === this.#node.rpc.name && owner.lease !== lease) {
       // This very process, or one before it at the same address, held that lease and is gone from it.
       this.#orphans.set(id, this.#node.parts.clock.now());
       await this.#node.store.call({ case: "revoke", value: { lease: owner.lease } });
-      return { comeBack: 0.1, reason: "an earlier lease of this node is being given up" };
+      return { retryAfterSeconds: 0.1, reason: "an earlier lease of this node is being given up" };
     }
     if (owner.node === this.#node.rpc.name) return undefined;
     this.emit("step", "pull", id);
@@ -155,7 +157,7 @@
     if (reply?.case !== "pullReply") return this.#unanswered(id, owner);
     if (reply.value.outcome !== "shipped")
       return {
-        comeBack: reply.value.comeBack || 0.3,
+        retryAfterSeconds: reply.value.retryAfterSeconds || 0.3,
         reason: `the owner ${owner.node} says ${reply.value.outcome}`,
       };
     this.emit("step", "shipped", id);
@@ -168,7 +170,7 @@
     const { rpc, parts } = this.#node;
     if (!rpc.isUnresponsive(owner.node)) {
       const ask = { session: id, ownerRevision: owner.revision, asker: rpc.name };
-      return rpc.call(owner.node, { case: "pull", value: ask }, Sessions.pullDue);
+      return rpc.call(owner.node, { case: "pull", value: ask }, Sessions.pullTimeoutMs);
     }
     const left = owner.leaseLeft + Sessions.expiryMs;
     if (left <= Sessions.soonMs) await new Promise<void>((resolve) => void parts.clock.once(left, resolve));
@@ -176,13 +178,13 @@
   }
 
   /** The owner said nothing. What does the store say of its key now? */
-  async #unanswered(id: string, owner: Owner): Promise<"freed" | { comeBack: number; reason: string }> {
+  async #unanswered(id: string, owner: Owner): Promise<"freed" | { retryAfterSeconds: number; reason: string }> {
     this.#orphans.set(id, this.#node.parts.clock.now());
     const now = await readOwner(this.#node.store, id);
     if (now !== undefined && now.owner?.revision !== owner.revision) return "freed";
     const leaseLeft = now?.owner?.leaseLeft ?? owner.leaseLeft;
-    const comeBack = (leaseLeft + Sessions.expiryMs) / 1000;
-    return { comeBack, reason: `the owner ${owner.node} does not answer; its lease must run out first` };
+    const retryAfterSeconds = (leaseLeft + Sessions.expiryMs) / 1000;
+    return { retryAfterSeconds, reason: `the owner ${owner.node} does not answer; its lease must run out first` };
   }
 
   /** The old owner's part: close the link, stop, prepare, ship. */
@@ -216,7 +218,7 @@
   #shipNothing(pull: Pull): BodyInit {
     const owner = this.#table.get(pull.session);
     if (owner !== undefined || this.#claiming.has(pull.session))
-      return { case: "pullReply", value: { outcome: "owned under another revision", comeBack: 0.3 } };
+      return { case: "pullReply", value: { outcome: "owned under another revision", retryAfterSeconds: 0.3 } };
     return { case: "pullReply", value: { outcome: "shipped", isLost: true } };
   }
 
--- a/packages/edge/src/subscriptions/askStarts.ts
+++ b/packages/edge/src/subscriptions/askStarts.ts
@@ -2,7 +2,7 @@
 import type { TopicCursorSchema, TopicStart } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { EdgeParts } from "../edgeParts.js";
 
-const mostMs = 1500;
+const maxMs = 1500;
 const callMs = 700;
 const againMs = 80;
 
@@ -13,8 +13,8 @@
   cursors: Array<MessageInitShape<typeof TopicCursorSchema>>,
 ): Promise<Map<string, TopicStart> | undefined> {
   const { rpc, shards, parts } = edge.node;
-  const end = parts.clock.now() + mostMs;
-  for (let left = mostMs; left > 0; left = end - parts.clock.now()) {
+  const end = parts.clock.now() + maxMs;
+  for (let left = maxMs; left > 0; left = end - parts.clock.now()) {
     const { leader } = shards.find(shard);
     if (leader !== "") {
       const ask = rpc.call(leader, { case: "startRequest", value: { shard, cursors } }, Math.min(callMs, left));
--- a/packages/edge/src/subscriptions/findStarts.ts
+++ b/packages/edge/src/subscriptions/findStarts.ts
@@ -55,16 +55,16 @@
     }
   }
   const starts: Start[] = [];
-  const unsure: Routed[] = [];
+  const unknown: Routed[] = [];
   // One follow of an edge tells the confirmed heads of all its links' streams; a crowd need not ask one by one.
   await Promise.all(routed.map(({ tail }) => edge.streams.known(tail, knownMs)));
   for (const one of routed) {
     const heard = heardStart(edge, one);
-    if (heard === undefined) unsure.push(one);
+    if (heard === undefined) unknown.push(one);
     else starts.push(heard);
   }
   const [judged] = await Promise.all([
-    judge(edge, unsure),
+    judge(edge, unknown),
     Promise.all(unrouted.map(async (topic) => faults.push(await edge.planCheck.faultOf(topic)))),
   ]);
   for (const one of judged) {
@@ -83,8 +83,8 @@
   return isHeard ? { topic, tail, cursor, expired: "" } : undefined;
 }
 
-async function judge(edge: EdgeParts, unsure: readonly Routed[]): Promise<Array<Start | TopicFault>> {
-  const shards = Grouped.by(unsure, ({ tail }) => tail.shard);
+async function judge(edge: EdgeParts, unknown: readonly Routed[]): Promise<Array<Start | TopicFault>> {
+  const shards = Grouped.by(unknown, ({ tail }) => tail.shard);
   const judged = await Promise.all(
     [...shards].map(async ([shard, list]) => {
       const cursors = list.map(({ topic, route: { spaceIncarnation }, cursor }) => ({
@@ -97,16 +97,21 @@
     }),
   );
   const all = judged.flat();
-  for (const one of unsure)
+  for (const one of unknown)
     if (!all.some((found) => "tail" in found && found.topic === one.topic)) edge.streams.leave(one.tail);
   return all;
 }
 
 function settle({ topic, tail, isAsked }: Routed, answer: TopicStart | undefined): Start | TopicFault {
-  const away = { topic, code: "unavailable", reason: "the topic's holder does not answer", comeBack: 0.5 };
-  if (answer === undefined) return away;
+  const unavailable = {
+    topic,
+    code: "unavailable",
+    reason: "the topic's holder does not answer",
+    retryAfterSeconds: 0.5,
+  };
+  if (answer === undefined) return unavailable;
   const { outcome, incarnation, seq, reason } = answer;
-  if (outcome === "behind") return { ...away, reason: "the topic's space is changing", comeBack: 0.3 };
+  if (outcome === "behind") return { ...unavailable, reason: "the topic's space is changing", retryAfterSeconds: 0.3 };
   if (outcome === "unknown-topic")
     return { topic, code: outcome, reason: `the plan in force has no rule for ${topic}` };
   if (outcome === "unknown-place" && isAsked) return { topic, code: outcome, reason };
--- a/packages/edge/src/subscriptions/streamCursor.ts
+++ b/packages/edge/src/subscriptions/streamCursor.ts
@@ -1,6 +1,6 @@
 import type { StreamMessage } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Plans, type Plan } from "@cranetrack/core/configuration/configuration.js";
-import type { Beat, Clock } from "@cranetrack/core/runtime/clock.js";
+import type { TimerHandle, Clock } from "@cranetrack/core/runtime/clock.js";
 import { PublisherOrder } from "../fanout/publisherOrder.js";
 import { Cursors, type Cursor } from "./cursor.js";
 import type { StreamTable } from "../fanout/streamTable.js";
@@ -37,7 +37,7 @@
   cursor = 0;
   #isPumping = false;
   #isStopped = false;
-  #again: Beat | undefined;
+  #again: TimerHandle | undefined;
 
   constructor(parts: CursorParts) {
     this.#parts = parts;
--- a/packages/edge/src/subscriptions/subscribeTopics.ts
+++ b/packages/edge/src/subscriptions/subscribeTopics.ts
@@ -28,7 +28,7 @@
     const cursor = session.subscriptions.get(topic);
     if (cursor !== undefined) confirm(connection, topic, cursor);
   }
-  const room = Plans.mostSubscriptions(edge.node.plan.plan) - session.subscriptions.size - session.joining;
+  const room = Plans.maxSubscriptions(edge.node.plan.plan) - session.subscriptions.size - session.joining;
   const admitted = fresh.slice(0, Math.max(0, room));
   session.joining += admitted.length;
   const { starts, faults } = await findStarts(edge, session, admitted);
@@ -64,7 +64,7 @@
   });
   const written = await edge.node.store.txn({ checks, puts });
   if (written.outcome !== "lost") return written.outcome === "done";
-  await edge.node.store.call({ case: "grant", value: { lease, length: edge.sessionKeepMs } });
+  await edge.node.store.call({ case: "grant", value: { lease, length: edge.sessionRetentionMs } });
   return (await edge.node.store.txn({ checks, puts })).outcome === "done";
 }
 
--- a/packages/edge/src/subscriptions/unsubscribeTopic.ts
+++ b/packages/edge/src/subscriptions/unsubscribeTopic.ts
@@ -13,6 +13,6 @@
   const written = await edge.node.store.txn({ checks, deletes: [SubscriptionKey.of(session.id, topic)] });
   if (written.outcome === "done") return ApiReplies.done({ receipt: "unsubscribed", topic });
   return written.outcome === "unsure"
-    ? ApiReplies.unsure("the store did not answer")
-    : ApiReplies.away("the session moved on meanwhile", 0.3);
+    ? ApiReplies.unknown("the store did not answer")
+    : ApiReplies.unavailable("the session moved on meanwhile", 0.3);
 }
--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -85,9 +85,9 @@
     return { case: "followReply", value: { outcome: "done", heads: [...heads, ...missing], number } };
   }
 
-  beaten(follow: Follow): string {
+  onHeartbeat(follow: Follow): string {
     if (!this.isOpen) return "away";
-    return this.#follows.beat(follow) ? "done" : "resync";
+    return this.#follows.onHeartbeat(follow) ? "done" : "resync";
   }
 
   fetch(fetch: Fetch): BodyInit {
@@ -96,7 +96,7 @@
     return fetchFrom(log, fetch);
   }
 
-  beat(): void {
+  tick(): void {
     if (this.#follows.count === 0) return;
     this.#follows.forgetSilent();
     this.#closeWhereMustBe();
--- a/packages/log-storage/src/follows/follows.test.ts
+++ b/packages/log-storage/src/follows/follows.test.ts
@@ -32,10 +32,10 @@
   const { table, pushed, add } = follows();
   add();
   expect(pushed.length).toEqual(1);
-  expect(table.beat(say({ serial: 2, seen: 1, quiet: [{ stream, incarnation: "1-other" }] }))).toEqual(true);
+  expect(table.onHeartbeat(say({ serial: 2, seen: 1, quiet: [{ stream, incarnation: "1-other" }] }))).toEqual(true);
   add();
   expect(pushed.length).toEqual(2);
-  expect(table.beat(say({ serial: 3, seen: 2, quiet: [{ stream, incarnation }] }))).toEqual(true);
+  expect(table.onHeartbeat(say({ serial: 3, seen: 2, quiet: [{ stream, incarnation }] }))).toEqual(true);
   add();
   expect(pushed.length).toEqual(2);
   table.admit(say({ serial: 4 }), say({ streams: [{ stream, incarnation, after: 2 }] }).streams, "edge");
@@ -45,9 +45,9 @@
 
 test("a beat that was delayed or doubled on its way undoes nothing that was said after it", () => {
   const { table, pushed, add } = follows();
-  expect(table.beat(say({ serial: 3, seen: 0 }))).toEqual(true);
-  expect(table.beat(say({ serial: 2, seen: 0, quiet: [{ stream, incarnation }] }))).toEqual(false);
-  expect(table.beat(say({ serial: 3, seen: 0, left: [stream] }))).toEqual(false);
+  expect(table.onHeartbeat(say({ serial: 3, seen: 0 }))).toEqual(true);
+  expect(table.onHeartbeat(say({ serial: 2, seen: 0, quiet: [{ stream, incarnation }] }))).toEqual(false);
+  expect(table.onHeartbeat(say({ serial: 3, seen: 0, left: [stream] }))).toEqual(false);
   expect(table.isLate(say({ serial: 3, isFull: true }))).toEqual(true);
   expect(table.isLate(say({ follow: "edge/2", serial: 1 }))).toEqual(true);
   expect(table.isLate(say({ follow: "edge/2", serial: 1, isFull: true }))).toEqual(false);
--- a/packages/log-storage/src/follows/follows.ts
+++ b/packages/log-storage/src/follows/follows.ts
@@ -46,9 +46,9 @@
  * Invariant: only committed messages are pushed, each stream's in order.
  */
 export class Follows {
-  static readonly mostMessages = 200;
+  static readonly maxMessages = 200;
   /** An edge that is further behind is not sent everything: its readers fetch what they need. */
-  static readonly mostBehind = 400;
+  static readonly maxBehind = 400;
   static readonly silentMs = 6000;
 
   readonly #parts: FollowParts;
@@ -95,7 +95,7 @@
   }
 
   /** True where the edge has seen all pushes; otherwise it must follow in full again. */
-  beat(follow: Follow): boolean {
+  onHeartbeat(follow: Follow): boolean {
     const following = this.#follows.get(follow.follow);
     if (following === undefined || this.isLate(follow)) return false;
     following.serial = follow.serial;
@@ -169,7 +169,7 @@
     for (const following of [...this.#follows.values()]) {
       this.#drop(following);
       const { turn, shard, epoch } = this.#parts;
-      turn.tell(following.edge, { shard, epoch, follow: following.follow, isAway: true });
+      turn.tell(following.edge, { shard, epoch, follow: following.follow, isUnavailable: true });
     }
   }
 
@@ -195,7 +195,7 @@
   }
 
   #sentTo(log: StreamLog, { stream, incarnation, after }: StreamAt): number {
-    if (incarnation === log.incarnation && log.head - after <= Follows.mostBehind) return Math.max(after, log.low);
+    if (incarnation === log.incarnation && log.head - after <= Follows.maxBehind) return Math.max(after, log.low);
     return incarnation !== "" && incarnation !== log.incarnation && this.#parts.isInMemory(stream) ? log.low : log.head;
   }
 
@@ -220,7 +220,7 @@
       at.sent >= log.head
     )
       return undefined;
-    const messages = Follows.slice(log.messages, log.low, at.sent, Follows.mostMessages);
+    const messages = Follows.slice(log.messages, log.low, at.sent, Follows.maxMessages);
     const prev = (messages[0]?.seq ?? log.head + 1) - 1;
     at.sent = messages.at(-1)?.seq ?? log.head;
     return create(StreamBatchSchema, { stream, incarnation: log.incarnation, prev, messages });
--- a/packages/log-storage/src/repair/replicaRepair.ts
+++ b/packages/log-storage/src/repair/replicaRepair.ts
@@ -65,7 +65,7 @@
   }
 
   /** One step further; a set that the store has taken is handed back to be held under its new epoch. */
-  async beat(isUrgentOnly: boolean): Promise<Swap | undefined> {
+  async tick(isUrgentOnly: boolean): Promise<Swap | undefined> {
     if (!this.#leader.isServing || this.#isWriting) return undefined;
     if (this.#move === undefined) this.#begin(isUrgentOnly);
     const move = this.#move;
@@ -91,7 +91,7 @@
       startedAt: this.#node.parts.clock.now(),
     };
     this.#leader.enlist([this.#leader.set], change.in === undefined ? [] : [change.in.id]);
-    this.#leader.replicator?.beat(Number.POSITIVE_INFINITY);
+    this.#leader.replicator?.sendHeartbeats(Number.POSITIVE_INFINITY);
     this.#node.parts.log.note("changes a replica set", {
       shard: this.#replica.shard,
       out: change.out?.name ?? "",
--- a/packages/log-storage/src/shards/heldBack.ts
+++ b/packages/log-storage/src/shards/heldBack.ts
@@ -19,11 +19,11 @@
     return held !== undefined && number > held.number && now < held.until;
   }
 
-  note(topic: string, session: string, number: number, isAway: boolean, now: number): void {
+  note(topic: string, session: string, number: number, isUnavailable: boolean, now: number): void {
     const key = HeldBack.#key(topic, session);
     const held = this.#held.get(key);
     const isHeld = held !== undefined && now < held.until;
-    if (!isAway) {
+    if (!isUnavailable) {
       if (held !== undefined && (number >= held.number || !isHeld)) this.#held.delete(key);
       return;
     }
--- a/packages/log-storage/src/shards/memoryStreams.test.ts
+++ b/packages/log-storage/src/shards/memoryStreams.test.ts
@@ -31,12 +31,12 @@
   expect(streams.find(stream)!.messages.length).toEqual(1000);
   streams.trim([stream]);
   const log = streams.find(stream)!;
-  expect([log.messages.length, log.low, log.head]).toEqual([MemoryStreams.mostKept, 800, 1000]);
-  streams.tend(MemoryStreams.keepMs + 1, forgetMs, () => true);
+  expect([log.messages.length, log.low, log.head]).toEqual([MemoryStreams.maxKept, 800, 1000]);
+  streams.tend(MemoryStreams.retentionMs + 1, forgetMs, () => true);
   expect([log.messages.length, log.low, log.head]).toEqual([0, 1000, 1000]);
   for (let number = 1001; number <= 1100; number += 1) say(streams, number, 20_000, 65_536);
   streams.trim([stream]);
-  expect(log.messages.length).toEqual(MemoryStreams.mostBytes / 65_536);
+  expect(log.messages.length).toEqual(MemoryStreams.maxBytes / 65_536);
 });
 
 test("numbers are known for ten minutes, and a stream that nobody uses is forgotten with them", () => {
--- a/packages/log-storage/src/shards/memoryStreams.ts
+++ b/packages/log-storage/src/shards/memoryStreams.ts
@@ -18,9 +18,9 @@
  */
 export class MemoryStreams {
   /** The tail that stays for edges that missed a push. */
-  static readonly mostKept = 200;
-  static readonly mostBytes = 2 * 1024 * 1024;
-  static readonly keepMs = 10_000;
+  static readonly maxKept = 200;
+  static readonly maxBytes = 2 * 1024 * 1024;
+  static readonly retentionMs = 10_000;
   /** A publisher repeats a number for no longer than this after it first sent it. */
   static readonly repeatMs = 12_000;
 
@@ -76,7 +76,7 @@
     for (const stream of streams) {
       const log = this.find(stream);
       // In steps, so that a busy stream is not copied at every message.
-      if (log !== undefined && (log.messages.length > 2 * MemoryStreams.mostKept || MemoryStreams.#isLarge(log)))
+      if (log !== undefined && (log.messages.length > 2 * MemoryStreams.maxKept || MemoryStreams.#isLarge(log)))
         MemoryStreams.#cut(log, -Infinity);
     }
   }
@@ -84,7 +84,7 @@
   /** Drops what is old, and streams that nobody has used for long. */
   tend(at: number, forgetMs: number, isFollowed: (stream: string) => boolean): void {
     for (const [stream, { log, usedAt }] of this.#streams) {
-      MemoryStreams.#cut(log, at - MemoryStreams.keepMs);
+      MemoryStreams.#cut(log, at - MemoryStreams.retentionMs);
       if (log.hasOlder(at - forgetMs)) log.forget(at - forgetMs);
       if (log.knownCount === 0 && at - usedAt > forgetMs && !isFollowed(stream)) this.#streams.delete(stream);
     }
@@ -98,10 +98,10 @@
     const { messages } = log;
     let kept = 0;
     let bytes = 0;
-    while (kept < messages.length && kept < MemoryStreams.mostKept) {
+    while (kept < messages.length && kept < MemoryStreams.maxKept) {
       const message = messages[messages.length - 1 - kept]!;
       bytes += message.payload.length;
-      if (message.at < before || bytes > MemoryStreams.mostBytes) break;
+      if (message.at < before || bytes > MemoryStreams.maxBytes) break;
       kept += 1;
     }
     log.trim(log.head - kept);
@@ -110,6 +110,6 @@
   /** Looked at in steps as well: only streams of large payloads come near it. */
   static #isLarge({ messages }: StreamLog): boolean {
     const last = messages.at(-1);
-    return last !== undefined && messages.length * last.payload.length > 2 * MemoryStreams.mostBytes;
+    return last !== undefined && messages.length * last.payload.length > 2 * MemoryStreams.maxBytes;
   }
 }
--- a/packages/log-storage/src/shards/publishOutcomes.ts
+++ b/packages/log-storage/src/shards/publishOutcomes.ts
@@ -10,8 +10,8 @@
   },
 
   /** It may have been done. */
-  unsure(reason: string): PublishOutcome {
-    return { case: "publishReply", value: { outcome: "unsure", code: "unsure", reason, comeBack: 0.5 } };
+  unknown(reason: string): PublishOutcome {
+    return { case: "publishReply", value: { outcome: "unsure", code: "unsure", reason, retryAfterSeconds: 0.5 } };
   },
 
   of(verdict: Verdict): PublishOutcome {
--- a/packages/log-storage/src/shards/shardLeader.ts
+++ b/packages/log-storage/src/shards/shardLeader.ts
@@ -25,7 +25,7 @@
 export class ShardLeader extends EventEmitter<ShardLeaderEvents> implements CommitSource {
   static readonly silentMs = 700;
   /** Replicas that have heard everything are told so this often, and their answers show that they are there. */
-  static readonly idleBeatMs = 250;
+  static readonly idleHeartbeatMs = 250;
   /** How long a question for a part of a better log may take. */
   static readonly pullMs = 1500;
 
@@ -118,10 +118,10 @@
     return this.#append(create(EntrySchema, { index: log.lastIndex + 1, term: this.epoch, kind: 0, data }));
   }
 
-  beat(): void {
+  tick(): void {
     if (this.#replicator === undefined) return;
     if (this.#replicator.majorityAgo() > ShardLeader.silentMs) return this.stop("no majority of the replicas answers");
-    this.#replicator.beat(ShardLeader.idleBeatMs);
+    this.#replicator.sendHeartbeats(ShardLeader.idleHeartbeatMs);
   }
 
   /** Whom entries must be synced on from now on: one set, or the old and the new one. */
@@ -181,7 +181,7 @@
       this.#isServing = true;
       this.emit("serving");
     });
-    replicator.beat();
+    replicator.sendHeartbeats();
   }
 
   #nameOf(id: string): string {
--- a/packages/log-storage/src/shards/shardLeadership.ts
+++ b/packages/log-storage/src/shards/shardLeadership.ts
@@ -25,11 +25,11 @@
  * Invariant: a holder here acts only while the lease that its key is under is held.
  */
 export class ShardLeadership {
-  static readonly turnMs = 100;
+  static readonly electionTurnMs = 100;
   /** How often each held shard's replica set is looked at, and a change of it taken one step further. */
   static readonly repairMs = 100;
   /** Changes that only make sets better, at a time, so that copying does not starve what is served. */
-  static readonly mostImprovements = 4;
+  static readonly maxImprovements = 4;
 
   readonly #node: ClusterNode;
   readonly #lease: LeaseKeepAlive;
@@ -60,7 +60,7 @@
       for (const claim of this.#claims.values()) if (claim.leader.isServing) claim.service.planChanged();
     });
     node.shards.on("changed", (shard) => this.#heed(shard));
-    node.parts.clock.every(100, () => this.#beat());
+    node.parts.clock.every(100, () => this.#tick());
     node.parts.clock.every(ShardLeadership.repairMs, () => this.#repairAll());
   }
 
@@ -81,11 +81,11 @@
     this.#claims.get(shard)?.leader.stop(why);
   }
 
-  #beat(): void {
+  #tick(): void {
     if (!this.#lease.isHeld) return;
     for (const claim of [...this.#claims.values()]) {
-      claim.leader.beat();
-      if (claim.leader.isServing) claim.service.beat();
+      claim.leader.tick();
+      if (claim.leader.isServing) claim.service.tick();
     }
     if (!this.#node.feed.isFresh) return;
     for (const replica of this.#replicas) this.#consider(replica);
@@ -97,14 +97,14 @@
     for (const [shard, claim] of this.all()) {
       if (this.#mending.has(shard)) continue;
       const wasImproving = claim.repair.isImproving;
-      void this.#repair(shard, claim, improving >= ShardLeadership.mostImprovements);
+      void this.#repair(shard, claim, improving >= ShardLeadership.maxImprovements);
       if (!wasImproving && claim.repair.isImproving) improving += 1;
     }
   }
 
   async #repair(shard: number, claim: Claim, isUrgentOnly: boolean): Promise<void> {
     this.#mending.add(shard);
-    const swap = await claim.repair.beat(isUrgentOnly);
+    const swap = await claim.repair.tick(isUrgentOnly);
     this.#mending.delete(shard);
     if (swap === undefined) return this.#heed(shard);
     if (this.#claims.get(shard) === claim) this.#claims.delete(shard);
@@ -125,7 +125,7 @@
     const now = this.#node.parts.clock.now();
     const since = this.#freeSince.get(shard) ?? now;
     this.#freeSince.set(shard, since);
-    if (now - since >= rank * ShardLeadership.turnMs) void this.#guard(shard, () => this.#claim(replica));
+    if (now - since >= rank * ShardLeadership.electionTurnMs) void this.#guard(shard, () => this.#claim(replica));
   }
 
   /** This disk's turn among the set's live members; -1 where it is no member. */
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -34,10 +34,10 @@
  * starts, follows and fetches, and trims.
  */
 export class ShardService {
-  static readonly leastKeepMs = 45_000;
+  static readonly minRetentionMs = 45_000;
   /** Numbers sent before are known for this long after their session's last one in the topic. */
   static readonly forgetMs = 600_000;
-  static readonly mostPending = 2000;
+  static readonly maxPending = 2000;
   /** A new holder counts no subscribers until the edges have had this long to tell it of theirs. */
   static readonly countMs = 700;
 
@@ -91,21 +91,21 @@
     const { topic, session, number } = publish;
     const now = this.#node.parts.clock.now();
     if (this.#heldBack.isBehind(topic, session, number, now))
-      return this.#away("an earlier number is to be sent again", 0.2);
+      return this.#unavailable("an earlier number is to be sent again", 0.2);
     const reply = await this.#judge(publish);
-    const isAway = reply.value.outcome === "away" || reply.value.outcome === "busy";
-    this.#heldBack.note(topic, session, number, isAway, now);
+    const isUnavailable = reply.value.outcome === "away" || reply.value.outcome === "busy";
+    this.#heldBack.note(topic, session, number, isUnavailable, now);
     return reply;
   }
 
   async #judge(publish: Publish): Promise<PublishOutcome> {
-    if (!this.isOpen) return this.#away();
+    if (!this.isOpen) return this.#unavailable();
     const { topic, session, number, spaceIncarnation } = publish;
     const { plan } = this.#node.plan;
     const route = this.#node.plan.route(topic);
     const standing = this.#standings.ofIncarnation(route?.spaceIncarnation, spaceIncarnation);
     // One of the two has not heard of the newest plan yet; a space that this node has seen removed may be back.
-    if (route === undefined || standing !== "ours") return this.#away("the topic's space is changing", 0.2);
+    if (route === undefined || standing !== "ours") return this.#unavailable("the topic's space is changing", 0.2);
     const owed = Plans.owed(plan, topic);
     if (owed === undefined)
       return PublishOutcomes.refused("unknown-topic", `the plan in force has no rule for ${topic}`);
@@ -115,14 +115,19 @@
     const known = this.#knownNow(stream, spaceIncarnation, publish);
     if (known !== undefined)
       return this.#standings.isInMemory(stream) ? this.#inMemory(stream, known) : PublishOutcomes.of(known);
-    if (this.#leader.occupancy > ShardService.mostPending)
+    if (this.#leader.occupancy > ShardService.maxPending)
       return {
         case: "publishReply",
-        value: { outcome: "busy", code: "busy", reason: "too many publishes are waiting for the disk", comeBack: 0.5 },
+        value: {
+          outcome: "busy",
+          code: "busy",
+          reason: "too many publishes are waiting for the disk",
+          retryAfterSeconds: 0.5,
+        },
       };
     const refusal = ShardService.#refusal(plan, owed, publish);
     const incarnation = await this.#incarnationOf(stream, spaceIncarnation);
-    if (incarnation === undefined || !this.isOpen) return this.#away();
+    if (incarnation === undefined || !this.isOpen) return this.#unavailable();
     const accept = create(AcceptSchema, {
       topic,
       stream,
@@ -136,12 +141,12 @@
     });
     if (this.#standings.isInMemory(stream)) {
       if (publish.mayBeRepeat && this.#wouldReorder(stream, owed))
-        return PublishOutcomes.unsure("an earlier holder may have accepted this number, in another order");
+        return PublishOutcomes.unknown("an earlier holder may have accepted this number, in another order");
       return this.#acceptInMemory(accept, refusal);
     }
     const verdict = await this.#leader.propose({ case: "accept", value: accept });
     if (verdict === undefined)
-      return PublishOutcomes.unsure("the holder lost its claim before the message was committed");
+      return PublishOutcomes.unknown("the holder lost its claim before the message was committed");
     if (verdict.outcome === "refused" && refusal !== undefined)
       return PublishOutcomes.refused(refusal.code, refusal.reason);
     return PublishOutcomes.of(verdict);
@@ -169,16 +174,16 @@
   async #inMemory(stream: string, verdict: Verdict): Promise<PublishOutcome> {
     const isUntaken = verdict.outcome === "refused" && verdict.code === StreamLog.wentBackwards;
     if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.at))
-      return PublishOutcomes.unsure("an earlier holder may have accepted this number");
+      return PublishOutcomes.unknown("an earlier holder may have accepted this number");
     if (verdict.outcome === "accepted" && !(await this.#push(stream)))
-      return PublishOutcomes.unsure("the holder lost its claim before the message was pushed");
+      return PublishOutcomes.unknown("the holder lost its claim before the message was pushed");
     return PublishOutcomes.of(verdict);
   }
 
   /** Beats of one edge for this shard. */
-  beaten(follow: Follow): string {
+  onHeartbeat(follow: Follow): string {
     if (!this.isOpen) return "away";
-    return this.#follows.beat(follow) ? "done" : "resync";
+    return this.#follows.onHeartbeat(follow) ? "done" : "resync";
   }
 
   count({ topics }: CountRequest): BodyInit {
@@ -195,7 +200,7 @@
   async follow(follow: Follow, edge: string): Promise<BodyInit> {
     if (!this.isOpen) return { case: "followReply", value: { outcome: "away" } };
     if (follow.streams.length === 0 && !follow.isFull)
-      return { case: "followReply", value: { outcome: this.beaten(follow), epoch: this.#leader.epoch } };
+      return { case: "followReply", value: { outcome: this.onHeartbeat(follow), epoch: this.#leader.epoch } };
     const standings = follow.streams.map(({ stream, spaceIncarnation }) =>
       this.#standings.of(stream, spaceIncarnation),
     );
@@ -223,8 +228,8 @@
 
   /** Where subscriptions start. Only what the committed head contradicts is an unknown place. */
   async start(ask: StartRequest): Promise<BodyInit> {
-    const away: BodyInit = { case: "startReply", value: { outcome: "away" } };
-    if (!this.isOpen) return away;
+    const unavailable: BodyInit = { case: "startReply", value: { outcome: "away" } };
+    if (!this.isOpen) return unavailable;
     const asked = ask.cursors.map((cursor) => {
       const route = this.#node.plan.route(cursor.topic);
       const standing = this.#standings.ofIncarnation(route?.spaceIncarnation, cursor.spaceIncarnation);
@@ -237,7 +242,7 @@
       asked.filter(({ fault }) => fault === "").map((one) => [one.stream, one.cursor.spaceIncarnation]),
     );
     await Promise.all([...good].map(([stream, spaceIncarnation]) => this.#incarnationOf(stream, spaceIncarnation)));
-    if (!this.isOpen || !(await this.#leader.confirm()) || !this.isOpen) return away;
+    if (!this.isOpen || !(await this.#leader.confirm()) || !this.isOpen) return unavailable;
     const starts = asked.map(({ cursor, stream, fault }) => {
       const log = this.#find(stream);
       if (fault !== "") return create(TopicStartSchema, { topic: cursor.topic, outcome: fault });
@@ -271,7 +276,7 @@
     if (gone.length + moved.length > 0) void this.#trim();
   }
 
-  beat(): void {
+  tick(): void {
     this.#follows.forgetSilent();
     const now = this.#node.parts.clock.now();
     if (now - this.#tendedAt >= 1000) {
@@ -293,7 +298,7 @@
       // Nothing of it is owed any more; should it be kept again, that is another birth.
       if (standing === "ours" && this.#standings.isInMemory(stream)) return [{ stream, incarnation, isRemoved: true }];
       if (standing !== "ours") return standing === "gone" ? [{ stream, incarnation, isRemoved: true }] : [];
-      const old = log.messages.findIndex((message) => message.at >= at - this.#keepMs(message.topic));
+      const old = log.messages.findIndex((message) => message.at >= at - this.#retentionMs(message.topic));
       const low = old === -1 ? log.head : log.messages[old]!.seq - 1;
       return low > log.low ? [{ stream, incarnation, low }] : [];
     });
@@ -304,9 +309,9 @@
     this.#isTrimming = false;
   }
 
-  #keepMs(topic: string): number {
+  #retentionMs(topic: string): number {
     const owed = Plans.owed(this.#node.plan.plan, topic);
-    return Math.max((owed?.keep ?? 0) * 1000, ShardService.leastKeepMs);
+    return Math.max((owed?.keep ?? 0) * 1000, ShardService.minRetentionMs);
   }
 
   #find(stream: string): StreamLog | undefined {
@@ -367,15 +372,15 @@
     return this.#pushed;
   }
 
-  #away(reason = "", comeBack = 0.5): PublishOutcome {
+  #unavailable(reason = "", retryAfterSeconds = 0.5): PublishOutcome {
     const { leader } = this.#node.shards.find(this.#replica.shard);
-    return { case: "publishReply", value: { outcome: "away", leader, comeBack, reason } };
+    return { case: "publishReply", value: { outcome: "away", leader, retryAfterSeconds, reason } };
   }
 
   static #refusal(plan: Plan | undefined, owed: Owe, publish: Publish): { code: string; reason: string } | undefined {
     if (!Plans.mayPublish(owed, publish.session))
       return { code: "not-a-publisher", reason: "the contract does not name this session as a publisher" };
-    const most = Plans.mostPayload(plan, owed);
+    const most = Plans.maxPayload(plan, owed);
     if (publish.payload.length > most)
       return {
         code: "too-large",
--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -87,12 +87,12 @@
         },
     );
     rpc.serve("follow", (follow, frame) => {
-      const away: BodyInit = {
+      const unavailable: BodyInit = {
         case: "followReply",
         value: { outcome: "away", leader: this.#node.shards.find(follow.shard).leader },
       };
-      if (follow.isAtReplica) return this.#reads[follow.shard]?.follow(follow, frame.from) ?? away;
-      return this.#service(follow.shard)?.follow(follow, frame.from) ?? away;
+      if (follow.isAtReplica) return this.#reads[follow.shard]?.follow(follow, frame.from) ?? unavailable;
+      return this.#service(follow.shard)?.follow(follow, frame.from) ?? unavailable;
     });
     rpc.serve(
       "fetch",
@@ -106,13 +106,16 @@
       "startRequest",
       async (ask) => (await this.#service(ask.shard)?.start(ask)) ?? { case: "startReply", value: { outcome: "away" } },
     );
-    rpc.serve("followBeats", ({ beats }) => ({
-      case: "followBeatsReply",
+    rpc.serve("followHeartbeats", ({ heartbeats }) => ({
+      case: "followHeartbeatsReply",
       value: {
-        outcomes: beats.map(
-          (beat) => (beat.isAtReplica ? this.#reads[beat.shard] : this.#service(beat.shard))?.beaten(beat) ?? "away",
+        outcomes: heartbeats.map(
+          (heartbeat) =>
+            (heartbeat.isAtReplica ? this.#reads[heartbeat.shard] : this.#service(heartbeat.shard))?.onHeartbeat(
+              heartbeat,
+            ) ?? "away",
         ),
-        applied: beats.map((beat) => this.#replicas[beat.shard]?.applied ?? 0),
+        applied: heartbeats.map((heartbeat) => this.#replicas[heartbeat.shard]?.applied ?? 0),
       },
     }));
     rpc.serve("commits", ({ receiver, commits }) => {
@@ -126,7 +129,7 @@
     );
     this.#claims = new ShardLeadership(this.#node, this.#lease, this.#replicas, this.#id, this.#turn);
     this.#lease.start();
-    this.#node.parts.clock.every(100, () => this.#reads.forEach((reads) => reads.beat()));
+    this.#node.parts.clock.every(100, () => this.#reads.forEach((reads) => reads.tick()));
     if (!this.#isSpare) this.#node.parts.clock.every(300, () => this.#foundSets());
   }
 
--- a/packages/testkit/src/callers/caller.ts
+++ b/packages/testkit/src/callers/caller.ts
@@ -1,4 +1,4 @@
-import type { Beat, Clock } from "@cranetrack/core/runtime/clock.js";
+import type { TimerHandle, Clock } from "@cranetrack/core/runtime/clock.js";
 import type { CallerPort, PortConnection, PortReply } from "./callerPort.js";
 import type { History } from "../checker/history.js";
 
@@ -17,7 +17,7 @@
  */
 export class Caller {
   /** A link that stays silent for so many of its beats is given up. */
-  static readonly silentBeats = 3;
+  static readonly missedHeartbeats = 3;
 
   readonly session: string;
   readonly #parts: CallerParts;
@@ -34,9 +34,9 @@
   #whenOpen: Array<() => void> = [];
   /** Publishes that wait for a receipt over the present link. */
   #whenCut: Array<() => void> = [];
-  #beatMs = 2000;
-  #waiting: Beat | undefined;
-  #silence: Beat | undefined;
+  #heartbeatIntervalMs = 2000;
+  #waiting: TimerHandle | undefined;
+  #silence: TimerHandle | undefined;
   /** Publishes whose number has no final receipt yet. */
   open = 0;
   reconnects = 0;
@@ -128,7 +128,10 @@
       if (isFinal) return false;
       await new Promise<void>(
         (resolve) =>
-          void clock.once(Math.min(1000, (reply.comeBack ?? 0.3) * 1000 * (0.5 + this.#parts.draw() * 0.5)), resolve),
+          void clock.once(
+            Math.min(1000, (reply.retryAfterSeconds ?? 0.3) * 1000 * (0.5 + this.#parts.draw() * 0.5)),
+            resolve,
+          ),
       );
     }
     return false;
@@ -137,7 +140,7 @@
   /** Settles when the present link breaks: what was asked over it is asked again on the next, under its number. */
   #cutConnection(): Promise<PortReply> {
     return new Promise((resolve) => {
-      this.#whenCut.push(() => resolve({ status: 0, body: {}, comeBack: 0 }));
+      this.#whenCut.push(() => resolve({ status: 0, body: {}, retryAfterSeconds: 0 }));
       if (this.#whenCut.length > 200) this.#whenCut.shift();
     });
   }
@@ -173,14 +176,14 @@
     );
     if (!isCurrent()) return void ("close" in got && got.close());
     if ("close" in got) this.#connection = got;
-    else this.#again(Math.min(3000, (got.comeBack ?? 0.5) * 1000 + this.#parts.draw() * 100));
+    else this.#again(Math.min(3000, (got.retryAfterSeconds ?? 0.5) * 1000 + this.#parts.draw() * 100));
   }
 
   #heed(line: Record<string, unknown>, node: string): void {
     const { history } = this.#parts;
     const topic = String(line["topic"]);
     const about = { at: this.#now, subscriber: this.session, topic };
-    if (line["kind"] === "open") this.#beatMs = Number(line["beatMs"]);
+    if (line["kind"] === "open") this.#heartbeatIntervalMs = Number(line["beatMs"]);
     this.#hush();
     switch (line["kind"]) {
       case "open":
@@ -241,7 +244,9 @@
   /** Silence is counted from the last line, whatever it said. */
   #hush(): void {
     this.#silence?.stop();
-    this.#silence = this.#parts.clock.once(this.#beatMs * Caller.silentBeats, () => this.#elsewhere());
+    this.#silence = this.#parts.clock.once(this.#heartbeatIntervalMs * Caller.missedHeartbeats, () =>
+      this.#elsewhere(),
+    );
   }
 
   /** The node has fallen silent. */
--- a/packages/testkit/src/callers/callerPort.ts
+++ b/packages/testkit/src/callers/callerPort.ts
@@ -1,7 +1,7 @@
 export interface PortReply {
   status: number;
   body: Record<string, unknown>;
-  comeBack: number | undefined;
+  retryAfterSeconds: number | undefined;
 }
 export interface PortConnection {
   close(): void;
--- a/packages/testkit/src/callers/httpPort.ts
+++ b/packages/testkit/src/callers/httpPort.ts
@@ -38,7 +38,7 @@
       answer.body.on("close", () => heed.closed());
       return { close: () => giveUp.abort() };
     } catch {
-      return { status: 0, body: {}, comeBack: 0.3 };
+      return { status: 0, body: {}, retryAfterSeconds: 0.3 };
     }
   }
 
@@ -56,7 +56,7 @@
       return {
         status: isNeverSent ? 503 : 0,
         body: { error: { code: isNeverSent ? "unreachable" : "broken" } },
-        comeBack: 0.3,
+        retryAfterSeconds: 0.3,
       };
     }
   }
@@ -72,7 +72,7 @@
     } catch {
       body = { text };
     }
-    const comeBack = (body["error"] as { comeBack?: number } | undefined)?.comeBack;
-    return { status, body: { ...body, raw: text }, comeBack };
+    const retryAfterSeconds = (body["error"] as { retryAfterSeconds?: number } | undefined)?.retryAfterSeconds;
+    return { status, body: { ...body, raw: text }, retryAfterSeconds };
   }
 }
--- a/packages/testkit/src/callers/passingCallers.ts
+++ b/packages/testkit/src/callers/passingCallers.ts
@@ -28,7 +28,7 @@
   /** Messages that are published in one go, so that some are always under way at once. */
   static readonly burst = 4;
   static readonly dropMs = 900;
-  static readonly mostAwayMs = 400;
+  static readonly maxAwayMs = 400;
 
   readonly #parts: PassingParts;
   readonly #history = new History();
@@ -57,7 +57,7 @@
     for (const sender of this.#senders) sender.start([]);
     const bursts = clock.every((1000 * PassingCallers.burst) / perSecond, () => this.#publish());
     const drops = clock.every(PassingCallers.dropMs, () =>
-      random.pick(this.#readers).dropOff(random.between(0, PassingCallers.mostAwayMs)),
+      random.pick(this.#readers).dropOff(random.between(0, PassingCallers.maxAwayMs)),
     );
     this.#stops = [() => bursts.stop(), () => drops.stop()];
   }
--- a/packages/testkit/src/callers/pipelinedPublisher.ts
+++ b/packages/testkit/src/callers/pipelinedPublisher.ts
@@ -22,7 +22,7 @@
  * known is sent again until its deadline; one that was refused is not.
  */
 export class PipelinedPublisher {
-  static readonly mostOpen = 8;
+  static readonly maxOpen = 8;
   static readonly deadlineMs = 1200;
   static readonly againMs = 60;
 
@@ -42,7 +42,7 @@
   publish(topic: string): void {
     const { caller, clock } = this.#parts;
     const open = this.#open.get(topic) ?? 0;
-    if (!caller.isConnected || open >= PipelinedPublisher.mostOpen) return;
+    if (!caller.isConnected || open >= PipelinedPublisher.maxOpen) return;
     this.#open.set(topic, open + 1);
     const number = ++this.#number;
     const end = clock.now() + PipelinedPublisher.deadlineMs;
--- a/packages/testkit/src/capacity/capacity.ts
+++ b/packages/testkit/src/capacity/capacity.ts
@@ -110,7 +110,7 @@
   },
 
   /** Ways to bring one message of the largest topic to all its edges. */
-  trees(slopes: SlopesByName): Array<{ way: string; widths: number[]; sendMs: number; mostASecond: number }> {
+  trees(slopes: SlopesByName): Array<{ way: string; widths: number[]; sendMs: number; maxPerSecond: number }> {
     const { callEnd, lastHop, edgesARegion, edgesAZone } = Capacity.figures(slopes);
     const zonesARegion = size.zones / size.regions;
     const ways: Array<[string, number[]]> = [
@@ -123,7 +123,7 @@
       way,
       widths,
       sendMs: widths.reduce((sum, width) => sum + (width * callEnd) / 1000, lastHop),
-      mostASecond: 1e6 / (Math.max(...widths) * callEnd),
+      maxPerSecond: 1e6 / (Math.max(...widths) * callEnd),
     }));
   },
 
@@ -168,10 +168,10 @@
       ]),
       role("relay", [
         ["pushes sent, a node", cores(f.pushTime), "one core", "one of the node's processes"],
-        ...Capacity.trees(slopes).map(({ way, sendMs, mostASecond }) => [
+        ...Capacity.trees(slopes).map(({ way, sendMs, maxPerSecond }) => [
           `largest topic: ${way}`,
           `${short(sendMs)} ms to send and hand on`,
-          `${short(mostASecond)} messages/s`,
+          `${short(maxPerSecond)} messages/s`,
           "",
         ]),
       ]),
--- a/packages/testkit/src/capacity/slopes.ts
+++ b/packages/testkit/src/capacity/slopes.ts
@@ -17,7 +17,7 @@
 }
 
 export const Slopes = {
-  leastSizes: 3,
+  minSizes: 3,
 
   /** The straight line of least squares. */
   fit(points: ReadonlyArray<readonly [number, number]>): Line {
@@ -36,7 +36,7 @@
     const absent = needed.filter((name) => !Object.hasOwn(slopes, name)).map((name) => `${name}: not measured`);
     const poor = Object.entries(slopes).flatMap(([name, { points, command, date, commit }]) => {
       const sizes = new Set(points.map(([size]) => size));
-      if (sizes.size < Slopes.leastSizes) return [`${name}: fewer than ${Slopes.leastSizes} sizes`];
+      if (sizes.size < Slopes.minSizes) return [`${name}: fewer than ${Slopes.minSizes} sizes`];
       if (!points.flat().every(Number.isFinite)) return [`${name}: a point is no number`];
       return [command, date, commit].includes("") ? [`${name}: the run is not named`] : [];
     });
--- a/packages/testkit/src/checker/checker.test.ts
+++ b/packages/testkit/src/checker/checker.test.ts
@@ -184,10 +184,10 @@
 });
 
 test("a plan whose put got no final receipt may be the one read back; one that was refused may not", () => {
-  const unsure = { kind: "planTried", at: 5, mark: 2, text: planText(2, ["other"]) } as const;
+  const unknown = { kind: "planTried", at: 5, mark: 2, text: planText(2, ["other"]) } as const;
   const read: Seen = { kind: "planRead", at: 9, text: planText(2, ["other"]) };
-  expect(rulesOf(plan(0, 1), unsure, read)).toEqual([]);
-  expect(rulesOf(plan(0, 1), unsure, { ...unsure, kind: "planRefused" }, read)).toEqual(["plan-read-back"]);
+  expect(rulesOf(plan(0, 1), unknown, read)).toEqual([]);
+  expect(rulesOf(plan(0, 1), unknown, { ...unknown, kind: "planRefused" }, read)).toEqual(["plan-read-back"]);
 });
 
 test("late is what a confirmed subscriber waited for longer than 2 s, unless it dropped off of its own accord", () => {
--- a/packages/testkit/src/checker/checker.ts
+++ b/packages/testkit/src/checker/checker.ts
@@ -16,7 +16,7 @@
   firstAt: number;
   tries: number[];
   acceptedAt: number | undefined;
-  isUnsure: boolean;
+  isUnknown: boolean;
   isRefused: boolean;
 }
 interface Reader {
@@ -40,8 +40,8 @@
  * callers and operators saw.
  */
 export class Checker {
-  static readonly leastKeepMs = 35_000;
-  static readonly mostKeepMs = 60_000;
+  static readonly minRetentionMs = 35_000;
+  static readonly maxRetentionMs = 60_000;
 
   readonly #seen: readonly Seen[];
   readonly #endAt: number;
@@ -92,13 +92,13 @@
           firstAt: one.at,
           tries: [one.at],
           acceptedAt: undefined,
-          isUnsure: false,
+          isUnknown: false,
           isRefused: false,
         });
       else message.tries.push(one.at);
     } else if (message !== undefined) {
       if (one.kind === "accepted") message.acceptedAt ??= one.at;
-      else if (one.kind === "unsure") message.isUnsure = true;
+      else if (one.kind === "unsure") message.isUnknown = true;
       else message.isRefused = true;
     }
   }
@@ -176,7 +176,7 @@
     else if (
       message.isRefused &&
       message.acceptedAt === undefined &&
-      !message.isUnsure &&
+      !message.isUnknown &&
       message.tries.at(-1)! < one.at
     )
       this.#breach("refused-delivered", one.at, `${what} was delivered though every try was refused`);
@@ -256,9 +256,12 @@
     const { seenAt } = reader;
     reader.seenAt = one.at;
     if (this.#plans.wasGone(one.topic, seenAt, one.at)) return;
-    const keeps = this.#plans.owedBetween(one.topic, one.at - Checker.mostKeepMs, one.at) ?? [];
-    const keepMs = Math.max(Checker.leastKeepMs, Math.min(...keeps.map((owe) => (owe?.keep ?? 0) * 1000)) * 0.98);
-    const leastMs = keeps.length === 0 ? Checker.leastKeepMs : keepMs;
+    const keeps = this.#plans.owedBetween(one.topic, one.at - Checker.maxRetentionMs, one.at) ?? [];
+    const retentionMs = Math.max(
+      Checker.minRetentionMs,
+      Math.min(...keeps.map((owe) => (owe?.keep ?? 0) * 1000)) * 0.98,
+    );
+    const minMs = keeps.length === 0 ? Checker.minRetentionMs : retentionMs;
     const missed = [...(this.#messages.get(one.topic)?.values() ?? [])].filter(
       (message) =>
         message.acceptedAt !== undefined &&
@@ -266,11 +269,11 @@
         message.acceptedAt < one.at &&
         !reader.got.has(keyOf(message.sender, message.number)),
     );
-    if (missed.every((message) => one.at - message.acceptedAt! < leastMs))
+    if (missed.every((message) => one.at - message.acceptedAt! < minMs))
       this.#breach(
         "expired-early",
         one.at,
-        `${one.subscriber} on ${one.topic} was told its place expired; all it missed was younger than ${leastMs} ms`,
+        `${one.subscriber} on ${one.topic} was told its place expired; all it missed was younger than ${minMs} ms`,
       );
   }
 
--- a/packages/testkit/src/checker/lateness.ts
+++ b/packages/testkit/src/checker/lateness.ts
@@ -12,7 +12,7 @@
 /** How long messages took, from their first try to each subscriber that was owed them. */
 export const Lateness = {
   /** Nothing may take longer. */
-  mostMs: 2000,
+  maxMs: 2000,
   aimMs: 333,
 
   /**
@@ -53,7 +53,7 @@
     const sorted = [...delays].sort((a, b) => a - b);
     const rank = (share: number): number =>
       Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0);
-    const above2000 = sorted.filter((delay) => delay > Lateness.mostMs).length;
+    const above2000 = sorted.filter((delay) => delay > Lateness.maxMs).length;
     return {
       deliveries: sorted.length,
       p50: rank(0.5),
@@ -67,7 +67,7 @@
   byCause(deliveries: readonly Delivery[], causes: ReadonlyArray<{ what: string; from: number; to: number }>) {
     const counts = new Map<string, { count: number; worst: number }>();
     for (const { triedAt, at, delay } of deliveries) {
-      if (delay <= Lateness.mostMs) continue;
+      if (delay <= Lateness.maxMs) continue;
       const active = causes.filter(({ from, to }) => from <= at && to >= triedAt).map(({ what }) => what);
       const cause = active.length === 0 ? "nothing" : [...new Set(active)].sort().join("+");
       const count = counts.get(cause) ?? { count: 0, worst: 0 };
--- a/packages/testkit/src/checker/linearizability.ts
+++ b/packages/testkit/src/checker/linearizability.ts
@@ -34,7 +34,7 @@
   | { kind: "undecided"; visited: number };
 
 /** Beyond so many configurations a search is given up as undecided; a million take some seconds. */
-const mostConfigurations = 1_000_000;
+const maxConfigurations = 1_000_000;
 
 interface Frame<State> {
   state: State;
@@ -73,7 +73,7 @@
     this.#enter(this.#model.initial, -1);
     while (this.#frames.length > 0) {
       if (this.#owed === 0) return { kind: "linearizable", order: this.#order() };
-      if (this.#met.size > mostConfigurations) return { kind: "undecided", visited: this.#met.size };
+      if (this.#met.size > maxConfigurations) return { kind: "undecided", visited: this.#met.size };
       this.#advance(this.#frames.at(-1)!);
     }
     const { explained, stuckAt } = this.#best;
--- a/packages/testkit/src/checker/soakRules.test.ts
+++ b/packages/testkit/src/checker/soakRules.test.ts
@@ -8,7 +8,7 @@
   return { kind: "tried", at, sender: "pen", topic: "p/t", number, payload: `p${number}` };
 };
 const refused = (number: number): Seen => ({ kind: "refused", at: 0, sender: "pen", topic: "p/t", number, code: "x" });
-const unsure = (number: number): Seen => ({ kind: "unsure", at: 0, sender: "pen", topic: "p/t", number });
+const unknown = (number: number): Seen => ({ kind: "unsure", at: 0, sender: "pen", topic: "p/t", number });
 const connectedEvent: Seen = { kind: "linked", at: 0, subscriber: "desk", node: "vise-1" };
 const got = (number: number, payload = `p${number}`): Seen => {
   return { kind: "received", at: 1, subscriber: "desk", topic: "p/t", sender: "pen", number, payload };
@@ -27,7 +27,7 @@
   expect(rulesOf(connectedEvent, got(1))).toEqual(["nobody-sent"]);
   expect(rulesOf(tried(1), connectedEvent, got(1, "other"))).toEqual(["changed-bytes"]);
   expect(rulesOf(tried(1), refused(1), connectedEvent, got(1))).toEqual(["refused-delivered"]);
-  expect(rulesOf(tried(1), unsure(1), tried(1), refused(1), connectedEvent, got(1))).toEqual([]);
+  expect(rulesOf(tried(1), unknown(1), tried(1), refused(1), connectedEvent, got(1))).toEqual([]);
 });
 
 test("a read is as new as what was accepted, or read elsewhere, before it was asked", () => {
--- a/packages/testkit/src/explore/exhaustiveSearch.ts
+++ b/packages/testkit/src/explore/exhaustiveSearch.ts
@@ -14,7 +14,7 @@
   /** How many actions a path may have after the prefix. */
   readonly depth: number;
   /** The search ends, unfinished, after so many states. */
-  readonly mostStates: number;
+  readonly maxStates: number;
   /** How long a path that fails may be shrunk. */
   readonly shrinkMs: number;
 }
@@ -49,7 +49,7 @@
 
   async run(): Promise<SearchReport> {
     const startedAt = performance.now();
-    const { depth, mostStates, prefix } = this.#settings;
+    const { depth, maxStates, prefix } = this.#settings;
     let level: Action[][] = [[]];
     let reached = 0;
     const report = (isWhole: boolean): SearchReport => ({
@@ -67,7 +67,7 @@
       for (const path of level) {
         const failed = await this.#expand(path, next);
         if (failed !== undefined) return { ...report(false), ...(await this.#shrunk([...prefix, ...failed])) };
-        if (this.#known.size >= mostStates) return report(false);
+        if (this.#known.size >= maxStates) return report(false);
       }
       level = next;
       reached += 1;
--- a/packages/testkit/src/explore/explore.test.ts
+++ b/packages/testkit/src/explore/explore.test.ts
@@ -81,7 +81,7 @@
 for (const scenario of scenarios)
   test(`exhaustive search from "${scenario.name}" to depth ${scenario.depth} breaks nothing`, async () => {
     const world = { ...scenario.world };
-    const settings = await searchOf({ ...scenario, world }, { mostStates: 100_000, shrinkMs });
+    const settings = await searchOf({ ...scenario, world }, { maxStates: 100_000, shrinkMs });
     const report = await new ExhaustiveSearch(settings).run();
     expect([report.violation?.message, report.isWhole]).toEqual([undefined, true]);
   });
--- a/packages/testkit/src/explore/exploreCommand.ts
+++ b/packages/testkit/src/explore/exploreCommand.ts
@@ -56,7 +56,7 @@
   let isGood = true;
   for (const scenario of chosen) {
     const world = { ...scenario.world, ignored };
-    const bounds = { mostStates: options.states, shrinkMs };
+    const bounds = { maxStates: options.states, shrinkMs };
     const settings = await searchOf({ ...scenario, world, depth: options.depth ?? scenario.depth }, bounds);
     const report = await new ExhaustiveSearch(settings).run();
     const extent = report.isWhole ? "all of it" : "not all of the next level";
--- a/packages/testkit/src/explore/modelClock.ts
+++ b/packages/testkit/src/explore/modelClock.ts
@@ -1,4 +1,4 @@
-import type { Beat, Clock } from "@cranetrack/core/runtime/clock.js";
+import type { TimerHandle, Clock } from "@cranetrack/core/runtime/clock.js";
 
 interface Timer {
   at: number;
@@ -21,11 +21,11 @@
     return this.#now;
   }
 
-  once(ms: number, fire: () => void): Beat {
+  once(ms: number, fire: () => void): TimerHandle {
     return this.#add({ at: this.#now + ms, order: (this.#order += 1), everyMs: undefined, fire });
   }
 
-  every(ms: number, fire: () => void): Beat {
+  every(ms: number, fire: () => void): TimerHandle {
     return this.#add({ at: this.#now + ms, order: (this.#order += 1), everyMs: ms, fire });
   }
 
@@ -51,7 +51,7 @@
     this.fireDue();
   }
 
-  #add(timer: Timer): Beat {
+  #add(timer: Timer): TimerHandle {
     this.#timers.push(timer);
     return { stop: () => this.#remove(timer) };
   }
--- a/packages/testkit/src/explore/scenarios.ts
+++ b/packages/testkit/src/explore/scenarios.ts
@@ -109,7 +109,7 @@
 /** A scenario, searched within bounds. */
 export async function searchOf(
   { world, prepare, limits, depth }: Scenario,
-  bounds: Pick<SearchSettings, "mostStates" | "shrinkMs">,
+  bounds: Pick<SearchSettings, "maxStates" | "shrinkMs">,
 ): Promise<SearchSettings> {
   const prepared = await ModelWorld.start(world);
   await prepare(prepared, (cutOff) => deliverAll(prepared, cutOff));
--- a/packages/testkit/src/explore/trace.ts
+++ b/packages/testkit/src/explore/trace.ts
@@ -27,7 +27,7 @@
   },
 
   /** A shorter list that breaks the same property, found by fast-check within so many milliseconds. */
-  async shrink(settings: WorldSettings, actions: readonly Action[], mostMs: number): Promise<FoundTrace | undefined> {
+  async shrink(settings: WorldSettings, actions: readonly Action[], maxMs: number): Promise<FoundTrace | undefined> {
     let found = await Trace.play(settings, actions);
     const property = found?.violation.property;
     if (found === undefined) return undefined;
@@ -44,7 +44,7 @@
       if (played.trace.length < found!.trace.length) found = played;
       throw played.violation;
     });
-    await fc.check(broken, { examples: [[[...found.trace]]], numRuns: 1, interruptAfterTimeLimit: mostMs });
+    await fc.check(broken, { examples: [[[...found.trace]]], numRuns: 1, interruptAfterTimeLimit: maxMs });
     return found;
   },
 
--- a/packages/testkit/src/fleet/fleet.ts
+++ b/packages/testkit/src/fleet/fleet.ts
@@ -194,11 +194,11 @@
   }
 
   /** Resolves with the milliseconds until all named nodes say that they are ready. */
-  async ready(names: readonly string[] = this.names, dueMs = 30_000): Promise<number> {
+  async ready(names: readonly string[] = this.names, timeoutMs = 30_000): Promise<number> {
     const startedAt = performance.now();
     for (const name of names) {
       while ((await this.call(name, "GET", "/readyz")).status !== 200) {
-        if (performance.now() - startedAt > dueMs) throw new Error(`${name} is not ready after ${dueMs} ms`);
+        if (performance.now() - startedAt > timeoutMs) throw new Error(`${name} is not ready after ${timeoutMs} ms`);
         await new Promise((resolve) => setTimeout(resolve, 100));
       }
     }
@@ -206,10 +206,10 @@
   }
 
   /** Resolves once a process answers at all. */
-  async up(name: string, dueMs = 30_000): Promise<void> {
+  async up(name: string, timeoutMs = 30_000): Promise<void> {
     const startedAt = performance.now();
     while ((await this.call(name, "GET", "/healthz")).status !== 200) {
-      if (performance.now() - startedAt > dueMs) throw new Error(`${name} does not answer after ${dueMs} ms`);
+      if (performance.now() - startedAt > timeoutMs) throw new Error(`${name} does not answer after ${timeoutMs} ms`);
       await new Promise((resolve) => setTimeout(resolve, 20));
     }
   }
@@ -222,12 +222,12 @@
   }
 
   /** Resolves when every shard has a holder, as one edge sees it. */
-  async held(dueMs = 30_000): Promise<void> {
+  async held(timeoutMs = 30_000): Promise<void> {
     const startedAt = performance.now();
     for (;;) {
       const leaders = await this.leaders();
       if (leaders.length > 0 && leaders.every((leader) => leader !== "")) return;
-      if (performance.now() - startedAt > dueMs) throw new Error("not every shard is held");
+      if (performance.now() - startedAt > timeoutMs) throw new Error("not every shard is held");
       await new Promise((resolve) => setTimeout(resolve, 100));
     }
   }
--- a/packages/testkit/src/fleet/load.ts
+++ b/packages/testkit/src/fleet/load.ts
@@ -223,10 +223,10 @@
   #every(ms: number, act: () => unknown): void {
     const startedAt = this.#clock.now();
     let count = 0;
-    const beat = this.#clock.every(Math.max(5, ms), () => {
+    const timer = this.#clock.every(Math.max(5, ms), () => {
       for (; count < (this.#clock.now() - startedAt) / ms; count += 1) act();
     });
-    this.#stops.push(() => beat.stop());
+    this.#stops.push(() => timer.stop());
   }
 
   #wait(ms: number): Promise<void> {
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -22,7 +22,7 @@
   passed: number;
   changes: number;
   reads: number;
-  unsure: number;
+  unknown: number;
   /** Milliseconds from the end of all troubles until every caller's message reached its readers. */
   backMs: number;
 }
@@ -34,7 +34,7 @@
 export class Soak {
   static readonly backMs = 20_000;
   static readonly probeMs = 120;
-  static readonly mostProbes = 4;
+  static readonly maxProbes = 4;
 
   readonly #fleet: Fleet;
   readonly #load: Load;
@@ -92,7 +92,7 @@
       passed: passing?.received ?? 0,
       changes: operators.accepted.length,
       reads: operators.reads.length,
-      unsure: operators.unsure,
+      unknown: operators.unknown,
       backMs: Math.round(backMs),
     };
   }
@@ -137,13 +137,13 @@
       nodes: () => this.#edges(),
     });
     caller.start([]);
-    const beat = this.#clock.every(Soak.probeMs, () => {
-      if (caller.isConnected && caller.open < Soak.mostProbes)
+    const timer = this.#clock.every(Soak.probeMs, () => {
+      if (caller.isConnected && caller.open < Soak.maxProbes)
         void caller.publish(`${this.#random.pick(SoakOperators.addedSpaces)}/t0`, `probe ${this.#random.identity()}`);
     });
     return {
       stop: () => {
-        beat.stop();
+        timer.stop();
         caller.stop();
       },
     };
--- a/packages/testkit/src/fleet/soakOperators.ts
+++ b/packages/testkit/src/fleet/soakOperators.ts
@@ -19,7 +19,7 @@
   readonly accepted: AcceptedChange[] = [];
   readonly reads: ConfigurationRead[] = [];
   /** Answers without a clear outcome: a node that could not be sure, or was not there. */
-  unsure = 0;
+  unknown = 0;
   /** Changes that were refused though nothing stood in their way, and what the answer said. */
   readonly refused: string[] = [];
   #version: number;
@@ -43,8 +43,8 @@
   }
 
   /** What some node says is in force, asked until one is sure; undefined where none is for too long. */
-  async readBack(dueMs: number): Promise<number | undefined> {
-    const end = this.#now() + dueMs;
+  async readBack(timeoutMs: number): Promise<number | undefined> {
+    const end = this.#now() + timeoutMs;
     while (this.#now() < end) {
       const version = await this.#readOnce();
       if (version !== undefined) return version;
@@ -73,7 +73,7 @@
       // Without a document a version below the one in force is refused as stale.
       if (status === 409) return;
       if (status !== 0 && status < 500) return void this.refused.push(`${version}: ${JSON.stringify(body["error"])}`);
-      this.unsure += 1;
+      this.unknown += 1;
       await this.#wait(100);
     }
   }
@@ -98,7 +98,7 @@
     const askedAt = this.#now();
     const { status, body } = await this.#fleet.call(node, "GET", "/v1/plan");
     if (status !== 200) {
-      this.unsure += 1;
+      this.unknown += 1;
       await this.#wait(50);
       return undefined;
     }
--- a/packages/testkit/src/fleet/soakTroubles.ts
+++ b/packages/testkit/src/fleet/soakTroubles.ts
@@ -16,9 +16,9 @@
  * every machine with one has been well for the time that the users give a successor; all other losses may overlap.
  */
 export class SoakTroubles {
-  static readonly mostAtOnce = 3;
-  static readonly leastPauseMs = 200;
-  static readonly mostPauseMs = 2500;
+  static readonly maxConcurrent = 3;
+  static readonly minPauseMs = 200;
+  static readonly maxPauseMs = 2500;
   /** How long a process that is to be restarted may take until it is ready. */
   static readonly readyMs = 5000;
   /** The users' time from a successor's start until the next disk may be lost, and a bit for the start itself. */
@@ -47,8 +47,8 @@
     this.#wellSince = this.#now();
     const open = new Set<Promise<void>>();
     while (this.#now() < until) {
-      await this.#wait(this.#random.between(SoakTroubles.leastPauseMs, SoakTroubles.mostPauseMs));
-      if (open.size >= SoakTroubles.mostAtOnce) continue;
+      await this.#wait(this.#random.between(SoakTroubles.minPauseMs, SoakTroubles.maxPauseMs));
+      if (open.size >= SoakTroubles.maxConcurrent) continue;
       const trouble = this.#begin();
       if (trouble === undefined) continue;
       open.add(trouble);
--- a/packages/testkit/src/sabotage/configurationSabotages.ts
+++ b/packages/testkit/src/sabotage/configurationSabotages.ts
@@ -77,8 +77,8 @@
   {
     name: "a leader knows a value's newest version alone",
     file: "control/dist/store/valueHistory.js",
-    find: ".mostVersions)",
-    put: ".mostVersions - 63)",
+    find: ".maxVersions)",
+    put: ".maxVersions - 63)",
     test: storm,
   },
   {
--- a/packages/testkit/src/sabotage/cutOffSabotages.ts
+++ b/packages/testkit/src/sabotage/cutOffSabotages.ts
@@ -42,8 +42,8 @@
   {
     name: "a member that stood still believes its buffers",
     file: "control/dist/consensus/leaderContact.js",
-    find: "this.#resumedAt = this.#beatAt = this.#clock.now();",
-    put: "this.#beatAt = this.#clock.now();",
+    find: "this.#resumedAt = this.#heartbeatAt = this.#clock.now();",
+    put: "this.#heartbeatAt = this.#clock.now();",
     test: "control/dist/consensus/leaderContact.test.js",
   },
   {
--- a/packages/testkit/src/sabotage/logSabotages.ts
+++ b/packages/testkit/src/sabotage/logSabotages.ts
@@ -110,7 +110,7 @@
   {
     name: "a snapshot has no bound",
     file: "core/dist/replication/snapshotAssembly.js",
-    find: "size <= this.#mostBytes",
+    find: "size <= this.#maxBytes",
     put: "true",
     test: "core/dist/replication/snapshotPieces.test.js",
   },
@@ -180,7 +180,7 @@
   {
     name: "any number of plans wait for the archive",
     file: "control/dist/configuration/configurationArchive.js",
-    find: "if (this.#waiting.length > _a.mostWaiting)",
+    find: "if (this.#waiting.length > _a.maxWaiting)",
     put: "if (false)",
     test: "control/dist/configuration/configurationArchive.test.js",
   },
--- a/packages/testkit/src/sabotage/orderSabotages.ts
+++ b/packages/testkit/src/sabotage/orderSabotages.ts
@@ -63,7 +63,7 @@
   {
     name: "records of versions have no bound",
     file: "control/dist/store/acceptedOrders.js",
-    find: "records.length - AcceptedOrderKey.mostRecords",
+    find: "records.length - AcceptedOrderKey.maxRecords",
     put: "0",
     test: "control/dist/store/acceptedOrders.test.js",
   },
@@ -105,7 +105,7 @@
   {
     name: "histories: a lost answer of the store is a refusal",
     file: "control/dist/configuration/proposeConfiguration.js",
-    find: 'return ApiReplies.unsure("the lathes did not answer',
+    find: 'return ApiReplies.unknown("the lathes did not answer',
     put: 'return stale(order.version, 0, "the lathes did not answer',
     test: `${sim}/orderHistories.test.js`,
   },
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -112,8 +112,8 @@
   {
     name: "an owner that does not answer loses its key at once",
     file: "edge/dist/sessions/sessions.js",
-    find: "return { comeBack, reason: `the owner",
-    put: "return undefined; return { comeBack, reason: `the owner",
+    find: "return { retryAfterSeconds, reason: `the owner",
+    put: "return undefined; return { retryAfterSeconds, reason: `the owner",
     test: `${sim}/sessions.test.js`,
   },
   {
--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -35,7 +35,7 @@
   for (let seq = 1; seq <= 3000; seq += 1) {
     const payload = new Uint8Array(seq > 2000 ? 60_000 : 10);
     tail.extend(incarnation, [create(StreamMessageSchema, { seq, payload })]);
-    expect(tail.messages.length <= StreamTail.most && sizeOf() <= StreamTail.mostBytes).toEqual(true);
+    expect(tail.messages.length <= StreamTail.most && sizeOf() <= StreamTail.maxBytes).toEqual(true);
   }
   expect(tail.messages.at(-1)!.seq).toEqual(3000);
   const journal = new ChangeJournal<number>(50);
--- a/packages/testkit/src/sim/callModel.ts
+++ b/packages/testkit/src/sim/callModel.ts
@@ -30,8 +30,8 @@
 export class CallModel {
   static readonly names = ["a", "b", "c", "d"] as const;
   static readonly callEveryMs = 20;
-  static readonly dueMs = 400;
-  static readonly mostLateMs = 4000;
+  static readonly timeoutMs = 400;
+  static readonly maxLateMs = 4000;
 
   readonly world: SimWorld;
   readonly #wires: SimWires;
@@ -65,7 +65,7 @@
     for (const name of CallModel.names) this.#start(name);
     const end = this.world.now + ms;
     this.#faults(end);
-    await this.world.run(end + CallModel.mostLateMs);
+    await this.world.run(end + CallModel.maxLateMs);
     for (const name of CallModel.names) this.#count(name);
   }
 
@@ -97,7 +97,7 @@
       isOnce
         ? { case: "forward", value: { method: "POST", path: text } }
         : { case: "fetch", value: { stream: text, limit: 1 } },
-      CallModel.dueMs,
+      CallModel.timeoutMs,
     );
     if (reply === undefined) return void (this.counts.unknown += 1);
     this.counts.answered += 1;
@@ -123,8 +123,8 @@
     if (Wire.decode(bytes)?.hops === 1) this.counts.carriedByOthers += 1;
     const dice = random.draw();
     if (dice < 0.02) return [];
-    if (dice < 0.08) return [0, random.between(1, CallModel.mostLateMs)].map((delay) => ({ bytes, delay }));
-    if (dice < 0.1) return [{ bytes, delay: random.between(1, CallModel.mostLateMs) }];
+    if (dice < 0.08) return [0, random.between(1, CallModel.maxLateMs)].map((delay) => ({ bytes, delay }));
+    if (dice < 0.1) return [{ bytes, delay: random.between(1, CallModel.maxLateMs) }];
     return undefined;
   }
 
--- a/packages/testkit/src/sim/catchUp.ts
+++ b/packages/testkit/src/sim/catchUp.ts
@@ -39,7 +39,7 @@
  */
 export class CatchUp {
   static readonly changeMs = 100;
-  static readonly mostMs = 20_000;
+  static readonly maxMs = 20_000;
 
   readonly #options: CatchUpOptions;
   readonly #fleet: SimFleet;
@@ -72,7 +72,7 @@
     this.#countBytesTo(fleet.addressOf(back));
     const startedAt = fleet.world.now;
     fleet.start(back);
-    const isCaughtUp = await fleet.until(() => this.#isCaughtUp(back), CatchUp.mostMs);
+    const isCaughtUp = await fleet.until(() => this.#isCaughtUp(back), CatchUp.maxMs);
     const caughtUpMs = isCaughtUp ? fleet.world.now - startedAt : undefined;
     this.#isChanging = false;
     return {
