--- a/packages/testkit/src/sim/configurationStorm.test.ts
+++ b/packages/testkit/src/sim/configurationStorm.test.ts
@@ -248,13 +248,13 @@
   const fleet = await started(407, 10);
   const { node } = fleet.find("lathe-1")!;
   const { plan } = configuration(2, 10);
-  const long = Buffer.alloc(Plans.mostBytes + 1, " ");
+  const long = Buffer.alloc(Plans.maxBytes + 1, " ");
   for (const [body, document] of [
     [long, Buffer.from("{}")],
     [Buffer.from(plan), long],
   ] as const) {
     const reply = await settled(fleet, putPlan(node, body, document));
-    expect([reply.status, JSON.stringify(reply.body).includes(String(Plans.mostBytes))]).toEqual([413, true]);
+    expect([reply.status, JSON.stringify(reply.body).includes(String(Plans.maxBytes))]).toEqual([413, true]);
   }
   await expectInForce(fleet, configuration(1, 10));
 });
--- a/packages/testkit/src/sim/disks.test.ts
+++ b/packages/testkit/src/sim/disks.test.ts
@@ -16,14 +16,14 @@
   return fleet;
 }
 
-async function written(fleet: SimFleet, key: string, dueMs = 3000): Promise<boolean> {
+async function written(fleet: SimFleet, key: string, timeoutMs = 3000): Promise<boolean> {
   let isDone = false;
   const put = { key, value: Buffer.from(key) };
   void fleet
     .find("vise-1")!
-    .node.store.txn({ puts: [put] }, dueMs)
+    .node.store.txn({ puts: [put] }, timeoutMs)
     .then(({ outcome }) => (isDone = outcome === "done"));
-  await fleet.until(() => isDone, dueMs + 200);
+  await fleet.until(() => isDone, timeoutMs + 200);
   return isDone;
 }
 
--- a/packages/testkit/src/sim/drains.test.ts
+++ b/packages/testkit/src/sim/drains.test.ts
@@ -28,8 +28,13 @@
   fleet.withRole("lathe").filter((name) => !names.includes(name) && fleet.find(name) !== undefined);
 
 /** Asks one node after the other until the machine is empty. */
-async function emptied({ fleet, ask }: Served, name: string, at: readonly string[], dueMs = 40_000): Promise<boolean> {
-  const due = fleet.world.now + dueMs;
+async function emptied(
+  { fleet, ask }: Served,
+  name: string,
+  at: readonly string[],
+  timeoutMs = 40_000,
+): Promise<boolean> {
+  const due = fleet.world.now + timeoutMs;
   for (let i = 0; fleet.world.now < due; i += 1) {
     if ((await ask(at[i % at.length]!, "GET", path(name)))["isEmpty"] === true) return true;
     await fleet.run(50);
@@ -197,13 +202,13 @@
   };
   // A machine that is there, then as many that have left as are kept.
   await write("vise-2");
-  const gone = Array.from({ length: DrainMachine.mostWishes }, (_, i) => `gone-${i}`);
+  const gone = Array.from({ length: DrainMachine.maxWishes }, (_, i) => `gone-${i}`);
   await write(gone[0]!, gone[1]!);
   await write(...gone.slice(2));
   expect((await ask("lathe-2", "PUT", path("lathe-1")))["status"]).toEqual(200);
   const { metadata } = fleet.find(fleet.leader!)!.control!.raft!;
   const kept = metadata.range("machines/").map((kv) => kv.key.split("/")[1]!);
-  expect(kept.length).toEqual(DrainMachine.mostWishes);
+  expect(kept.length).toEqual(DrainMachine.maxWishes);
   expect(["vise-2", "lathe-1", gone[0]!, gone[1]!, gone[2]!].map((name) => kept.includes(name))).toEqual([
     true,
     true,
--- a/packages/testkit/src/sim/elections.test.ts
+++ b/packages/testkit/src/sim/elections.test.ts
@@ -4,7 +4,7 @@
 
 const seeds = Array.from({ length: 30 }, (_, i) => 1000 + i);
 /** Elections that may take more than one term, where two ask at the same moment: 6 of 100 were measured. */
-const mostSplit = 3;
+const maxSplit = 3;
 /** A proposer's silence is over by then, pre-votes and votes take one way and back each. */
 const electedMs = 300;
 
@@ -27,7 +27,7 @@
     if (termOf(fleet.leader!) > before + 1) split.push(seed);
   }
   expect(late).toEqual([]);
-  expect([split.length <= mostSplit, split]).toEqual([true, split]);
+  expect([split.length <= maxSplit, split]).toEqual([true, split]);
 });
 
 test("where all members are slow, one leader gives way for it, and not each in turn", async () => {
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -118,7 +118,7 @@
   what: string;
   seed: number;
   /** From a receipt to the reader, in ms. */
-  mostMs: number;
+  maxMs: number;
   begin: (scene: Scene) => void;
   end?: (scene: Scene) => void;
 }
@@ -126,7 +126,7 @@
   {
     what: "the replica hears nothing from its holder any more",
     seed: 902,
-    mostMs: 1000,
+    maxMs: 1000,
     begin: ({ fleet, replica }) =>
       (fleet.wires.mutate = (_from, to, bytes) =>
         to === fleet.addressOf(replica) && isOfLog(Wire.decode(bytes)) ? [] : undefined),
@@ -135,27 +135,27 @@
   {
     what: "the replica is killed",
     seed: 903,
-    mostMs: 1000,
+    maxMs: 1000,
     begin: ({ fleet, replica }) => fleet.kill(replica),
     end: ({ fleet, replica }) => void fleet.start(replica),
   },
   {
     what: "the replica is frozen",
     seed: 904,
-    mostMs: 1500,
+    maxMs: 1500,
     begin: ({ fleet, replica }) => fleet.pause(replica, 4000),
   },
   {
     what: "the replica's machine is wiped and comes back blank",
     seed: 905,
-    mostMs: 1000,
+    maxMs: 1000,
     begin: ({ fleet, replica }) => fleet.wipe(replica),
     end: ({ fleet, replica }) => void fleet.start(replica),
   },
   {
     what: "the replica hears its holder late",
     seed: 906,
-    mostMs: 1500,
+    maxMs: 1500,
     begin: ({ fleet, replica }) =>
       (fleet.wires.mutate = (_from, to, bytes) =>
         to === fleet.addressOf(replica) && isOfLog(Wire.decode(bytes)) ? [{ bytes, delay: 650 }] : undefined),
@@ -164,20 +164,20 @@
   {
     what: "the holder is killed and another takes over",
     seed: 907,
-    mostMs: 1000,
+    maxMs: 1000,
     begin: ({ fleet, leaderName }) => fleet.kill(leaderName),
     end: ({ fleet, leaderName }) => void fleet.start(leaderName),
   },
   {
     what: "the holder is frozen past its lease and another takes over",
     seed: 908,
-    mostMs: 1000,
+    maxMs: 1000,
     begin: ({ fleet, leaderName }) => fleet.pause(leaderName, 6000),
   },
 ];
 
-for (const { what, seed, mostMs, begin, end } of troubles) {
-  test(`${what}: nothing is lost, doubled or out of order, and deliveries go on within ${mostMs} ms`, async () => {
+for (const { what, seed, maxMs, begin, end } of troubles) {
+  test(`${what}: nothing is lost, doubled or out of order, and deliveries go on within ${maxMs} ms`, async () => {
     const all = await scene(seed);
     const { fleet, leaderName } = all;
     await all.play(1500);
@@ -186,13 +186,13 @@
     end?.(all);
     const worst = await all.play(3000);
     expectWhole(all);
-    expect(worst <= mostMs).toEqual(true);
+    expect(worst <= maxMs).toEqual(true);
     // In the end whoever feeds the edge is in its region again, be it a replica or the new holder.
     const isNear = (): boolean => fleet.zoneOf(serverOf(all) || leaderName) === fleet.zoneOf(all.edge);
     expect(await fleet.until(isNear, 40_000)).toEqual(true);
     await fleet.run(1000);
     const counts = countPushes(fleet, all.edge);
-    expect((await all.play(2000)) <= mostMs).toEqual(true);
+    expect((await all.play(2000)) <= maxMs).toEqual(true);
     expectWhole(all);
     expect([...counts.keys()].map((name) => fleet.zoneOf(name))).toEqual([fleet.zoneOf(all.edge)]);
   });
--- a/packages/testkit/src/sim/hand.ts
+++ b/packages/testkit/src/sim/hand.ts
@@ -17,7 +17,7 @@
     const heed = { line: (line: Line) => void this.lines.push(line), closed: () => void (this.isClosed = true) };
     void fleet.port.connection(node, session, body, heed).then((got) => {
       if ("close" in got) this.close = () => got.close();
-      else this.reply = { status: got.status, ...got.body, comeBack: got.comeBack };
+      else this.reply = { status: got.status, ...got.body, retryAfterSeconds: got.retryAfterSeconds };
     });
   }
 
@@ -56,7 +56,7 @@
     let reply: Line | undefined;
     void fleet.port
       .call(node, method, path, body)
-      .then((got) => (reply = { status: got.status, ...got.body, comeBack: got.comeBack }));
+      .then((got) => (reply = { status: got.status, ...got.body, retryAfterSeconds: got.retryAfterSeconds }));
     expect(await fleet.until(() => reply !== undefined, 6000)).toEqual(true);
     return reply!;
   };
--- a/packages/testkit/src/sim/journalGrowth.ts
+++ b/packages/testkit/src/sim/journalGrowth.ts
@@ -12,9 +12,9 @@
 export interface JournalGrowthReport {
   readonly changes: number;
   /** The longest the journal was, beside which a compaction needs room for what is kept. */
-  readonly mostJournalBytes: number;
+  readonly maxJournalBytes: number;
   /** The most that the process held beyond what it began with. */
-  readonly mostResidentBytes: number;
+  readonly maxResidentBytes: number;
   /** Whether writes ever had to wait for room. */
   readonly wasFull: boolean;
 }
@@ -23,14 +23,14 @@
 export async function measureJournalGrowth(
   changes: number,
   changeBytes: number,
-  mostBytes: number,
+  maxBytes: number,
 ): Promise<JournalGrowthReport> {
   const folder = mkdtempSync(join(tmpdir(), "cranetrack-journal-"));
   const residentAtFirst = process.memoryUsage().rss;
   let wasFull = false;
-  let mostJournalBytes = 0;
-  let mostResidentBytes = 0;
-  const journal = await JournalDisk.open(folder, { mostBytes, onFull: () => (wasFull = true) });
+  let maxJournalBytes = 0;
+  let maxResidentBytes = 0;
+  const journal = await JournalDisk.open(folder, { maxBytes, onFull: () => (wasFull = true) });
   try {
     const log = new ReplicaLog(new SealedDisk(journal), "store");
     const compaction = new LogCompaction(log, storeCompaction);
@@ -39,10 +39,10 @@
       await log.append([entry]);
       compaction.applied(entry);
       if (compaction.isDue) await compaction.compact(index, Buffer.alloc(changeBytes));
-      mostJournalBytes = Math.max(mostJournalBytes, statSync(join(folder, "journal")).size);
-      mostResidentBytes = Math.max(mostResidentBytes, process.memoryUsage().rss - residentAtFirst);
+      maxJournalBytes = Math.max(maxJournalBytes, statSync(join(folder, "journal")).size);
+      maxResidentBytes = Math.max(maxResidentBytes, process.memoryUsage().rss - residentAtFirst);
     }
-    return { changes, mostJournalBytes, mostResidentBytes, wasFull };
+    return { changes, maxJournalBytes, maxResidentBytes, wasFull };
   } finally {
     await journal.close();
     rmSync(folder, { recursive: true });
--- a/packages/testkit/src/sim/machineActs.ts
+++ b/packages/testkit/src/sim/machineActs.ts
@@ -9,7 +9,7 @@
   static readonly lossMs = 8000;
   static readonly emptyMs = 10_000;
   /** For each machine that is stopped in turn; longer than a process may take to stop. */
-  static readonly turnMs = 2500;
+  static readonly electionTurnMs = 2500;
   #replaced = 0;
 
   /** The process ends at once and its machine goes on. */
@@ -22,13 +22,13 @@
   readonly busyStops: Act = () => {
     const names = this.counted;
     names.forEach((one, i) => {
-      this.later(i * MachineActs.turnMs, () => {
+      this.later(i * MachineActs.electionTurnMs, () => {
         void this.fleet.port.call(one, "GET", "/v1/plan", undefined);
         this.later(2, () => this.fleet.cycle(one));
       });
-      this.later((i + 1) * MachineActs.turnMs - 100, () => this.fleet.revive(one));
+      this.later((i + 1) * MachineActs.electionTurnMs - 100, () => this.fleet.revive(one));
     });
-    return names.length * MachineActs.turnMs;
+    return names.length * MachineActs.electionTurnMs;
   };
 
   /** A machine is to be emptied as soon as it is back. */
--- a/packages/testkit/src/sim/memberChanges.test.ts
+++ b/packages/testkit/src/sim/memberChanges.test.ts
@@ -40,7 +40,7 @@
 /** Keeps writing under keys of its own and remembers which writes were acknowledged. */
 class Writer {
   /** A write has an outcome by then. */
-  static readonly dueMs = 1300;
+  static readonly timeoutMs = 1300;
   readonly acknowledged: string[] = [];
   #isOver = false;
   constructor(fleet: SimFleet, pauseMs = 100) {
@@ -61,10 +61,10 @@
 }
 
 /** All that was acknowledged can be read, by a read that a majority confirms. */
-async function readsAll(fleet: SimFleet, writer: Writer, dueMs = 8000): Promise<boolean> {
+async function readsAll(fleet: SimFleet, writer: Writer, timeoutMs = 8000): Promise<boolean> {
   writer.stop();
   // A write under way may be acknowledged behind the read, which then need not have it: it ends first.
-  await fleet.run(Writer.dueMs);
+  await fleet.run(Writer.timeoutMs);
   let found: Set<string> | undefined;
   let isAsking = false;
   const look = (): boolean => {
@@ -80,7 +80,7 @@
     }
     return found !== undefined;
   };
-  if (!(await fleet.until(look, dueMs))) return false;
+  if (!(await fleet.until(look, timeoutMs))) return false;
   return writer.acknowledged.every((key) => found!.has(key));
 }
 
--- a/packages/testkit/src/sim/oldState.test.ts
+++ b/packages/testkit/src/sim/oldState.test.ts
@@ -13,10 +13,10 @@
   return { fleet, load, controlNodes: fleet.withRole("lathe") };
 }
 
-async function settled<T>(fleet: SimFleet, asked: Promise<T>, dueMs = 30_000): Promise<T> {
+async function settled<T>(fleet: SimFleet, asked: Promise<T>, timeoutMs = 30_000): Promise<T> {
   let got: { value: T } | undefined;
   void asked.then((value) => (got = { value }));
-  expect(await fleet.until(() => got !== undefined, dueMs)).toEqual(true);
+  expect(await fleet.until(() => got !== undefined, timeoutMs)).toEqual(true);
   return got!.value;
 }
 
--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -90,7 +90,7 @@
       if (unexcused !== undefined)
         breach(
           "late",
-          `${unexcused.count} receipts above ${Lateness.mostMs} ms without a fault, up to ${unexcused.worst} ms`,
+          `${unexcused.count} receipts above ${Lateness.maxMs} ms without a fault, up to ${unexcused.worst} ms`,
         );
       return {
         seed,
--- a/packages/testkit/src/sim/simClock.ts
+++ b/packages/testkit/src/sim/simClock.ts
@@ -1,4 +1,4 @@
-import type { Beat, Clock } from "@cranetrack/core/runtime/clock.js";
+import type { TimerHandle, Clock } from "@cranetrack/core/runtime/clock.js";
 import type { SimWorld } from "./simWorld.js";
 
 /** What a machine's state does to whatever happens on it. */
@@ -23,32 +23,32 @@
     return this.#world.now * this.#rate;
   }
 
-  once(ms: number, ring: () => void): Beat {
-    const beat = { isOff: false };
-    this.#fire(this.#world.now + Math.max(0.01, ms) / this.#rate, beat, ring);
-    return { stop: () => void (beat.isOff = true) };
+  once(ms: number, ring: () => void): TimerHandle {
+    const tick = { isOff: false };
+    this.#fire(this.#world.now + Math.max(0.01, ms) / this.#rate, tick, ring);
+    return { stop: () => void (tick.isOff = true) };
   }
 
-  every(ms: number, ring: () => void): Beat {
-    const beat = { isOff: false };
+  every(ms: number, ring: () => void): TimerHandle {
+    const tick = { isOff: false };
     const again = (): void => {
-      this.#fire(this.#world.now + ms / this.#rate, beat, () => {
+      this.#fire(this.#world.now + ms / this.#rate, tick, () => {
         again();
         ring();
       });
     };
     again();
-    return { stop: () => void (beat.isOff = true) };
+    return { stop: () => void (tick.isOff = true) };
   }
 
   get #rate(): number {
     return this.#body.rate ?? 1;
   }
 
-  #fire(at: number, beat: { isOff: boolean }, ring: () => void): void {
+  #fire(at: number, tick: { isOff: boolean }, ring: () => void): void {
     this.#world.at(at, () => {
-      if (beat.isOff || this.#body.isDead) return;
-      if (this.#body.pausedUntil > this.#world.now) return this.#fire(this.#body.pausedUntil, beat, ring);
+      if (tick.isOff || this.#body.isDead) return;
+      if (this.#body.pausedUntil > this.#world.now) return this.#fire(this.#body.pausedUntil, tick, ring);
       ring();
     });
   }
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -279,8 +279,8 @@
   }
 
   /** Runs until something holds, or a due passes; true where it held. */
-  async until(holds: () => boolean, dueMs: number): Promise<boolean> {
-    const due = this.world.now + dueMs;
+  async until(holds: () => boolean, timeoutMs: number): Promise<boolean> {
+    const due = this.world.now + timeoutMs;
     while (!holds()) {
       if (this.world.now >= due) return false;
       await this.run(50);
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -113,8 +113,8 @@
   /** Publishes at a rate until stopped. */
   play(perSecond: number): void {
     this.#isPlaying = true;
-    const beat = this.#clock.every(1000 / perSecond, () => {
-      if (!this.#isPlaying) return beat.stop();
+    const timer = this.#clock.every(1000 / perSecond, () => {
+      if (!this.#isPlaying) return timer.stop();
       for (let i = 0; i < this.#haste; i += 1) this.#publishOne();
     });
   }
@@ -221,12 +221,12 @@
   }
 
   /** Stops sending; true where all callers are served again and all publishes settled by the due. */
-  async settle(dueMs = 25_000): Promise<boolean> {
+  async settle(timeoutMs = 25_000): Promise<boolean> {
     this.#isPlaying = false;
     let isRestored = false;
     void this.restore().then(() => (isRestored = true));
-    await this.#fleet.until(() => isRestored, dueMs);
-    const isSettled = await this.#fleet.until(() => this.unsettled === "", dueMs);
+    await this.#fleet.until(() => isRestored, timeoutMs);
+    const isSettled = await this.#fleet.until(() => this.unsettled === "", timeoutMs);
     await this.#fleet.run(3000);
     return isSettled;
   }
--- a/packages/testkit/src/sim/simOperator.ts
+++ b/packages/testkit/src/sim/simOperator.ts
@@ -22,8 +22,8 @@
 export class SimOperator {
   static readonly silenceMs = 1000;
   static readonly firstPauseMs = 50;
-  static readonly mostPauseMs = 1600;
-  static readonly mostTries = 12;
+  static readonly maxPauseMs = 1600;
+  static readonly maxAttempts = 12;
 
   readonly #fleet: SimFleet;
   readonly #random: SimRandom;
@@ -41,11 +41,11 @@
   /** The last clear answer, or undefined where none came. */
   async ask(input: OrderInput): Promise<OrderOutput | undefined> {
     let pauseMs = SimOperator.firstPauseMs;
-    for (let tries = 0; tries < SimOperator.mostTries; tries += 1) {
+    for (let tries = 0; tries < SimOperator.maxAttempts; tries += 1) {
       const output = await this.try(this.#random.pick(this.#fleet.withRole("lathe")), input);
       if (output !== undefined) return output;
       await this.#pause(pauseMs);
-      pauseMs = Math.min(SimOperator.mostPauseMs, 2 * pauseMs);
+      pauseMs = Math.min(SimOperator.maxPauseMs, 2 * pauseMs);
     }
     return undefined;
   }
@@ -83,7 +83,7 @@
 
 async function readBack(node: ClusterNode): Promise<ApiReply> {
   const read = await readDocument(node);
-  if (read.outcome === "away") return ApiReplies.away("no majority");
+  if (read.outcome === "away") return ApiReplies.unavailable("no majority");
   return ApiReplies.done(read.outcome === "none" ? { version: 0, content: "" } : read.document);
 }
 
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -5,7 +5,7 @@
 import { Router } from "@cranetrack/core/http/router.js";
 import type { ApiReply } from "@cranetrack/core/http/apiReply.js";
 
-const away: PortReply = { status: 503, body: { error: { code: "unreachable" } }, comeBack: 0.3 };
+const away: PortReply = { status: 503, body: { error: { code: "unreachable" } }, retryAfterSeconds: 0.3 };
 
 /** The machines that callers reach. */
 interface ReachedNodes {
@@ -105,7 +105,7 @@
       },
       () => {
         close();
-        return { status: 0, body: {}, comeBack: 0.3 };
+        return { status: 0, body: {}, retryAfterSeconds: 0.3 };
       },
     );
   }
@@ -135,7 +135,7 @@
   }
 
   static #broken(): PortReply {
-    return { status: 0, body: { error: { code: "broken" } }, comeBack: 0.3 };
+    return { status: 0, body: { error: { code: "broken" } }, retryAfterSeconds: 0.3 };
   }
 
   static #read(reply: ApiReply): PortReply {
@@ -146,7 +146,7 @@
     } catch {
       body = {};
     }
-    return { status: reply.status, body: { ...body, raw }, comeBack: reply.comeBack };
+    return { status: reply.status, body: { ...body, raw }, retryAfterSeconds: reply.retryAfterSeconds };
   }
 
   /** Carries a question over and its answer back; a fall or a long silence ends it without one. */
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -279,8 +279,8 @@
   const body = JSON.stringify({ topic: "extra/t0" });
   const asked = [publish("desk", 1, "vise-1", "extra/t0")];
   asked.push(all.ask("vise-1", "POST", "/v1/sessions/desk/subscriptions", body));
-  for (const { status, comeBack } of await Promise.all(asked))
-    expect([status, Number(comeBack) > 0]).toEqual([503, true]);
+  for (const { status, comeBack: retryAfterSeconds } of await Promise.all(asked))
+    expect([status, Number(retryAfterSeconds) > 0]).toEqual([503, true]);
   expect([node.plan.mark, fleet.find(leaderName)!.node.plan.mark]).toEqual([1, 2]);
   fleet.wires.heal();
   expect(
--- a/packages/testkit/src/slopes/storeSlopes.ts
+++ b/packages/testkit/src/slopes/storeSlopes.ts
@@ -114,7 +114,7 @@
     });
     new Leases(raft as object as RaftNode, clock, () => undefined);
     raft.emit("elected");
-    const looks = 1000 / Leases.beatMs;
+    const looks = 1000 / Leases.tickIntervalMs;
     const rounds = 10;
     return Meter.processor(() => {
       for (let i = 0; i < looks * rounds; i += 1) look();
