--- a/packages/cli/src/cli.ts
+++ b/packages/cli/src/cli.ts
@@ -54,7 +54,9 @@
     );
     cli
       .command("plan <action> [file]", "put FILE, get, or rollout")
-      .action((action: string, file: string | undefined, options: Options) => this.#plan(action, file, options));
+      .action((action: string, file: string | undefined, options: Options) =>
+        this.#configuration(action, file, options),
+      );
     cli
       .command("machine <action> <name>", "empty NAME, refill NAME, or progress NAME")
       .action((action: string, name: string, options: Options) => this.#machine(action, name, options));
@@ -107,7 +109,7 @@
     return reply.status === 0 || reply.status >= 500 ? Cli.exits.away : Cli.exits.refused;
   }
 
-  async #plan(action: string, file: string | undefined, options: Options): Promise<number> {
+  async #configuration(action: string, file: string | undefined, options: Options): Promise<number> {
     if (action === "get")
       return this.#call(
         options,
@@ -122,10 +124,10 @@
       );
     if (action !== "put") throw new Error(`plan ${action}: put FILE, get, or rollout`);
     if (file === undefined) throw new Error("plan put needs a file, or - for standard input");
-    const plan = FleetClient.readPlan(file);
+    const configuration = FleetClient.readConfigurationFile(file);
     return this.#call(
       options,
-      (client) => client.call("PUT", "/v1/plan", plan),
+      (client) => client.call("PUT", "/v1/plan", configuration),
       (body) => `mark ${String(body["mark"])} accepted\n`,
     );
   }
--- a/packages/cli/src/fleetChecks.ts
+++ b/packages/cli/src/fleetChecks.ts
@@ -51,7 +51,7 @@
     return weak.length === 0 ? undefined : `shards ${weak.join(", ")} lack a live replica`;
   }) satisfies Check,
 
-  planTakenUp: (async (context) => {
+  configurationInForce: (async (context) => {
     const reply = await context.client.call("GET", "/v1/plan/rollout");
     if (reply.status === 404) return undefined;
     if (reply.status !== 200) return "the rollout cannot be read";
--- a/packages/cli/src/fleetClient.ts
+++ b/packages/cli/src/fleetClient.ts
@@ -21,7 +21,7 @@
     this.#nodes = [...nodes];
   }
 
-  static readPlan(path: string): string {
+  static readConfigurationFile(path: string): string {
     return readFileSync(path === "-" ? 0 : path, "utf8");
   }
 
--- a/packages/cli/src/retryPolicy.ts
+++ b/packages/cli/src/retryPolicy.ts
@@ -24,7 +24,7 @@
   "UND_ERR_CONNECT_TIMEOUT",
 ]);
 
-const planPath = "/v1/plan";
+const configurationPath = "/v1/plan";
 
 /** Not carried out, says the node (see the API's error `unavailable`). */
 const unavailable = 503;
@@ -40,7 +40,7 @@
    * what somebody else did between the two.
    */
   mayRepeat(method: Method, path: string): boolean {
-    return method === "GET" || (method === "PUT" && path === planPath);
+    return method === "GET" || (method === "PUT" && path === configurationPath);
   },
 
   /** Whether the next node may be asked after an attempt. */
--- a/packages/cli/src/runbooks/runbooks.ts
+++ b/packages/cli/src/runbooks/runbooks.ts
@@ -96,7 +96,7 @@
       {
         title: "the fleet is whole after",
         before: FleetChecks.nothing,
-        after: FleetChecks.all(whole, FleetChecks.controlNodesUp, FleetChecks.planTakenUp),
+        after: FleetChecks.all(whole, FleetChecks.controlNodesUp, FleetChecks.configurationInForce),
         timeoutMs: 60_000,
       },
     ],
@@ -141,7 +141,7 @@
       {
         title: "all is whole again",
         before: FleetChecks.zoneAlive,
-        after: FleetChecks.all(whole, FleetChecks.controlNodesUp, FleetChecks.planTakenUp),
+        after: FleetChecks.all(whole, FleetChecks.controlNodesUp, FleetChecks.configurationInForce),
         timeoutMs: 60_000,
       },
     ],
@@ -154,8 +154,8 @@
       {
         title: "send the plan",
         before: FleetChecks.nothing,
-        act: (context) => ask(context, "PUT", "/v1/plan", FleetClient.readPlan(context.args["file"]!)),
-        after: FleetChecks.planTakenUp,
+        act: (context) => ask(context, "PUT", "/v1/plan", FleetClient.readConfigurationFile(context.args["file"]!)),
+        after: FleetChecks.configurationInForce,
         timeoutMs: 10_000,
       },
     ],
--- a/packages/cli/src/statusText.ts
+++ b/packages/cli/src/statusText.ts
@@ -1,7 +1,7 @@
 interface StatusBody {
   name: string;
   feed: { ageMs: number | null; isFresh: boolean };
-  plan: { mark: number; spaces: string[] };
+  configuration: { version: number; spaces: string[] };
   members: Array<{ name: string; role: string; zone: string; http: string; state: string }>;
   shards: Array<{ shard: number; leader: string; epoch: number; replicas: string[] }>;
   risks: Array<{ space: string; budget: string; why: string }>;
@@ -13,8 +13,8 @@
   write(body: object): string {
     const status = body as StatusBody;
     const lines = [
-      `plan ${status.plan.mark === 0 ? "none" : `mark ${status.plan.mark}`} ` +
-        `(${status.plan.spaces.join(", ")}), as ${status.name} sees it`,
+      `plan ${status.configuration.version === 0 ? "none" : `mark ${status.configuration.version}`} ` +
+        `(${status.configuration.spaces.join(", ")}), as ${status.name} sees it`,
     ];
     for (const member of status.members)
       lines.push(
@@ -43,7 +43,12 @@
   },
 
   rollout(body: Record<string, unknown>): string {
-    const { mark, taken, of, nodes } = body as {
+    const {
+      mark: version,
+      taken,
+      of,
+      nodes,
+    } = body as {
       mark: number;
       taken: number;
       of: number;
@@ -52,6 +57,6 @@
     const late = nodes
       .filter((node) => !node.hasTakenUp)
       .map((node) => `  ${node.name} at mark ${node.mark}: ${node.why ?? ""}\n`);
-    return `mark ${mark}: taken up by ${taken} of ${of}\n${late.join("")}`;
+    return `mark ${version}: taken up by ${taken} of ${of}\n${late.join("")}`;
   },
 };
--- a/packages/control/src/configuration/configurationArchive.test.ts
+++ b/packages/control/src/configuration/configurationArchive.test.ts
@@ -5,13 +5,13 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
-import { PlanView } from "@cranetrack/core/configuration/configurationView.js";
+import { ConfigurationView } from "@cranetrack/core/configuration/configurationView.js";
 import type { Change } from "@cranetrack/core/feeds/feedFollower.js";
 import { ChangeJournal } from "@cranetrack/core/feeds/changeJournal.js";
 import { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
-import { PlanArchive } from "./configurationArchive.js";
+import { ConfigurationArchive } from "./configurationArchive.js";
 
-const textOf = (mark: number): string => JSON.stringify({ mark, spaces: [] });
+const textOf = (version: number): string => JSON.stringify({ mark: version, spaces: [] });
 
 test(
   "accepted plans become commits in order; a lost or damaged archive is made again from the " + "store's plan",
@@ -19,29 +19,33 @@
     const folder = join(mkdtempSync(join(tmpdir(), "cranetrack-plans-")), "plans");
     const journal = new ChangeJournal<Change>();
     const log = new LogBuffer("test", () => undefined);
-    const archive = new PlanArchive(folder, new PlanView(journal), log);
-    const accept = (mark: number, text = textOf(mark)): void => {
-      journal.append({ key: IncarnationsKey.name, value: IncarnationsKey.write({ mark, spaces: {} }), revision: mark });
-      journal.append({ key: "plan", value: Buffer.from(text), revision: mark });
+    const archive = new ConfigurationArchive(folder, new ConfigurationView(journal), log);
+    const accept = (version: number, text = textOf(version)): void => {
+      journal.append({
+        key: IncarnationsKey.name,
+        value: IncarnationsKey.write({ version, spaces: {} }),
+        revision: version,
+      });
+      journal.append({ key: "plan", value: Buffer.from(text), revision: version });
     };
     accept(1);
     accept(4);
     accept(3);
     accept(5, `${textOf(5)}\n`);
     await archive.settled();
-    expect(await archive.marks()).toEqual([5, 4, 1]);
-    expect(readFileSync(join(folder, PlanArchive.file), "utf8")).toEqual(`${textOf(5)}\n`);
+    expect(await archive.versions()).toEqual([5, 4, 1]);
+    expect(readFileSync(join(folder, ConfigurationArchive.file), "utf8")).toEqual(`${textOf(5)}\n`);
 
     rmSync(folder, { recursive: true });
     accept(6);
     await archive.settled();
-    expect(await archive.marks()).toEqual([6]);
+    expect(await archive.versions()).toEqual([6]);
 
     rmSync(folder, { recursive: true });
     writeFileSync(folder, "in the way");
     accept(7);
     await archive.settled();
-    expect([archive.mark, log.lines.some((line) => line.includes("could not be archived"))]).toEqual([6, true]);
+    expect([archive.version, log.lines.some((line) => line.includes("could not be archived"))]).toEqual([6, true]);
   },
 );
 
@@ -50,36 +54,48 @@
   const journal = new ChangeJournal<Change>();
   const log = new LogBuffer("test", () => undefined);
   const maxBytes = 60_000;
-  const archive = new PlanArchive(folder, new PlanView(journal), log, maxBytes);
+  const archive = new ConfigurationArchive(folder, new ConfigurationView(journal), log, maxBytes);
   const sizes: number[] = [];
-  for (let mark = 1; mark <= 3 * PlanArchive.lookEach + 5; mark += 1) {
-    journal.append({ key: IncarnationsKey.name, value: IncarnationsKey.write({ mark, spaces: {} }), revision: mark });
+  for (let version = 1; version <= 3 * ConfigurationArchive.lookEach + 5; version += 1) {
+    journal.append({
+      key: IncarnationsKey.name,
+      value: IncarnationsKey.write({ version, spaces: {} }),
+      revision: version,
+    });
     const filler = [...randomBytes(24_000)].map((byte) => (byte < 128 ? " " : "\t")).join("");
-    const text = `${textOf(mark)}${filler}`;
-    journal.append({ key: "plan", value: Buffer.from(text), revision: mark });
+    const text = `${textOf(version)}${filler}`;
+    journal.append({ key: "plan", value: Buffer.from(text), revision: version });
     await archive.settled();
-    expect(archive.mark).toEqual(mark);
-    if (mark % 5 !== 0) continue;
+    expect(archive.version).toEqual(version);
+    if (version % 5 !== 0) continue;
     const found = [folder, archive.earlierFolder].filter((one) => existsSync(one));
     const names = found.flatMap((one) => readdirSync(one, { recursive: true }).map((name) => join(one, String(name))));
     sizes.push(names.reduce((sum, name) => sum + statSync(name).size, 0));
   }
   // Two archives, each of what is allowed and what comes between two looks: three objects and their folders a commit.
-  expect(Math.max(...sizes) < 2 * (maxBytes + PlanArchive.lookEach * 20_000)).toEqual(true);
-  expect((await archive.marks()).length).toEqual(5);
+  expect(Math.max(...sizes) < 2 * (maxBytes + ConfigurationArchive.lookEach * 20_000)).toEqual(true);
+  expect((await archive.versions()).length).toEqual(5);
   expect(existsSync(archive.earlierFolder)).toEqual(true);
 });
 
 test("of many plans at once the newest are committed, and no more wait than a few", async () => {
   const folder = join(mkdtempSync(join(tmpdir(), "cranetrack-plans-")), "plans");
   const journal = new ChangeJournal<Change>();
-  const archive = new PlanArchive(folder, new PlanView(journal), new LogBuffer("test", () => undefined));
-  for (let mark = 1; mark <= 50; mark += 1) {
-    journal.append({ key: IncarnationsKey.name, value: IncarnationsKey.write({ mark, spaces: {} }), revision: mark });
-    journal.append({ key: "plan", value: Buffer.from(textOf(mark)), revision: mark });
+  const archive = new ConfigurationArchive(
+    folder,
+    new ConfigurationView(journal),
+    new LogBuffer("test", () => undefined),
+  );
+  for (let version = 1; version <= 50; version += 1) {
+    journal.append({
+      key: IncarnationsKey.name,
+      value: IncarnationsKey.write({ version, spaces: {} }),
+      revision: version,
+    });
+    journal.append({ key: "plan", value: Buffer.from(textOf(version)), revision: version });
   }
   await archive.settled();
-  const marks = await archive.marks();
-  expect(marks[0]).toEqual(50);
-  expect(marks.length <= PlanArchive.maxWaiting + 1).toEqual(true);
+  const versions = await archive.versions();
+  expect(versions[0]).toEqual(50);
+  expect(versions.length <= ConfigurationArchive.maxWaiting + 1).toEqual(true);
 });
--- a/packages/control/src/configuration/configurationArchive.ts
+++ b/packages/control/src/configuration/configurationArchive.ts
@@ -3,7 +3,7 @@
 import { join } from "node:path";
 import git from "isomorphic-git";
 import PQueue from "p-queue";
-import type { PlanView } from "@cranetrack/core/configuration/configurationView.js";
+import type { ConfigurationView } from "@cranetrack/core/configuration/configurationView.js";
 import type { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 
 /**
@@ -12,7 +12,7 @@
  * Its size is bounded: a full archive becomes the earlier one, beside it, in place of the one before.
  * Invariant: commits are made one at a time, in the order of the marks.
  */
-export class PlanArchive {
+export class ConfigurationArchive {
   static readonly author = { name: "cranetrack", email: "cranetrack@localhost" };
   static readonly file = "plan.json";
   /** Bytes on the disk from which on an archive is full; there are at most two of that size. */
@@ -26,20 +26,25 @@
   readonly #log: LogBuffer;
   readonly #queue = new PQueue({ concurrency: 1 });
   #kept = 0;
-  readonly #waiting: Array<{ mark: number; text: string }> = [];
+  readonly #waiting: Array<{ version: number; text: string }> = [];
   readonly #maxBytes: number;
   /** Commits since the archive's size was looked at. */
   #commits = 0;
 
-  constructor(folder: string, plan: PlanView, log: LogBuffer, maxBytes = PlanArchive.maxBytes) {
+  constructor(
+    folder: string,
+    configuration: ConfigurationView,
+    log: LogBuffer,
+    maxBytes = ConfigurationArchive.maxBytes,
+  ) {
     this.#folder = folder;
     this.#log = log;
     this.#maxBytes = maxBytes;
-    plan.on("changed", () => this.#follow(plan.mark, plan.text));
+    configuration.on("changed", () => this.#follow(configuration.version, configuration.text));
   }
 
   /** The newest mark that is committed here. */
-  get mark(): number {
+  get version(): number {
     return this.#kept;
   }
 
@@ -49,7 +54,7 @@
   }
 
   /** The marks of the newest commits, newest first; without a number, of all. */
-  async marks(most?: number): Promise<number[]> {
+  async versions(most?: number): Promise<number[]> {
     const depth = most === undefined ? {} : { depth: most };
     const commits = await git.log({ fs: nodeFs, dir: this.#folder, ...depth }).catch(() => []);
     return commits.map(({ commit }) => Number(/^mark (\d+)/.exec(commit.message)?.[1] ?? 0));
@@ -60,29 +65,29 @@
     return `${this.#folder}.earlier`;
   }
 
-  #follow(mark: number, text: string): void {
-    this.#waiting.push({ mark, text });
-    if (this.#waiting.length > PlanArchive.maxWaiting) this.#waiting.shift();
+  #follow(version: number, text: string): void {
+    this.#waiting.push({ version, text });
+    if (this.#waiting.length > ConfigurationArchive.maxWaiting) this.#waiting.shift();
     void this.#queue.add(async () => {
       const next = this.#waiting.shift();
-      if (next !== undefined) await this.#keep(next.mark, next.text);
+      if (next !== undefined) await this.#keep(next.version, next.text);
     });
   }
 
-  async #keep(mark: number, text: string): Promise<void> {
+  async #keep(version: number, text: string): Promise<void> {
     try {
-      await this.#commit(mark, text);
-      this.#kept = mark;
+      await this.#commit(version, text);
+      this.#kept = version;
       await this.#turnWhenFull();
     } catch (cause) {
-      this.#log.warn("a plan could not be archived", { mark, why: (cause as Error).message });
+      this.#log.warn("a plan could not be archived", { version, why: (cause as Error).message });
     }
   }
 
   async #turnWhenFull(): Promise<void> {
     this.#commits += 1;
-    if (this.#commits % PlanArchive.lookEach !== 0) return;
-    if ((await PlanArchive.#sizeOf(this.#folder)) < this.#maxBytes) return;
+    if (this.#commits % ConfigurationArchive.lookEach !== 0) return;
+    if ((await ConfigurationArchive.#sizeOf(this.#folder)) < this.#maxBytes) return;
     await fs.rm(this.earlierFolder, { recursive: true, force: true });
     await fs.rename(this.#folder, this.earlierFolder);
   }
@@ -93,14 +98,14 @@
     return stats.reduce((sum, { size }) => sum + size, 0);
   }
 
-  async #commit(mark: number, text: string): Promise<void> {
+  async #commit(version: number, text: string): Promise<void> {
     const dir = this.#folder;
     mkdirSync(dir, { recursive: true });
     await git.init({ fs: nodeFs, dir, defaultBranch: "main" });
-    const [newest] = await this.marks(1);
-    if (newest !== undefined && newest >= mark) return;
-    await fs.writeFile(join(dir, PlanArchive.file), text);
-    await git.add({ fs: nodeFs, dir, filepath: PlanArchive.file });
-    await git.commit({ fs: nodeFs, dir, message: `mark ${mark}`, author: PlanArchive.author });
+    const [newest] = await this.versions(1);
+    if (newest !== undefined && newest >= version) return;
+    await fs.writeFile(join(dir, ConfigurationArchive.file), text);
+    await git.add({ fs: nodeFs, dir, filepath: ConfigurationArchive.file });
+    await git.commit({ fs: nodeFs, dir, message: `mark ${version}`, author: ConfigurationArchive.author });
   }
 }
--- a/packages/control/src/configuration/configurationCapacity.ts
+++ b/packages/control/src/configuration/configurationCapacity.ts
@@ -1,22 +1,22 @@
-import type { Plan, PlanFault } from "@cranetrack/core/configuration/configuration.js";
+import type { Configuration, ConfigurationFault } from "@cranetrack/core/configuration/configuration.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
 /** What the capacity is judged by. */
-export type CapacityParts = Pick<ClusterNode, "membership" | "machines" | "shards" | "plan" | "parts">;
+export type CapacityParts = Pick<ClusterNode, "membership" | "machines" | "shards" | "configuration" | "parts">;
 
 /** What the fleet could not keep, said rather than promised more weakly. */
-export function planCapacity(node: CapacityParts, plan: Plan): PlanFault[] {
+export function checkConfigurationCapacity(node: CapacityParts, configuration: Configuration): ConfigurationFault[] {
   const disks = disksOf(node);
   const zones = new Set(disks.values()).size;
-  const faults: PlanFault[] = [];
-  plan.spaces.forEach((space, i) =>
-    space.program.forEach(({ owe }, j) => {
-      if (owe.keep === 0) return;
+  const faults: ConfigurationFault[] = [];
+  configuration.spaces.forEach((space, i) =>
+    space.program.forEach(({ contract }, j) => {
+      if (contract.keep === 0) return;
       const path = `spaces.${i}.program.${j}.owe.fault_budget`;
-      const lost = owe.fault_budget.machines ?? 0;
+      const lost = contract.fault_budget.machines ?? 0;
       const problem = machinesProblem(node, lost, disks.size);
       if (problem !== undefined) faults.push({ path: `${path}.machines`, problem });
-      if ((owe.fault_budget.zones ?? 0) > 0 && zones < 3 && !restsOn(node, "zones", 1))
+      if ((contract.fault_budget.zones ?? 0) > 0 && zones < 3 && !restsOn(node, "zones", 1))
         faults.push({ path: `${path}.zones`, problem: `needs such machines in three zones; there are ${zones}` });
     }),
   );
@@ -49,10 +49,10 @@
 }
 
 /** Whether the plan in force promises as much: it was accepted by what the fleet has, and no machine leaves that. */
-function restsOn({ plan }: CapacityParts, budget: "machines" | "zones", lost: number): boolean {
+function restsOn({ configuration }: CapacityParts, budget: "machines" | "zones", lost: number): boolean {
   return (
-    plan.plan?.spaces.some(({ program }) =>
-      program.some(({ owe }) => owe.keep > 0 && (owe.fault_budget[budget] ?? 0) >= lost),
+    configuration.configuration?.spaces.some(({ program }) =>
+      program.some(({ contract }) => contract.keep > 0 && (contract.fault_budget[budget] ?? 0) >= lost),
     ) ?? false
   );
 }
--- a/packages/control/src/configuration/getRollout.ts
+++ b/packages/control/src/configuration/getRollout.ts
@@ -1,15 +1,15 @@
 import type { FeedState } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
+import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 
 /** How far the plan in force has got: the acknowledgements of all lathes' feeds, counted by node. */
 export async function getRollout(node: ClusterNode): Promise<ApiReply> {
-  const present = await node.store.read([PlanKey.name]);
+  const present = await node.store.read([ConfigurationKey.name]);
   if (present.outcome !== "done") return ApiReplies.unavailable("no majority of the lathes answers");
   const inForce = present.kvs![0];
   if (inForce === undefined) return ApiReplies.fault(404, "no-plan", "no plan was ever accepted");
-  const mark = PlanKey.markOf(inForce.value);
+  const version = ConfigurationKey.versionOf(inForce.value);
   const controlNodes = node.membership
     .alive("lathe")
     .filter((member) => member.isInStore)
@@ -36,18 +36,18 @@
           ? "has no feed open"
           : feed.fault !== ""
             ? feed.fault
-            : feed.planMark >= mark
+            : feed.configurationVersion >= version
               ? ""
               : "has not acknowledged yet";
       return {
         name: member.name,
         role: member.role,
-        mark: feed?.planMark ?? 0,
-        hasTakenUp: (feed?.planMark ?? 0) >= mark,
+        mark: feed?.configurationVersion ?? 0,
+        hasTakenUp: (feed?.configurationVersion ?? 0) >= version,
         ...(why === "" ? {} : { why }),
         isAlive: node.membership.isAlive(member.name),
       };
     });
   const taken = nodes.filter((one) => one.hasTakenUp).length;
-  return ApiReplies.done({ mark, taken, of: nodes.length, nodes });
+  return ApiReplies.done({ mark: version, taken, of: nodes.length, nodes });
 }
--- a/packages/control/src/configuration/judgeOrder.ts
+++ b/packages/control/src/configuration/judgeOrder.ts
@@ -1,7 +1,7 @@
 import type { Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { contentDigest, contentKind } from "@cranetrack/core/configuration/contentDigest.js";
 import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
-import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
+import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 
 /** A whole configuration under a version, as an operator sent it. */
@@ -14,7 +14,7 @@
 
 /** What the store knows about the configuration in force and about one version; a confirmed read. */
 export interface OrderFacts {
-  plan: Kv | undefined;
+  configuration: Kv | undefined;
   document: Kv | undefined;
   record: Kv | undefined;
   /** Up to this version it may be forgotten which content was acknowledged. */
@@ -38,9 +38,9 @@
  * Neither settings nor the fleet's state come into it, so every node has the same answer.
  */
 export function judgeOrder(order: Order, facts: OrderFacts): OrderStanding {
-  const versionInForce = facts.plan === undefined ? 0 : PlanKey.markOf(facts.plan.value);
-  const isInForce = facts.plan !== undefined && versionInForce === order.version;
-  if (isInForce && isSameAsHeld(order, facts)) return { kind: "taken", revision: facts.plan!.revision };
+  const versionInForce = facts.configuration === undefined ? 0 : ConfigurationKey.versionOf(facts.configuration.value);
+  const isInForce = facts.configuration !== undefined && versionInForce === order.version;
+  if (isInForce && isSameAsHeld(order, facts)) return { kind: "taken", revision: facts.configuration!.revision };
   if (facts.record !== undefined)
     return isEqual(facts.record.value, digestOf(order))
       ? { kind: "taken", revision: facts.record.revision }
@@ -59,13 +59,13 @@
 /** What the store is asked for; the document comes on top where there is no record. */
 export const OrderFactKeys = {
   of(version: number): string[] {
-    return [PlanKey.name, AcceptedOrderKey.of(version), AcceptedOrderKey.floor];
+    return [ConfigurationKey.name, AcceptedOrderKey.of(version), AcceptedOrderKey.floor];
   },
 
   read(version: number, kvs: readonly Kv[]): OrderFacts {
     const find = (key: string): Kv | undefined => kvs.find((kv) => kv.key === key);
     return {
-      plan: find(PlanKey.name),
+      configuration: find(ConfigurationKey.name),
       document: find(DocumentKey.name),
       record: find(AcceptedOrderKey.of(version)),
       floor: AcceptedOrderKey.readFloor(find(AcceptedOrderKey.floor)?.value),
@@ -77,7 +77,7 @@
 function isSameAsHeld({ body, document }: Order, facts: OrderFacts): boolean {
   if (document === undefined)
     return isEqual(
-      contentDigest(contentKind.configuration, facts.plan!.value),
+      contentDigest(contentKind.configuration, facts.configuration!.value),
       contentDigest(contentKind.configuration, body),
     );
   const held = facts.document?.value;
--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -1,14 +1,19 @@
 import type { Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { Plans, type Plan, type PlanFault, type PlanRead } from "@cranetrack/core/configuration/configuration.js";
-import { PlanSchema } from "@cranetrack/core/configuration/configurationSchema.js";
+import {
+  Configurations,
+  type Configuration,
+  type ConfigurationFault,
+  type ConfigurationRead,
+} from "@cranetrack/core/configuration/configuration.js";
+import { ConfigurationSchema } from "@cranetrack/core/configuration/configurationSchema.js";
 import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
-import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
+import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { JsonBody } from "@cranetrack/core/http/jsonBody.js";
 import { digestOf, judgeOrder, OrderFactKeys, type Order, type OrderFacts } from "./judgeOrder.js";
-import { planCapacity } from "./configurationCapacity.js";
+import { checkConfigurationCapacity } from "./configurationCapacity.js";
 
 /** Of an order that loses a race again and again, each time to another one that was taken. */
 const maxAttempts = 8;
@@ -21,16 +26,20 @@
  * against the fleet and the plan in force. With a document, a mark below the one in force is acknowledged without
  * effect, once its content is recorded; without one it is refused as stale.
  */
-export async function putPlan(node: ClusterNode, body: Uint8Array, document?: Uint8Array): Promise<ApiReply> {
-  if (Math.max(body.length, document?.length ?? 0) > Plans.maxBytes)
-    return ApiReplies.fault(413, "too-large", `a plan and its document may have ${Plans.maxBytes} bytes each`);
+export async function proposeConfiguration(
+  node: ClusterNode,
+  body: Uint8Array,
+  document?: Uint8Array,
+): Promise<ApiReply> {
+  if (Math.max(body.length, document?.length ?? 0) > Configurations.maxBytes)
+    return ApiReplies.fault(413, "too-large", `a plan and its document may have ${Configurations.maxBytes} bytes each`);
   const json = JsonBody.read(body);
   if ("reply" in json) return json.reply;
-  const read = PlanSchema.read(json.value);
-  const mark = "plan" in read ? read.plan.mark : PlanKey.markOf(body);
+  const read = ConfigurationSchema.read(json.value);
+  const version = "configuration" in read ? read.configuration.version : ConfigurationKey.versionOf(body);
   // With a document the body is this node's translation, and its faults may be those of this node's settings.
-  if ("faults" in read && (document === undefined || mark === 0)) return invalid(read.faults);
-  const order = { version: mark, body, document };
+  if ("faults" in read && (document === undefined || version === 0)) return invalid(read.faults);
+  const order = { version: version, body, document };
   for (let tries = 0; tries < maxAttempts; tries += 1) {
     const reply = await tryOrder(node, order, read);
     if (reply !== "conflict") return reply;
@@ -38,25 +47,25 @@
   return ApiReplies.unknown("other plans came between; the same plan again settles it");
 }
 
-async function tryOrder(node: ClusterNode, order: Order, read: PlanRead): Promise<ApiReply | "conflict"> {
-  const { version: mark, document } = order;
+async function tryOrder(node: ClusterNode, order: Order, read: ConfigurationRead): Promise<ApiReply | "conflict"> {
+  const { version: version, document } = order;
   const { bound } = node.configurationVerifier;
   const facts = await readFacts(node, order);
-  if (facts === undefined || !node.configurationVerifier.isCurrent(bound, facts.plan?.revision ?? 0))
+  if (facts === undefined || !node.configurationVerifier.isCurrent(bound, facts.configuration?.revision ?? 0))
     return noMajority();
   const standing = judgeOrder(order, facts);
   switch (standing.kind) {
     case "taken":
-      return accepted(mark, standing.revision);
+      return accepted(version, standing.revision);
     case "taken-by-other":
-      return stale(mark, standing.versionInForce, "was taken with other content");
+      return stale(version, standing.versionInForce, "was taken with other content");
     case "forgotten":
-      return ApiReplies.unavailable(`mark ${mark} is so old that its content is forgotten`);
+      return ApiReplies.unavailable(`mark ${version} is so old that its content is forgotten`);
     case "superseded":
-      if (document === undefined) return stale(mark, standing.versionInForce, "is not above the one in force");
+      if (document === undefined) return stale(version, standing.versionInForce, "is not above the one in force");
       return "faults" in read ? invalid(read.faults) : record(node, order, facts);
     case "newer":
-      return "faults" in read ? invalid(read.faults) : putNewer(node, order, read.plan, facts);
+      return "faults" in read ? invalid(read.faults) : putNewer(node, order, read.configuration, facts);
   }
 }
 
@@ -67,8 +76,9 @@
     return present.outcome === "done" ? OrderFactKeys.read(version, present.kvs ?? []) : undefined;
   };
   const facts = await read(OrderFactKeys.of(version));
-  const isUnrecorded = facts?.plan !== undefined && facts.record === undefined;
-  if (document === undefined || !isUnrecorded || PlanKey.markOf(facts.plan!.value) !== version) return facts;
+  const isUnrecorded = facts?.configuration !== undefined && facts.record === undefined;
+  if (document === undefined || !isUnrecorded || ConfigurationKey.versionOf(facts.configuration!.value) !== version)
+    return facts;
   return read([...OrderFactKeys.of(version), DocumentKey.name]);
 }
 
@@ -76,18 +86,18 @@
 async function putNewer(
   node: ClusterNode,
   order: Order,
-  plan: Plan,
+  configuration: Configuration,
   facts: OrderFacts,
 ): Promise<ApiReply | "conflict"> {
   const { body, document } = order;
-  const turned = facts.plan === undefined ? [] : turnedOrders(facts.plan.value, plan);
+  const turned = facts.configuration === undefined ? [] : turnedOrders(facts.configuration.value, configuration);
   if (turned.length > 0) return invalid(turned);
-  const lacking = planCapacity(node, plan);
+  const lacking = checkConfigurationCapacity(node, configuration);
   if (lacking.length > 0) return noCapacity(lacking);
   const written = await node.store.txn({
-    checks: [{ key: PlanKey.name, revision: facts.plan?.revision ?? 0 }],
+    checks: [{ key: ConfigurationKey.name, revision: facts.configuration?.revision ?? 0 }],
     puts: [
-      { key: PlanKey.name, value: body },
+      { key: ConfigurationKey.name, value: body },
       recordOf(order),
       ...(document === undefined ? [] : [{ key: DocumentKey.name, value: document }]),
     ],
@@ -124,11 +134,11 @@
 }
 
 /** A space is one stream, or a stream a topic, for its whole life: where its messages go follows from it. */
-function turnedOrders(inForce: Uint8Array, plan: Plan): PlanFault[] {
-  const before = new Map(PlanKey.outline(inForce)?.spaces.map((space) => [space.prefix, space]));
-  return plan.spaces.flatMap((space, i) => {
-    const earlier = before.get(Plans.prefixOf(space));
-    const isWhole = space.program[0]!.owe.order === "space";
+function turnedOrders(inForce: Uint8Array, configuration: Configuration): ConfigurationFault[] {
+  const before = new Map(ConfigurationKey.outline(inForce)?.spaces.map((space) => [space.prefix, space]));
+  return configuration.spaces.flatMap((space, i) => {
+    const earlier = before.get(Configurations.prefixOf(space));
+    const isWhole = space.program[0]!.contract.order === "space";
     if (earlier === undefined || earlier.isWhole === isWhole) return [];
     const order = earlier.isWhole ? "space" : "sender or topic";
     const problem = `space ${space.name} keeps order ${order} while it lives; remove the space and make it again`;
@@ -136,26 +146,26 @@
   });
 }
 
-function accepted(mark: number, revision: number | undefined): ApiReply {
-  return ApiReplies.done({ receipt: "accepted", mark, revision });
+function accepted(version: number, revision: number | undefined): ApiReply {
+  return ApiReplies.done({ receipt: "accepted", mark: version, revision });
 }
 
 function noMajority(): ApiReply {
   return ApiReplies.unavailable("no majority of the lathes answers");
 }
 
-function invalid(problems: PlanFault[]): ApiReply {
+function invalid(problems: ConfigurationFault[]): ApiReply {
   const message = `the plan has ${problems.length} problem(s); nothing was changed`;
   return ApiReplies.fault(422, "invalid-plan", message, { problems });
 }
 
 /** What this node sees of the fleet may be incomplete, and may change: never a refusal for good. */
-function noCapacity(problems: PlanFault[]): ApiReply {
+function noCapacity(problems: ConfigurationFault[]): ApiReply {
   const message = "machines are missing for what the plan promises, as this node sees the fleet; nothing was changed";
   return ApiReplies.fault(503, "no-capacity", message, { problems, retryAfterSeconds: 1 });
 }
 
-function stale(mark: number, markInForce: number, why: string): ApiReply {
-  const message = `mark ${mark} ${why}; mark ${markInForce} is in force`;
-  return ApiReplies.fault(409, "stale-mark", message, { details: { markInForce } });
+function stale(version: number, versionInForce: number, why: string): ApiReply {
+  const message = `mark ${version} ${why}; mark ${versionInForce} is in force`;
+  return ApiReplies.fault(409, "stale-mark", message, { details: { markInForce: versionInForce } });
 }
--- a/packages/control/src/configuration/readDocument.ts
+++ b/packages/control/src/configuration/readDocument.ts
@@ -1,5 +1,5 @@
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
-import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
+import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
 export type DocumentRead = { outcome: "done"; document: Uint8Array } | { outcome: "none" } | { outcome: "away" };
@@ -10,8 +10,8 @@
 }
 
 /** The plan in force, byte for byte; none where none was ever accepted. */
-export function readPlan(node: ClusterNode): Promise<DocumentRead> {
-  return readNewest(node, PlanKey.name);
+export function readConfiguration(node: ClusterNode): Promise<DocumentRead> {
+  return readNewest(node, ConfigurationKey.name);
 }
 
 /**
--- a/packages/control/src/configuration/startUp.test.ts
+++ b/packages/control/src/configuration/startUp.test.ts
@@ -18,7 +18,7 @@
 test("a lathe with its calls, the check of a plan too, is loaded without arktype; only settings need it", () => {
   expect(load("../controlNode.js")).toEqual("");
   expect(load("readDocument.js")).toEqual("");
-  expect(load("putPlan.js")).toEqual("");
+  expect(load("proposeConfiguration.js")).toEqual("");
   expect(load("../../../core/dist/configuration/configurationSchema.js")).toEqual("");
   expect(load("../../../core/dist/runtime/settings.js")).toEqual("arktype is loaded");
 });
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -7,8 +7,8 @@
 import { ApiReplies } from "@cranetrack/core/http/apiReply.js";
 import { DrainMachine } from "./drain/drainMachine.js";
 import { getRollout } from "./configuration/getRollout.js";
-import { putPlan } from "./configuration/proposeConfiguration.js";
-import { readPlan } from "./configuration/readDocument.js";
+import { proposeConfiguration } from "./configuration/proposeConfiguration.js";
+import { readConfiguration } from "./configuration/readDocument.js";
 import { Founding } from "./consensus/founding.js";
 import { RaftNode } from "./consensus/raftNode.js";
 import { DiskWatch } from "./membership/diskWatch.js";
@@ -33,9 +33,9 @@
     this.founding = new Founding(node, disk);
     this.storage = new StorageNode(node, disk, !node.parts.settings.stores);
     this.founding.on("founded", () => this.#begin());
-    router.on("PUT", /^\/v1\/plan$/, (call) => putPlan(node, call.body));
+    router.on("PUT", /^\/v1\/plan$/, (call) => proposeConfiguration(node, call.body));
     router.on("GET", /^\/v1\/plan$/, async () => {
-      const read = await readPlan(node);
+      const read = await readConfiguration(node);
       if (read.outcome === "done") return ApiReplies.done(read.document);
       if (read.outcome === "none") return ApiReplies.fault(404, "no-plan", "no plan was ever accepted");
       return ApiReplies.unavailable("no majority of the lathes answers");
@@ -93,7 +93,7 @@
               term: raft.term,
               commit: raft.commit,
               isLeader: raft.isLeader,
-              proposer: raft.leaderName,
+              leader: raft.leaderName,
               isInTouch: raft.isInTouch,
               voters: members!.voters.map((one) => one.name),
               learners: members!.learners.map((one) => one.name),
--- a/packages/control/src/cranetrack-control.ts
+++ b/packages/control/src/cranetrack-control.ts
@@ -1,17 +1,21 @@
 #!/usr/bin/env node
 import { join } from "node:path";
 import { Program } from "@cranetrack/core/runtime/program.js";
-import { PlanArchive } from "./configuration/configurationArchive.js";
+import { ConfigurationArchive } from "./configuration/configurationArchive.js";
 import { ControlNode } from "./controlNode.js";
 
 await new Program("lathe", ["plan", "shards/", "machines/"], ({ node, disk, router }) => {
   const control = new ControlNode(node, disk!, router);
-  const archive = new PlanArchive(join(node.parts.settings.data!, "plans"), node.plan, node.parts.log);
+  const archive = new ConfigurationArchive(
+    join(node.parts.settings.data!, "plans"),
+    node.configuration,
+    node.parts.log,
+  );
   return {
     load: () => control.load(),
     start: () => control.start(),
     stop: () => control.stop(),
     isReady: () => control.isReady,
-    status: () => ({ ...control.status(), archivedMark: archive.mark }),
+    status: () => ({ ...control.status(), archivedMark: archive.version }),
   };
 }).run(process.argv);
--- a/packages/control/src/drain/drainCapacity.ts
+++ b/packages/control/src/drain/drainCapacity.ts
@@ -40,10 +40,12 @@
   return atRisk(`only ${able} control nodes would be left, and the metadata store needs ${voters}`);
 }
 
-function zonesAtRisk({ plan }: ClusterNode, left: readonly Member[]): ApiReply | undefined {
+function zonesAtRisk({ configuration }: ClusterNode, left: readonly Member[]): ApiReply | undefined {
   const program =
-    plan.plan?.spaces.flatMap((space) => space.program.map((rule) => ({ space: space.name, rule }))) ?? [];
-  const bound = program.find(({ rule }) => rule.owe.keep > 0 && (rule.owe.fault_budget.zones ?? 0) > 0);
+    configuration.configuration?.spaces.flatMap((space) =>
+      space.program.map((rule) => ({ space: space.name, rule })),
+    ) ?? [];
+  const bound = program.find(({ rule }) => rule.contract.keep > 0 && (rule.contract.fault_budget.zones ?? 0) > 0);
   const zones = new Set(left.filter((one) => one.logDisk !== "").map((one) => one.zone)).size;
   if (bound === undefined || zones >= 3) return undefined;
   return atRisk(`space ${bound.space} must survive the loss of a zone, and machines would be left in only ${zones}`);
--- a/packages/control/src/store/acceptedOrders.test.ts
+++ b/packages/control/src/store/acceptedOrders.test.ts
@@ -2,7 +2,7 @@
 import { create, toBinary } from "@bufbuild/protobuf";
 import { StoreCommandSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
-import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
+import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { expect } from "earl";
 import { Metadata } from "./metadata.js";
 
@@ -12,19 +12,22 @@
   #index = 0;
 
   /** Whether the entry was taken. `isRecorded` is what an earlier release did not do. */
-  put(version: number, content: string, what: { isPlan: boolean; isRecorded: boolean }): boolean {
-    const plan = { key: PlanKey.name, value: Buffer.from(JSON.stringify({ mark: version, spaces: [] })) };
+  put(version: number, content: string, what: { isConfiguration: boolean; isRecorded: boolean }): boolean {
+    const configuration = {
+      key: ConfigurationKey.name,
+      value: Buffer.from(JSON.stringify({ mark: version, spaces: [] })),
+    };
     const record = { key: AcceptedOrderKey.of(version), value: Buffer.from(content) };
-    const puts = [...(what.isPlan ? [plan] : []), ...(what.isRecorded ? [record] : [])];
+    const puts = [...(what.isConfiguration ? [configuration] : []), ...(what.isRecorded ? [record] : [])];
     const checks = what.isRecorded ? [{ key: record.key, revision: this.metadata.get(record.key)?.revision ?? 0 }] : [];
     const command = create(StoreCommandSchema, { command: { case: "txn", value: { checks, puts } } });
     this.#index += 1;
     return this.metadata.apply(this.#index, toBinary(StoreCommandSchema, command)).outcome === "done";
   }
 
-  take = (version: number): boolean => this.put(version, "a", { isPlan: true, isRecorded: true });
-  record = (version: number): boolean => this.put(version, "a", { isPlan: false, isRecorded: true });
-  takeUnrecorded = (version: number): boolean => this.put(version, "a", { isPlan: true, isRecorded: false });
+  take = (version: number): boolean => this.put(version, "a", { isConfiguration: true, isRecorded: true });
+  record = (version: number): boolean => this.put(version, "a", { isConfiguration: false, isRecorded: true });
+  takeUnrecorded = (version: number): boolean => this.put(version, "a", { isConfiguration: true, isRecorded: false });
 
   get versions(): Array<number | undefined> {
     return this.metadata.range(AcceptedOrderKey.prefix).map(({ key }) => AcceptedOrderKey.versionOf(key));
--- a/packages/control/src/store/acceptedOrders.ts
+++ b/packages/control/src/store/acceptedOrders.ts
@@ -2,7 +2,7 @@
 import { KvSchema, type Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
-import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
+import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 
 /** The keys of the state machine, for reading. */
 export interface KeyReader {
@@ -33,7 +33,7 @@
 
   /** What goes with a transaction's puts: the floor, where one that was only implied is lost with them. */
   withFloor(keys: KeyReader, puts: readonly Kv[]): Kv[] {
-    const implied = puts.some(({ key }) => key === PlanKey.name) ? unrecordedVersion(keys) : 0;
+    const implied = puts.some(({ key }) => key === ConfigurationKey.name) ? unrecordedVersion(keys) : 0;
     return implied === 0 ? [...puts] : [floorKv(AcceptedOrders.floor(keys)), ...puts];
   },
 
@@ -51,7 +51,7 @@
 /** The version of the configuration in force where that has no record; else 0. */
 function unrecordedVersion(keys: KeyReader): number {
   const incarnations = keys.get(IncarnationsKey.name);
-  const version = (incarnations === undefined ? undefined : IncarnationsKey.read(incarnations.value)?.mark) ?? 0;
+  const version = (incarnations === undefined ? undefined : IncarnationsKey.read(incarnations.value)?.version) ?? 0;
   return version === 0 || keys.get(AcceptedOrderKey.of(version)) !== undefined ? 0 : version;
 }
 
--- a/packages/control/src/store/feeds.ts
+++ b/packages/control/src/store/feeds.ts
@@ -26,7 +26,7 @@
   /** No large value is told before this, unless something else is. */
   paceTo: number;
   heardAt: number;
-  planMark: number;
+  configurationVersion: number;
   fault: string;
   isReady: boolean;
   openedAt: number;
@@ -89,7 +89,7 @@
       create(FeedStateSchema, {
         name: feed.name,
         revision: feed.acked,
-        planMark: feed.planMark,
+        configurationVersion: feed.configurationVersion,
         age: Math.round(now - feed.heardAt),
         fault: feed.fault,
       }),
@@ -109,7 +109,7 @@
     this.#node.parts.clock.once(0, () => {
       this.#isTurnDue = false;
       for (const feed of this.#feeds.values())
-        if (feed.number === feed.ackedNumber && this.#isOwed(feed)) this.#tell(feed);
+        if (feed.number === feed.ackedNumber && this.#isPending(feed)) this.#tell(feed);
     });
   }
 
@@ -135,7 +135,7 @@
       toldAt: -Infinity,
       paceTo: -Infinity,
       heardAt: now,
-      planMark: 0,
+      configurationVersion: 0,
       fault: "",
       isReady: false,
       openedAt: now,
@@ -165,12 +165,12 @@
     const feed = this.#feeds.get(ack.feed);
     if (feed === undefined) return undefined;
     feed.heardAt = this.#node.parts.clock.now();
-    feed.planMark = ack.planMark;
+    feed.configurationVersion = ack.configurationVersion;
     feed.fault = ack.fault;
     if (ack.number !== feed.number) return undefined;
     feed.ackedNumber = ack.number;
     feed.told = feed.acked = ack.revision;
-    if (this.#isOwed(feed)) this.#tell(feed);
+    if (this.#isPending(feed)) this.#tell(feed);
     return undefined;
   }
 
@@ -183,7 +183,7 @@
       else if (now - feed.heardAt > 5000) this.#feeds.delete(feed.feed);
       else if (!feed.isReady) continue;
       else if (feed.number !== feed.ackedNumber) this.#againIfLate(feed, now);
-      else if (now - feed.toldAt >= Feeds.tickIntervalMs || this.#isOwed(feed)) this.#tell(feed);
+      else if (now - feed.toldAt >= Feeds.tickIntervalMs || this.#isPending(feed)) this.#tell(feed);
     }
   }
 
@@ -224,12 +224,12 @@
   }
 
   /** Whether something that the node follows has changed; for the rest the next beat will do. */
-  #isOwed(feed: Feed): boolean {
+  #isPending(feed: Feed): boolean {
     if (!feed.isReady || feed.told >= this.#raft.metadata.revision) return false;
     if (feed.told < this.#since) return true;
     const looked = Math.max(feed.told, feed.idleTo);
-    const owed = this.#after(looked).filter((kv) => Feeds.#isFollowed(feed, kv));
-    if (owed.length > 0) return this.#node.parts.clock.now() >= feed.paceTo || !owed.every(ValueHistory.isLarge);
+    const unsent = this.#after(looked).filter((kv) => Feeds.#isFollowed(feed, kv));
+    if (unsent.length > 0) return this.#node.parts.clock.now() >= feed.paceTo || !unsent.every(ValueHistory.isLarge);
     feed.idleTo = this.#raft.metadata.revision;
     return false;
   }
--- a/packages/control/src/store/metadata.test.ts
+++ b/packages/control/src/store/metadata.test.ts
@@ -5,13 +5,13 @@
 import { expect } from "earl";
 import { Metadata, type Applied } from "./metadata.js";
 
-const plan = (mark: number, keep: number): Buffer =>
+const configuration = (version: number, keep: number): Buffer =>
   Buffer.from(
     JSON.stringify({
-      mark,
+      mark: version,
       spaces: Array.from({ length: 60 }, (_, i) => ({
         name: `r${i}`,
-        program: [{ owe: { keep: i === 7 ? keep : i } }],
+        program: [{ contract: { keep: i === 7 ? keep : i } }],
       })),
     }),
   );
@@ -25,12 +25,15 @@
 
 test("a difference applies to exactly the version that it was made from; else nothing of its step is done", () => {
   const state = new Metadata();
-  apply(state, { puts: [{ key: "plan", value: plan(1, 0) }] });
-  const difference = { key: "plan", ...PackedValue.pack(plan(2, 1), { value: plan(1, 0), revision: 1 }) };
+  apply(state, { puts: [{ key: "plan", value: configuration(1, 0) }] });
+  const difference = {
+    key: "plan",
+    ...PackedValue.pack(configuration(2, 1), { value: configuration(1, 0), revision: 1 }),
+  };
   expect(difference.packing).toEqual(packing.difference);
   expect(apply(state, { puts: [difference] }).outcome).toEqual("done");
   expect([text(state), state.get("plan")!.packing, state.get("plan")!.baseRevision]).toEqual([
-    plan(2, 1).toString(),
+    configuration(2, 1).toString(),
     0,
     0,
   ]);
@@ -40,7 +43,7 @@
     "rebase",
     0,
     undefined,
-    plan(2, 1).toString(),
+    configuration(2, 1).toString(),
   ]);
   const nowhere = apply(state, { puts: [{ ...difference, key: "nowhere" }] });
   expect([nowhere.outcome, state.get("nowhere")]).toEqual(["rebase", undefined]);
@@ -48,14 +51,14 @@
 
 test("packed and whole entries give the same state, and a snapshot of it is whole", () => {
   const [packed, whole] = [new Metadata(), new Metadata()];
-  for (let mark = 1; mark <= 5; mark += 1) {
+  for (let version = 1; version <= 5; version += 1) {
     const before = packed.get("plan");
-    const put = PackedValue.pack(plan(mark, mark), before);
+    const put = PackedValue.pack(configuration(version, version), before);
     apply(packed, { puts: [{ key: "plan", ...put }] });
-    apply(whole, { puts: [{ key: "plan", value: plan(mark, mark) }] });
+    apply(whole, { puts: [{ key: "plan", value: configuration(version, version) }] });
   }
   expect(Buffer.compare(packed.snapshot(undefined), whole.snapshot(undefined))).toEqual(0);
   const restored = new Metadata();
   restored.install(packed.snapshot(undefined));
-  expect(text(restored)).toEqual(plan(5, 5).toString());
+  expect(text(restored)).toEqual(configuration(5, 5).toString());
 });
--- a/packages/control/src/store/metadata.ts
+++ b/packages/control/src/store/metadata.ts
@@ -9,7 +9,7 @@
   type Txn,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
-import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
+import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { PackedValue } from "@cranetrack/core/store/packedValue.js";
 import { AcceptedOrders } from "./acceptedOrders.js";
 
@@ -141,9 +141,9 @@
 
   /** A plan is kept with its spaces' births, which follow from the plan before it and from nothing else. */
   #withIncarnations(puts: readonly Kv[]): readonly Kv[] {
-    if (!puts.some((kv) => kv.key === PlanKey.name)) return puts;
+    if (!puts.some((kv) => kv.key === ConfigurationKey.name)) return puts;
     return puts.flatMap((kv) => {
-      const outline = kv.key === PlanKey.name ? PlanKey.outline(kv.value) : undefined;
+      const outline = kv.key === ConfigurationKey.name ? ConfigurationKey.outline(kv.value) : undefined;
       if (outline === undefined) return [kv];
       const before = this.#keys.get(IncarnationsKey.name);
       const incarnations = IncarnationsKey.next(
--- a/packages/core/src/configuration/configuration.test.ts
+++ b/packages/core/src/configuration/configuration.test.ts
@@ -3,32 +3,33 @@
 import type { Change } from "../feeds/feedFollower.js";
 import { ChangeJournal } from "../feeds/changeJournal.js";
 import { IncarnationsKey } from "../keys/incarnationsKey.js";
-import { Plans, type Plan } from "./configuration.js";
-import { PlanReader } from "./configurationReader.js";
-import { PlanSchema } from "./configurationSchema.js";
-import { PlanView } from "./configurationView.js";
+import { Configurations, type Configuration } from "./configuration.js";
+import { ConfigurationReader } from "./configurationReader.js";
+import { ConfigurationSchema } from "./configurationSchema.js";
+import { documentOf, documentTextOf } from "./documentBuilder.js";
+import { ConfigurationView } from "./configurationView.js";
 
-const owe = { keep: 60, order: "sender" as const, fault_budget: { machines: 1 } };
-const plan: Plan = {
-  mark: 3,
+const contract = { keep: 60, order: "sender" as const, fault_budget: { machines: 1 } };
+const configuration: Configuration = {
+  version: 3,
   spaces: [
     {
       name: "clips",
       program: [
-        { when: { topicPrefix: "live/" }, owe: { ...owe, publishers: ["desk-*", "boss"] } },
-        { when: { topic: "archive" }, owe: { ...owe, keep: 900 } },
+        { when: { topicPrefix: "live/" }, contract: { ...contract, publishers: ["desk-*", "boss"] } },
+        { when: { topic: "archive" }, contract: { ...contract, keep: 900 } },
       ],
     },
   ],
 };
 
 test("the first rule that matches says what is owed; without one nothing is", () => {
-  expect(Plans.owed(plan, "clips/live/7")?.publishers).toEqual(["desk-*", "boss"]);
-  expect(Plans.owed(plan, "clips/archive")?.keep).toEqual(900);
-  expect(Plans.owed(plan, "clips/other")).toEqual(undefined);
-  expect(Plans.owed(plan, "other/live/7")).toEqual(undefined);
-  const rule = plan.spaces[0]!.program[0]!.owe;
-  expect(["desk-4", "boss", "bossy", "guest"].map((session) => Plans.mayPublish(rule, session))).toEqual([
+  expect(Configurations.contractFor(configuration, "clips/live/7")?.publishers).toEqual(["desk-*", "boss"]);
+  expect(Configurations.contractFor(configuration, "clips/archive")?.keep).toEqual(900);
+  expect(Configurations.contractFor(configuration, "clips/other")).toEqual(undefined);
+  expect(Configurations.contractFor(configuration, "other/live/7")).toEqual(undefined);
+  const rule = configuration.spaces[0]!.program[0]!.contract;
+  expect(["desk-4", "boss", "bossy", "guest"].map((session) => Configurations.mayPublish(rule, session))).toEqual([
     true,
     true,
     false,
@@ -38,11 +39,11 @@
 
 test("every problem of a plan is named with its path", () => {
   const faultsOf = (value: unknown): string[] => {
-    const read = PlanSchema.read(value);
+    const read = ConfigurationSchema.read(documentOf(value));
     return "faults" in read ? read.faults.map((fault) => fault.path) : [];
   };
-  expect(faultsOf(plan)).toEqual([]);
-  expect(faultsOf({ mark: 1, spaces: [plan.spaces[0], plan.spaces[0]] })).toEqual(["spaces.1.name"]);
+  expect(faultsOf(configuration)).toEqual([]);
+  expect(faultsOf({ mark: 1, spaces: [configuration.spaces[0], configuration.spaces[0]] })).toEqual(["spaces.1.name"]);
   expect(faultsOf({ mark: 0, spaces: [{ name: "a b", program: [] }], more: 1 }).sort()).toEqual([
     "mark",
     "more",
@@ -52,7 +53,7 @@
   expect(
     faultsOf({
       mark: 1,
-      spaces: [{ name: "a", program: [{ when: { colour: 1 }, owe: { ...owe, order: "any", keep: -1 } }] }],
+      spaces: [{ name: "a", program: [{ when: { colour: 1 }, owe: { ...contract, order: "any", keep: -1 } }] }],
     }).sort(),
   ).toEqual(["spaces.0.program.0.owe.keep", "spaces.0.program.0.owe.order", "spaces.0.program.0.when.colour"]);
   for (const value of [null, 7, "plan", [], {}]) expect(faultsOf(value).length > 0).toEqual(true);
@@ -60,48 +61,50 @@
 
 test("a plan that this node cannot read leaves the old one in force and is said; an older one changes nothing", () => {
   const journal = new ChangeJournal<Change>();
-  const view = new PlanView(journal);
-  const put = (value: { mark: number; spaces: unknown[]; newer?: boolean }, revision: number): void => {
-    const incarnations = IncarnationsKey.write({ mark: value.mark, spaces: { "clips/": 3 } });
+  const view = new ConfigurationView(journal);
+  const put = (value: { version: number; spaces: unknown[]; newer?: boolean }, revision: number): void => {
+    const incarnations = IncarnationsKey.write({ version: value.version, spaces: { "clips/": 3 } });
     journal.append({ key: IncarnationsKey.name, value: incarnations, revision });
-    journal.append({ key: "plan", value: Buffer.from(JSON.stringify(value)), revision });
+    journal.append({ key: "plan", value: Buffer.from(documentTextOf(value)), revision });
   };
-  put(plan, 1);
-  put({ mark: 9, spaces: [], newer: true }, 2);
-  expect([view.mark, view.fault.startsWith("cannot read the plan: newer")]).toEqual([3, true]);
-  put({ mark: 2, spaces: [] }, 3);
-  expect(view.mark).toEqual(3);
-  put({ mark: 10, spaces: [] }, 4);
-  expect([view.mark, view.fault]).toEqual([10, ""]);
+  put(configuration, 1);
+  put({ version: 9, spaces: [], newer: true }, 2);
+  expect([view.version, view.fault.startsWith("cannot read the plan: newer")]).toEqual([3, true]);
+  put({ version: 2, spaces: [] }, 3);
+  expect(view.version).toEqual(3);
+  put({ version: 10, spaces: [] }, 4);
+  expect([view.version, view.fault]).toEqual([10, ""]);
   expect(view.route("clips/live/7")).toEqual(undefined);
-  put({ ...plan, mark: 11 }, 5);
+  put({ ...configuration, version: 11 }, 5);
   expect(view.route("clips/live/7")).toEqual({ stream: "6:clips/live/7", space: "clips/", spaceIncarnation: 3 });
 });
 
 test("a configuration of a lower version than the one in force is counted as a violation", () => {
   const journal = new ChangeJournal<Change>();
   const violated: string[] = [];
-  const view = new PlanView(journal, { violated: (name, context) => void violated.push(`${name} ${context["told"]}`) });
-  for (const [mark, revision] of [
+  const view = new ConfigurationView(journal, {
+    violated: (name, context) => void violated.push(`${name} ${context["told"]}`),
+  });
+  for (const [version, revision] of [
     [3, 7],
     [2, 8],
     [4, 9],
   ] as const) {
-    journal.append({ key: IncarnationsKey.name, value: IncarnationsKey.write({ mark, spaces: {} }), revision });
-    journal.append({ key: "plan", value: Buffer.from(JSON.stringify({ mark, spaces: [] })), revision });
+    journal.append({ key: IncarnationsKey.name, value: IncarnationsKey.write({ version, spaces: {} }), revision });
+    journal.append({ key: "plan", value: Buffer.from(JSON.stringify({ mark: version, spaces: [] })), revision });
   }
-  expect([violated, view.mark, view.revision]).toEqual([["configurationVersion 2"], 4, 9]);
+  expect([violated, view.version, view.revision]).toEqual([["configurationVersion 2"], 4, 9]);
 });
 
-const space = (name: string, more: object = {}, rule: object = {}): Plan["spaces"][number] =>
-  ({ name, program: [{ when: {}, owe: { ...owe, ...rule } }], ...more }) as Plan["spaces"][number];
+const space = (name: string, more: object = {}, rule: object = {}): Configuration["spaces"][number] =>
+  ({ name, program: [{ when: {}, contract: { ...contract, ...rule } }], ...more }) as Configuration["spaces"][number];
 
 test("a space owns what starts with its prefix, and the longest prefix wins", () => {
-  const nested: Plan = {
-    mark: 1,
+  const nested: Configuration = {
+    version: 1,
     spaces: [space("all", { prefix: "a" }), space("a"), space("deep", { prefix: "a/b." })],
   };
-  const winner = (topic: string): string | undefined => Plans.spaceOf(nested, topic)?.name;
+  const winner = (topic: string): string | undefined => Configurations.spaceOf(nested, topic)?.name;
   expect(["a", "ax", "a/", "a/b", "a/b.", "a/b.c", "b"].map(winner)).toEqual([
     "all",
     "all",
@@ -111,35 +114,43 @@
     "deep",
     undefined,
   ]);
-  const rule: Plan = { mark: 1, spaces: [space("x", { prefix: "kafi.", program: [{ when: { topic: "t" }, owe }] })] };
-  expect([Plans.owed(rule, "kafi.t") === undefined, Plans.owed(rule, "kafi.tt")]).toEqual([false, undefined]);
+  const rule: Configuration = {
+    version: 1,
+    spaces: [space("x", { prefix: "kafi.", program: [{ when: { topic: "t" }, contract }] })],
+  };
+  expect([
+    Configurations.contractFor(rule, "kafi.t") === undefined,
+    Configurations.contractFor(rule, "kafi.tt"),
+  ]).toEqual([false, undefined]);
 });
 
 test("a topic is 1 to 200 printable bytes without blanks", () => {
-  expect(["a", "/", "~a!", "x".repeat(200)].filter((topic) => !Plans.isTopic(topic))).toEqual([]);
+  expect(["a", "/", "~a!", "x".repeat(200)].filter((topic) => !Configurations.isTopic(topic))).toEqual([]);
   const none: unknown[] = ["", "a b", "a\n", "\u007f", "é", "x".repeat(201), 7, undefined];
-  expect(none.filter((topic) => Plans.isTopic(topic))).toEqual([]);
+  expect(none.filter((topic) => Configurations.isTopic(topic))).toEqual([]);
 });
 
 test("what a plan may say: prefixes, three orders, nothing kept, limits and deadlines; and what it may not", () => {
   const faultsOf = (...spaces: object[]): string[] => {
-    const read = PlanSchema.read({ mark: 1, spaces });
+    const read = ConfigurationSchema.read(documentOf({ mark: 1, spaces }));
     return "faults" in read ? read.faults.map((fault) => fault.path) : [];
   };
-  const whole = PlanSchema.read({
-    mark: 12,
-    spaces: [space("A.b_C-9", { prefix: "~", deadlineMs: 1500 }, { keep: 0, order: "one" })],
-    limits: { subscriptions: 200, payloadBytes: 4096 },
-  });
-  expect("plan" in whole && whole.plan.spaces[0]!.program[0]!.owe.order).toEqual("space");
+  const whole = ConfigurationSchema.read(
+    documentOf({
+      mark: 12,
+      spaces: [space("A.b_C-9", { prefix: "~", deadlineMs: 1500 }, { keep: 0, order: "one" })],
+      limits: { subscriptions: 200, payloadBytes: 4096 },
+    }),
+  );
+  expect("configuration" in whole && whole.configuration.spaces[0]!.program[0]!.contract.order).toEqual("space");
   expect(faultsOf(space("a"), space("b", { prefix: "a/" }))).toEqual(["spaces.1.prefix"]);
   expect(faultsOf(space("a", { prefix: "" }))).toEqual([]);
   expect(faultsOf(space("a", { prefix: "" }), space("b", { prefix: "" }))).toEqual(["spaces.1.prefix"]);
   for (const prefix of ["a b", "ä", "x".repeat(201)])
     expect(faultsOf(space("a", { prefix }))).toEqual(["spaces.0.prefix"]);
   expect(faultsOf(space("a", { deadlineMs: 0 }))).toEqual(["spaces.0.deadlineMs"]);
-  const rules = (...owes: object[]): object => ({
-    program: owes.map((one) => ({ when: {}, owe: { ...owe, ...one } })),
+  const rules = (...contracts: object[]): object => ({
+    program: contracts.map((one) => ({ when: {}, contract: { ...contract, ...one } })),
   });
   expect(faultsOf({ name: "a", ...rules({ order: "sender" }, { order: "topic", keep: 0 }) })).toEqual([]);
   expect(faultsOf({ name: "a", ...rules({ order: "topic" }, { order: "space" }) })).toEqual([
@@ -152,42 +163,48 @@
 
 test("the reader of accepted plans takes what the whole check takes, and distrusts every shape", () => {
   const full = {
-    mark: 3,
+    version: 3,
     spaces: [space("a", { prefix: "a.", deadlineMs: 9 }, { order: "one", publishers: ["x"], maxBytes: 1 })],
     limits: { subscriptions: 1 },
   };
-  const text = JSON.stringify(full);
-  expect(PlanReader.parse(text)).toEqual(PlanSchema.parse(text));
+  const text = documentTextOf(full);
+  expect(ConfigurationReader.parse(text)).toEqual(ConfigurationSchema.parse(text));
   const pathOf = (value: unknown): string => {
-    const read = PlanReader.read(value);
+    const read = ConfigurationReader.read(documentOf(value));
     return "faults" in read ? read.faults[0]!.path : "none";
   };
-  const broken: Array<[string, (plan: typeof full) => unknown]> = [
-    ["mark", (plan) => ({ ...plan, mark: 1.5 })],
+  const broken: Array<[string, (configuration: typeof full) => unknown]> = [
+    ["mark", (configuration) => ({ ...configuration, mark: 1.5 })],
     ["mark", () => ({ spaces: [] })],
-    ["spaces", (plan) => ({ ...plan, spaces: {} })],
-    ["spaces.0", (plan) => ({ ...plan, spaces: [null] })],
-    ["newer", (plan) => ({ ...plan, newer: 1 })],
-    ["toString", (plan) => ({ ...plan, toString: 1 })],
-    ["limits.subscriptions", (plan) => ({ ...plan, limits: { subscriptions: "1" } })],
-    ["spaces.0.prefix", (plan) => ({ ...plan, spaces: [{ ...plan.spaces[0], prefix: 7 }] })],
-    ["spaces.0.program.0.owe.order", (plan) => ({ ...plan, spaces: [space("a", {}, { order: "any" })] })],
-    ["spaces.0.program.0.owe.publishers.0", (plan) => ({ ...plan, spaces: [space("a", {}, { publishers: [1] })] })],
+    ["spaces", (configuration) => ({ ...configuration, spaces: {} })],
+    ["spaces.0", (configuration) => ({ ...configuration, spaces: [null] })],
+    ["newer", (configuration) => ({ ...configuration, newer: 1 })],
+    ["toString", (configuration) => ({ ...configuration, toString: 1 })],
+    ["limits.subscriptions", (configuration) => ({ ...configuration, limits: { subscriptions: "1" } })],
+    ["spaces.0.prefix", (configuration) => ({ ...configuration, spaces: [{ ...configuration.spaces[0], prefix: 7 }] })],
+    [
+      "spaces.0.program.0.owe.order",
+      (configuration) => ({ ...configuration, spaces: [space("a", {}, { order: "any" })] }),
+    ],
+    [
+      "spaces.0.program.0.owe.publishers.0",
+      (configuration) => ({ ...configuration, spaces: [space("a", {}, { publishers: [1] })] }),
+    ],
   ];
   for (const [path, change] of broken) expect(pathOf(change(structuredClone(full)))).toEqual(path);
   for (const value of [null, 7, "plan", [], undefined]) expect(pathOf(value)).toEqual("");
-  expect("faults" in PlanReader.parse("{")).toEqual(true);
+  expect("faults" in ConfigurationReader.parse("{")).toEqual(true);
 });
 
 test("the whole check takes no list for an object: no node could read what was accepted", () => {
   const rules = (rule: object): object => ({ mark: 1, spaces: [{ name: "a", program: [rule] }] });
   const listed: Array<[string, object]> = [
     ["limits", { mark: 1, spaces: [], limits: [] }],
-    ["spaces.0.program.0.when", rules({ when: [], owe })],
-    ["spaces.0.program.0.owe.fault_budget", rules({ when: {}, owe: { ...owe, fault_budget: [] } })],
+    ["spaces.0.program.0.when", rules({ when: [], owe: contract })],
+    ["spaces.0.program.0.owe.fault_budget", rules({ when: {}, owe: { ...contract, fault_budget: [] } })],
   ];
   for (const [path, value] of listed) {
-    const read = PlanSchema.read(value);
+    const read = ConfigurationSchema.read(documentOf(value));
     expect("faults" in read ? read.faults.map((fault) => fault.path) : []).toEqual([path]);
   }
 });
--- a/packages/core/src/configuration/configuration.ts
+++ b/packages/core/src/configuration/configuration.ts
@@ -3,7 +3,7 @@
 /** `sender` and `topic` give each topic one sequence, which `topic` promises; `space` gives one to a whole space. */
 export type Order = "sender" | "topic" | "space";
 
-export interface Owe {
+export interface TopicContract {
   /** Seconds; 0 keeps nothing. */
   keep: number;
   order: Order;
@@ -17,30 +17,31 @@
   prefix?: string;
   /** How long a call may wait. */
   deadlineMs?: number;
-  program: Array<{ when: { topic?: string; topicPrefix?: string }; owe: Owe }>;
+  program: Array<{ when: { topic?: string; topicPrefix?: string }; contract: TopicContract }>;
 }
-export interface Plan {
-  mark: number;
+export interface Configuration {
+  version: number;
   spaces: Space[];
   limits?: { subscriptions?: number; payloadBytes?: number };
 }
-export type PlanRead = { plan: Plan } | { faults: PlanFault[] };
-export interface PlanFault {
+export type ConfigurationRead = { configuration: Configuration } | { faults: ConfigurationFault[] };
+export interface ConfigurationFault {
   path: string;
   problem: string;
 }
 
 /** Made at the first question about a plan. Invariant: a plan that was asked about is never changed. */
-const indexes = new WeakMap<Plan, PrefixIndex<Space>>();
+const indexes = new WeakMap<Configuration, PrefixIndex<Space>>();
 
-function indexOf(plan: Plan): PrefixIndex<Space> {
-  const index = indexes.get(plan) ?? new PrefixIndex(plan.spaces, (space) => Plans.prefixOf(space));
-  indexes.set(plan, index);
+function indexOf(configuration: Configuration): PrefixIndex<Space> {
+  const index =
+    indexes.get(configuration) ?? new PrefixIndex(configuration.spaces, (space) => Configurations.prefixOf(space));
+  indexes.set(configuration, index);
   return index;
 }
 
 /** The operators' configuration: data, checked whole where it is put, judged by pure functions on every node. */
-export const Plans = {
+export const Configurations = {
   /** Of a plan, and of the operators' document about it: 5,000 routes have about 1.2 MB. */
   maxBytes: 4 * 1024 * 1024,
   maxSpaces: 16_384,
@@ -54,8 +55,8 @@
   },
 
   /** The space that owns a topic: the longest prefix wins. */
-  spaceOf(plan: Plan | undefined, topic: string): Space | undefined {
-    return plan === undefined ? undefined : indexOf(plan).longest(topic);
+  spaceOf(configuration: Configuration | undefined, topic: string): Space | undefined {
+    return configuration === undefined ? undefined : indexOf(configuration).longest(topic);
   },
 
   isTopic(topic: unknown): topic is string {
@@ -63,37 +64,40 @@
   },
 
   /** The order of the space with this prefix. Its rules may differ between `sender` and `topic` only. */
-  orderOf(plan: Plan | undefined, prefix: string): Order | undefined {
-    return plan === undefined ? undefined : indexOf(plan).get(prefix)?.program[0]?.owe.order;
+  orderOf(configuration: Configuration | undefined, prefix: string): Order | undefined {
+    return configuration === undefined ? undefined : indexOf(configuration).get(prefix)?.program[0]?.contract.order;
   },
 
   /** What the plan owes a topic: its space's first rule that matches; undefined where none does. */
-  owed(plan: Plan | undefined, topic: string): Owe | undefined {
-    const space = Plans.spaceOf(plan, topic);
+  contractFor(configuration: Configuration | undefined, topic: string): TopicContract | undefined {
+    const space = Configurations.spaceOf(configuration, topic);
     if (space === undefined) return undefined;
-    const rest = topic.slice(Plans.prefixOf(space).length);
+    const rest = topic.slice(Configurations.prefixOf(space).length);
     const rule = space.program.find(
       ({ when: cond }) =>
         (cond.topic === undefined || cond.topic === rest) &&
         (cond.topicPrefix === undefined || rest.startsWith(cond.topicPrefix)),
     );
-    return rule?.owe;
+    return rule?.contract;
   },
 
   /** Bytes that a message under this contract may have: the plan's limit holds for all, whatever a contract allows. */
-  maxPayload(plan: Plan | undefined, owed: Owe): number {
-    return Math.min(owed.maxBytes ?? Plans.usualPayloadBytes, plan?.limits?.payloadBytes ?? Infinity);
+  maxPayload(configuration: Configuration | undefined, contract: TopicContract): number {
+    return Math.min(
+      contract.maxBytes ?? Configurations.usualPayloadBytes,
+      configuration?.limits?.payloadBytes ?? Infinity,
+    );
   },
 
   /** Topics that one connection may have. */
-  maxSubscriptions(plan: Plan | undefined): number {
-    return plan?.limits?.subscriptions ?? Plans.usualSubscriptions;
+  maxSubscriptions(configuration: Configuration | undefined): number {
+    return configuration?.limits?.subscriptions ?? Configurations.usualSubscriptions;
   },
 
-  mayPublish(owed: Owe, session: string): boolean {
+  mayPublish(contract: TopicContract, session: string): boolean {
     return (
-      owed.publishers === undefined ||
-      owed.publishers.some((one) => one === session || (one.endsWith("*") && session.startsWith(one.slice(0, -1))))
+      contract.publishers === undefined ||
+      contract.publishers.some((one) => one === session || (one.endsWith("*") && session.startsWith(one.slice(0, -1))))
     );
   },
 };
--- a/packages/core/src/configuration/configurationReader.ts
+++ b/packages/core/src/configuration/configurationReader.ts
@@ -1,10 +1,11 @@
-import type { Plan, PlanFault, PlanRead } from "./configuration.js";
+import type { ConfigurationFault, ConfigurationRead } from "./configuration.js";
+import { documentFields, fromDocument, type ConfigurationDocument } from "./configurationDocument.js";
 
-type Check = (value: unknown, path: string) => PlanFault | undefined;
+type Check = (value: unknown, path: string) => ConfigurationFault | undefined;
 
 const text: Check = (value, path) => (typeof value === "string" ? undefined : { path, problem: "must be a string" });
 const number: Check = (value, path) => (Number.isFinite(value) ? undefined : { path, problem: "must be a number" });
-const mark: Check = (value, path) =>
+const version: Check = (value, path) =>
   Number.isSafeInteger(value) && (value as number) > 0 ? undefined : { path, problem: "must be a mark" };
 const order: Check = (value, path) =>
   ["sender", "topic", "space", "one"].includes(value as string) ? undefined : { path, problem: "must be an order" };
@@ -40,8 +41,8 @@
   };
 }
 
-const planCheck = record({
-  mark,
+const configurationCheck = record({
+  [documentFields.version]: version,
   spaces: list(
     record({
       name: text,
@@ -50,7 +51,7 @@
       program: list(
         record({
           when: record({ "topic?": text, "topicPrefix?": text }),
-          owe: record({
+          [documentFields.contract]: record({
             keep: number,
             order,
             fault_budget: record({ "machines?": number, "zones?": number }),
@@ -68,25 +69,18 @@
  * Reads plans that were checked when they were put, on every node and without a library: only whether the data
  * has the shape that this version knows.
  */
-export const PlanReader = {
-  read(value: unknown): PlanRead {
-    const fault = planCheck(value, "");
-    return fault === undefined ? { plan: PlanReader.normalized(value as Plan) } : { faults: [fault] };
+export const ConfigurationReader = {
+  read(value: unknown): ConfigurationRead {
+    const fault = configurationCheck(value, "");
+    return fault === undefined ? { configuration: fromDocument(value as ConfigurationDocument) } : { faults: [fault] };
   },
 
   /** Whatever the text is. */
-  parse(plan: string): PlanRead {
+  parse(configuration: string): ConfigurationRead {
     try {
-      return PlanReader.read(JSON.parse(plan));
+      return ConfigurationReader.read(JSON.parse(configuration));
     } catch (cause) {
       return { faults: [{ path: "", problem: `is not JSON: ${(cause as Error).message}` }] };
     }
   },
-
-  /** `one` is the earlier word for `space`. */
-  normalized(plan: Plan): Plan {
-    for (const { program } of plan.spaces)
-      for (const { owe } of program) if ((owe.order as string) === "one") owe.order = "space";
-    return plan;
-  },
 };
--- a/packages/core/src/configuration/configurationSchema.ts
+++ b/packages/core/src/configuration/configurationSchema.ts
@@ -1,9 +1,10 @@
 import * as v from "valibot";
-import { Plans, type PlanFault, type PlanRead, type Space } from "./configuration.js";
-import { PlanReader } from "./configurationReader.js";
+import { Configurations, type ConfigurationFault, type ConfigurationRead, type Space } from "./configuration.js";
+import { documentFields } from "./configurationDocument.js";
+import { ConfigurationReader } from "./configurationReader.js";
 
 /** Versions are exact in a double. */
-const maxMark = Number.MAX_SAFE_INTEGER;
+const maxVersion = Number.MAX_SAFE_INTEGER;
 /** Ten years. */
 const maxRetentionSeconds = 315_360_000;
 const maxPayloadBytes = 262_144;
@@ -12,7 +13,7 @@
   v.pipe(v.number(), v.integer(), v.minValue(least), v.maxValue(most));
 const shortText = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 
-const owe = v.strictObject({
+const contract = v.strictObject({
   keep: v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(maxRetentionSeconds)),
   order: v.picklist(["sender", "topic", "space", "one"]),
   fault_budget: v.strictObject({
@@ -29,12 +30,16 @@
   name: v.pipe(v.string(), v.regex(/^[A-Za-z0-9._-]{1,64}$/)),
   prefix: v.optional(v.pipe(v.string(), v.regex(/^[\x21-\x7e]{0,200}$/))),
   deadlineMs: v.optional(wholeNumber(1, 600_000)),
-  program: v.pipe(v.array(v.strictObject({ when, owe })), v.minLength(1), v.maxLength(64)),
+  program: v.pipe(
+    v.array(v.strictObject({ when, [documentFields.contract]: contract })),
+    v.minLength(1),
+    v.maxLength(64),
+  ),
 });
 
-const planType = v.strictObject({
-  mark: wholeNumber(1, maxMark),
-  spaces: v.pipe(v.array(space), v.maxLength(Plans.maxSpaces)),
+const configurationType = v.strictObject({
+  [documentFields.version]: wholeNumber(1, maxVersion),
+  spaces: v.pipe(v.array(space), v.maxLength(Configurations.maxSpaces)),
   limits: v.optional(
     v.strictObject({
       subscriptions: v.optional(wholeNumber(0, 100_000)),
@@ -47,38 +52,38 @@
  * The whole check of an operator's plan: every problem with its path. Its library is one that is loaded in
  * milliseconds, for a control node stands still meanwhile.
  */
-export const PlanSchema = {
-  read(value: unknown): PlanRead {
-    const checked = v.safeParse(planType, value);
+export const ConfigurationSchema = {
+  read(value: unknown): ConfigurationRead {
+    const checked = v.safeParse(configurationType, value);
     if (!checked.success) return { faults: checked.issues.map(faultOf) };
     // The schema takes a list for an object; no node could read that plan.
-    const read = PlanReader.read(value);
+    const read = ConfigurationReader.read(value);
     if ("faults" in read) return read;
-    const { plan } = read;
-    const faults = [...sameSpaces(plan.spaces), ...plan.spaces.flatMap(mixedRules)];
-    return faults.length > 0 ? { faults } : { plan };
+    const { configuration } = read;
+    const faults = [...sameSpaces(configuration.spaces), ...configuration.spaces.flatMap(mixedRules)];
+    return faults.length > 0 ? { faults } : { configuration };
   },
 
   /** Whatever the text is. */
-  parse(text: string): PlanRead {
+  parse(text: string): ConfigurationRead {
     try {
-      return PlanSchema.read(JSON.parse(text));
+      return ConfigurationSchema.read(JSON.parse(text));
     } catch (cause) {
       return { faults: [{ path: "", problem: `is not JSON: ${(cause as Error).message}` }] };
     }
   },
 };
 
-function faultOf(issue: v.BaseIssue<unknown>): PlanFault {
+function faultOf(issue: v.BaseIssue<unknown>): ConfigurationFault {
   return { path: v.getDotPath(issue) ?? "", problem: issue.message };
 }
 
-function sameSpaces(spaces: readonly Space[]): PlanFault[] {
-  const faults: PlanFault[] = [];
+function sameSpaces(spaces: readonly Space[]): ConfigurationFault[] {
+  const faults: ConfigurationFault[] = [];
   const names = new Set<string>();
   const prefixes = new Set<string>();
   spaces.forEach((space, i) => {
-    const prefix = Plans.prefixOf(space);
+    const prefix = Configurations.prefixOf(space);
     if (names.has(space.name))
       faults.push({ path: `spaces.${i}.name`, problem: `a second space is called ${space.name}` });
     else if (prefixes.has(prefix))
@@ -90,11 +95,11 @@
 }
 
 /** A space is one stream or a stream a topic; and one stream is kept or not as a whole. */
-function mixedRules({ program }: Space, i: number): PlanFault[] {
-  const first = program[0]!.owe;
+function mixedRules({ program }: Space, i: number): ConfigurationFault[] {
+  const first = program[0]!.contract;
   const isWhole = first.order === "space";
-  return program.flatMap(({ owe: { order, keep } }, j) => {
-    const path = `spaces.${i}.program.${j}.owe`;
+  return program.flatMap(({ contract: { order, keep } }, j) => {
+    const path = `spaces.${i}.program.${j}.${documentFields.contract}`;
     if ((order === "space") !== isWhole)
       return [
         {
--- a/packages/core/src/configuration/contractRisks.ts
+++ b/packages/core/src/configuration/contractRisks.ts
@@ -21,9 +21,14 @@
 export function contractRisks(node: ClusterNode): ContractRisk[] {
   const sets = liveSets(node);
   const narrow = sets.filter((set) => !survivesZoneLoss(set)).map(({ shard }) => shard);
-  return (node.plan.plan?.spaces ?? []).flatMap(({ name, program }): ContractRisk[] => {
+  return (node.configuration.configuration?.spaces ?? []).flatMap(({ name, program }): ContractRisk[] => {
     const most = (budget: "machines" | "zones"): number =>
-      Math.max(0, ...program.filter(({ owe }) => owe.keep > 0).map(({ owe }) => owe.fault_budget[budget] ?? 0));
+      Math.max(
+        0,
+        ...program
+          .filter(({ contract }) => contract.keep > 0)
+          .map(({ contract }) => contract.fault_budget[budget] ?? 0),
+      );
     const machines = most("machines");
     const weak = sets.filter((set) => machines > 0 && !survivesLoss(set, machines)).map(({ shard }) => shard);
     const risks: ContractRisk[] = [];
--- a/packages/core/src/configuration/streams.test.ts
+++ b/packages/core/src/configuration/streams.test.ts
@@ -1,37 +1,38 @@
+import { documentTextOf } from "./documentBuilder.js";
 import { test } from "node:test";
 import { expect } from "earl";
 import { IncarnationsKey, type IncarnationsRecord } from "../keys/incarnationsKey.js";
-import type { Order, Plan } from "./configuration.js";
-import { PlanKey } from "../keys/configurationKey.js";
-import { PlanReader } from "./configurationReader.js";
+import type { Order, Configuration } from "./configuration.js";
+import { ConfigurationKey } from "../keys/configurationKey.js";
+import { ConfigurationReader } from "./configurationReader.js";
 import { Streams, type StreamRoute } from "./streams.js";
 
 type Spaces = Record<string, Order>;
 
 /** A plan and its births after the ones before; each plan is given as the orders of its prefixes. */
 class MemoryIncarnation {
-  plan: Plan | undefined;
+  configuration: Configuration | undefined;
   incarnations: IncarnationsRecord | undefined;
 
-  put(mark: number, spaces: Spaces): this {
-    const owe = { keep: 60, fault_budget: {} };
+  put(version: number, spaces: Spaces): this {
+    const contract = { keep: 60, fault_budget: {} };
     const list = Object.entries(spaces).map(([prefix, order], i) => {
-      return { name: `s${i}`, prefix, program: [{ when: {}, owe: { ...owe, order } }] };
+      return { name: `s${i}`, prefix, program: [{ when: {}, contract: { ...contract, order } }] };
     });
-    const value = Buffer.from(JSON.stringify({ mark, spaces: list }));
-    const read = PlanReader.parse(value.toString());
-    this.plan = "plan" in read ? read.plan : undefined;
-    const incarnations = IncarnationsKey.next(this.incarnations, PlanKey.outline(value)!);
+    const value = Buffer.from(documentTextOf({ version, spaces: list }));
+    const read = ConfigurationReader.parse(value.toString());
+    this.configuration = "configuration" in read ? read.configuration : undefined;
+    const incarnations = IncarnationsKey.next(this.incarnations, ConfigurationKey.outline(value)!);
     this.incarnations = IncarnationsKey.read(IncarnationsKey.write(incarnations));
     return this;
   }
 
   route(topic: string): StreamRoute | undefined {
-    return Streams.route(this.plan, this.incarnations, topic);
+    return Streams.route(this.configuration, this.incarnations, topic);
   }
 
   incarnationOf(stream: string): number | undefined {
-    return Streams.spaceIncarnationIn(this.plan, this.incarnations, stream);
+    return Streams.spaceIncarnationIn(this.configuration, this.incarnations, stream);
   }
 }
 
@@ -95,13 +96,13 @@
   let state = 7;
   const incarnation = new MemoryIncarnation();
   const last = new Map<string, StreamRoute>();
-  for (let mark = 1; mark <= 2000; mark += 1) {
+  for (let version = 1; version <= 2000; version += 1) {
     state = (state * 48271) % 2147483647;
     const orders: Spaces = Object.create(null) as Spaces;
     prefixes.forEach((prefix, i) => {
       if (((state >> i) & 1) === 1) orders[prefix] = i === 1 ? "space" : "topic";
     });
-    incarnation.put(mark, orders);
+    incarnation.put(version, orders);
     for (const topic of topics) {
       const before = last.get(topic);
       const now = incarnation.route(topic);
@@ -121,12 +122,12 @@
   const incarnation = new MemoryIncarnation().put(1, { "a/": "topic" });
   for (let i = 0; i <= IncarnationsKey.maxEnded; i += 1)
     incarnation.put(2 * i + 2, { "a/": "topic", [`a/${i}/`]: "topic" }).put(2 * i + 3, { "a/": "topic" });
-  const mark = 2 * IncarnationsKey.maxEnded + 3;
+  const version = 2 * IncarnationsKey.maxEnded + 3;
   expect([incarnation.route("a/0/x")?.spaceIncarnation, incarnation.route("a/1/x")?.spaceIncarnation]).toEqual([
-    mark,
-    mark,
+    version,
+    version,
   ]);
-  incarnation.put(mark + 1, { "a/": "topic" });
+  incarnation.put(version + 1, { "a/": "topic" });
   expect(Object.keys(incarnation.incarnations!.ended)).toEqual([]);
 });
 
@@ -152,5 +153,5 @@
   for (const text of [...broken, '{"mark":1,"spaces":{},"ended":[]}'])
     expect(IncarnationsKey.read(Buffer.from(text))).toEqual(undefined);
   for (const text of ["", "7", '{"mark":1,"spaces":[{}]}', '{"mark":1,"spaces":[null]}', '{"mark":"1","spaces":[]}'])
-    expect(PlanKey.outline(Buffer.from(text))).toEqual(undefined);
+    expect(ConfigurationKey.outline(Buffer.from(text))).toEqual(undefined);
 });
--- a/packages/core/src/configuration/streams.ts
+++ b/packages/core/src/configuration/streams.ts
@@ -1,6 +1,6 @@
 import type { IncarnationsRecord } from "../keys/incarnationsKey.js";
 import { PrefixIndex } from "./prefixIndex.js";
-import { Plans, type Order, type Plan } from "./configuration.js";
+import { Configurations, type Order, type Configuration } from "./configuration.js";
 
 /** Where a topic's messages go: a pure function of its space, the space's order and its birth. */
 export interface StreamRoute {
@@ -30,11 +30,15 @@
   },
 
   /** Undefined where this plan has no space for the topic. */
-  route(plan: Plan | undefined, incarnations: IncarnationsRecord | undefined, topic: string): StreamRoute | undefined {
-    const found = Plans.spaceOf(plan, topic);
-    const order = found?.program[0]?.owe.order;
+  route(
+    configuration: Configuration | undefined,
+    incarnations: IncarnationsRecord | undefined,
+    topic: string,
+  ): StreamRoute | undefined {
+    const found = Configurations.spaceOf(configuration, topic);
+    const order = found?.program[0]?.contract.order;
     if (found === undefined || order === undefined) return undefined;
-    const space = Plans.prefixOf(found);
+    const space = Configurations.prefixOf(found);
     const spaceIncarnation = incarnationOf(incarnations, space, topic);
     return spaceIncarnation === undefined
       ? undefined
@@ -43,14 +47,14 @@
 
   /** The space's birth that a stream must have to be in force; undefined where the plan has no such stream. */
   spaceIncarnationIn(
-    plan: Plan | undefined,
+    configuration: Configuration | undefined,
     incarnations: IncarnationsRecord | undefined,
     stream: string,
   ): number | undefined {
     const space = Streams.spaceOf(stream);
-    if (Plans.orderOf(plan, space) === "space")
+    if (Configurations.orderOf(configuration, space) === "space")
       return stream === Streams.of(space, "", "space") ? incarnationOf(incarnations, space, space) : undefined;
-    const route = Streams.route(plan, incarnations, Streams.topicOf(stream));
+    const route = Streams.route(configuration, incarnations, Streams.topicOf(stream));
     return route?.stream === stream ? route.spaceIncarnation : undefined;
   },
 
@@ -82,7 +86,7 @@
 function incarnationOf(incarnations: IncarnationsRecord | undefined, space: string, topic: string): number | undefined {
   if (incarnations === undefined || !Object.hasOwn(incarnations.spaces, space)) return undefined;
   let latest = incarnations.spaces[space]!;
-  for (const [prefix, mark] of endedIn(incarnations).all(topic))
-    if (mark > latest && prefix.length > space.length) latest = mark;
+  for (const [prefix, version] of endedIn(incarnations).all(topic))
+    if (version > latest && prefix.length > space.length) latest = version;
   return latest;
 }
--- a/packages/core/src/feeds/feedFollower.ts
+++ b/packages/core/src/feeds/feedFollower.ts
@@ -74,7 +74,7 @@
   refused = 0;
   revision = 0;
   /** Told by the plan's view, to be acknowledged. */
-  planMark: () => number = () => 0;
+  configurationVersion: () => number = () => 0;
   fault: () => string = () => "";
 
   constructor(parts: {
@@ -189,7 +189,7 @@
       feed: this.#feed,
       number: this.#number,
       revision: this.revision,
-      planMark: this.planMark(),
+      configurationVersion: this.configurationVersion(),
       fault: this.fault(),
     };
     this.#rpc.send(from, { case: "feedAck", value: ack });
--- a/packages/core/src/http/httpServer.ts
+++ b/packages/core/src/http/httpServer.ts
@@ -10,7 +10,11 @@
   readonly #app: FastifyInstance;
 
   constructor(router: Router, stream?: { pattern: RegExp; open: Stream }) {
-    this.#app = fastify({ bodyLimit: Router.maxPlanBody, forceCloseConnections: true, exposeHeadRoutes: false });
+    this.#app = fastify({
+      bodyLimit: Router.maxConfigurationBody,
+      forceCloseConnections: true,
+      exposeHeadRoutes: false,
+    });
     this.#app.removeAllContentTypeParsers();
     this.#app.addContentTypeParser("*", { parseAs: "buffer" }, (_request, body, done) => done(null, body));
     this.#app.setErrorHandler((fault: { statusCode?: number; message: string }, _request, reply) => {
--- a/packages/core/src/http/router.ts
+++ b/packages/core/src/http/router.ts
@@ -1,5 +1,5 @@
 import { ApiReplies, type ApiReply } from "./apiReply.js";
-import { Plans } from "../configuration/configuration.js";
+import { Configurations } from "../configuration/configuration.js";
 import type { ClusterNode } from "../runtime/clusterNode.js";
 import { Rendezvous } from "../membership/rendezvous.js";
 import { mayRepeat, type CallInit } from "../rpc/callKinds.js";
@@ -25,7 +25,7 @@
 export class Router {
   static readonly maxBody = 1_200_000;
   /** Of a plan; a little more than it may have, so that one beyond its bound is told what that is. */
-  static readonly maxPlanBody = Plans.maxBytes + 200_000;
+  static readonly maxConfigurationBody = Configurations.maxBytes + 200_000;
   static readonly forwardTimeoutMs = 2500;
 
   readonly #node: ClusterNode;
@@ -60,7 +60,7 @@
   }
 
   async run(method: string, path: string, body: Uint8Array, isForwarded = false): Promise<ApiReply> {
-    const most = path === "/v1/plan" ? Router.maxPlanBody : Router.maxBody;
+    const most = path === "/v1/plan" ? Router.maxConfigurationBody : Router.maxBody;
     if (body.length > most) return ApiReplies.fault(413, "too-large", `a body may have ${most} bytes`);
     const matching = this.#routes.filter((route) => route.pattern.test(path));
     const route = matching.find((one) => one.method === method);
--- a/packages/core/src/keys/configurationKey.ts
+++ b/packages/core/src/keys/configurationKey.ts
@@ -1,4 +1,5 @@
-import { Plans } from "../configuration/configuration.js";
+import { Configurations } from "../configuration/configuration.js";
+import { documentFields } from "../configuration/configurationDocument.js";
 
 /** What a plan's spaces are to those who need not know their contracts. */
 export interface SpaceOutline {
@@ -6,36 +7,43 @@
   /** The whole space is one stream. */
   isWhole: boolean;
 }
-export interface PlanOutline {
-  mark: number;
+export interface ConfigurationOutline {
+  version: number;
   spaces: SpaceOutline[];
 }
-interface Raw {
-  mark: unknown;
-  spaces: Array<{ name: string; prefix?: string; program?: Array<{ owe?: { order?: unknown } }> }>;
+/** As much of a stored document as the outline needs; nothing in it was checked. */
+interface RawDocument {
+  [documentFields.version]: unknown;
+  spaces: Array<{
+    name: string;
+    prefix?: string;
+    program?: Array<{ [documentFields.contract]?: { order?: unknown } }>;
+  }>;
 }
 
 /** The key that holds the plan in force, byte for byte as it was sent. */
-export const PlanKey = {
+export const ConfigurationKey = {
   name: "plan",
 
   /** The mark and the spaces, whatever else this version can't read; undefined where there are none. */
-  outline(value: Uint8Array): PlanOutline | undefined {
+  outline(value: Uint8Array): ConfigurationOutline | undefined {
     try {
-      const { mark, spaces } = JSON.parse(Buffer.from(value).toString()) as Raw;
+      const { [documentFields.version]: version, spaces } = JSON.parse(Buffer.from(value).toString()) as RawDocument;
       const outlines = spaces.map((space) => {
-        const order = space.program?.[0]?.owe?.order;
+        const order = space.program?.[0]?.[documentFields.contract]?.order;
         const isGood = typeof space.name === "string" && ["undefined", "string"].includes(typeof space.prefix);
-        return isGood ? { prefix: Plans.prefixOf(space), isWhole: order === "space" || order === "one" } : undefined;
+        return isGood
+          ? { prefix: Configurations.prefixOf(space), isWhole: order === "space" || order === "one" }
+          : undefined;
       });
-      const isGood = Number.isSafeInteger(mark) && outlines.every((one) => one !== undefined);
-      return isGood ? { mark: mark as number, spaces: outlines as SpaceOutline[] } : undefined;
+      const isGood = Number.isSafeInteger(version) && outlines.every((one) => one !== undefined);
+      return isGood ? { version: version as number, spaces: outlines as SpaceOutline[] } : undefined;
     } catch {
       return undefined;
     }
   },
 
-  markOf(value: Uint8Array): number {
-    return PlanKey.outline(value)?.mark ?? 0;
+  versionOf(value: Uint8Array): number {
+    return ConfigurationKey.outline(value)?.version ?? 0;
   },
 };
--- a/packages/core/src/keys/incarnationsKey.ts
+++ b/packages/core/src/keys/incarnationsKey.ts
@@ -1,18 +1,21 @@
 import { PrefixIndex } from "../configuration/prefixIndex.js";
 import { JsonValue } from "./jsonValue.js";
-import type { PlanOutline, SpaceOutline } from "./configurationKey.js";
+import type { ConfigurationOutline, SpaceOutline } from "./configurationKey.js";
 
 /** Marks of plans, by prefix. */
 export interface IncarnationsRecord {
   /** The plan that this belongs to. */
-  mark: number;
+  version: number;
   /** For each space the mark of the plan in which it appeared, or appeared again. */
   spaces: Record<string, number>;
   /** For each prefix whose topics fell back to a space with a shorter one, when they last did. */
   ended: Record<string, number>;
 }
 
-type Marks = ReadonlyArray<readonly [prefix: string, mark: number]>;
+/** The field of stored records for the configuration's version; older than the term. */
+const storedVersion = "mark";
+
+type Versions = ReadonlyArray<readonly [prefix: string, mark: number]>;
 
 /** The key beside the plan that says when each of its spaces was born; written with the plan, in one step. */
 export const IncarnationsKey = {
@@ -21,16 +24,17 @@
   maxEnded: 256,
 
   write(record: Omit<IncarnationsRecord, "ended"> & Partial<IncarnationsRecord>): Uint8Array {
-    return JsonValue.write(record);
+    const { version, ...rest } = record;
+    return JsonValue.write({ [storedVersion]: version, ...rest });
   },
 
   read(value: Uint8Array): IncarnationsRecord | undefined {
     const record = JsonValue.read(value);
     const spaces = JsonValue.numbers(record?.["spaces"]);
     const ended = JsonValue.numbers(record?.["ended"] ?? {});
-    const mark = record?.["mark"];
-    return typeof mark === "number" && spaces !== undefined && ended !== undefined
-      ? { mark, spaces, ended }
+    const version = record?.[storedVersion];
+    return typeof version === "number" && spaces !== undefined && ended !== undefined
+      ? { version, spaces, ended }
       : undefined;
   },
 
@@ -39,18 +43,18 @@
    * a longer prefix gives back begin anew, so a topic's birth only rises while some plan has it: one by one where
    * each is a stream, and with the whole space where that is one stream.
    */
-  next(before: IncarnationsRecord | undefined, { mark, spaces }: PlanOutline): IncarnationsRecord {
+  next(before: IncarnationsRecord | undefined, { version, spaces }: ConfigurationOutline): IncarnationsRecord {
     const present = new Set(spaces.map(({ prefix }) => prefix));
     const earlier = new Map(Object.entries(before?.spaces ?? {}));
-    const incarnations = new Map(spaces.map(({ prefix }) => [prefix, earlier.get(prefix) ?? mark]));
+    const incarnations = new Map(spaces.map(({ prefix }) => [prefix, earlier.get(prefix) ?? version]));
     const gone = [...earlier.keys()].filter((prefix) => !present.has(prefix));
     const index = new PrefixIndex(spaces, ({ prefix }) => prefix);
     for (const prefix of gone) {
       const heir = heirOf(index, prefix);
-      if (heir?.isWhole === true) incarnations.set(heir.prefix, mark);
+      if (heir?.isWhole === true) incarnations.set(heir.prefix, version);
     }
-    const marks = new Map([...Object.entries(before?.ended ?? {}), ...gone.map((one) => [one, mark] as const)]);
-    const all = [...marks].sort((a, b) => b[1] - a[1]);
+    const versions = new Map([...Object.entries(before?.ended ?? {}), ...gone.map((one) => [one, version] as const)]);
+    const all = [...versions].sort((a, b) => b[1] - a[1]);
     const later = new LaterPrefixes();
     const ended = all.filter((one) => {
       const isKept = !present.has(one[0]) && isNeeded(later, one, index, incarnations);
@@ -58,8 +62,8 @@
       return isKept;
     });
     for (const [prefix] of ended.splice(IncarnationsKey.maxEnded))
-      incarnations.set(heirOf(index, prefix)!.prefix, mark);
-    return { mark, spaces: Object.fromEntries(incarnations), ended: Object.fromEntries(ended) };
+      incarnations.set(heirOf(index, prefix)!.prefix, version);
+    return { version, spaces: Object.fromEntries(incarnations), ended: Object.fromEntries(ended) };
   },
 };
 
@@ -86,11 +90,11 @@
 /** Neither the heir's birth nor a later end of a shorter prefix says the same. */
 function isNeeded(
   later: LaterPrefixes,
-  [prefix, mark]: Marks[number],
+  [prefix, version]: Versions[number],
   spaces: PrefixIndex<SpaceOutline>,
   incarnations: ReadonlyMap<string, number>,
 ): boolean {
   const heir = heirOf(spaces, prefix);
-  if (heir === undefined || heir.isWhole || incarnations.get(heir.prefix)! >= mark) return false;
+  if (heir === undefined || heir.isWhole || incarnations.get(heir.prefix)! >= version) return false;
   return !later.hasLonger(prefix, heir.prefix.length);
 }
--- a/packages/core/src/runtime/clusterNode.ts
+++ b/packages/core/src/runtime/clusterNode.ts
@@ -8,7 +8,7 @@
 import { Membership } from "../membership/membership.js";
 import type { NodeParts } from "./nodeParts.js";
 import { MachinesView } from "../feeds/machinesView.js";
-import { PlanView } from "../configuration/configurationView.js";
+import { ConfigurationView } from "../configuration/configurationView.js";
 import { ShardsView } from "../feeds/shardsView.js";
 import { PackedValue } from "../store/packedValue.js";
 import { StoreClient } from "../store/storeClient.js";
@@ -29,7 +29,7 @@
   readonly journal = new ChangeJournal<Change>(ClusterNode.#maxChanges, ClusterNode.#withoutLarge);
   readonly feed: FeedFollower;
   readonly machines: MachinesView;
-  readonly plan: PlanView;
+  readonly configuration: ConfigurationView;
   readonly configurationVerifier: ConfigurationVerifier;
   readonly shards: ShardsView;
   readonly #addressBook: AddressBook | undefined;
@@ -64,11 +64,11 @@
       journal: this.journal,
     });
     this.machines = new MachinesView(this.journal);
-    this.plan = new PlanView(this.journal, this.invariants);
-    this.configurationVerifier = new ConfigurationVerifier(this.invariants, () => this.plan.revision);
+    this.configuration = new ConfigurationView(this.journal, this.invariants);
+    this.configurationVerifier = new ConfigurationVerifier(this.invariants, () => this.configuration.revision);
     this.shards = new ShardsView(this.journal);
-    this.feed.planMark = () => this.plan.mark;
-    this.feed.fault = () => this.plan.fault;
+    this.feed.configurationVersion = () => this.configuration.version;
+    this.feed.fault = () => this.configuration.fault;
   }
 
   start(): void {
--- a/packages/core/src/runtime/nodeStatus.ts
+++ b/packages/core/src/runtime/nodeStatus.ts
@@ -27,7 +27,7 @@
   }
 
   status(): object {
-    const { membership, feed, plan, shards, parts } = this.#node;
+    const { membership, feed, configuration, shards, parts } = this.#node;
     return {
       name: parts.settings.name,
       role: parts.settings.role,
@@ -39,7 +39,10 @@
         ageMs: Number.isFinite(feed.age) ? Math.round(feed.age) : null,
         isFresh: feed.isFresh,
       },
-      plan: { mark: plan.mark, spaces: plan.plan?.spaces.map((space) => space.name) ?? [] },
+      configuration: {
+        version: configuration.version,
+        spaces: configuration.configuration?.spaces.map((space) => space.name) ?? [],
+      },
       members: membership.all().map((member) => ({
         name: member.name,
         role: member.role,
@@ -67,11 +70,11 @@
   }
 
   #metrics(): string {
-    const { membership, feed, plan, shards } = this.#node;
+    const { membership, feed, configuration, shards } = this.#node;
     const memory = process.memoryUsage();
     const held = shards.all().filter(([, route]) => route.leader === this.#node.parts.settings.name).length;
     const figures: Record<string, number> = {
-      plan_mark: plan.mark,
+      configuration_version: configuration.version,
       feed_revision: feed.revision,
       feed_age_seconds: Number.isFinite(feed.age) ? feed.age / 1000 : -1,
       members_alive: membership.alive().length,
--- a/packages/core/src/runtime/settings.test.ts
+++ b/packages/core/src/runtime/settings.test.ts
@@ -13,7 +13,7 @@
   address: "127.0.0.1:7001",
   http: "127.0.0.1:8001",
   seeds: ["127.0.0.1:7001"],
-  controlCount: 3,
+  lathes: 3,
 };
 const problemsOf = (value: unknown): string[] => {
   const read = SettingsReader.check(value);
--- a/packages/core/src/store/packedValue.test.ts
+++ b/packages/core/src/store/packedValue.test.ts
@@ -2,10 +2,10 @@
 import { expect } from "earl";
 import { packing, PackedValue, type Packed } from "./packedValue.js";
 
-const routes = (count: number, changed: number, mark = 1): Buffer =>
+const routes = (count: number, changed: number, version = 1): Buffer =>
   Buffer.from(
     JSON.stringify({
-      mark,
+      mark: version,
       spaces: Array.from({ length: count }, (_, i) => ({
         name: `r${i}`,
         prefix: `t${i}.`,
--- a/packages/core/src/store/storeClient.test.ts
+++ b/packages/core/src/store/storeClient.test.ts
@@ -53,7 +53,7 @@
     turn: () => turns.splice(0).forEach((fire) => fire()),
     silence: () => dues.splice(0).forEach((fire) => fire()),
     answer: (frame, body) =>
-      tell(body, { from: frame.to, id: frame.id, isReceipt: true, caller: frame.callerIncarnation }),
+      tell(body, { from: frame.to, id: frame.id, isReply: true, callerIncarnation: frame.callerIncarnation }),
   };
 }
 
--- a/packages/edge/src/edgeCalls.ts
+++ b/packages/edge/src/edgeCalls.ts
@@ -1,5 +1,5 @@
 import { type } from "arktype";
-import { Plans } from "@cranetrack/core/configuration/configuration.js";
+import { Configurations } from "@cranetrack/core/configuration/configuration.js";
 import type { ApiCall, Router } from "@cranetrack/core/http/router.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { BodyReader } from "@cranetrack/core/http/bodyReader.js";
@@ -38,7 +38,7 @@
   async #subscribe(session: Session, body: Uint8Array): Promise<ApiReply> {
     const read = BodyReader.read(body, subscriptionsBody);
     if ("reply" in read) return read.reply;
-    if (!Plans.isTopic(read.value.topic))
+    if (!Configurations.isTopic(read.value.topic))
       return ApiReplies.fault(400, "malformed", "a topic is space/name", {
         problems: [{ path: "topic", problem: "must be space/name" }],
       });
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -6,7 +6,7 @@
 import { SubscriptionKey } from "./sessions/subscriptionKey.js";
 import type { Session } from "./sessions/session.js";
 import { Sessions } from "./sessions/sessions.js";
-import { PlanCheck } from "./publishing/configurationCheck.js";
+import { ConfigurationCheck } from "./publishing/configurationCheck.js";
 import { StreamTable } from "./fanout/streamTable.js";
 import type { EdgeParts } from "./edgeParts.js";
 
@@ -18,7 +18,7 @@
   readonly lease: LeaseKeepAlive;
   readonly sessions: Sessions;
   readonly streams: StreamTable;
-  readonly planCheck: PlanCheck;
+  readonly configurationCheck: ConfigurationCheck;
   readonly router: Router;
   readonly heartbeatIntervalMs = 300;
   readonly publishTimeoutMs = 700;
@@ -35,8 +35,8 @@
     this.lease = new LeaseKeepAlive(settings.name, settings.edgeLeaseMs, node.store, clock, random);
     this.sessions = new Sessions(node, this.lease);
     this.streams = new StreamTable(node);
-    this.planCheck = new PlanCheck(node.store);
-    node.plan.on("changed", () => this.#planChanged());
+    this.configurationCheck = new ConfigurationCheck(node.store);
+    node.configuration.on("changed", () => this.#configurationChanged());
     clock.every(this.heartbeatIntervalMs, () => this.#tick());
     clock.every(200_000, () => this.#renewSessions());
   }
@@ -96,10 +96,10 @@
     return (near.length > 0 ? near : others).map(({ address }) => address);
   }
 
-  #planChanged(): void {
-    const { plan } = this.node.plan;
+  #configurationChanged(): void {
+    const { configuration } = this.node.configuration;
     for (const session of this.sessions.table.values())
-      for (const cursor of session.cursors()) cursor.planChanged(plan);
+      for (const cursor of session.cursors()) cursor.configurationChanged(configuration);
   }
 
   #tick(): void {
--- a/packages/edge/src/edgeParts.ts
+++ b/packages/edge/src/edgeParts.ts
@@ -4,7 +4,7 @@
 import type { ClientConnection } from "./connections/clientConnection.js";
 import type { Session } from "./sessions/session.js";
 import type { Sessions } from "./sessions/sessions.js";
-import type { PlanCheck } from "./publishing/configurationCheck.js";
+import type { ConfigurationCheck } from "./publishing/configurationCheck.js";
 import type { StreamTable } from "./fanout/streamTable.js";
 
 /** What the requests of an edge work with. */
@@ -13,7 +13,7 @@
   readonly lease: LeaseKeepAlive;
   readonly sessions: Sessions;
   readonly streams: StreamTable;
-  readonly planCheck: PlanCheck;
+  readonly configurationCheck: ConfigurationCheck;
   readonly router: Router;
   readonly heartbeatIntervalMs: number;
   readonly publishTimeoutMs: number;
--- a/packages/edge/src/fanout/countTopic.ts
+++ b/packages/edge/src/fanout/countTopic.ts
@@ -10,12 +10,12 @@
 
 /** Subscribers of a topic at all edges, told by the shard's holder, and by the next one while it changes hands. */
 export async function countTopic(edge: EdgeParts, topic: string): Promise<Count> {
-  const { rpc, shards, parts, plan } = edge.node;
+  const { rpc, shards, parts, configuration } = edge.node;
   const end = parts.clock.now() + maxMs;
   for (let left = maxMs; left > 0; left = end - parts.clock.now()) {
-    const route = plan.route(topic);
+    const route = configuration.route(topic);
     if (route === undefined) {
-      const fault = await edge.planCheck.faultOf(topic);
+      const fault = await edge.configurationCheck.faultOf(topic);
       return fault.retryAfterSeconds === undefined
         ? { outcome: "unknown-topic" }
         : { outcome: "away", retryAfterSeconds: fault.retryAfterSeconds };
--- a/packages/edge/src/fanout/shardFollow.test.ts
+++ b/packages/edge/src/fanout/shardFollow.test.ts
@@ -21,7 +21,7 @@
   create(PushSchema, { follow, number, batches: [{ stream, incarnation, messages: seqs.map(message) }] });
 
 /** A follow at a holder that answers a full follow and pushes what it owes in the same breath. */
-function followed(owed: number[]): { tail: StreamTail; follow: ShardFollow; asked: () => number } {
+function followed(pendingNumbers: number[]): { tail: StreamTail; follow: ShardFollow; asked: () => number } {
   let fulls = 0;
   const turns: Array<() => void> = [];
   const parts: Pick<ClusterNode, "rpc" | "parts" | "shards"> = {
@@ -39,7 +39,7 @@
         const value = create(FollowReplySchema, { outcome: "done", epoch: 7, number: 0, heads });
         const reply = Promise.resolve<Body>({ case: "followReply", value });
         // One piece of the net's: the receipt settles its promise, the push is handed on before anybody saw that.
-        follow.take(push(body.value.follow!, 1, owed));
+        follow.take(push(body.value.follow!, 1, pendingNumbers));
         return reply;
       },
     } as object as ClusterNode["rpc"],
--- a/packages/edge/src/fanout/streamTable.ts
+++ b/packages/edge/src/fanout/streamTable.ts
@@ -58,7 +58,7 @@
       this.#follows[shard]?.moved();
       void this.#atReplicas[shard]?.tend();
     });
-    node.plan.on("changed", () => this.#planChanged());
+    node.configuration.on("changed", () => this.#configurationChanged());
     node.parts.clock.every(ShardFollow.tickIntervalMs, () => this.#tick());
   }
 
@@ -91,7 +91,7 @@
     let tail = this.#tails.get(key);
     if (tail === undefined) {
       tail = new StreamTail(route, this.shardOf(route.stream));
-      tail.keepsNothing = keepsNothing(this.#node.plan.plan, route.stream);
+      tail.keepsNothing = keepsNothing(this.#node.configuration.configuration, route.stream);
       tail.on("disorder", ({ message: { topic, session, number }, last }) =>
         this.#node.invariants.violated("publisherOrder", { topic, session, number, last }),
       );
@@ -167,11 +167,11 @@
   }
 
   /** A plan in force that has no such stream, or another birth of its space, ends what was followed of it. */
-  #planChanged(): void {
+  #configurationChanged(): void {
     for (const tail of this.#tails.values()) {
-      tail.keepsNothing = keepsNothing(this.#node.plan.plan, tail.stream);
+      tail.keepsNothing = keepsNothing(this.#node.configuration.configuration, tail.stream);
       if (tail.keepsNothing) this.#atReplicas[tail.shard]!.giveBack(tail);
-      if (this.#node.plan.spaceIncarnationOf(tail.stream) === tail.route.spaceIncarnation) continue;
+      if (this.#node.configuration.spaceIncarnationOf(tail.stream) === tail.route.spaceIncarnation) continue;
       this.#remove(tail);
       tail.end("topic-gone");
     }
--- a/packages/edge/src/publishing/configurationCheck.test.ts
+++ b/packages/edge/src/publishing/configurationCheck.test.ts
@@ -3,9 +3,9 @@
 import { KvSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { Outcome } from "@cranetrack/core/store/storeClient.js";
 import { expect } from "earl";
-import { PlanCheck } from "./configurationCheck.js";
+import { ConfigurationCheck } from "./configurationCheck.js";
 
-const planOf = (revision: number, ...prefixes: string[]): Outcome => {
+const configurationOf = (revision: number, ...prefixes: string[]): Outcome => {
   const value = Buffer.from(
     JSON.stringify({ mark: revision, spaces: prefixes.map((name) => ({ name, prefix: name })) }),
   );
@@ -14,11 +14,11 @@
 
 test("a topic is unknown by the plan that the store has at the question, however it was before", async () => {
   let read: Outcome = { outcome: "done", kvs: [] };
-  const check = new PlanCheck({ read: () => Promise.resolve(read) });
+  const check = new ConfigurationCheck({ read: () => Promise.resolve(read) });
   const codes = async (...topics: string[]): Promise<string[]> =>
     (await Promise.all(topics.map((topic) => check.faultOf(topic)))).map(({ code }) => code);
   expect(await codes("a.x")).toEqual(["unknown-topic"]);
-  read = planOf(1, "a.", "b.");
+  read = configurationOf(1, "a.", "b.");
   expect(await codes("a.x", "c.x", "a", "b.")).toEqual([
     "unavailable",
     "unknown-topic",
@@ -26,7 +26,7 @@
     "unavailable",
   ]);
   expect(await codes("a.x", "c.x")).toEqual(["unavailable", "unknown-topic"]);
-  read = planOf(2, "c.");
+  read = configurationOf(2, "c.");
   expect(await codes("a.x", "c.x")).toEqual(["unknown-topic", "unavailable"]);
   read = { outcome: "away" };
   expect(await codes("a.x", "d.x")).toEqual(["unavailable", "unavailable"]);
--- a/packages/edge/src/publishing/configurationCheck.ts
+++ b/packages/edge/src/publishing/configurationCheck.ts
@@ -1,4 +1,4 @@
-import { PlanKey, type SpaceOutline } from "@cranetrack/core/keys/configurationKey.js";
+import { ConfigurationKey, type SpaceOutline } from "@cranetrack/core/keys/configurationKey.js";
 import type { StoreClient } from "@cranetrack/core/store/storeClient.js";
 import { PrefixIndex } from "@cranetrack/core/configuration/prefixIndex.js";
 import type { TopicFault } from "./topicFault.js";
@@ -10,7 +10,7 @@
  * from its cache.
  * Invariant: an answer comes from a read that began after the question.
  */
-export class PlanCheck {
+export class ConfigurationCheck {
   readonly #store: Pick<StoreClient, "read">;
   #running: Promise<Prefixes | undefined> | undefined;
   #next: Promise<Prefixes | undefined> | undefined;
@@ -40,13 +40,14 @@
   }
 
   async #read(): Promise<Prefixes | undefined> {
-    const read = await this.#store.read([PlanKey.name]);
+    const read = await this.#store.read([ConfigurationKey.name]);
     if (this.#next === undefined) this.#running = undefined;
     if (read.outcome !== "done") return undefined;
-    const plan = read.kvs?.[0];
-    const revision = plan?.revision ?? 0;
+    const configuration = read.kvs?.[0];
+    const revision = configuration?.revision ?? 0;
     if (this.#latest?.revision === revision) return this.#latest.prefixes;
-    const spaces = (plan === undefined ? undefined : PlanKey.outline(plan.value)?.spaces) ?? [];
+    const spaces =
+      (configuration === undefined ? undefined : ConfigurationKey.outline(configuration.value)?.spaces) ?? [];
     const prefixes: Prefixes = new PrefixIndex(spaces, ({ prefix }) => prefix);
     this.#latest = { revision, prefixes };
     return prefixes;
--- a/packages/edge/src/publishing/publishCall.ts
+++ b/packages/edge/src/publishing/publishCall.ts
@@ -1,5 +1,5 @@
 import { type } from "arktype";
-import { Plans } from "@cranetrack/core/configuration/configuration.js";
+import { Configurations } from "@cranetrack/core/configuration/configuration.js";
 import type { ApiCall } from "@cranetrack/core/http/router.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { BodyReader } from "@cranetrack/core/http/bodyReader.js";
@@ -25,7 +25,7 @@
   const read = BodyReader.read(call.body, messageBody);
   if ("reply" in read) return read.reply;
   const { topic, number, payload } = read.value;
-  if (!Plans.isTopic(topic))
+  if (!Configurations.isTopic(topic))
     return ApiReplies.fault(400, "malformed", "a topic is space/name", {
       problems: [{ path: "topic", problem: "must be space/name" }],
     });
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -1,5 +1,5 @@
 import type { MessageInitShape } from "@bufbuild/protobuf";
-import { Plans } from "@cranetrack/core/configuration/configuration.js";
+import { Configurations } from "@cranetrack/core/configuration/configuration.js";
 import { mayRepeat, type CallInit } from "@cranetrack/core/rpc/callKinds.js";
 import type { PublishReply, PublishSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Cursors } from "../subscriptions/cursor.js";
@@ -33,9 +33,9 @@
     isDoubtful
       ? { outcome: "unsure", reason, retryAfterSeconds }
       : { outcome: "away", reason, retryAfterSeconds, ...(code === undefined ? {} : { code }) };
-  const route = node.plan.route(topic);
+  const route = node.configuration.route(topic);
   if (route === undefined) {
-    const { code, reason, retryAfterSeconds } = await edge.planCheck.faultOf(topic);
+    const { code, reason, retryAfterSeconds } = await edge.configurationCheck.faultOf(topic);
     return retryAfterSeconds === undefined ? { outcome: "refused", code, reason } : givenUp(reason, retryAfterSeconds);
   }
   const shard = edge.streams.shardOf(route.stream);
@@ -63,7 +63,7 @@
 
 /** How long a publish may take: its space's deadline is its callers', who must hear the answer well before it. */
 export function publishTimeoutMs(edge: EdgeParts, topic: string): number {
-  const { deadlineMs = Infinity } = Plans.spaceOf(edge.node.plan.plan, topic) ?? {};
+  const { deadlineMs = Infinity } = Configurations.spaceOf(edge.node.configuration.configuration, topic) ?? {};
   return Math.min(edge.publishTimeoutMs, deadlineMs / 2);
 }
 
--- a/packages/edge/src/sessions/openConnection.ts
+++ b/packages/edge/src/sessions/openConnection.ts
@@ -1,5 +1,5 @@
 import { type } from "arktype";
-import { Plans } from "@cranetrack/core/configuration/configuration.js";
+import { Configurations } from "@cranetrack/core/configuration/configuration.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { BodyReader } from "@cranetrack/core/http/bodyReader.js";
 import type { ClientConnection } from "../connections/clientConnection.js";
@@ -8,6 +8,7 @@
 import type { EdgeParts } from "../edgeParts.js";
 import { AdmitSession } from "./admitSession.js";
 import type { Wish } from "../subscriptions/findStarts.js";
+import type { TopicFault } from "../publishing/topicFault.js";
 import { subscribeTopics } from "../subscriptions/subscribeTopics.js";
 
 const connectionBody = type({
@@ -31,7 +32,7 @@
     );
   const read = BodyReader.read(body.length === 0 ? Buffer.from("{}") : body, connectionBody);
   if ("reply" in read) return read.reply;
-  const faulty = (read.value.subscriptions ?? []).findIndex((wish) => !Plans.isTopic(wish.topic));
+  const faulty = (read.value.subscriptions ?? []).findIndex((wish) => !Configurations.isTopic(wish.topic));
   if (faulty !== -1)
     return ApiReplies.fault(400, "malformed", "a topic is space/name", {
       problems: [{ path: `subscriptions.${faulty}.topic`, problem: "must be space/name" }],
@@ -53,10 +54,21 @@
   });
   forgetOthers(session, read.value.subscriptions);
   const faults = await subscribeTopics(edge, session, connection, read.value.subscriptions ?? kept);
-  if (session.connection === connection) for (const fault of faults ?? []) connection.send({ kind: "fault", ...fault });
+  if (session.connection === connection) for (const fault of faults ?? []) connection.send(faultLine(fault));
   return undefined;
 }
 
+/** A fault in the fields of the HTTP API. */
+function faultLine({ topic, code, reason, retryAfterSeconds }: TopicFault): object {
+  return {
+    kind: "fault",
+    topic,
+    code,
+    reason,
+    ...(retryAfterSeconds === undefined ? {} : { comeBack: retryAfterSeconds }),
+  };
+}
+
 /** A link that names its topics gets these and no others. */
 function forgetOthers(session: Session, wishes: readonly Wish[] | undefined): void {
   if (wishes === undefined) return;
--- a/packages/edge/src/sessions/sessionConnection.ts
+++ b/packages/edge/src/sessions/sessionConnection.ts
@@ -1,4 +1,4 @@
-import { Plans } from "@cranetrack/core/configuration/configuration.js";
+import { Configurations } from "@cranetrack/core/configuration/configuration.js";
 import type { ClientConnection } from "../connections/clientConnection.js";
 import { Cursors } from "../subscriptions/cursor.js";
 import type { TopicFault } from "../publishing/topicFault.js";
@@ -65,7 +65,7 @@
   publish(topic: string, number: number, payload: string): Promise<PublishOutcome> {
     if (!this.#isCurrent)
       return Promise.resolve({ outcome: "unsure", reason: "the session moved on meanwhile", retryAfterSeconds: 0.3 });
-    if (!Plans.isTopic(topic) || !Number.isSafeInteger(number) || number < 1)
+    if (!Configurations.isTopic(topic) || !Number.isSafeInteger(number) || number < 1)
       return Promise.resolve({ outcome: "refused", code: "malformed", reason: "the topic or number is malformed" });
     return publishMessage(this.#edge, this.#session, topic, number, payload);
   }
@@ -81,12 +81,12 @@
 
   #refusal(topic: string): Subscribed | undefined {
     if (!this.#isCurrent) return { outcome: "moved", reason: "the session moved on meanwhile" };
-    if (!Plans.isTopic(topic)) return { outcome: "malformed", reason: "the topic is malformed" };
+    if (!Configurations.isTopic(topic)) return { outcome: "malformed", reason: "the topic is malformed" };
     if (!this.#edge.node.feed.isFresh)
       return { outcome: "away", reason: "this node is out of touch with the store", retryAfterSeconds: 0.5 };
     const isKnown = this.#session.subscriptions.has(topic) || this.#pending.has(topic);
     const count = this.#session.subscriptions.size + this.#pending.size;
-    const most = Plans.maxSubscriptions(this.#edge.node.plan.plan);
+    const most = Configurations.maxSubscriptions(this.#edge.node.configuration.configuration);
     if (!isKnown && count >= most) return { outcome: "too-many", reason: `a connection may have ${most} topics` };
     return undefined;
   }
--- a/packages/edge/src/subscriptions/findStarts.ts
+++ b/packages/edge/src/subscriptions/findStarts.ts
@@ -1,6 +1,6 @@
 import { Grouped } from "@cranetrack/core/store/grouped.js";
 import type { TopicStart } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { Plans } from "@cranetrack/core/configuration/configuration.js";
+import { Configurations } from "@cranetrack/core/configuration/configuration.js";
 import type { StreamRoute } from "@cranetrack/core/configuration/streams.js";
 import { Cursors, type Cursor } from "./cursor.js";
 import type { TopicFault } from "../publishing/topicFault.js";
@@ -45,7 +45,7 @@
   const routed: Routed[] = [];
   for (const { topic, after } of wishes) {
     const asked = Cursors.read(after);
-    const route = edge.node.plan.route(topic);
+    const route = edge.node.configuration.route(topic);
     if (after !== undefined && asked === undefined)
       faults.push({ topic, code: "malformed-place", reason: "the place is malformed" });
     else if (route === undefined) unrouted.push(topic);
@@ -65,7 +65,7 @@
   }
   const [judged] = await Promise.all([
     judge(edge, unknown),
-    Promise.all(unrouted.map(async (topic) => faults.push(await edge.planCheck.faultOf(topic)))),
+    Promise.all(unrouted.map(async (topic) => faults.push(await edge.configurationCheck.faultOf(topic)))),
   ]);
   for (const one of judged) {
     if ("code" in one) faults.push(one);
@@ -76,7 +76,8 @@
 
 /** What the tail shows by itself: a place it has passed in the same birth, of a topic that the plan owes. */
 function heardStart(edge: EdgeParts, { topic, tail, cursor }: Routed): Start | undefined {
-  if (!tail.isKnown || Plans.owed(edge.node.plan.plan, topic) === undefined) return undefined;
+  if (!tail.isKnown || Configurations.contractFor(edge.node.configuration.configuration, topic) === undefined)
+    return undefined;
   if (cursor === undefined)
     return { topic, tail, cursor: { incarnation: tail.incarnation, seq: tail.head }, expired: "" };
   const isHeard = cursor.incarnation === tail.incarnation && cursor.seq >= tail.low && cursor.seq <= tail.head;
--- a/packages/edge/src/subscriptions/streamCursor.ts
+++ b/packages/edge/src/subscriptions/streamCursor.ts
@@ -1,5 +1,5 @@
 import type { StreamMessage } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { Plans, type Plan } from "@cranetrack/core/configuration/configuration.js";
+import { Configurations, type Configuration } from "@cranetrack/core/configuration/configuration.js";
 import type { TimerHandle, Clock } from "@cranetrack/core/runtime/clock.js";
 import { PublisherOrder } from "../fanout/publisherOrder.js";
 import { Cursors, type Cursor } from "./cursor.js";
@@ -96,11 +96,11 @@
   }
 
   /** Topics that the plan now in force owes nothing, or gives to another space, end. */
-  planChanged(plan: Plan | undefined): void {
+  configurationChanged(configuration: Configuration | undefined): void {
     for (const topic of [...this.#topics.keys()]) {
-      const space = Plans.spaceOf(plan, topic);
-      const isOurs = space !== undefined && Plans.prefixOf(space) === this.tail.route.space;
-      if (!isOurs || Plans.owed(plan, topic) === undefined) this.#end(topic, "topic-gone");
+      const space = Configurations.spaceOf(configuration, topic);
+      const isOurs = space !== undefined && Configurations.prefixOf(space) === this.tail.route.space;
+      if (!isOurs || Configurations.contractFor(configuration, topic) === undefined) this.#end(topic, "topic-gone");
     }
   }
 
--- a/packages/edge/src/subscriptions/subscribeTopics.ts
+++ b/packages/edge/src/subscriptions/subscribeTopics.ts
@@ -1,4 +1,4 @@
-import { Plans } from "@cranetrack/core/configuration/configuration.js";
+import { Configurations } from "@cranetrack/core/configuration/configuration.js";
 import type { ClientConnection } from "../connections/clientConnection.js";
 import type { StreamCursor } from "./streamCursor.js";
 import { OwnerKey } from "../sessions/ownerKey.js";
@@ -28,7 +28,10 @@
     const cursor = session.subscriptions.get(topic);
     if (cursor !== undefined) confirm(connection, topic, cursor);
   }
-  const room = Plans.maxSubscriptions(edge.node.plan.plan) - session.subscriptions.size - session.joining;
+  const room =
+    Configurations.maxSubscriptions(edge.node.configuration.configuration) -
+    session.subscriptions.size -
+    session.joining;
   const admitted = fresh.slice(0, Math.max(0, room));
   session.joining += admitted.length;
   const { starts, faults } = await findStarts(edge, session, admitted);
--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -48,7 +48,7 @@
       if (verdict.outcome === "accepted" && verdict.isFresh) this.#heed(verdict.stream);
     });
     replica.on("installed", () => this.#heed(""));
-    node.plan.on("changed", () => this.#heed(""));
+    node.configuration.on("changed", () => this.#heed(""));
     node.shards.on("changed", (shard) => {
       if (shard === replica.shard) this.#closeWhereMustBe();
     });
--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -150,8 +150,8 @@
 
   /** Whether a contract asks for a zone's loss to be survived, the set does so now, and would no longer. */
   #breaksContract(change: ReplicaChange, members: readonly Place[]): boolean {
-    const needsZones = (this.#node.plan.plan?.spaces ?? []).some(({ program }) =>
-      program.some(({ owe }) => owe.keep > 0 && (owe.fault_budget.zones ?? 0) > 0),
+    const needsZones = (this.#node.configuration.configuration?.spaces ?? []).some(({ program }) =>
+      program.some(({ contract }) => contract.keep > 0 && (contract.fault_budget.zones ?? 0) > 0),
     );
     if (!needsZones || !Placement.survivesZoneLoss(members.map((member) => this.#locate(member)))) return false;
     return !Placement.survivesZoneLoss(this.#after(change, members));
--- a/packages/log-storage/src/shards/shardLeadership.ts
+++ b/packages/log-storage/src/shards/shardLeadership.ts
@@ -56,8 +56,8 @@
     lease.on("lost", () => {
       for (const claim of [...this.#claims.values()]) claim.leader.stop("the lease was lost");
     });
-    node.plan.on("changed", () => {
-      for (const claim of this.#claims.values()) if (claim.leader.isServing) claim.service.planChanged();
+    node.configuration.on("changed", () => {
+      for (const claim of this.#claims.values()) if (claim.leader.isServing) claim.service.configurationChanged();
     });
     node.shards.on("changed", (shard) => this.#heed(shard));
     node.parts.clock.every(100, () => this.#tick());
@@ -185,7 +185,7 @@
     };
     this.#claims.set(shard, claim);
     leader.on("over", (why) => void this.#over(shard, claim, why));
-    leader.on("serving", () => claim.service.planChanged());
+    leader.on("serving", () => claim.service.configurationChanged());
     if (!(await leader.takeOver())) leader.stop("no majority of the replicas pledged");
   }
 
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -12,7 +12,11 @@
   type StartRequest,
   type TrimStreamSchema,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { Plans, type Owe, type Plan } from "@cranetrack/core/configuration/configuration.js";
+import {
+  Configurations,
+  type TopicContract,
+  type Configuration,
+} from "@cranetrack/core/configuration/configuration.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
@@ -101,13 +105,13 @@
   async #judge(publish: Publish): Promise<PublishOutcome> {
     if (!this.isOpen) return this.#unavailable();
     const { topic, session, number, spaceIncarnation } = publish;
-    const { plan } = this.#node.plan;
-    const route = this.#node.plan.route(topic);
+    const { configuration } = this.#node.configuration;
+    const route = this.#node.configuration.route(topic);
     const standing = this.#standings.ofIncarnation(route?.spaceIncarnation, spaceIncarnation);
     // One of the two has not heard of the newest plan yet; a space that this node has seen removed may be back.
     if (route === undefined || standing !== "ours") return this.#unavailable("the topic's space is changing", 0.2);
-    const owed = Plans.owed(plan, topic);
-    if (owed === undefined)
+    const contract = Configurations.contractFor(configuration, topic);
+    if (contract === undefined)
       return PublishOutcomes.refused("unknown-topic", `the plan in force has no rule for ${topic}`);
     const { stream } = route;
     if (!this.#isOurs(stream) || !Number.isSafeInteger(number) || number < 1)
@@ -125,7 +129,7 @@
           retryAfterSeconds: 0.5,
         },
       };
-    const refusal = ShardService.#refusal(plan, owed, publish);
+    const refusal = ShardService.#refusal(configuration, contract, publish);
     const incarnation = await this.#incarnationOf(stream, spaceIncarnation);
     if (incarnation === undefined || !this.isOpen) return this.#unavailable();
     const accept = create(AcceptSchema, {
@@ -140,7 +144,7 @@
       isVoid: refusal !== undefined,
     });
     if (this.#standings.isInMemory(stream)) {
-      if (publish.mayBeRepeat && this.#wouldReorder(stream, owed))
+      if (publish.mayBeRepeat && this.#wouldReorder(stream, contract))
         return PublishOutcomes.unknown("an earlier holder may have accepted this number, in another order");
       return this.#acceptInMemory(accept, refusal);
     }
@@ -156,7 +160,7 @@
    * Whether what an earlier holder may have pushed to some edges could come to others in another order than it had
    * there: one order for all is promised, and the earlier one died with its holder.
    */
-  #wouldReorder(stream: string, { order }: Owe): boolean {
+  #wouldReorder(stream: string, { order }: TopicContract): boolean {
     return order !== "sender" && this.#memory.mayHavePredecessor(stream, this.#leader.at);
   }
 
@@ -190,7 +194,7 @@
     const isEarly = this.#node.parts.clock.now() - this.#servesSince < ShardService.countMs;
     if (!this.isOpen || isEarly) return { case: "countReply", value: { outcome: "away" } };
     const counts = topics.map((topic) => {
-      const route = this.#node.plan.route(topic);
+      const route = this.#node.configuration.route(topic);
       if (route === undefined) return create(TopicCountSchema, { topic, fault: "behind" });
       return create(TopicCountSchema, { topic, count: this.#follows.countOf(route.stream, topic) });
     });
@@ -231,11 +235,11 @@
     const unavailable: BodyInit = { case: "startReply", value: { outcome: "away" } };
     if (!this.isOpen) return unavailable;
     const asked = ask.cursors.map((cursor) => {
-      const route = this.#node.plan.route(cursor.topic);
+      const route = this.#node.configuration.route(cursor.topic);
       const standing = this.#standings.ofIncarnation(route?.spaceIncarnation, cursor.spaceIncarnation);
-      const owed = Plans.owed(this.#node.plan.plan, cursor.topic);
+      const contract = Configurations.contractFor(this.#node.configuration.configuration, cursor.topic);
       const stream = route?.stream ?? "";
-      const fault = standing !== "ours" ? "behind" : owed === undefined ? "unknown-topic" : "";
+      const fault = standing !== "ours" ? "behind" : contract === undefined ? "unknown-topic" : "";
       return { cursor, stream, fault: fault === "" && !this.#isOurs(stream) ? "behind" : fault };
     });
     const good = new Map(
@@ -262,7 +266,7 @@
   }
 
   /** Removed spaces end at once; what is past its keep goes at the next trim. */
-  planChanged(): void {
+  configurationChanged(): void {
     const logs = [...this.#replica.state.streams.values()];
     const inMemory = this.#memory.all();
     const isGone = (log: StreamLog): boolean => this.#standings.of(log.stream, log.spaceIncarnation) === "gone";
@@ -310,8 +314,8 @@
   }
 
   #retentionMs(topic: string): number {
-    const owed = Plans.owed(this.#node.plan.plan, topic);
-    return Math.max((owed?.keep ?? 0) * 1000, ShardService.minRetentionMs);
+    const contract = Configurations.contractFor(this.#node.configuration.configuration, topic);
+    return Math.max((contract?.keep ?? 0) * 1000, ShardService.minRetentionMs);
   }
 
   #find(stream: string): StreamLog | undefined {
@@ -377,10 +381,14 @@
     return { case: "publishReply", value: { outcome: "away", leader, retryAfterSeconds, reason } };
   }
 
-  static #refusal(plan: Plan | undefined, owed: Owe, publish: Publish): { code: string; reason: string } | undefined {
-    if (!Plans.mayPublish(owed, publish.session))
+  static #refusal(
+    configuration: Configuration | undefined,
+    contract: TopicContract,
+    publish: Publish,
+  ): { code: string; reason: string } | undefined {
+    if (!Configurations.mayPublish(contract, publish.session))
       return { code: "not-a-publisher", reason: "the contract does not name this session as a publisher" };
-    const most = Plans.maxPayload(plan, owed);
+    const most = Configurations.maxPayload(configuration, contract);
     if (publish.payload.length > most)
       return {
         code: "too-large",
--- a/packages/log-storage/src/shards/streamStandings.ts
+++ b/packages/log-storage/src/shards/streamStandings.ts
@@ -1,5 +1,5 @@
 import { keepsNothing } from "@cranetrack/core/configuration/keepsNothing.js";
-import { Plans } from "@cranetrack/core/configuration/configuration.js";
+import { Configurations } from "@cranetrack/core/configuration/configuration.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
@@ -13,7 +13,7 @@
 
   /** Whether the holder keeps the stream in its memory alone. */
   isInMemory(stream: string): boolean {
-    return keepsNothing(this.#node.plan.plan, stream);
+    return keepsNothing(this.#node.configuration.configuration, stream);
   }
 
   /**
@@ -21,7 +21,7 @@
    * it is in force, was removed, is older than the one in force, or newer than all that this node has heard of.
    */
   ofIncarnation(present: number | undefined, spaceIncarnation: number): "ours" | "behind" | "older" | "gone" {
-    if (this.#node.plan.mark < spaceIncarnation) return "behind";
+    if (this.#node.configuration.version < spaceIncarnation) return "behind";
     if (present === spaceIncarnation) return "ours";
     if (present === undefined) return "gone";
     return spaceIncarnation < present ? "older" : "behind";
@@ -29,11 +29,13 @@
 
   /** The same for a stream, which is gone too where no rule owes its topic, or another space or order has it. */
   of(stream: string, spaceIncarnation: number): "ours" | "behind" | "gone" {
-    const { plan } = this.#node.plan;
-    const standing = this.ofIncarnation(this.#node.plan.spaceIncarnationOf(stream), spaceIncarnation);
+    const { configuration } = this.#node.configuration;
+    const standing = this.ofIncarnation(this.#node.configuration.spaceIncarnationOf(stream), spaceIncarnation);
     if (standing === "older") return "gone";
     if (standing !== "ours") return standing;
-    const isWhole = Plans.orderOf(plan, Streams.spaceOf(stream)) === "space";
-    return isWhole || Plans.owed(plan, Streams.topicOf(stream)) !== undefined ? "ours" : "gone";
+    const isWhole = Configurations.orderOf(configuration, Streams.spaceOf(stream)) === "space";
+    return isWhole || Configurations.contractFor(configuration, Streams.topicOf(stream)) !== undefined
+      ? "ours"
+      : "gone";
   }
 }
--- a/packages/testkit/src/capacity/capacity.test.ts
+++ b/packages/testkit/src/capacity/capacity.test.ts
@@ -56,7 +56,7 @@
   );
   near(after!.owners / before!.owners, 2);
   near(after!.ownersEnd / before!.ownersEnd, 0.5);
-  expect(after!.planTraffic).toEqual(before!.planTraffic);
+  expect(after!.configurationTraffic).toEqual(before!.configurationTraffic);
 });
 
 test("what control costs a node with the chosen mechanisms is within its bounds", () => {
--- a/packages/testkit/src/capacity/capacity.ts
+++ b/packages/testkit/src/capacity/capacity.ts
@@ -73,11 +73,11 @@
       renewalsEnd: 1e6 / (2 * (4 / 1.5) * callEnd),
       leases: size.nodes * (at("lease") + at("feed")),
       leaseLook: size.nodes * at("leaseTime"),
-      planBytes: assumed.spaces.value * at("plan"),
-      planTraffic: (assumed.spaces.value * at("plan") * size.changesADay) / 86_400,
-      planEnd: size.controlTraffic / ((at("plan") * size.changesADay) / 86_400),
-      planTime: (assumed.spaces.value * at("planTime") * size.changesADay) / 86_400,
-      planHeap: assumed.spaces.value * at("planHeap"),
+      configurationBytes: assumed.spaces.value * at("plan"),
+      configurationTraffic: (assumed.spaces.value * at("plan") * size.changesADay) / 86_400,
+      configurationEnd: size.controlTraffic / ((at("plan") * size.changesADay) / 86_400),
+      configurationTime: (assumed.spaces.value * at("planTime") * size.changesADay) / 86_400,
+      configurationHeap: assumed.spaces.value * at("planHeap"),
       changeTraffic: (at("plan") * size.changesADay) / 86_400,
       changeTime: (at("planTime") * size.changesADay) / 86_400,
       feedTime: 2 * size.nodes * (at("feedTime") + 2 * callEnd),
@@ -218,12 +218,12 @@
       role("configuration", [
         [
           "configuration pushed, a node",
-          `${bytes(f.planTraffic)}/s`,
-          `${short(f.planEnd)} spaces`,
+          `${bytes(f.configurationTraffic)}/s`,
+          `${short(f.configurationEnd)} spaces`,
           `${bytes(f.changeTraffic)}/s as changes`,
         ],
-        ["reading it, a node", cores(f.planTime), "", cores(f.changeTime)],
-        ["memory, a node", bytes(f.planHeap), "", "the same"],
+        ["reading it, a node", cores(f.configurationTime), "", cores(f.changeTime)],
+        ["memory, a node", bytes(f.configurationHeap), "", "the same"],
         [
           "all feeds' beats, at the lathes together",
           cores(f.feedTime),
@@ -308,7 +308,7 @@
     const rows = [
       { what: "membership", traffic: f.gossipChosen, memory: f.members },
       { what: "feed and lease", traffic: f.feedTraffic + assumed.leaseRide.value, memory: 0 },
-      { what: "configuration as changes", traffic: f.changeTraffic, memory: f.planHeap },
+      { what: "configuration as changes", traffic: f.changeTraffic, memory: f.configurationHeap },
       { what: "shard groups", traffic: f.replicaTraffic, memory: f.groupRoutes },
       { what: "follow beats", traffic: f.followChosen, memory: 0 },
     ];
--- a/packages/testkit/src/checker/checker.test.ts
+++ b/packages/testkit/src/checker/checker.test.ts
@@ -3,21 +3,22 @@
 import { Checker } from "./checker.js";
 import type { Seen } from "./history.js";
 import { Lateness } from "./lateness.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 const topic = "notices/t0";
-const planText = (mark: number, spaces: string[]): string =>
-  JSON.stringify({
-    mark,
+const configurationText = (version: number, spaces: string[]): string =>
+  documentTextOf({
+    version,
     spaces: spaces.map((name) => ({
       name,
-      program: [{ when: {}, owe: { keep: 60, order: "one", fault_budget: {} } }],
+      program: [{ when: {}, contract: { keep: 60, order: "one", fault_budget: {} } }],
     })),
   });
-const plan = (at: number, mark: number, spaces = ["notices"]): Seen => ({
+const configuration = (at: number, version: number, spaces = ["notices"]): Seen => ({
   kind: "planAccepted",
   at,
-  mark,
-  text: planText(mark, spaces),
+  version,
+  text: configurationText(version, spaces),
 });
 const joins = (subscriber: string, at = 1): Seen[] => [
   { kind: "asked", at, subscriber, topic },
@@ -71,7 +72,7 @@
 test("a history in which all went well has no breach", () => {
   expect(
     rulesOf(
-      plan(0, 1),
+      configuration(0, 1),
       joins("a"),
       joins("b"),
       tried(10, 1),
@@ -82,7 +83,7 @@
       got(21, 2),
       got(21, 2, "b"),
       accepted(22, 2),
-      { kind: "planRead", at: 100, text: planText(1, ["notices"]) },
+      { kind: "planRead", at: 100, text: configurationText(1, ["notices"]) },
     ),
   ).toEqual([]);
 });
@@ -94,7 +95,7 @@
   ["sender-order", joins("a"), tried(10, 1), accepted(12, 1), tried(20, 2), accepted(22, 2), got(23, 2), got(24, 1)],
   [
     "one-order",
-    plan(0, 1),
+    configuration(0, 1),
     joins("a"),
     joins("b"),
     tried(10, 1),
@@ -111,20 +112,25 @@
   ["not-asked", tried(10, 1), accepted(12, 1), got(13, 1)],
   ["refused-delivered", joins("a"), tried(10, 1), refused(12, 1), got(13, 1)],
   ["expired-early", joins("a"), tried(10, 1), accepted(12, 1), expired(30_000)],
-  ["plan-late", plan(0, 1), tried(4000, 1), refused(4010, 1, "unknown-topic")],
-  ["removed-space", plan(0, 1), joins("a"), plan(100, 2, ["other"]), tried(3200, 1), got(3220, 1)],
-  ["plan-read-back", plan(0, 1), plan(10, 2, ["other"]), { kind: "planRead", at: 100, text: planText(1, ["notices"]) }],
-  ["plan-lost", plan(0, 1), { kind: "planLost", at: 100, why: "404" }],
+  ["plan-late", configuration(0, 1), tried(4000, 1), refused(4010, 1, "unknown-topic")],
+  ["removed-space", configuration(0, 1), joins("a"), configuration(100, 2, ["other"]), tried(3200, 1), got(3220, 1)],
+  [
+    "plan-read-back",
+    configuration(0, 1),
+    configuration(10, 2, ["other"]),
+    { kind: "planRead", at: 100, text: configurationText(1, ["notices"]) },
+  ],
+  ["plan-lost", configuration(0, 1), { kind: "planLost", at: 100, why: "404" }],
 ];
 
 const of = (other: string, seen: Seen[]): Seen[] =>
   seen.map((one) => ("topic" in one ? { ...one, topic: other } : one));
-const contract = (at: number, mark: number, owe: object): Seen[] => {
-  const rule = { when: {}, owe: { keep: 60, order: "sender", fault_budget: {}, ...owe } };
-  const text = JSON.stringify({ mark, spaces: [{ name: "notices", program: [rule] }] });
+const contractEvents = (at: number, version: number, contract: object): Seen[] => {
+  const rule = { when: {}, contract: { keep: 60, order: "sender", fault_budget: {}, ...contract } };
+  const text = documentTextOf({ version, spaces: [{ name: "notices", program: [rule] }] });
   return [
-    { kind: "planTried", at, mark, text },
-    { kind: "planAccepted", at, mark, text },
+    { kind: "planTried", at, version, text },
+    { kind: "planAccepted", at, version, text },
   ];
 };
 const faulted = (at: number): Seen => ({
@@ -136,7 +142,7 @@
 });
 /** Two topics of one space; "b" sees their messages the other way round than "a". */
 const crossed = (between: Seen[]): Seen[] => [
-  plan(0, 1),
+  configuration(0, 1),
   ...["a", "b"].flatMap((name) => [...joins(name), ...of("notices/t9", joins(name))]),
   ...between,
   tried(10, 1),
@@ -148,21 +154,27 @@
 
 broken.push(
   ["one-order", crossed([]), of("notices/t9", [got(13, 1, "b", "z")]), got(14, 1, "b")],
-  ["slipped-back", { kind: "marked", at: 1, node: "n", mark: 4 }, { kind: "marked", at: 2, node: "n", mark: 3 }],
+  ["slipped-back", { kind: "marked", at: 1, node: "n", version: 4 }, { kind: "marked", at: 2, node: "n", version: 3 }],
   [
     "plan-late",
-    contract(0, 1, {}),
-    contract(10, 2, { publishers: ["t"] }),
+    contractEvents(0, 1, {}),
+    contractEvents(10, 2, { publishers: ["t"] }),
     joins("a"),
     tried(3100, 1),
     accepted(3110, 1),
     got(3120, 1),
   ],
-  ["plan-late", contract(0, 1, { publishers: ["t"] }), contract(10, 2, {}), tried(3100, 1), refused(3110, 1)],
-  ["plan-late", contract(0, 1, {}), contract(10, 2, { maxBytes: 1 }), tried(3100, 1), accepted(3110, 1)],
+  [
+    "plan-late",
+    contractEvents(0, 1, { publishers: ["t"] }),
+    contractEvents(10, 2, {}),
+    tried(3100, 1),
+    refused(3110, 1),
+  ],
+  ["plan-late", contractEvents(0, 1, {}), contractEvents(10, 2, { maxBytes: 1 }), tried(3100, 1), accepted(3110, 1)],
   [
     "expired-early",
-    contract(0, 1, { keep: 90 }),
+    contractEvents(0, 1, { keep: 90 }),
     joins("a", 70_000),
     tried(70_010, 1),
     accepted(70_012, 1),
@@ -179,15 +191,15 @@
 test("a topic that could not be had on a link catches up outside the order; a restart forgets marks", () => {
   const catching = crossed([faulted(5), ...of("notices/t9", [{ kind: "confirmed", at: 20, subscriber: "b", topic }])]);
   expect(rulesOf(catching, got(14, 1, "b"), of("notices/t9", [got(21, 1, "b", "z")]))).toEqual([]);
-  const marks = [4, 0, 4, 5].map((mark, at): Seen => ({ kind: "marked", at, node: "n", mark }));
-  expect(rulesOf(marks)).toEqual([]);
+  const versions = [4, 0, 4, 5].map((version, at): Seen => ({ kind: "marked", at, node: "n", version }));
+  expect(rulesOf(versions)).toEqual([]);
 });
 
 test("a plan whose put got no final receipt may be the one read back; one that was refused may not", () => {
-  const unknown = { kind: "planTried", at: 5, mark: 2, text: planText(2, ["other"]) } as const;
-  const read: Seen = { kind: "planRead", at: 9, text: planText(2, ["other"]) };
-  expect(rulesOf(plan(0, 1), unknown, read)).toEqual([]);
-  expect(rulesOf(plan(0, 1), unknown, { ...unknown, kind: "planRefused" }, read)).toEqual(["plan-read-back"]);
+  const unknown = { kind: "planTried", at: 5, version: 2, text: configurationText(2, ["other"]) } as const;
+  const read: Seen = { kind: "planRead", at: 9, text: configurationText(2, ["other"]) };
+  expect(rulesOf(configuration(0, 1), unknown, read)).toEqual([]);
+  expect(rulesOf(configuration(0, 1), unknown, { ...unknown, kind: "planRefused" }, read)).toEqual(["plan-read-back"]);
 });
 
 test("late is what a confirmed subscriber waited for longer than 2 s, unless it dropped off of its own accord", () => {
@@ -211,7 +223,14 @@
       rulesOf(joins("a"), tried(10, 1), refused(12, 1, "unavailable"), tried(20, 1), accepted(22, 1), got(23, 1)),
     ).toEqual([]);
     expect(
-      rulesOf(plan(0, 1), joins("a"), plan(100, 2, ["other"]), tried(1500, 1), accepted(1510, 1), got(1520, 1)),
+      rulesOf(
+        configuration(0, 1),
+        joins("a"),
+        configuration(100, 2, ["other"]),
+        tried(1500, 1),
+        accepted(1510, 1),
+        got(1520, 1),
+      ),
     ).toEqual([]);
   },
 );
--- a/packages/testkit/src/checker/checker.ts
+++ b/packages/testkit/src/checker/checker.ts
@@ -1,7 +1,7 @@
-import { Plans, type Owe } from "@cranetrack/core/configuration/configuration.js";
+import { Configurations, type TopicContract } from "@cranetrack/core/configuration/configuration.js";
 import type { Seen } from "./history.js";
 import { OrderGraph } from "./orderGraph.js";
-import { PlanHistory } from "./configurationHistory.js";
+import { ConfigurationHistory } from "./configurationHistory.js";
 
 export interface Breach {
   rule: string;
@@ -33,7 +33,8 @@
 }
 
 const keyOf = (sender: string, number: number): string => `${sender}#${number}`;
-const isSmall = (owe: Owe, payload: string): boolean => Buffer.byteLength(payload) <= (owe.maxBytes ?? 65_536);
+const isSmall = (contract: TopicContract, payload: string): boolean =>
+  Buffer.byteLength(payload) <= (contract.maxBytes ?? 65_536);
 
 /**
  * Judges a history by the users' list of what must never happen, but for how late a message is. Knows only what
@@ -48,15 +49,15 @@
   readonly #breaches: Breach[] = [];
   readonly #messages = new Map<string, Map<string, Message>>();
   readonly #readers = new Map<string, Reader>();
-  readonly #plans: PlanHistory;
+  readonly #configurations: ConfigurationHistory;
   /** By stream of one order and subscriber: what came, in its order. */
   readonly #orders = new Map<string, Map<string, string[]>>();
-  readonly #marks = new Map<string, number>();
+  readonly #versions = new Map<string, number>();
 
   constructor(seen: readonly Seen[], endAt: number) {
     this.#seen = seen;
     this.#endAt = endAt;
-    this.#plans = new PlanHistory(seen);
+    this.#configurations = new ConfigurationHistory(seen);
   }
 
   static judge(seen: readonly Seen[], endAt: number): Breach[] {
@@ -155,7 +156,7 @@
       case "marked":
         return this.#marked(one);
       case "planRead":
-        return this.#planRead(one);
+        return this.#configurationRead(one);
       case "planLost":
         return this.#breach("plan-lost", one.at, one.why);
       case "refused":
@@ -197,7 +198,7 @@
    * had for a while, on a link that went on with others, catches up afterwards; what it missed has no place in it.
    */
   #keepOrder(one: Extract<Seen, { kind: "received" }>, message: Message | undefined, reader: Reader): void {
-    const stream = this.#plans.oneOrderOf(one.topic);
+    const stream = this.#configurations.oneOrderOf(one.topic);
     if (stream === undefined || message === undefined || message.firstAt < reader.lagsUntil) return;
     const streams = this.#orders.get(stream) ?? new Map<string, string[]>();
     this.#orders.set(stream, streams);
@@ -208,8 +209,8 @@
 
   /** New messages of a space that no plan in force for more than 3 s has. */
   #afterRemoval(one: Extract<Seen, { kind: "received" }>, message: Message): void {
-    const owed = this.#plans.owedBetween(one.topic, message.firstAt, one.at);
-    if (owed === undefined || owed.some((owe) => owe !== undefined)) return;
+    const contracts = this.#configurations.contractsBetween(one.topic, message.firstAt, one.at);
+    if (contracts === undefined || contracts.some((contract) => contract !== undefined)) return;
     const what = `${one.topic}: ${keyOf(one.sender, one.number)}`;
     this.#breach("removed-space", one.at, `${what} was sent and delivered over 3 s after its space was removed`);
   }
@@ -217,12 +218,17 @@
   /** A rule in force for more than 3 s must be known to whoever is asked: what all plans allow is not refused. */
   #refused(one: Extract<Seen, { kind: "refused" }>): void {
     const message = this.#messages.get(one.topic)?.get(keyOf(one.sender, one.number));
-    const owed = this.#plans.owedBetween(one.topic, message?.tries.findLast((at) => at <= one.at) ?? one.at, one.at);
-    if (owed === undefined || message === undefined) return;
-    const isWrong = owed.every((owe) => {
-      if (one.code === "unknown-topic") return owe !== undefined;
-      if (one.code === "not-a-publisher") return owe !== undefined && Plans.mayPublish(owe, one.sender);
-      return one.code === "too-large" && owe !== undefined && isSmall(owe, message.payload);
+    const contracts = this.#configurations.contractsBetween(
+      one.topic,
+      message?.tries.findLast((at) => at <= one.at) ?? one.at,
+      one.at,
+    );
+    if (contracts === undefined || message === undefined) return;
+    const isWrong = contracts.every((contract) => {
+      if (one.code === "unknown-topic") return contract !== undefined;
+      if (one.code === "not-a-publisher")
+        return contract !== undefined && Configurations.mayPublish(contract, one.sender);
+      return one.code === "too-large" && contract !== undefined && isSmall(contract, message.payload);
     });
     const what = `${one.topic}: ${keyOf(one.sender, one.number)}`;
     if (isWrong)
@@ -234,20 +240,22 @@
     const message = this.#messages.get(one.topic)?.get(keyOf(one.sender, one.number));
     if (message === undefined) return;
     // An earlier try may have been taken under an earlier plan.
-    const owed = this.#plans.owedBetween(one.topic, message.firstAt, one.at);
-    if (owed === undefined) return;
-    const isAllowed = owed.some(
-      (owe) => owe !== undefined && Plans.mayPublish(owe, one.sender) && isSmall(owe, message.payload),
+    const contracts = this.#configurations.contractsBetween(one.topic, message.firstAt, one.at);
+    if (contracts === undefined) return;
+    const isAllowed = contracts.some(
+      (contract) =>
+        contract !== undefined && Configurations.mayPublish(contract, one.sender) && isSmall(contract, message.payload),
     );
     const what = `${one.topic}: ${keyOf(one.sender, one.number)}`;
     if (!isAllowed) this.#breach("plan-late", one.at, `${what} was accepted over 3 s after the plans ruled it out`);
   }
 
   /** A node may forget its plan with a restart, but never goes back to an older one. */
-  #marked({ node, mark, at }: Extract<Seen, { kind: "marked" }>): void {
-    const before = this.#marks.get(node) ?? 0;
-    if (mark > 0 && mark < before) this.#breach("slipped-back", at, `${node} showed mark ${mark} after ${before}`);
-    this.#marks.set(node, Math.max(before, mark));
+  #marked({ node, version, at }: Extract<Seen, { kind: "marked" }>): void {
+    const before = this.#versions.get(node) ?? 0;
+    if (version > 0 && version < before)
+      this.#breach("slipped-back", at, `${node} showed mark ${version} after ${before}`);
+    this.#versions.set(node, Math.max(before, version));
   }
 
   #expired(one: Extract<Seen, { kind: "expired" }>): void {
@@ -255,11 +263,11 @@
     reader.resetAt = one.at;
     const { seenAt } = reader;
     reader.seenAt = one.at;
-    if (this.#plans.wasGone(one.topic, seenAt, one.at)) return;
-    const keeps = this.#plans.owedBetween(one.topic, one.at - Checker.maxRetentionMs, one.at) ?? [];
+    if (this.#configurations.wasGone(one.topic, seenAt, one.at)) return;
+    const keeps = this.#configurations.contractsBetween(one.topic, one.at - Checker.maxRetentionMs, one.at) ?? [];
     const retentionMs = Math.max(
       Checker.minRetentionMs,
-      Math.min(...keeps.map((owe) => (owe?.keep ?? 0) * 1000)) * 0.98,
+      Math.min(...keeps.map((contract) => (contract?.keep ?? 0) * 1000)) * 0.98,
     );
     const minMs = keeps.length === 0 ? Checker.minRetentionMs : retentionMs;
     const missed = [...(this.#messages.get(one.topic)?.values() ?? [])].filter(
@@ -277,10 +285,10 @@
       );
   }
 
-  #planRead(one: Extract<Seen, { kind: "planRead" }>): void {
-    const { newest } = this.#plans;
-    if (newest === undefined || newest.text === one.text || this.#plans.mayHaveBeenAccepted(one.text)) return;
-    const what = `the plan read back is not the one accepted last (mark ${newest.plan.mark})`;
+  #configurationRead(one: Extract<Seen, { kind: "planRead" }>): void {
+    const { newest } = this.#configurations;
+    if (newest === undefined || newest.text === one.text || this.#configurations.mayHaveBeenAccepted(one.text)) return;
+    const what = `the plan read back is not the one accepted last (mark ${newest.configuration.version})`;
     this.#breach("plan-read-back", one.at, what);
   }
 
--- a/packages/testkit/src/checker/history.ts
+++ b/packages/testkit/src/checker/history.ts
@@ -15,17 +15,17 @@
   | { kind: "ended"; at: number; subscriber: string; topic: string }
   /** The topic could not be had on this link just now. */
   | { kind: "faulted"; at: number; subscriber: string; topic: string; code: string }
-  | { kind: "planTried"; at: number; mark: number; text: string }
-  | { kind: "planAccepted"; at: number; mark: number; text: string }
-  | { kind: "planRefused"; at: number; mark: number; text: string }
+  | { kind: "planTried"; at: number; version: number; text: string }
+  | { kind: "planAccepted"; at: number; version: number; text: string }
+  | { kind: "planRefused"; at: number; version: number; text: string }
   /** Another plan stands in its way, for good. */
-  | { kind: "planSuperseded"; at: number; mark: number; text: string }
+  | { kind: "planSuperseded"; at: number; version: number; text: string }
   /** A node answered that it is accepted, whether that arrived or not. */
-  | { kind: "planTaken"; at: number; mark: number; text: string }
+  | { kind: "planTaken"; at: number; version: number; text: string }
   | { kind: "planRead"; at: number; text: string }
   | { kind: "planLost"; at: number; why: string }
   /** The mark of the plan in force that a node showed. */
-  | { kind: "marked"; at: number; node: string; mark: number };
+  | { kind: "marked"; at: number; node: string; version: number };
 
 /** A run's history. Append-only. */
 export class History {
--- a/packages/testkit/src/checker/linearizability.ts
+++ b/packages/testkit/src/checker/linearizability.ts
@@ -59,20 +59,20 @@
   readonly #met = new Set<string>();
   readonly #frames: Array<Frame<State>> = [];
   /** Operations with an output that are not yet in the order. */
-  #owed: number;
+  #expectedCount: number;
   #best: { explained: number; stuckAt: number[] } = { explained: -1, stuckAt: [] };
 
   constructor(model: SequentialModel<State, Input, Output>, history: ReadonlyArray<Operation<Input, Output>>) {
     this.#model = model;
     this.#operations = history.toSorted((a, b) => a.returnedAt - b.returnedAt || a.calledAt - b.calledAt);
     this.#isTaken = this.#operations.map(() => false);
-    this.#owed = this.#operations.filter((one) => one.output !== undefined).length;
+    this.#expectedCount = this.#operations.filter((one) => one.output !== undefined).length;
   }
 
   run(): LinearizabilityVerdict<Input, Output> {
     this.#enter(this.#model.initial, -1);
     while (this.#frames.length > 0) {
-      if (this.#owed === 0) return { kind: "linearizable", order: this.#order() };
+      if (this.#expectedCount === 0) return { kind: "linearizable", order: this.#order() };
       if (this.#met.size > maxConfigurations) return { kind: "undecided", visited: this.#met.size };
       this.#advance(this.#frames.at(-1)!);
     }
@@ -91,7 +91,7 @@
     // Without an output and without an effect it explains nothing.
     if (output === undefined && this.#model.keyOf(state) === this.#model.keyOf(frame.state)) return;
     this.#isTaken[index] = true;
-    if (output !== undefined) this.#owed -= 1;
+    if (output !== undefined) this.#expectedCount -= 1;
     if (this.#isMet(state)) this.#untake(index);
     else this.#enter(state, index);
   }
@@ -110,7 +110,7 @@
 
   #untake(index: number): void {
     this.#isTaken[index] = false;
-    if (this.#operations[index]!.output !== undefined) this.#owed += 1;
+    if (this.#operations[index]!.output !== undefined) this.#expectedCount += 1;
   }
 
   /** What was called before the first return among those that are not in the order; such with an output first. */
--- a/packages/testkit/src/checker/orderRules.test.ts
+++ b/packages/testkit/src/checker/orderRules.test.ts
@@ -3,8 +3,8 @@
 import type { Seen } from "./history.js";
 import { judgeOrders } from "./orderRules.js";
 
-const seen = (kind: "planTaken" | "planSuperseded" | "planRefused", mark: number, text: string): Seen =>
-  ({ kind, at: mark, mark, text }) as Seen;
+const seen = (kind: "planTaken" | "planSuperseded" | "planRefused", version: number, text: string): Seen =>
+  ({ kind, at: version, version, text }) as Seen;
 const rules = (...history: Seen[]): string[] => judgeOrders(history).map(({ rule }) => rule);
 
 test("what was acknowledged may be acknowledged again, and never be refused, also where nobody heard of it", () => {
--- a/packages/testkit/src/checker/orderRules.ts
+++ b/packages/testkit/src/checker/orderRules.ts
@@ -11,17 +11,17 @@
   const contents = new Map<number, string>();
   for (const one of seen) {
     if (one.kind === "planTaken") {
-      const other = contents.get(one.mark);
+      const other = contents.get(one.version);
       if (other !== undefined && other !== one.text)
         breaches.push({
           rule: "two-contents",
           at: one.at,
-          text: `mark ${one.mark} was acknowledged with two contents`,
+          text: `mark ${one.version} was acknowledged with two contents`,
         });
-      contents.set(one.mark, one.text);
+      contents.set(one.version, one.text);
       taken.add(one.text);
     } else if ((one.kind === "planSuperseded" || one.kind === "planRefused") && taken.has(one.text)) {
-      const what = `mark ${one.mark} was acknowledged, and refused when it was sent again`;
+      const what = `mark ${one.version} was acknowledged, and refused when it was sent again`;
       breaches.push({ rule: "acknowledged-refused", at: one.at, text: what });
     }
   }
--- a/packages/testkit/src/cranetrack-lab.ts
+++ b/packages/testkit/src/cranetrack-lab.ts
@@ -88,13 +88,13 @@
   .option("--folder <folder>", "Where settings, data and logs go")
   .action((name: string, options: PlayOptions & { seconds: number }) =>
     play(name, options, [], async (fleet, load) => {
-      const planTakeUpMs = await load.takeUps(5);
+      const configurationInForceMs = await load.takeUps(5);
       const memory: Array<Record<string, number>> = [];
       for (let part = 0; part < 4; part += 1) {
         await new Promise((resolve) => setTimeout(resolve, options.seconds * 250));
         memory.push(await fleet.memory());
       }
-      return { isGood: true, planTakeUpMs, memory };
+      return { isGood: true, configurationInForceMs, memory };
     }),
   );
 
--- a/packages/testkit/src/fleet/deployments.ts
+++ b/packages/testkit/src/fleet/deployments.ts
@@ -1,5 +1,5 @@
 import type { Settings } from "@cranetrack/core/runtime/settings.js";
-import type { Plan } from "@cranetrack/core/configuration/configuration.js";
+import type { Configuration } from "@cranetrack/core/configuration/configuration.js";
 
 export interface Machine {
   name: string;
@@ -100,24 +100,26 @@
     return [...make("lathe", name === "small" ? 3 : 5), ...make("anvil", 3), ...make("vise", edges)];
   },
 
-  plan({ shared, broadcast, passing }: Deployment, mark: number): Plan {
-    const passingOwe = { keep: 0, order: "sender" as const, fault_budget: {} };
+  configuration({ shared, broadcast, passing }: Deployment, version: number): Configuration {
+    const passingContract = { keep: 0, order: "sender" as const, fault_budget: {} };
     const passingSpaces =
-      passing === undefined ? [] : [{ name: passing.space, program: [{ when: {}, owe: passingOwe }] }];
+      passing === undefined ? [] : [{ name: passing.space, program: [{ when: {}, contract: passingContract }] }];
     const senders = Array.from({ length: broadcast.senders }, (_, i) => `sender-${i + 1}`);
     return {
-      mark,
+      version,
       spaces: [
         {
           name: shared.space,
-          program: [{ when: {}, owe: { keep: 120, order: "sender", fault_budget: { machines: 1 }, maxBytes: 8192 } }],
+          program: [
+            { when: {}, contract: { keep: 120, order: "sender", fault_budget: { machines: 1 }, maxBytes: 8192 } },
+          ],
         },
         {
           name: broadcast.space,
           program: [
             {
               when: {},
-              owe: {
+              contract: {
                 keep: 300,
                 order: "space",
                 fault_budget: { machines: 1, zones: 1 },
--- a/packages/testkit/src/fleet/drill.ts
+++ b/packages/testkit/src/fleet/drill.ts
@@ -38,7 +38,7 @@
     "wipe",
     "zone",
     "settings",
-    "replan",
+    "changeConfiguration",
     "blackout",
   ];
   readonly #fleet: Fleet;
@@ -68,7 +68,8 @@
       wipe: () => each((name, target) => (target === "edge" ? Promise.resolve() : this.wipe(name, target))),
       zone: () => this.zone(),
       settings: () => this.settings(),
-      replan: () => this.#cause("five plans at once, one stale, one broken", () => this.#load.replan()),
+      changeConfiguration: () =>
+        this.#cause("five plans at once, one stale, one broken", () => this.#load.changeConfiguration()),
       blackout: () => this.kill(this.#fleet.names, "everything"),
     };
     for (const name of names) {
--- a/packages/testkit/src/fleet/fleet.test.ts
+++ b/packages/testkit/src/fleet/fleet.test.ts
@@ -10,6 +10,7 @@
 import { Fleet } from "./fleet.js";
 import { Load } from "./load.js";
 import { programOf } from "./programOf.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 const folder = mkdtempSync(join(tmpdir(), "cranetrack-fleet-"));
 const fleet = new Fleet(
@@ -90,7 +91,7 @@
     "any node, and nothing falls",
   async () => {
     const load = new Load(fleet);
-    await load.putPlan(Deployments.plan(fleet.deployment, 1));
+    await load.proposeConfiguration(Deployments.configuration(fleet.deployment, 1));
     const [edge, other] = fleet.withRole("vise") as [string, string];
     const lines: Array<Record<string, unknown>> = [];
     let isOpen = false;
@@ -148,7 +149,7 @@
         "invalid-plan",
       ],
       [
-        fleet.call(other, "PUT", "/v1/plan", JSON.stringify(Deployments.plan(fleet.deployment, 0))),
+        fleet.call(other, "PUT", "/v1/plan", documentTextOf(Deployments.configuration(fleet.deployment, 0))),
         422,
         "invalid-plan",
       ],
@@ -198,13 +199,13 @@
       run("cranetrackctl", ...args, "--node", `127.0.0.1:9,${fleet.httpOf("anvil-1")}`);
     const status = await ctl("status");
     expect([status.status, status.out.includes("lathe-3"), status.out.includes("holds")]).toEqual([0, true, true]);
-    const plan = join(folder, "plan.json");
-    const text = JSON.stringify(Deployments.plan(fleet.deployment, 50));
-    writeFileSync(plan, text);
-    expect((await ctl("plan", "put", plan)).out).toEqual("mark 50 accepted\n");
+    const configuration = join(folder, "plan.json");
+    const text = documentTextOf(Deployments.configuration(fleet.deployment, 50));
+    writeFileSync(configuration, text);
+    expect((await ctl("plan", "put", configuration)).out).toEqual("mark 50 accepted\n");
     expect((await ctl("plan", "get")).out).toEqual(`${text}\n`);
-    writeFileSync(plan, JSON.stringify({ mark: 51, spaces: [{ name: "x" }] }));
-    const refused = await ctl("plan", "put", plan);
+    writeFileSync(configuration, JSON.stringify({ mark: 51, spaces: [{ name: "x" }] }));
+    const refused = await ctl("plan", "put", configuration);
     expect([refused.status, refused.err.includes("spaces.0.program")]).toEqual([1, true]);
     expect((await ctl("plan", "mend")).status).toEqual(2);
     expect((await ctl("runbook", "list")).out.split("\n").length > 5).toEqual(true);
@@ -234,7 +235,7 @@
       const drill = new Drill(fleet, load);
       await drill.run(["kill", "freeze", "cycle"], ["edge", "holder", "proposer"]);
       await drill.run(["cut"], ["holder"]);
-      await drill.run(["reset", "wipe", "settings", "replan", "blackout"], ["holder", "proposer"]);
+      await drill.run(["reset", "wipe", "settings", "changeConfiguration", "blackout"], ["holder", "proposer"]);
       const report = await load.end();
       expect(report.breaches).toEqual([]);
       expect(fleet.fallen).toEqual([]);
--- a/packages/testkit/src/fleet/load.ts
+++ b/packages/testkit/src/fleet/load.ts
@@ -7,6 +7,7 @@
 import { Caller } from "../callers/caller.js";
 import { Probe } from "./probe.js";
 import type { Fleet } from "./fleet.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 export interface LoadReport {
   sent: number;
@@ -38,22 +39,22 @@
     this.#fleet = fleet;
   }
 
-  async putPlan(plan: { mark: number }): Promise<void> {
-    const text = JSON.stringify(plan);
-    this.history.add({ kind: "planTried", at: this.#clock.now(), mark: plan.mark, text });
+  async proposeConfiguration(configuration: { version: number }): Promise<void> {
+    const text = documentTextOf(configuration);
+    this.history.add({ kind: "planTried", at: this.#clock.now(), version: configuration.version, text });
     for (;;) {
       const reply = await this.#fleet.call(this.#fleet.withRole("vise")[0]!, "PUT", "/v1/plan", text);
       if (reply.status === 200) break;
       if (reply.status < 500) throw new Error(`the plan was refused: ${JSON.stringify(reply.body)}`);
       await this.#wait(300);
     }
-    this.history.add({ kind: "planAccepted", at: this.#clock.now(), mark: plan.mark, text });
+    this.history.add({ kind: "planAccepted", at: this.#clock.now(), version: configuration.version, text });
   }
 
   /** Plan, callers, confirmations. */
   async begin(share = 1): Promise<void> {
     const { deployment } = this.#fleet;
-    await this.putPlan(Deployments.plan(deployment, (await this.markInForce()) + 1));
+    await this.proposeConfiguration(Deployments.configuration(deployment, (await this.versionInForce()) + 1));
     await this.#wait(1500);
     const { shared, broadcast } = deployment;
     for (let i = 0; i < deployment.connections * share; i += 1) {
@@ -82,7 +83,9 @@
   async takeUps(count: number): Promise<number[]> {
     const taken: number[] = [];
     for (let i = 0; i < count; i += 1) {
-      await this.putPlan(Deployments.plan(this.#fleet.deployment, (await this.markInForce()) + 1));
+      await this.proposeConfiguration(
+        Deployments.configuration(this.#fleet.deployment, (await this.versionInForce()) + 1),
+      );
       const acceptedAt = this.#clock.now();
       for (;;) {
         const { body } = await this.#fleet.call(this.#fleet.withRole("lathe")[0]!, "GET", "/v1/plan/rollout");
@@ -95,7 +98,7 @@
   }
 
   /** The version that an edge reads as the one in force; 0 where it can read none. */
-  async markInForce(): Promise<number> {
+  async versionInForce(): Promise<number> {
     const read = await this.#fleet.call(this.#fleet.withRole("vise")[0]!, "GET", "/v1/plan");
     return read.status === 200 ? Number(read.body["mark"]) : 0;
   }
@@ -118,13 +121,13 @@
   }
 
   /** Operators send several plans at once, at different nodes; one is stale and one is broken. */
-  async replan(): Promise<void> {
+  async changeConfiguration(): Promise<void> {
     const { deployment } = this.#fleet;
-    const mark = await this.markInForce();
+    const version = await this.versionInForce();
     const edges = this.#fleet.withRole("vise");
-    const stray = [JSON.stringify(Deployments.plan(deployment, mark)), '{"mark": 1e9, "spaces": 7}'];
+    const stray = [documentTextOf(Deployments.configuration(deployment, version)), '{"mark": 1e9, "spaces": 7}'];
     const sent = stray.map((text, i) => this.#fleet.call(edges[i % edges.length]!, "PUT", "/v1/plan", text));
-    for (let i = 1; i <= 3; i += 1) await this.putPlan(Deployments.plan(deployment, mark + i));
+    for (let i = 1; i <= 3; i += 1) await this.proposeConfiguration(Deployments.configuration(deployment, version + i));
     await Promise.all(sent);
   }
 
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -64,7 +64,7 @@
       this.#random.fork(),
       now,
       this.#load.history,
-      await this.#load.markInForce(),
+      await this.#load.versionInForce(),
     );
     const operating = operators.run();
     const prober = this.#beginProbing();
--- a/packages/testkit/src/fleet/soakOperators.ts
+++ b/packages/testkit/src/fleet/soakOperators.ts
@@ -1,9 +1,10 @@
 import type { AcceptedChange, ConfigurationRead } from "../checker/configurationReads.js";
-import type { Plan } from "@cranetrack/core/configuration/configuration.js";
+import type { Configuration } from "@cranetrack/core/configuration/configuration.js";
 import type { History } from "../checker/history.js";
 import type { SimRandom } from "../sim/simRandom.js";
 import { Deployments } from "./deployments.js";
 import type { Fleet } from "./fleet.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 /** Operators of a soak: two that change the configuration, and readers that ask any control node at any moment. */
 export class SoakOperators {
@@ -61,8 +62,8 @@
 
   /** One change, sent again to any node until its fate is clear or a later one may have overtaken it for long. */
   async #put(version: number): Promise<void> {
-    const text = JSON.stringify(this.#planOf(version));
-    const about = { mark: version, text };
+    const text = documentTextOf(this.#configurationOf(version));
+    const about = { version, text };
     for (let tries = 0; tries < 20 && !this.#isOver; tries += 1) {
       this.#history.add({ kind: "planTried", at: performance.now(), ...about });
       const { status, body } = await this.#fleet.call(this.#node(), "PUT", "/v1/plan", text);
@@ -79,11 +80,14 @@
   }
 
   /** The deployment's spaces, and some that come and go from version to version. */
-  #planOf(version: number): Plan {
-    const plan = Deployments.plan(this.#fleet.deployment, version);
-    const owe = { keep: 60, order: "sender" as const, fault_budget: {} };
+  #configurationOf(version: number): Configuration {
+    const configuration = Deployments.configuration(this.#fleet.deployment, version);
+    const contract = { keep: 60, order: "sender" as const, fault_budget: {} };
     const added = SoakOperators.addedSpaces.filter((_, i) => (version * (i + 3)) % 5 < 3);
-    return { ...plan, spaces: [...plan.spaces, ...added.map((name) => ({ name, program: [{ when: {}, owe }] }))] };
+    return {
+      ...configuration,
+      spaces: [...configuration.spaces, ...added.map((name) => ({ name, program: [{ when: {}, contract }] }))],
+    };
   }
 
   async #read(): Promise<void> {
--- a/packages/testkit/src/golden/adapter.ts
+++ b/packages/testkit/src/golden/adapter.ts
@@ -5,17 +5,17 @@
 import { create, fromBinary, toBinary, type DescMessage, type Message } from "@bufbuild/protobuf";
 import { entryKind } from "@cranetrack/control/consensus/entryKind.js";
 import { digestOf } from "@cranetrack/control/configuration/judgeOrder.js";
-import { PlanArchive } from "@cranetrack/control/configuration/configurationArchive.js";
+import { ConfigurationArchive } from "@cranetrack/control/configuration/configurationArchive.js";
 import { contentDigest, contentKind } from "@cranetrack/core/configuration/contentDigest.js";
-import { PlanReader } from "@cranetrack/core/configuration/configurationReader.js";
-import { PlanView } from "@cranetrack/core/configuration/configurationView.js";
+import { ConfigurationReader } from "@cranetrack/core/configuration/configurationReader.js";
+import { ConfigurationView } from "@cranetrack/core/configuration/configurationView.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 import { ChangeJournal } from "@cranetrack/core/feeds/changeJournal.js";
 import type { Change } from "@cranetrack/core/feeds/feedFollower.js";
 import * as messages from "@cranetrack/core/gen/cranetrack_pb.js";
 import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
-import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
+import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 import { DrainKey } from "@cranetrack/core/keys/drainKey.js";
 import { ShardLeaderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
@@ -114,11 +114,11 @@
 export const storedCodecs: Readonly<Record<string, StoredCodec>> = {
   incarnations: {
     encode: (value: StableIncarnations) =>
-      IncarnationsKey.write({ mark: value.configurationVersion, spaces: value.spaces, ended: value.endedPrefixes }),
+      IncarnationsKey.write({ version: value.configurationVersion, spaces: value.spaces, ended: value.endedPrefixes }),
     decode(bytes) {
       const record = IncarnationsKey.read(bytes)!;
       return {
-        configurationVersion: record.mark,
+        configurationVersion: record.version,
         spaces: { ...record.spaces },
         endedPrefixes: { ...record.ended },
       } satisfies StableIncarnations;
@@ -182,25 +182,25 @@
 
 /** What the product reads in a stored configuration, under stable names. */
 export function decodeConfiguration(text: string): unknown {
-  const read = PlanReader.parse(text);
-  if (!("plan" in read)) throw new Error(`no configuration: ${JSON.stringify(read.faults)}`);
-  const { mark, spaces, limits } = read.plan;
+  const read = ConfigurationReader.parse(text);
+  if (!("configuration" in read)) throw new Error(`no configuration: ${JSON.stringify(read.faults)}`);
+  const { version, spaces, limits } = read.configuration;
   return {
-    version: mark,
+    version: version,
     limits: { subscriptions: limits?.subscriptions, payloadBytes: limits?.payloadBytes },
     spaces: spaces.map(({ name, prefix, deadlineMs, program }) => ({
       name,
       prefix,
       deadlineMs,
-      rules: program.map(({ when, owe }) => ({
+      rules: program.map(({ when, contract }) => ({
         topic: when.topic,
         topicPrefix: when.topicPrefix,
-        retentionSeconds: owe.keep,
-        order: owe.order,
-        machineFaults: owe.fault_budget.machines,
-        zoneFaults: owe.fault_budget.zones,
-        publishers: owe.publishers,
-        maxBytes: owe.maxBytes,
+        retentionSeconds: contract.keep,
+        order: contract.order,
+        machineFaults: contract.fault_budget.machines,
+        zoneFaults: contract.fault_budget.zones,
+        publishers: contract.publishers,
+        maxBytes: contract.maxBytes,
       })),
     })),
   };
@@ -208,18 +208,20 @@
 
 /** What the store reads in a configuration whose contracts it need not know. */
 export function decodeConfigurationOutline(bytes: Uint8Array): unknown {
-  const { mark, spaces } = PlanKey.outline(bytes)!;
-  return { version: mark, spaces: spaces.map(({ prefix, isWhole }) => ({ prefix, isOneStream: isWhole })) };
+  const { version, spaces } = ConfigurationKey.outline(bytes)!;
+  return { version: version, spaces: spaces.map(({ prefix, isWhole }) => ({ prefix, isOneStream: isWhole })) };
 }
 
 /** The incarnations that follow on earlier ones when a configuration is put. */
 export function nextIncarnations(before: Uint8Array, configuration: Uint8Array): Uint8Array {
-  return IncarnationsKey.write(IncarnationsKey.next(IncarnationsKey.read(before), PlanKey.outline(configuration)!));
+  return IncarnationsKey.write(
+    IncarnationsKey.next(IncarnationsKey.read(before), ConfigurationKey.outline(configuration)!),
+  );
 }
 
 /** The store's keys, and what is read in them. */
 export const storeKeys = {
-  configuration: PlanKey.name,
+  configuration: ConfigurationKey.name,
   incarnations: IncarnationsKey.name,
   document: DocumentKey.name,
   acceptedPrefix: AcceptedOrderKey.prefix,
@@ -286,15 +288,19 @@
   versions(): Promise<number[]>;
 } {
   const journal = new ChangeJournal<Change>();
-  const archive = new PlanArchive(folder, new PlanView(journal), new LogBuffer("golden", () => undefined));
+  const archive = new ConfigurationArchive(
+    folder,
+    new ConfigurationView(journal),
+    new LogBuffer("golden", () => undefined),
+  );
   return {
     async put(version, text) {
-      const incarnations = IncarnationsKey.write({ mark: version, spaces: {} });
+      const incarnations = IncarnationsKey.write({ version, spaces: {} });
       journal.append({ key: IncarnationsKey.name, value: incarnations, revision: version });
-      journal.append({ key: PlanKey.name, value: Buffer.from(text), revision: version });
+      journal.append({ key: ConfigurationKey.name, value: Buffer.from(text), revision: version });
       await archive.settled();
     },
-    versions: () => archive.marks(),
+    versions: () => archive.versions(),
   };
 }
 
--- a/packages/testkit/src/sabotage/callSabotages.ts
+++ b/packages/testkit/src/sabotage/callSabotages.ts
@@ -156,7 +156,7 @@
   {
     name: "operators' changes are sent again to the next node after a reset",
     file: "cli/dist/retryPolicy.js",
-    find: 'return method === "GET" || (method === "PUT" && path === planPath);',
+    find: 'return method === "GET" || (method === "PUT" && path === configurationPath);',
     put: "return true;",
     test: "cli/dist/fleetClient.test.js",
   },
--- a/packages/testkit/src/sabotage/incidentSabotages.ts
+++ b/packages/testkit/src/sabotage/incidentSabotages.ts
@@ -29,7 +29,7 @@
   {
     name: "a young holder sequences repeats where one order is promised",
     file: service,
-    find: "if (publish.mayBeRepeat && this.#wouldReorder(stream, owed))",
+    find: "if (publish.mayBeRepeat && this.#wouldReorder(stream, contract))",
     put: "if (false)",
     test: `${sim}/memory.test.js`,
   },
@@ -50,7 +50,7 @@
   {
     name: "a configuration that goes back is not counted",
     file: "core/dist/configuration/configurationView.js",
-    find: "if (next.plan.mark < this.mark)",
+    find: "if (next.configuration.version < this.version)",
     put: "if (false)",
     test: "core/dist/configuration/configuration.test.js",
   },
--- a/packages/testkit/src/sabotage/orderSabotages.ts
+++ b/packages/testkit/src/sabotage/orderSabotages.ts
@@ -49,7 +49,7 @@
   {
     name: "faults of a node's settings come before what was taken",
     file: "control/dist/configuration/proposeConfiguration.js",
-    find: "(document === undefined || mark === 0)",
+    find: "(document === undefined || version === 0)",
     put: "true",
     test: `${sim}/orders.test.js`,
   },
@@ -91,7 +91,7 @@
   {
     name: "histories: a configuration is put over whatever came between",
     file: "control/dist/configuration/proposeConfiguration.js",
-    find: "checks: [{ key: PlanKey.name, revision: facts.plan?.revision ?? 0 }]",
+    find: "checks: [{ key: ConfigurationKey.name, revision: facts.configuration?.revision ?? 0 }]",
     put: "checks: []",
     test: `${sim}/orderHistories.test.js`,
   },
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -204,14 +204,14 @@
     name: "births are kept from the space's earlier life",
     file: "control/dist/store/metadata.js",
     find: "IncarnationsKey.next(before === undefined ? undefined : IncarnationsKey.read(before.value), outline)",
-    put: 'IncarnationsKey.next({ mark: 0, spaces: { "notes/": 1, "notices/": 1, "extra/": 1 }, ended: {} }, outline)',
+    put: 'IncarnationsKey.next({ version: 0, spaces: { "notes/": 1, "notices/": 1, "extra/": 1 }, ended: {} }, outline)',
     test: `${sim}/streams.test.js`,
   },
   {
     name: "topics that come back to a space go on in its old streams",
     file: "core/dist/keys/incarnationsKey.js",
-    find: "return { mark, spaces: Object.fromEntries(incarnations), ended: Object.fromEntries(ended) };",
-    put: "return { mark, spaces: Object.fromEntries(incarnations), ended: {} };",
+    find: "return { version, spaces: Object.fromEntries(incarnations), ended: Object.fromEntries(ended) };",
+    put: "return { version, spaces: Object.fromEntries(incarnations), ended: {} };",
     test: `${sim}/streams.test.js`,
   },
   {
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -7,6 +7,7 @@
 import { CallModel, type CallCounts } from "./callModel.js";
 import { Hand, served } from "./hand.js";
 import { SimLoad } from "./simLoad.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 const seeds = Array.from({ length: 22 }, (_, i) => 9000 + i);
 /** What must have come about over all seeds, so that the model is not passed by standing still. */
@@ -41,12 +42,12 @@
     if (frame?.body.case === "forward" && frame.body.value.method === "PUT") passed += 1;
     return frame?.body.case === "forwardReply" ? [] : undefined;
   };
-  const mark = load.nextMark;
-  const reply = await ask("vise-1", "PUT", "/v1/plan", JSON.stringify(SimLoad.plan(mark)));
+  const version = load.nextVersion;
+  const reply = await ask("vise-1", "PUT", "/v1/plan", documentTextOf(SimLoad.configuration(version)));
   expect([passed, reply["status"]]).toEqual([1, 504]);
   fleet.wires.mutate = undefined;
   const inForce = await ask("vise-2", "GET", "/v1/plan");
-  expect((JSON.parse(String(inForce["raw"])) as { mark: number }).mark).toEqual(mark);
+  expect((JSON.parse(String(inForce["raw"])) as { mark: number }).mark).toEqual(version);
 });
 
 test("a change without checks that comes once more, after another, does not undo that one", async () => {
--- a/packages/testkit/src/sim/catchUp.ts
+++ b/packages/testkit/src/sim/catchUp.ts
@@ -1,11 +1,12 @@
 import { createCipheriv } from "node:crypto";
-import { putPlan } from "@cranetrack/control/configuration/proposeConfiguration.js";
+import { proposeConfiguration } from "@cranetrack/control/configuration/proposeConfiguration.js";
 import type { RaftNode } from "@cranetrack/control/consensus/raftNode.js";
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
-import { SimPlans, type SimSpaces } from "./simConfigurations.js";
+import { SimConfigurations, type SimSpaces } from "./simConfigurations.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 /** How a member of the metadata store comes back: with its disk, with an empty one, or as another machine. */
 export type Comeback = "restarted" | "blank" | "new";
@@ -110,7 +111,7 @@
       const { leader: leaderName } = this.#fleet;
       const node = leaderName === undefined ? undefined : this.#fleet.find(leaderName)?.node;
       if (node !== undefined) {
-        const answer = await putPlan(node, Buffer.from(this.#plan()), this.#document());
+        const answer = await proposeConfiguration(node, Buffer.from(this.#configuration()), this.#document());
         if (answer.status === 200) this.#made += 1;
       }
       await new Promise<void>((resolve) => {
@@ -119,10 +120,10 @@
     }
   }
 
-  #plan(): string {
-    const spaces: SimSpaces = SimPlans.usual();
+  #configuration(): string {
+    const spaces: SimSpaces = SimConfigurations.usual();
     for (let i = 0; i < this.#options.routes; i += 1) spaces[`route-${i}`] = spaces["notes"]!;
-    return JSON.stringify(SimPlans.write(this.#load.nextMark, spaces, Object.keys(spaces)));
+    return documentTextOf(SimConfigurations.write(this.#load.nextVersion, spaces, Object.keys(spaces)));
   }
 
   /** Bytes that no compression makes smaller and no difference from the document before: the worst there can be. */
--- a/packages/testkit/src/sim/configurationCapacity.test.ts
+++ b/packages/testkit/src/sim/configurationCapacity.test.ts
@@ -5,7 +5,8 @@
 import { served } from "./hand.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
-import { SimPlans } from "./simConfigurations.js";
+import { SimConfigurations } from "./simConfigurations.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 /** So many machines with a disk: lathes that store topic logs too. */
 const machines = (disks: number, replicas = 3): Machine[] =>
@@ -16,9 +17,9 @@
 
 type Reply = { status: number; paths: string[] };
 
-async function put(fleet: SimFleet, mark: number, spaces = SimPlans.usual()): Promise<Reply> {
+async function put(fleet: SimFleet, version: number, spaces = SimConfigurations.usual()): Promise<Reply> {
   let reply: Reply | undefined;
-  const body = JSON.stringify(SimPlans.write(mark, spaces, ["notes", "notices"]));
+  const body = documentTextOf(SimConfigurations.write(version, spaces, ["notes", "notices"]));
   void fleet.port.call("lathe-2", "PUT", "/v1/plan", body).then((got) => {
     const { problems = [] } = (got.body["error"] ?? {}) as { problems?: Array<{ path: string }> };
     reply = { status: got.status, paths: problems.map(({ path }) => path) };
@@ -43,14 +44,14 @@
     const { fleet, load } = await served(end === "kill" ? 91 : 92, machines(3));
     fleet[end]("lathe-1");
     await fleet.run(3000);
-    expect(await put(fleet, load.nextMark)).toEqual({ status: 200, paths: [] });
+    expect(await put(fleet, load.nextVersion)).toEqual({ status: 200, paths: [] });
     await fleet.run(Membership.forgetMs + 3000);
     expect(fleet.find("lathe-2")!.node.membership.find("lathe-1")).toEqual(undefined);
-    expect(await put(fleet, load.nextMark)).toEqual({ status: 200, paths: [] });
-    const spaces = SimPlans.usual();
-    spaces["notes"]![0]!.owe["fault_budget"] = { machines: 2 };
+    expect(await put(fleet, load.nextVersion)).toEqual({ status: 200, paths: [] });
+    const spaces = SimConfigurations.usual();
+    spaces["notes"]![0]!.contract["fault_budget"] = { machines: 2 };
     const path = "spaces.0.program.0.owe.fault_budget.machines";
-    expect(await put(fleet, load.nextMark, spaces)).toEqual({ status: 503, paths: [path] });
+    expect(await put(fleet, load.nextVersion, spaces)).toEqual({ status: 503, paths: [path] });
   });
 
 test("the first plan rests on the replica sets, also while one of their machines is down", async () => {
@@ -70,8 +71,8 @@
 });
 
 test("two losses take five machines, and settings that ask for five replicas", async () => {
-  const spaces = SimPlans.usual();
-  spaces["notes"]![0]!.owe["fault_budget"] = { machines: 2 };
+  const spaces = SimConfigurations.usual();
+  spaces["notes"]![0]!.contract["fault_budget"] = { machines: 2 };
   const refused = { status: 503, paths: ["spaces.0.program.0.owe.fault_budget.machines"] };
   for (const [seed, disks, replicas, reply] of [
     [95, 5, 5, { status: 200, paths: [] }],
@@ -88,8 +89,8 @@
 
 test("status says that two more losses could not be survived once one of five replicas is gone", async () => {
   const fleet = await withDisks(98, 5, 5);
-  const spaces = SimPlans.usual();
-  spaces["notes"]![0]!.owe["fault_budget"] = { machines: 2 };
+  const spaces = SimConfigurations.usual();
+  spaces["notes"]![0]!.contract["fault_budget"] = { machines: 2 };
   expect((await put(fleet, 1, spaces)).status).toEqual(200);
   const risks = async (): Promise<string[]> => {
     let status: Record<string, unknown> | undefined;
