--- a/packages/testkit/src/sim/configurationStorm.test.ts
+++ b/packages/testkit/src/sim/configurationStorm.test.ts
@@ -1,31 +1,32 @@
 import { test } from "node:test";
 import { Wire } from "@cranetrack/core/rpc/wire.js";
-import { Plans } from "@cranetrack/core/configuration/configuration.js";
-import { putPlan } from "@cranetrack/control/configuration/proposeConfiguration.js";
+import { Configurations } from "@cranetrack/core/configuration/configuration.js";
+import { proposeConfiguration } from "@cranetrack/control/configuration/proposeConfiguration.js";
 import { readDocument } from "@cranetrack/control/configuration/readDocument.js";
 import { expect } from "earl";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 /** What carries a configuration: to the store, among its members, and from there to every node. */
 const carriers = new Set(["storeCall", "storeBatch", "storeReply", "storeBatchReply", "append", "feedPush"]);
 
 interface Written {
-  plan: string;
+  sent: string;
   document: string;
 }
 
 /** A configuration of many routes, of which a change touches one. */
-function configuration(mark: number, routes: number): Written {
-  const changed = mark % routes;
+function configuration(version: number, routes: number): Written {
+  const changed = version % routes;
   const spaces = Array.from({ length: routes }, (_, i) => ({
     name: `route-${i}`,
     prefix: `tenant${i}.orders.`,
-    deadlineMs: i === changed ? 400 + mark : 400,
-    program: [{ when: {}, owe: { keep: (i % 9) * 10, order: "topic", fault_budget: {} } }],
+    deadlineMs: i === changed ? 400 + version : 400,
+    program: [{ when: {}, contract: { keep: (i % 9) * 10, order: "topic", fault_budget: {} } }],
   }));
-  const plan = JSON.stringify({ mark, spaces });
-  return { plan, document: JSON.stringify({ version: mark, routes: spaces }, undefined, 1) };
+  const sent = documentTextOf({ version, spaces });
+  return { sent, document: JSON.stringify({ version: version, routes: spaces }, undefined, 1) };
 }
 
 /** Counts bytes by kind of frame from now on. */
@@ -54,12 +55,15 @@
 }
 
 /** Puts a configuration at one control node after another until one acknowledges it. */
-async function put(fleet: SimFleet, mark: number, routes: number): Promise<Written> {
-  const written = configuration(mark, routes);
+async function put(fleet: SimFleet, version: number, routes: number): Promise<Written> {
+  const written = configuration(version, routes);
   const controlNodes = fleet.withRole("lathe").filter((name) => fleet.find(name) !== undefined);
   for (let tries = 0; tries < 30; tries += 1) {
-    const { node } = fleet.find(controlNodes[(mark + tries) % controlNodes.length]!)!;
-    const reply = await settled(fleet, putPlan(node, Buffer.from(written.plan), Buffer.from(written.document)));
+    const { node } = fleet.find(controlNodes[(version + tries) % controlNodes.length]!)!;
+    const reply = await settled(
+      fleet,
+      proposeConfiguration(node, Buffer.from(written.sent), Buffer.from(written.document)),
+    );
     if (reply.status === 200) return written;
     if (reply.status !== 503 && reply.status !== 504) throw new Error(`${reply.status} ${JSON.stringify(reply.body)}`);
     await fleet.run(300);
@@ -76,8 +80,8 @@
   return fleet;
 }
 
-const marks = (fleet: SimFleet): number[] =>
-  fleet.names.flatMap((name) => (fleet.find(name) === undefined ? [] : [fleet.find(name)!.node.plan.mark]));
+const versions = (fleet: SimFleet): number[] =>
+  fleet.names.flatMap((name) => (fleet.find(name) === undefined ? [] : [fleet.find(name)!.node.configuration.version]));
 
 /** Bytes of the changes that a node remembers. */
 const keptBytes = (fleet: SimFleet, name: string): number =>
@@ -87,20 +91,20 @@
   const fleet = await started(401, 300);
   const counted = countBytes(fleet);
   let last = configuration(1, 300);
-  for (let mark = 2; mark <= 201; mark += 1) {
+  for (let version = 2; version <= 201; version += 1) {
     const began = fleet.world.now;
-    last = await put(fleet, mark, 300);
+    last = await put(fleet, version, 300);
     await fleet.run(Math.max(0, 100 - (fleet.world.now - began)));
     // No node is more than 300 ms behind.
-    expect(Math.min(...marks(fleet)) >= mark - 3).toEqual(true);
+    expect(Math.min(...versions(fleet)) >= version - 3).toEqual(true);
   }
   await fleet.run(300);
-  for (const name of fleet.names) expect(keptBytes(fleet, name) < last.plan.length).toEqual(true);
-  expect(new Set(marks(fleet))).toEqual(new Set([201]));
-  for (const name of fleet.names) expect(fleet.find(name)!.node.plan.text).toEqual(last.plan);
+  for (const name of fleet.names) expect(keptBytes(fleet, name) < last.sent.length).toEqual(true);
+  expect(new Set(versions(fleet))).toEqual(new Set([201]));
+  for (const name of fleet.names) expect(fleet.find(name)!.node.configuration.text).toEqual(last.sent);
   const read = await settled(fleet, readDocument(fleet.find("lathe-1")!.node));
   expect(read.outcome === "done" ? Buffer.from(read.document).toString() : read.outcome).toEqual(last.document);
-  const whole = last.plan.length + last.document.length;
+  const whole = last.sent.length + last.document.length;
   const times = carried(counted) / whole / 200;
   // 0.06 as measured; whole to everyone it was 9.2.
   expect(times < 0.2).toEqual(true);
@@ -115,20 +119,20 @@
   routes = 300,
 ): Promise<Written> {
   let last = configuration(from, routes);
-  for (let mark = from; mark <= to; mark += 1) {
-    acts[mark]?.();
+  for (let version = from; version <= to; version += 1) {
+    acts[version]?.();
     const began = fleet.world.now;
-    last = await put(fleet, mark, routes);
+    last = await put(fleet, version, routes);
     await fleet.run(Math.max(0, 100 - (fleet.world.now - began)));
   }
   return last;
 }
 
 /** Whether every node has a configuration byte for byte, and the document is read back so too. */
-async function expectInForce(fleet: SimFleet, { plan, document }: Written): Promise<void> {
+async function expectInForce(fleet: SimFleet, { sent, document }: Written): Promise<void> {
   for (const name of fleet.names) {
     const { node } = fleet.find(name)!;
-    expect([name, node.plan.text === plan, node.plan.fault]).toEqual([name, true, ""]);
+    expect([name, node.configuration.text === sent, node.configuration.fault]).toEqual([name, true, ""]);
   }
   for (const name of fleet.withRole("lathe")) {
     const read = await settled(fleet, readDocument(fleet.find(name)!.node));
@@ -171,7 +175,7 @@
   };
   const last = await put(fleet, 2, 300);
   await fleet.run(3000);
-  expect([opens > 5, opens <= 16, fleet.find("vise-1")!.node.plan.mark]).toEqual([true, true, 1]);
+  expect([opens > 5, opens <= 16, fleet.find("vise-1")!.node.configuration.version]).toEqual([true, true, 1]);
   fleet.wires.heal();
   await fleet.run(1000);
   await expectInForce(fleet, last);
@@ -202,7 +206,7 @@
       fleet.wires.heal();
     },
   });
-  expect(await fleet.until(() => marks(fleet).every((mark) => mark === 120), 3000)).toEqual(true);
+  expect(await fleet.until(() => versions(fleet).every((version) => version === 120), 3000)).toEqual(true);
   await expectInForce(fleet, last);
   expect(refusals(fleet)).toEqual(0);
 });
@@ -212,11 +216,11 @@
   const counted = countBytes(fleet);
   const writers = fleet.withRole("lathe").map((name) => fleet.find(name)!.node);
   let whole = 0;
-  for (let mark = 1; mark <= 60; mark += 1) {
-    const value = Buffer.from(configuration(mark, 300).document);
+  for (let version = 1; version <= 60; version += 1) {
+    const value = Buffer.from(configuration(version, 300).document);
     whole += value.length;
     const puts = [{ key: "documents/other", value }];
-    const written = await settled(fleet, writers[mark % writers.length]!.store.txn({ puts }));
+    const written = await settled(fleet, writers[version % writers.length]!.store.txn({ puts }));
     expect(written.outcome).toEqual("done");
   }
   // Three of the writes are the first of their writers: the value goes deflated, and to two replicas.
@@ -231,12 +235,12 @@
   const counted = countBytes(fleet);
   const changes = new Map(fleet.withRole("vise").map((name) => [name, 0]));
   for (const [name] of changes)
-    fleet.find(name)!.node.plan.on("changed", () => void changes.set(name, changes.get(name)! + 1));
+    fleet.find(name)!.node.configuration.on("changed", () => void changes.set(name, changes.get(name)! + 1));
   const began = fleet.world.now;
   const last = await storm(fleet, 2, 21, {}, 5000);
   await fleet.run(1000);
   await expectInForce(fleet, last);
-  expect(carried(counted) < last.plan.length).toEqual(true);
+  expect(carried(counted) < last.sent.length).toEqual(true);
   // 26 kB as measured: five pushes to each of nine nodes, none of them whole.
   expect(counted.get("feedPush")! < 60_000).toEqual(true);
   // A node reads the whole plan at each change, so large ones come in larger steps.
@@ -247,14 +251,14 @@
 test("a configuration beyond the bound is refused by name, and changes nothing", async () => {
   const fleet = await started(407, 10);
   const { node } = fleet.find("lathe-1")!;
-  const { plan } = configuration(2, 10);
-  const long = Buffer.alloc(Plans.maxBytes + 1, " ");
+  const { sent } = configuration(2, 10);
+  const long = Buffer.alloc(Configurations.maxBytes + 1, " ");
   for (const [body, document] of [
     [long, Buffer.from("{}")],
-    [Buffer.from(plan), long],
+    [Buffer.from(sent), long],
   ] as const) {
-    const reply = await settled(fleet, putPlan(node, body, document));
-    expect([reply.status, JSON.stringify(reply.body).includes(String(Plans.maxBytes))]).toEqual([413, true]);
+    const reply = await settled(fleet, proposeConfiguration(node, body, document));
+    expect([reply.status, JSON.stringify(reply.body).includes(String(Configurations.maxBytes))]).toEqual([413, true]);
   }
   await expectInForce(fleet, configuration(1, 10));
 });
@@ -263,14 +267,14 @@
   const fleet = await started(404, 300);
   await put(fleet, 2, 300);
   const [first, second] = fleet.withRole("lathe").map((name) => fleet.find(name)!.node);
-  const calls = (mark: number): [Buffer, Buffer] => {
-    const { plan, document } = configuration(mark, 300);
-    return [Buffer.from(plan), Buffer.from(document)];
+  const calls = (version: number): [Buffer, Buffer] => {
+    const { sent, document } = configuration(version, 300);
+    return [Buffer.from(sent), Buffer.from(document)];
   };
-  expect((await settled(fleet, putPlan(first!, ...calls(3)))).status).toEqual(200);
-  expect((await settled(fleet, putPlan(second!, calls(4)[0]))).status).toEqual(200);
+  expect((await settled(fleet, proposeConfiguration(first!, ...calls(3)))).status).toEqual(200);
+  expect((await settled(fleet, proposeConfiguration(second!, calls(4)[0]))).status).toEqual(200);
   expect((await settled(fleet, readDocument(first!))).outcome).toEqual("none");
-  expect((await settled(fleet, putPlan(first!, ...calls(5)))).status).toEqual(200);
+  expect((await settled(fleet, proposeConfiguration(first!, ...calls(5)))).status).toEqual(200);
   await fleet.run(700);
   await expectInForce(fleet, configuration(5, 300));
 });
--- a/packages/testkit/src/sim/cutOff.test.ts
+++ b/packages/testkit/src/sim/cutOff.test.ts
@@ -5,6 +5,7 @@
 import { Scenario } from "./scenario.js";
 import { SimLoad } from "./simLoad.js";
 import { accepted, actingOnOld, boundMs } from "./staleNodes.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 type Ways = "in" | "out" | "both";
 type Cut = { name: string; seed: number; controlCount: number; ways: Ways; isLeaderCut: boolean; count: number };
@@ -28,7 +29,7 @@
   what: string;
   status: number;
   /** Of an order, or of what was read. */
-  mark: number;
+  version: number;
   /** The highest mark that was acknowledged when it was asked. */
   after: number;
   at: number;
@@ -49,19 +50,19 @@
 
   acknowledgedBy(at: number): number {
     const taken = this.told.filter((one) => one.what === "order" && one.status === 200 && one.at <= at);
-    return Math.max(this.#first, ...taken.map((one) => one.mark));
+    return Math.max(this.#first, ...taken.map((one) => one.version));
   }
 
   ask(isCutOff: boolean, node: string, method: string, path: string, order?: number): void {
     const { fleet } = this.#all;
     const after = this.acknowledgedBy(fleet.world.now);
-    const body = order === undefined ? undefined : JSON.stringify(SimLoad.plan(order));
+    const body = order === undefined ? undefined : documentTextOf(SimLoad.configuration(order));
     void fleet.port.call(node, method, path, body).then(({ status, body: got }) => {
       const isRead = method === "GET" && path === "/v1/plan" && status === 200;
-      const mark = isRead ? (JSON.parse(String(got["raw"])) as { mark: number }).mark : (order ?? 0);
+      const version = isRead ? (JSON.parse(String(got["raw"])) as { mark: number }).mark : (order ?? 0);
       const what = order === undefined ? `${method} ${path}` : "order";
-      this.told.push({ isCutOff, what, status, mark, after, at: fleet.world.now });
-      if (isRead && mark < after) this.wrong.push(`${node} read ${mark} after ${after} was acknowledged`);
+      this.told.push({ isCutOff, what, status, version, after, at: fleet.world.now });
+      if (isRead && version < after) this.wrong.push(`${node} read ${version} after ${after} was acknowledged`);
     });
   }
 
@@ -74,8 +75,9 @@
       const node = fleet.find(name)?.node;
       const before = this.#highest.get(name) ?? 0;
       if (node === undefined) this.#highest.delete(name);
-      else if (node.plan.mark < before) this.wrong.push(`${name} went back from ${before} to ${node.plan.mark}`);
-      else this.#highest.set(name, node.plan.mark);
+      else if (node.configuration.version < before)
+        this.wrong.push(`${name} went back from ${before} to ${node.configuration.version}`);
+      else this.#highest.set(name, node.configuration.version);
     }
   }
 
@@ -118,13 +120,13 @@
       sides.restart([controlNodes[0]!, edge]);
     }
     for (const node of off) {
-      sides.ask(true, node, "PUT", "/v1/plan", load.nextMark);
+      sides.ask(true, node, "PUT", "/v1/plan", load.nextVersion);
       sides.ask(true, node, "GET", "/v1/plan");
       sides.ask(true, node, "PUT", "/v1/machines/anvil-1/emptying");
       sides.ask(true, node, "GET", "/v1/plan/rollout");
     }
     // Two operators race, and one of them asks a node that is cut off.
-    const raced = load.nextMark;
+    const raced = load.nextVersion;
     sides.ask(false, rest[second % rest.length]!, "PUT", "/v1/plan", raced);
     sides.ask(true, off[second % off.length]!, "PUT", "/v1/plan", raced);
     for (let i = 0; i < 20; i += 1) {
@@ -165,8 +167,8 @@
       const best = sides.acknowledgedBy(fleet.world.now);
       expect(sides.told.filter((one) => !one.isCutOff && one.status === 200).length > 5).toEqual(true);
       for (const name of fleet.names) {
-        const { feed, plan } = fleet.find(name)!.node;
-        expect([name, feed.isFresh, plan.mark >= best]).toEqual([name, true, true]);
+        const { feed, configuration } = fleet.find(name)!.node;
+        expect([name, feed.isFresh, configuration.version >= best]).toEqual([name, true, true]);
       }
     });
   }
--- a/packages/testkit/src/sim/drains.test.ts
+++ b/packages/testkit/src/sim/drains.test.ts
@@ -49,7 +49,7 @@
   while (status !== 200 && fleet.world.now < due) status = (await ask(node, "GET", "/v1/plan"))["status"] as number;
   if (status !== 200) return false;
   let put = 0;
-  void load.putPlan({ mark: load.nextMark, spaces: [] }).then((got) => (put = got));
+  void load.proposeConfiguration({ version: load.nextVersion, spaces: [] }).then((got) => (put = got));
   return fleet.until(() => put === 200, 6000);
 }
 
--- a/packages/testkit/src/sim/faultActs.ts
+++ b/packages/testkit/src/sim/faultActs.ts
@@ -1,7 +1,7 @@
 import type { SimRandom } from "./simRandom.js";
 import type { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
-import { SimPlans } from "./simConfigurations.js";
+import { SimConfigurations } from "./simConfigurations.js";
 
 type Act = (name: string, ms: number) => number;
 
@@ -101,11 +101,11 @@
 
   /** Operators send different plans under one mark, at different nodes, and one sends what is stale or broken. */
   readonly race: Act = () => {
-    const mark = this.#load.nextMark;
-    void this.#load.putPlan(SimLoad.plan(mark));
-    void this.#load.putPlan(SimPlans.write(mark, SimPlans.changed(this.#random)));
-    void this.#load.putPlan(SimLoad.plan(Math.max(1, mark - 1)));
-    void this.#load.putPlan({ mark: mark + 1000, spaces: "broken" });
+    const version = this.#load.nextVersion;
+    void this.#load.proposeConfiguration(SimLoad.configuration(version));
+    void this.#load.proposeConfiguration(SimConfigurations.write(version, SimConfigurations.changed(this.#random)));
+    void this.#load.proposeConfiguration(SimLoad.configuration(Math.max(1, version - 1)));
+    void this.#load.proposeConfiguration({ version: version + 1000, spaces: "broken" });
     return 0;
   };
 
@@ -114,22 +114,27 @@
     const leader = this.#fleet.leader;
     if (leader !== undefined) this.#fleet.pause(leader, ms);
     this.race(name, ms);
-    this.replan(name, ms);
+    this.changeConfiguration(name, ms);
     return ms;
   };
 
-  readonly replan: Act = () => {
-    void this.#load.putPlan(SimPlans.write(this.#load.nextMark, SimPlans.changed(this.#random)));
+  readonly changeConfiguration: Act = () => {
+    void this.#load.proposeConfiguration(
+      SimConfigurations.write(this.#load.nextVersion, SimConfigurations.changed(this.#random)),
+    );
     return 0;
   };
 
   /** A space is removed, and made again a while later with another contract, also with another order. */
   readonly remake: Act = (_name, ms) => {
-    void this.#load.putPlan(SimLoad.plan(this.#load.nextMark, ["notes", "notices"]));
+    void this.#load.proposeConfiguration(SimLoad.configuration(this.#load.nextVersion, ["notes", "notices"]));
     return this.#later(ms, () => {
-      const spaces = SimPlans.usual();
-      Object.assign(spaces["extra"]![0]!.owe, { order: this.#random.pick(["space", "sender", "topic"]), keep: 90 });
-      void this.#load.putPlan(SimPlans.write(this.#load.nextMark, spaces));
+      const spaces = SimConfigurations.usual();
+      Object.assign(spaces["extra"]![0]!.contract, {
+        order: this.#random.pick(["space", "sender", "topic"]),
+        keep: 90,
+      });
+      void this.#load.proposeConfiguration(SimConfigurations.write(this.#load.nextVersion, spaces));
     });
   };
 
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -21,7 +21,7 @@
 
 const serverOf = ({ fleet, edge }: Pick<Scene, "fleet" | "edge">): string => {
   const { node, edge: edgeNode } = fleet.find(edge)!;
-  const tail = edgeNode!.streams.take(node.plan.route(topic)!);
+  const tail = edgeNode!.streams.take(node.configuration.route(topic)!);
   const server = edgeNode!.streams.serverOf(tail);
   edgeNode!.streams.leave(tail);
   return server;
@@ -32,7 +32,7 @@
   const all = await served(seed);
   const { fleet } = all;
   const { node, edge: edgeNode } = fleet.find("vise-1")!;
-  const shard = edgeNode!.streams.shardOf(node.plan.route(topic)!.stream);
+  const shard = edgeNode!.streams.shardOf(node.configuration.route(topic)!.stream);
   const { leader: leaderName, set } = node.shards.find(shard);
   const edge = fleet.withRole("vise").find((name) => fleet.zoneOf(name) !== fleet.zoneOf(leaderName))!;
   const near = fleet.withRole("vise").find((name) => fleet.zoneOf(name) === fleet.zoneOf(leaderName))!;
--- a/packages/testkit/src/sim/freshness.test.ts
+++ b/packages/testkit/src/sim/freshness.test.ts
@@ -2,16 +2,17 @@
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { FeedFollower } from "@cranetrack/core/feeds/feedFollower.js";
 import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
-import { PlanKey } from "@cranetrack/core/keys/configurationKey.js";
+import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { expect } from "earl";
 import { served } from "./hand.js";
 import type { SimFleet } from "./simFleet.js";
-import { SimPlans } from "./simConfigurations.js";
+import { SimConfigurations } from "./simConfigurations.js";
 import { accepted, actingOnOld, boundMs } from "./staleNodes.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 const inForceAt = (fleet: SimFleet, name: string): number => {
-  const kept = fleet.find(name)?.control?.raft?.metadata.get(PlanKey.name);
-  return kept === undefined ? 0 : PlanKey.markOf(kept.value);
+  const kept = fleet.find(name)?.control?.raft?.metadata.get(ConfigurationKey.name);
+  return kept === undefined ? 0 : ConfigurationKey.versionOf(kept.value);
 };
 
 test("a member that hears its leader but gets none of the entries hands out nothing, to nobody", async () => {
@@ -25,23 +26,23 @@
     const body = to === fleet.addressOf(behind) ? Wire.decode(bytes)?.body : undefined;
     return body?.case === "append" && body.value.entries.length > 0 ? [] : undefined;
   };
-  const mark = await accepted(all, fleet.leader!);
-  expect([before > 0, mark > before, inForceAt(fleet, behind)]).toEqual([true, true, before]);
+  const version = await accepted(all, fleet.leader!);
+  expect([before > 0, version > before, inForceAt(fleet, behind)]).toEqual([true, true, before]);
   await fleet.run(boundMs);
-  expect(actingOnOld(fleet, mark)).toEqual([]);
+  expect(actingOnOld(fleet, version)).toEqual([]);
   // One that knows nothing yet, in the zone of the member that is behind.
   const edge = fleet.withRole("vise").find((name) => fleet.zoneOf(name) === fleet.zoneOf(behind))!;
   fleet.kill(edge);
   await fleet.run(500);
   const { node } = fleet.start(edge);
-  const marks = new Set<number>();
+  const versions = new Set<number>();
   for (let i = 0; i < 400; i += 1) {
     await fleet.run(20);
-    if (node.feed.revision > 0) marks.add(node.plan.mark);
+    if (node.feed.revision > 0) versions.add(node.configuration.version);
   }
-  expect([...marks]).toEqual([mark]);
+  expect([...versions]).toEqual([version]);
   fleet.wires.heal();
-  expect(await fleet.until(() => inForceAt(fleet, behind) === mark, 3000)).toEqual(true);
+  expect(await fleet.until(() => inForceAt(fleet, behind) === version, 3000)).toEqual(true);
 });
 
 test("a node that starts is told nothing older than what was acknowledged before, by a member that lags", async () => {
@@ -55,10 +56,10 @@
     await fleet.run(2000);
     fleet.kill(edge);
     await fleet.run(500);
-    const mark = await accepted(all, fleet.leader!);
-    const { feed, plan } = fleet.start(edge).node;
+    const version = await accepted(all, fleet.leader!);
+    const { feed, configuration } = fleet.start(edge).node;
     while (feed.revision === 0) await fleet.run(5);
-    expect([round, plan.mark]).toEqual([round, mark]);
+    expect([round, configuration.version]).toEqual([round, version]);
   }
 });
 
@@ -70,17 +71,17 @@
   fleet.pause(frozen!, 20_000);
   const wakesAt = fleet.world.now + 20_000;
   await fleet.run(2000);
-  const mark = await accepted(all, fleet.leader!);
+  const version = await accepted(all, fleet.leader!);
   await fleet.run(wakesAt - fleet.world.now);
-  const { feed, plan } = fleet.find(frozen!)!.node;
-  expect(plan.mark < mark).toEqual(true);
+  const { feed, configuration } = fleet.find(frozen!)!.node;
+  expect(configuration.version < version).toEqual(true);
   const isOldAndFresh: number[] = [];
   for (let ms = 0; ms < 3000; ms += 1) {
     await fleet.run(1);
-    if (feed.isFresh && plan.mark < mark) isOldAndFresh.push(ms);
+    if (feed.isFresh && configuration.version < version) isOldAndFresh.push(ms);
   }
   expect(isOldAndFresh).toEqual([]);
-  expect([feed.isFresh, plan.mark]).toEqual([true, mark]);
+  expect([feed.isFresh, configuration.version]).toEqual([true, version]);
 });
 
 test("a member and a node that stood still together hand on nothing old when they wake", async () => {
@@ -91,13 +92,13 @@
   for (const name of together) fleet.pause(name, 20_000);
   const wakesAt = fleet.world.now + 20_000;
   await fleet.run(3000);
-  const mark = await accepted(all, fleet.leader!);
-  expect(mark > 0).toEqual(true);
+  const version = await accepted(all, fleet.leader!);
+  expect(version > 0).toEqual(true);
   await fleet.run(wakesAt - fleet.world.now);
   const old = new Set<string>();
   for (let ms = 0; ms < 3000; ms += 1) {
     await fleet.run(1);
-    for (const name of actingOnOld(fleet, mark)) old.add(`${name} ${ms}`);
+    for (const name of actingOnOld(fleet, version)) old.add(`${name} ${ms}`);
   }
   expect([...old]).toEqual([]);
 });
@@ -128,7 +129,7 @@
 test("a shard's holder whose feed is silent accepts nothing for a space that may be gone", async () => {
   const { fleet, load, ask } = await served(506);
   const { node } = fleet.find("vise-1")!;
-  const { stream, spaceIncarnation } = node.plan.route("notes/t1")!;
+  const { stream, spaceIncarnation } = node.configuration.route("notes/t1")!;
   const shard = Rendezvous.shardOf(stream, node.parts.settings.shards);
   const { leader: leaderName } = node.shards.find(shard);
   const publish = async (number: number): Promise<string | undefined> => {
@@ -144,9 +145,9 @@
   // Its leases are renewed and its replicas answer; only news do not reach it.
   fleet.wires.mutate = (_from, to, bytes) =>
     to === fleet.addressOf(leaderName) && Wire.decode(bytes)?.body.case === "feedPush" ? [] : undefined;
-  const plan = SimPlans.write(load.nextMark, SimPlans.usual(), ["notices", "extra"]);
-  expect((await ask(fleet.leader!, "PUT", "/v1/plan", JSON.stringify(plan)))["status"]).toEqual(200);
+  const configuration = SimConfigurations.write(load.nextVersion, SimConfigurations.usual(), ["notices", "extra"]);
+  expect((await ask(fleet.leader!, "PUT", "/v1/plan", documentTextOf(configuration)))["status"]).toEqual(200);
   await fleet.run(FeedFollower.staleMs + 100);
-  expect(fleet.find(leaderName)!.node.plan.route("notes/t1") === undefined).toEqual(false);
+  expect(fleet.find(leaderName)!.node.configuration.route("notes/t1") === undefined).toEqual(false);
   expect(await publish(2)).toEqual("away");
 });
--- a/packages/testkit/src/sim/hand.ts
+++ b/packages/testkit/src/sim/hand.ts
@@ -2,7 +2,8 @@
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
-import { SimPlans } from "./simConfigurations.js";
+import { SimConfigurations } from "./simConfigurations.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 export type Line = Record<string, unknown>;
 
@@ -40,7 +41,10 @@
   ask(node: string, method: string, path: string, body?: string): Promise<Line>;
   publish(session: string, number: number, node?: string, topic?: string): Promise<Line>;
   /** Puts the usual plan with these spaces and these changes of their contracts; returns the receipt. */
-  plan(spaces: readonly string[], change?: (spaces: Record<string, Array<{ owe: Line }>>) => void): Promise<Line>;
+  configuration(
+    spaces: readonly string[],
+    change?: (spaces: Record<string, Array<{ contract: Line }>>) => void,
+  ): Promise<Line>;
 }
 
 /** A simulated fleet that serves, for tests that act by hand. */
@@ -64,10 +68,10 @@
     const body = JSON.stringify({ topic, number, payload: `p${number}` });
     return ask(node, "POST", `/v1/sessions/${session}/messages`, body);
   };
-  const plan: Served["plan"] = (names, change) => {
-    const spaces = SimPlans.usual();
+  const configuration: Served["configuration"] = (names, change) => {
+    const spaces = SimConfigurations.usual();
     change?.(spaces);
-    return ask("lathe-2", "PUT", "/v1/plan", JSON.stringify(SimPlans.write(load.nextMark, spaces, names)));
+    return ask("lathe-2", "PUT", "/v1/plan", documentTextOf(SimConfigurations.write(load.nextVersion, spaces, names)));
   };
-  return { fleet, load, ask, publish, plan };
+  return { fleet, load, ask, publish, configuration };
 }
--- a/packages/testkit/src/sim/hostile.test.ts
+++ b/packages/testkit/src/sim/hostile.test.ts
@@ -128,7 +128,7 @@
       if (i % 10 === 0) await fleet.run(30);
     }
     expect(await load.settle(12_000)).toEqual(true);
-    await load.readPlan();
+    await load.readConfiguration();
     expect(Checker.judge(load.history.seen, fleet.world.now)).toEqual([]);
   },
 );
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -4,7 +4,8 @@
 import { expect } from "earl";
 import { Hand, served, type Served } from "./hand.js";
 import type { SimFleet } from "./simFleet.js";
-import { SimPlans } from "./simConfigurations.js";
+import { SimConfigurations } from "./simConfigurations.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 async function settled<T>(fleet: SimFleet, call: Promise<T>): Promise<T> {
   let answer: { value: T } | undefined;
@@ -22,13 +23,20 @@
 }
 
 /** The usual plan with changes of all its spaces and of itself, taken up by the edge. */
-async function change({ fleet, load, ask }: Served, space: object, limits: object, owe: object = {}): Promise<void> {
-  const plan = SimPlans.write(load.nextMark, SimPlans.usual());
-  for (const one of plan.spaces as Array<{ program: Array<{ owe: object }> }>) {
+async function change(
+  { fleet, load, ask }: Served,
+  space: object,
+  limits: object,
+  contract: object = {},
+): Promise<void> {
+  const configuration = SimConfigurations.write(load.nextVersion, SimConfigurations.usual());
+  for (const one of configuration.spaces as Array<{ program: Array<{ contract: object }> }>) {
     Object.assign(one, space);
-    for (const rule of one.program) Object.assign(rule.owe, owe);
+    for (const rule of one.program) Object.assign(rule.contract, contract);
   }
-  expect((await ask("lathe-2", "PUT", "/v1/plan", JSON.stringify({ ...plan, limits })))["status"]).toEqual(200);
+  expect((await ask("lathe-2", "PUT", "/v1/plan", documentTextOf({ ...configuration, limits })))["status"]).toEqual(
+    200,
+  );
   await fleet.run(1000);
 }
 
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -11,9 +11,9 @@
 /** A fleet whose space `notes` keeps nothing, and so does `extra`, which has one order. */
 async function keepingNothing(seed: number): Promise<Served> {
   const all = await served(seed);
-  const reply = await all.plan(["notes", "notices", "extra"], (spaces) => {
-    spaces["notes"]![0]!.owe["keep"] = 0;
-    spaces["extra"]![0]!.owe["keep"] = 0;
+  const reply = await all.configuration(["notes", "notices", "extra"], (spaces) => {
+    spaces["notes"]![0]!.contract["keep"] = 0;
+    spaces["extra"]![0]!.contract["keep"] = 0;
   });
   expect(reply["status"]).toEqual(200);
   await all.fleet.run(1000);
@@ -37,7 +37,7 @@
   topic: string,
 ): { name: string; shard: number; leader: ShardLeader; service: ShardService } {
   const { node, edge } = fleet.find("vise-2")!;
-  const shard = edge!.streams.shardOf(node.plan.route(topic)!.stream);
+  const shard = edge!.streams.shardOf(node.configuration.route(topic)!.stream);
   const name = node.shards.find(shard).leader;
   const { leader, service } = fleet.find(name)!.storage!.claims!.find(shard)!;
   return { name, shard, leader, service };
@@ -126,7 +126,7 @@
 
 function leaderShard({ fleet }: Served): number {
   const { node, edge } = fleet.find("vise-2")!;
-  return edge!.streams.shardOf(node.plan.route("notes/t1")!.stream);
+  return edge!.streams.shardOf(node.configuration.route("notes/t1")!.stream);
 }
 
 test("a place of another birth, or of nowhere, is confirmed without a word where nothing is kept", async () => {
@@ -158,13 +158,13 @@
   const { fleet } = all;
   for (const topic of ["notes/new", "notices/new"]) {
     const { name, shard } = shardLeaderOf(all, topic);
-    const { rpc, plan } = fleet.find("vise-1")!.node;
+    const { rpc, configuration } = fleet.find("vise-1")!.node;
     const publish = {
       shard,
       session: "sender-1",
       ownerEpoch: 9,
       topic,
-      spaceIncarnation: plan.route(topic)!.spaceIncarnation,
+      spaceIncarnation: configuration.route(topic)!.spaceIncarnation,
     };
     const replies: PublishReply[] = [];
     const heed = (body: Body | undefined): void => void (body?.case === "publishReply" && replies.push(body.value));
@@ -182,7 +182,7 @@
   const { fleet } = all;
   const topic = "notes/fresh";
   const { leader, service, shard, name } = shardLeaderOf(all, topic);
-  const { spaceIncarnation } = fleet.find(name)!.node.plan.route(topic)!;
+  const { spaceIncarnation } = fleet.find(name)!.node.configuration.route(topic)!;
   const place = { shard, session: "pen", ownerEpoch: 9, topic, spaceIncarnation };
   const base = { ...place, payload: new Uint8Array(1), mayBeRepeat: false };
   const outcomes = new Map<number, string>();
@@ -230,7 +230,7 @@
   const epoch = fleet.find(name)!.storage!.claims!.find(shard)?.leader.epoch;
   expect(epoch).toEqual(undefined);
   for (let ms = 0; ms < 3000 && next() === undefined; ms += 1) await fleet.run(1);
-  const { spaceIncarnation } = fleet.find("vise-2")!.node.plan.route(topic)!;
+  const { spaceIncarnation } = fleet.find("vise-2")!.node.configuration.route(topic)!;
   const publish = { $typeName: "cranetrack.v1.Publish" as const, shard, session: "pen", ownerEpoch: 1e9, topic };
   let second = "";
   void next()!
@@ -369,7 +369,10 @@
   await connectSession(all, "vise-2", "pen", []);
   let number = 0;
   for (const keep of [120, 0, 120, 0]) {
-    const reply = await all.plan(["notes", "notices", "extra"], (spaces) => (spaces["notes"]![0]!.owe["keep"] = keep));
+    const reply = await all.configuration(
+      ["notes", "notices", "extra"],
+      (spaces) => (spaces["notes"]![0]!.contract["keep"] = keep),
+    );
     expect(reply["status"]).toEqual(200);
     await fleet.run(2000);
     for (let i = 0; i < 3; i += 1)
--- a/packages/testkit/src/sim/oldState.test.ts
+++ b/packages/testkit/src/sim/oldState.test.ts
@@ -22,15 +22,15 @@
 
 /** Puts so many plans, one after the other; returns the last one's mark. */
 async function change(fleet: SimFleet, load: SimLoad, count: number): Promise<number> {
-  let mark = 0;
+  let version = 0;
   for (let i = 0; i < count; i += 1) {
-    mark = load.nextMark;
-    expect(await settled(fleet, load.putPlan(SimLoad.plan(mark)))).toEqual(200);
+    version = load.nextVersion;
+    expect(await settled(fleet, load.proposeConfiguration(SimLoad.configuration(version)))).toEqual(200);
   }
-  return mark;
+  return version;
 }
 
-const markAt = async (fleet: SimFleet, node: string): Promise<unknown> => {
+const versionAt = async (fleet: SimFleet, node: string): Promise<unknown> => {
   const { status, body } = await settled(fleet, fleet.port.call(node, "GET", "/v1/plan", undefined), 8000);
   return status === 200 ? (JSON.parse(String(body["raw"])) as { mark: number }).mark : status;
 };
@@ -40,7 +40,7 @@
     const { fleet, load, controlNodes } = await founded(seed);
     const old = controlNodes.find((name) => name !== fleet.leader)!;
     fleet.kill(old);
-    const mark = await change(fleet, load, 5);
+    const version = await change(fleet, load, 5);
     const [current, other] = controlNodes.filter((name) => name !== old) as [string, string];
     fleet.kill(current);
     fleet.kill(other);
@@ -51,7 +51,7 @@
     expect(await fleet.until(() => fleet.leader !== undefined, 15_000)).toEqual(true);
     expect(fleet.leader).toEqual(current);
     expect(await fleet.until(() => fleet.find(old)!.control!.raft!.isInTouch, 5000)).toEqual(true);
-    expect(await markAt(fleet, old)).toEqual(mark);
+    expect(await versionAt(fleet, old)).toEqual(version);
   }
 });
 
@@ -73,7 +73,7 @@
 
 test("who was elected serves nothing before an entry of its own term is committed", async () => {
   const { fleet, load, controlNodes } = await founded(721);
-  const mark = await change(fleet, load, 2);
+  const version = await change(fleet, load, 2);
   fleet.wires.mutate = (_from, _to, bytes) => (Wire.decode(bytes)?.body.case === "appendReply" ? [] : undefined);
   const alive = controlNodes.filter((name) => name !== fleet.leader);
   fleet.kill(fleet.leader!);
@@ -85,8 +85,8 @@
     expect(rafts.some((raft) => raft.isLeader)).toEqual(false);
   }
   expect(wasElected).toEqual(true);
-  expect([503, 504, 0]).toInclude((await markAt(fleet, alive[0]!)) as number);
+  expect([503, 504, 0]).toInclude((await versionAt(fleet, alive[0]!)) as number);
   fleet.wires.heal();
   expect(await fleet.until(() => fleet.leader !== undefined, 10_000)).toEqual(true);
-  expect(await markAt(fleet, alive[0]!)).toEqual(mark);
+  expect(await versionAt(fleet, alive[0]!)).toEqual(version);
 });
--- a/packages/testkit/src/sim/orderActs.ts
+++ b/packages/testkit/src/sim/orderActs.ts
@@ -1,6 +1,6 @@
 import { Acts, type Act } from "./acts.js";
 import { SimLoad } from "./simLoad.js";
-import { SimPlans } from "./simConfigurations.js";
+import { SimConfigurations } from "./simConfigurations.js";
 import type { GivenAnswer } from "./simPort.js";
 
 /** What befalls operators' orders, and machines just after they acknowledged something. */
@@ -24,8 +24,10 @@
     return ms;
   };
 
-  readonly bigPlan: Act = () => {
-    void this.load.putPlan(SimPlans.write(this.load.nextMark, SimPlans.large(300), SimPlans.largeNames(300)));
+  readonly bigConfiguration: Act = () => {
+    void this.load.proposeConfiguration(
+      SimConfigurations.write(this.load.nextVersion, SimConfigurations.large(300), SimConfigurations.largeNames(300)),
+    );
     return 0;
   };
 
@@ -84,9 +86,12 @@
     this.fleet.kill(name);
     return this.later(ms * 0.4, () => {
       this.fleet.revive(name);
-      const mark = this.load.nextMark;
-      void this.load.putPlan(SimLoad.plan(mark), name);
-      void this.load.putPlan(SimPlans.write(mark, SimPlans.changed(this.random)), name);
+      const version = this.load.nextVersion;
+      void this.load.proposeConfiguration(SimLoad.configuration(version), name);
+      void this.load.proposeConfiguration(
+        SimConfigurations.write(version, SimConfigurations.changed(this.random)),
+        name,
+      );
     });
   };
 
@@ -99,7 +104,9 @@
   }
 
   #change(): void {
-    void this.load.putPlan(SimPlans.write(this.load.nextMark, SimPlans.changed(this.random)));
+    void this.load.proposeConfiguration(
+      SimConfigurations.write(this.load.nextVersion, SimConfigurations.changed(this.random)),
+    );
   }
 
   #wipeAfterAck(others: readonly string[]): number {
--- a/packages/testkit/src/sim/orders.test.ts
+++ b/packages/testkit/src/sim/orders.test.ts
@@ -1,10 +1,11 @@
 import { test } from "node:test";
-import { putPlan } from "@cranetrack/control/configuration/proposeConfiguration.js";
+import { proposeConfiguration } from "@cranetrack/control/configuration/proposeConfiguration.js";
 import { readDocument } from "@cranetrack/control/configuration/readDocument.js";
 import { expect } from "earl";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 /** Operators' orders with a document of their own, as the platform's operators send them, at any node. */
 class Orders {
@@ -24,10 +25,13 @@
     return Buffer.from(JSON.stringify({ version, content }));
   }
 
-  static plan(version: number, budget = 1): Uint8Array {
-    const plan = SimLoad.plan(version, ["notes"]) as { spaces: Array<{ program: Array<{ owe: object }> }> };
-    for (const rule of plan.spaces[0]!.program) rule.owe = { ...rule.owe, fault_budget: { machines: budget } };
-    return Buffer.from(JSON.stringify(plan));
+  static configuration(version: number, budget = 1): Uint8Array {
+    const configuration = SimLoad.configuration(version, ["notes"]) as {
+      spaces: Array<{ program: Array<{ contract: object }> }>;
+    };
+    for (const rule of configuration.spaces[0]!.program)
+      rule.contract = { ...rule.contract, fault_budget: { machines: budget } };
+    return Buffer.from(documentTextOf(configuration));
   }
 
   async settled<T>(asked: Promise<T>): Promise<T> {
@@ -40,7 +44,7 @@
   /** The status of one order at one node. */
   async put(name: string, version: number, content: string, budget = 1): Promise<number> {
     const { node } = this.fleet.find(name)!;
-    const asked = putPlan(node, Orders.plan(version, budget), Orders.document(version, content));
+    const asked = proposeConfiguration(node, Orders.configuration(version, budget), Orders.document(version, content));
     return (await this.settled(asked)).status;
   }
 
@@ -67,7 +71,7 @@
   expect(await orders.put("lathe-1", 20, "a")).toEqual(200);
   const rivals = ["a", "b", "c"].map((content, i) => {
     const { node } = orders.fleet.find(`lathe-${i + 1}`)!;
-    return putPlan(node, Orders.plan(15), Orders.document(15, content));
+    return proposeConfiguration(node, Orders.configuration(15), Orders.document(15, content));
   });
   const statuses = (await orders.settled(Promise.all(rivals))).map(({ status }) => status);
   expect(statuses.toSorted()).toEqual([200, 409, 409]);
@@ -85,7 +89,7 @@
   for (const budget of [0, 2, 9]) expect(await orders.put("lathe-2", 10, "a", budget)).toEqual(200);
   const { node } = orders.fleet.find("lathe-3")!;
   const turned = Buffer.from('{ "content": "a", "version": 1.0e1 }');
-  expect((await orders.settled(putPlan(node, Orders.plan(10), turned))).status).toEqual(200);
+  expect((await orders.settled(proposeConfiguration(node, Orders.configuration(10), turned))).status).toEqual(200);
   expect(await orders.put("lathe-3", 10, "b", 0)).toEqual(409);
 });
 
--- a/packages/testkit/src/sim/replicaSets.test.ts
+++ b/packages/testkit/src/sim/replicaSets.test.ts
@@ -6,7 +6,7 @@
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
-import { SimPlans } from "./simConfigurations.js";
+import { SimConfigurations } from "./simConfigurations.js";
 
 const founders = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"] as const;
 
@@ -19,7 +19,7 @@
 
 /** Control nodes that keep topic logs themselves, with no spare beside them; later ones only join. */
 const storing = (count: number): Machine[] => {
-  const settings = { stores: true, controlCount: 3, founders: [...founders], replaceVoterMs: 1000 };
+  const settings = { stores: true, lathes: 3, founders: [...founders], replaceVoterMs: 1000 };
   return [
     ...Scenario.machines(count, 0, 0).map((machine) => ({ ...machine, settings })),
     ...Scenario.machines(0, 0, 2),
@@ -48,17 +48,17 @@
 
 /** Puts the usual contracts with another fault budget in force. */
 async function accept(fleet: SimFleet, load: SimLoad, faultBudget: object): Promise<void> {
-  const spaces = SimPlans.usual();
-  for (const [rule] of Object.values(spaces)) rule!.owe["fault_budget"] = faultBudget;
+  const spaces = SimConfigurations.usual();
+  for (const [rule] of Object.values(spaces)) rule!.contract["fault_budget"] = faultBudget;
   let status = 0;
-  void load.putPlan(SimPlans.write(load.nextMark, spaces)).then((got) => (status = got));
+  void load.proposeConfiguration(SimConfigurations.write(load.nextVersion, spaces)).then((got) => (status = got));
   expect(await fleet.until(() => status !== 0, 6000)).toEqual(true);
   expect(status).toEqual(200);
 }
 
 async function judged(fleet: SimFleet, load: SimLoad): Promise<string[]> {
   expect(await load.settle(12_000)).toEqual(true);
-  await load.readPlan();
+  await load.readConfiguration();
   return Checker.judge(load.history.seen, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
 }
 
@@ -201,7 +201,7 @@
     zone: `zone-${i % 6}`,
     region: `region-${i % 3}`,
   });
-  const storing = { stores: true, controlCount: 3, voters: 5, founders: [...founders], replaceVoterMs: 1500 };
+  const storing = { stores: true, lathes: 3, voters: 5, founders: [...founders], replaceVoterMs: 1500 };
   const make = (role: Machine["role"], count: number, settings: Machine["settings"]): Machine[] =>
     Array.from({ length: count }, (_, i) => ({
       name: `${role}-${i + 1}`,
--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -140,11 +140,11 @@
     breaches.push(...Checker.judge(history.seen, fleet.world.now));
     const judged = history.seen.length;
     await faults.finish();
-    await load.readPlan();
-    const plans = history.seen.filter(
+    await load.readConfiguration();
+    const configurations = history.seen.filter(
       (one, i) => one.kind.startsWith("plan") && (i >= judged || one.kind !== "planRead"),
     );
-    breaches.push(...Checker.judge(plans, fleet.world.now), ...judgeOrders(history.seen));
+    breaches.push(...Checker.judge(configurations, fleet.world.now), ...judgeOrders(history.seen));
     for (const violation of fleet.violations) breach("invariant", violation);
     return report((probe?.doneAt ?? Infinity) - healedAt);
   },
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -41,36 +41,36 @@
 
 async function judged(fleet: SimFleet, load: SimLoad): Promise<string[]> {
   expect(await load.settle(12_000)).toEqual(true);
-  await load.readPlan();
+  await load.readConfiguration();
   return Checker.judge(load.history.seen, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
 }
 
 const streamShard = (fleet: SimFleet, topic: string): number => {
   const { node, edge } = fleet.find("vise-1")!;
-  return edge!.streams.shardOf(node.plan.route(topic)!.stream);
+  return edge!.streams.shardOf(node.configuration.route(topic)!.stream);
 };
 
 const shardLeaderOf = (fleet: SimFleet, topic: string): string =>
   fleet.find("vise-1")!.node.shards.find(streamShard(fleet, topic)).leader;
 
-async function acceptPlan(fleet: SimFleet, load: SimLoad, spaces: readonly string[]): Promise<number> {
-  const mark = load.nextMark;
+async function acceptConfiguration(fleet: SimFleet, load: SimLoad, spaces: readonly string[]): Promise<number> {
+  const version = load.nextVersion;
   let status = 0;
-  void load.putPlan({ ...SimLoad.plan(mark, spaces), mark }).then((got) => (status = got));
+  void load.proposeConfiguration({ ...SimLoad.configuration(version, spaces), version }).then((got) => (status = got));
   expect(await fleet.until(() => status === 200, 5000)).toEqual(true);
-  return mark;
+  return version;
 }
 
 /** Takes the space out of the plan and sees that nothing is accepted in it from 3 s later on. */
 async function removeNotes(fleet: SimFleet, load: SimLoad): Promise<number> {
-  const mark = await acceptPlan(fleet, load, ["notices"]);
+  const version = await acceptConfiguration(fleet, load, ["notices"]);
   await fleet.run(3000);
   const before = load.history.seen.length;
   await fleet.run(3000);
   expect(
     load.history.seen.slice(before).filter((one) => one.kind === "accepted" && one.topic.startsWith("notes/")),
   ).toEqual([]);
-  return mark;
+  return version;
 }
 
 async function call(
@@ -211,7 +211,7 @@
     await removeNotes(fleet, load);
     fleet.wires.heal();
     await fleet.run(3000);
-    await acceptPlan(fleet, load, ["notes", "notices"]);
+    await acceptConfiguration(fleet, load, ["notes", "notices"]);
     const before = load.history.seen.length;
     const accepted = (): string[] =>
       load.history.seen
@@ -254,9 +254,9 @@
   const leaderName = shardLeaderOf(fleet, "notes/t1");
   fleet.wires.mutate = (_from, to, bytes) =>
     to === fleet.addressOf(leaderName) && Wire.decode(bytes)?.body.case === "feedPush" ? [] : undefined;
-  const mark = await removeNotes(fleet, load);
+  const version = await removeNotes(fleet, load);
   fleet.wires.heal();
-  expect(await fleet.until(() => fleet.find(leaderName)!.node.plan.mark === mark, 6000)).toEqual(true);
+  expect(await fleet.until(() => fleet.find(leaderName)!.node.configuration.version === version, 6000)).toEqual(true);
 });
 
 test("status says which contracts are at risk just now, and why; and no more once the loss is mended", async () => {
--- a/packages/testkit/src/sim/simConfigurations.ts
+++ b/packages/testkit/src/sim/simConfigurations.ts
@@ -1,37 +1,37 @@
 import type { SimRandom } from "./simRandom.js";
 
-type Rule = { when: object; owe: Record<string, unknown> };
+type Rule = { when: object; contract: Record<string, unknown> };
 export type SimSpaces = Record<string, Rule[]>;
 
 const spaceNames: readonly string[] = ["notes", "notices", "extra", "passing"];
 
 /** The plans of simulated operators: three spaces that keep messages, one that does not, and how they change. */
-export const SimPlans = {
+export const SimConfigurations = {
   all: spaceNames,
   topics: { notes: 6, notices: 3, extra: 2, passing: 2 } as Record<string, number>,
 
   /** The plan with which all callers are served. */
   usual(): SimSpaces {
     return {
-      notes: [{ when: {}, owe: { keep: 120, order: "sender", fault_budget: { machines: 1 } } }],
+      notes: [{ when: {}, contract: { keep: 120, order: "sender", fault_budget: { machines: 1 } } }],
       notices: [
         {
           when: {},
-          owe: { keep: 300, order: "one", fault_budget: { machines: 1, zones: 1 }, publishers: ["sender-*"] },
+          contract: { keep: 300, order: "one", fault_budget: { machines: 1, zones: 1 }, publishers: ["sender-*"] },
         },
       ],
-      extra: [{ when: {}, owe: { keep: 60, order: "one", fault_budget: {} } }],
-      passing: [{ when: {}, owe: { keep: 0, order: "sender", fault_budget: {} } }],
+      extra: [{ when: {}, contract: { keep: 60, order: "one", fault_budget: {} } }],
+      passing: [{ when: {}, contract: { keep: 0, order: "sender", fault_budget: {} } }],
     };
   },
 
   /** The usual spaces with a contract or two changed. */
   changed(random: SimRandom): SimSpaces {
-    const spaces = SimPlans.usual();
+    const spaces = SimConfigurations.usual();
     if (random.draw() < 0.4)
-      spaces["notes"]!.unshift({ when: { topic: "t1" }, owe: { ...spaces["notes"]![0]!.owe, maxBytes: 8 } });
-    if (random.draw() < 0.4) spaces["notices"]![0]!.owe["publishers"] = ["sender-1"];
-    if (random.draw() < 0.4) spaces["extra"]![0]!.owe["keep"] = random.pick([46, 90, 200]);
+      spaces["notes"]!.unshift({ when: { topic: "t1" }, contract: { ...spaces["notes"]![0]!.contract, maxBytes: 8 } });
+    if (random.draw() < 0.4) spaces["notices"]![0]!.contract["publishers"] = ["sender-1"];
+    if (random.draw() < 0.4) spaces["extra"]![0]!.contract["keep"] = random.pick([46, 90, 200]);
     return spaces;
   },
 
@@ -41,13 +41,17 @@
 
   /** The usual spaces and many more that nobody uses. */
   large(count: number): SimSpaces {
-    const owe = { keep: 60, order: "sender", fault_budget: {} };
-    const more = Array.from({ length: count }, (_, i) => [`more-${i}`, [{ when: {}, owe }]] as const);
-    return { ...SimPlans.usual(), ...Object.fromEntries(more.map(([name, rules]) => [name, [...rules]])) };
+    const contract = { keep: 60, order: "sender", fault_budget: {} };
+    const more = Array.from({ length: count }, (_, i) => [`more-${i}`, [{ when: {}, contract }]] as const);
+    return { ...SimConfigurations.usual(), ...Object.fromEntries(more.map(([name, rules]) => [name, [...rules]])) };
   },
 
-  write(mark: number, spaces: SimSpaces, names: readonly string[] = spaceNames): { mark: number; spaces: object[] } {
+  write(
+    version: number,
+    spaces: SimSpaces,
+    names: readonly string[] = spaceNames,
+  ): { version: number; spaces: object[] } {
     const kept = names.flatMap((name) => (spaces[name] === undefined ? [] : [{ name, program: spaces[name] }]));
-    return { mark, spaces: kept };
+    return { version, spaces: kept };
   },
 };
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -1,13 +1,15 @@
-import { Plans, type Plan } from "@cranetrack/core/configuration/configuration.js";
-import { PlanSchema } from "@cranetrack/core/configuration/configurationSchema.js";
+import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
+import { Configurations, type Configuration } from "@cranetrack/core/configuration/configuration.js";
+import { ConfigurationSchema } from "@cranetrack/core/configuration/configurationSchema.js";
 import { SimClock } from "./simClock.js";
 import type { SimFleet } from "./simFleet.js";
 import { SimRandom } from "./simRandom.js";
 import { Caller } from "../callers/caller.js";
 import { PassingCallers } from "../callers/passingCallers.js";
 import { Probe } from "../fleet/probe.js";
-import { SimPlans } from "./simConfigurations.js";
+import { SimConfigurations } from "./simConfigurations.js";
 import { History } from "../checker/history.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 /** Callers and operators against a simulated fleet. */
 export class SimLoad {
@@ -18,7 +20,7 @@
   readonly #clock: SimClock;
   readonly #zones = new Map<string, string>();
   #isPlaying = false;
-  #mark = 0;
+  #version = 0;
   /** Edges that everybody comes to just now; empty for each caller's own choice. */
   #crowded: readonly string[] = [];
   /** Machines that were not there at the beginning. */
@@ -32,31 +34,34 @@
     this.#clock = new SimClock(fleet.world, { isDead: false, pausedUntil: 0 });
     fleet.port.onAnswer.add(({ method, path, status, text }) => {
       if (method !== "PUT" || path !== "/v1/plan" || status !== 200) return;
-      const { mark } = JSON.parse(text) as { mark: number };
-      this.history.add({ kind: "planTaken", at: this.#clock.now(), mark, text });
+      const version = ConfigurationKey.versionOf(Buffer.from(text));
+      this.history.add({ kind: "planTaken", at: this.#clock.now(), version, text });
     });
   }
 
-  static plan(mark: number, spaces: readonly string[] = SimPlans.all): { mark: number; spaces: object[] } {
-    return SimPlans.write(mark, SimPlans.usual(), spaces);
+  static configuration(
+    version: number,
+    spaces: readonly string[] = SimConfigurations.all,
+  ): { version: number; spaces: object[] } {
+    return SimConfigurations.write(version, SimConfigurations.usual(), spaces);
   }
 
-  get nextMark(): number {
-    return (this.#mark += 1);
+  get nextVersion(): number {
+    return (this.#version += 1);
   }
 
   /** An operator's put, tried again until it has a final receipt. */
-  async putPlan(plan: { mark: number; spaces?: unknown }, first?: string): Promise<number> {
-    const text = JSON.stringify(plan);
-    const { mark } = plan;
+  async proposeConfiguration(configuration: { version: number; spaces?: unknown }, first?: string): Promise<number> {
+    const text = documentTextOf(configuration);
+    const { version } = configuration;
     for (let tries = 0; tries < 100; tries += 1) {
-      this.history.add({ kind: "planTried", at: this.#clock.now(), mark, text });
+      this.history.add({ kind: "planTried", at: this.#clock.now(), version, text });
       const drawn = this.#random.pick(this.#fleet.names);
       const reply = await this.#fleet.port.call(tries === 0 ? (first ?? drawn) : drawn, "PUT", "/v1/plan", text);
       const at = this.#clock.now();
-      if (reply.status === 200) this.history.add({ kind: "planAccepted", at, mark, text });
-      else if (reply.status === 409) this.history.add({ kind: "planSuperseded", at, mark, text });
-      else if (reply.status === 422) this.history.add({ kind: "planRefused", at, mark, text });
+      if (reply.status === 200) this.history.add({ kind: "planAccepted", at, version, text });
+      else if (reply.status === 409) this.history.add({ kind: "planSuperseded", at, version, text });
+      else if (reply.status === 422) this.history.add({ kind: "planRefused", at, version, text });
       if (reply.status !== 503 && reply.status !== 504 && reply.status !== 0) return reply.status;
       await new Promise<void>((resolve) => void this.#clock.once(300, resolve));
     }
@@ -68,7 +73,9 @@
     for (const name of this.#fleet.names) if (!later.includes(name)) this.#fleet.start(name);
     let isAccepted = false;
     await this.#fleet.run(3000);
-    void this.putPlan(SimLoad.plan(this.nextMark)).then((status) => void (isAccepted = status === 200));
+    void this.proposeConfiguration(SimLoad.configuration(this.nextVersion)).then(
+      (status) => void (isAccepted = status === 200),
+    );
     if (!(await this.#fleet.until(() => isAccepted, 20_000))) return false;
     const zones = [...new Set(this.#fleet.names.map((name) => this.#fleet.zoneOf(name)))];
     for (let i = 0; i < callers; i += 1) {
@@ -91,7 +98,7 @@
       caller.start([...wanted]);
     }
     this.#topics = topics;
-    if (callers > 0) this.#clock.every(200, () => void this.#lookAtMark());
+    if (callers > 0) this.#clock.every(200, () => void this.#lookAtVersion());
     return this.#fleet.until(() => this.callers.every((caller) => caller.isSettled), 25_000);
   }
 
@@ -103,7 +110,7 @@
       clock: this.#clock,
       random: new SimRandom(fleet.world.seed),
       edges: () => fleet.withRole("vise").filter((name) => fleet.find(name) !== undefined),
-      topics: Array.from({ length: SimPlans.topics["passing"]! }, (_, i) => `passing/t${i}`),
+      topics: Array.from({ length: SimConfigurations.topics["passing"]! }, (_, i) => `passing/t${i}`),
       readers: 4,
       publishers: 2,
       perSecond: 32,
@@ -145,17 +152,17 @@
   }
 
   #topicOf(space: string): string {
-    const topics = space === "notes" ? this.#topics : SimPlans.topics[space]!;
+    const topics = space === "notes" ? this.#topics : SimConfigurations.topics[space]!;
     return `${space}/t${Math.floor(this.#random.draw() * topics)}`;
   }
 
   /** What some node shows as the plan in force. */
-  async #lookAtMark(): Promise<void> {
+  async #lookAtVersion(): Promise<void> {
     const node = this.#random.pick(this.#fleet.names);
     const { status, body } = await this.#fleet.port.call(node, "GET", "/v1/status", undefined);
-    const plan = body["plan"] as { mark: number } | undefined;
-    if (status === 200 && plan !== undefined)
-      this.history.add({ kind: "marked", at: this.#clock.now(), node, mark: plan.mark });
+    const configuration = body["configuration"] as { version: number } | undefined;
+    if (status === 200 && configuration !== undefined)
+      this.history.add({ kind: "marked", at: this.#clock.now(), node, version: configuration.version });
   }
 
   /** All callers come to these edges until told otherwise. */
@@ -180,21 +187,21 @@
   async restore(): Promise<void> {
     for (const machine of this.#fleet.withRole("anvil")) this.ask("DELETE", machine);
     for (let tries = 0; tries < 20; tries += 1) {
-      const spaces = SimPlans.usual();
-      const order = Plans.orderOf(await this.#planInForce(), "extra/");
-      if (order !== undefined) spaces["extra"]![0]!.owe["order"] = order;
-      if ((await this.putPlan(SimPlans.write(this.nextMark, spaces))) === 200) return;
+      const spaces = SimConfigurations.usual();
+      const order = Configurations.orderOf(await this.#configurationInForce(), "extra/");
+      if (order !== undefined) spaces["extra"]![0]!.contract["order"] = order;
+      if ((await this.proposeConfiguration(SimConfigurations.write(this.nextVersion, spaces))) === 200) return;
     }
   }
 
-  async #planInForce(): Promise<Plan | undefined> {
+  async #configurationInForce(): Promise<Configuration | undefined> {
     for (let tries = 0; tries < 50; tries += 1) {
       const node = this.#random.pick(this.#fleet.names);
       const reply = await this.#fleet.port.call(node, "GET", "/v1/plan", undefined);
       if (reply.status !== 200) await new Promise<void>((resolve) => void this.#clock.once(300, resolve));
       else {
-        const read = PlanSchema.read(JSON.parse(String(reply.body["raw"])));
-        return "plan" in read ? read.plan : undefined;
+        const read = ConfigurationSchema.read(JSON.parse(String(reply.body["raw"])));
+        return "configuration" in read ? read.configuration : undefined;
       }
     }
     return undefined;
@@ -240,7 +247,7 @@
   }
 
   /** Reads the plan back through any node that runs. */
-  async readPlan(): Promise<void> {
+  async readConfiguration(): Promise<void> {
     let isDone = false;
     void this.#read().then(() => void (isDone = true));
     await this.#fleet.until(() => isDone, 30_000);
--- a/packages/testkit/src/sim/simOperator.ts
+++ b/packages/testkit/src/sim/simOperator.ts
@@ -1,4 +1,4 @@
-import { putPlan } from "@cranetrack/control/configuration/proposeConfiguration.js";
+import { proposeConfiguration } from "@cranetrack/control/configuration/proposeConfiguration.js";
 import { readDocument } from "@cranetrack/control/configuration/readDocument.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
@@ -7,6 +7,7 @@
 import type { OrderInput, OrderOutput } from "../checker/versionedRegister.js";
 import type { SimFleet } from "./simFleet.js";
 import type { SimRandom } from "./simRandom.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 export type OrderOperation = Operation<OrderInput, OrderOutput>;
 
@@ -75,10 +76,10 @@
 function carryOut(node: ClusterNode, input: OrderInput): Promise<ApiReply> {
   if (input.kind === "read") return readBack(node);
   const { version, content, isValid } = input;
-  const owe = { keep: isValid ? 0 : -1, order: "sender", fault_budget: {} };
-  const plan = { mark: version, spaces: [{ name: "notes", program: [{ when: {}, owe }] }] };
+  const contract = { keep: isValid ? 0 : -1, order: "sender", fault_budget: {} };
+  const configuration = { version, spaces: [{ name: "notes", program: [{ when: {}, contract }] }] };
   const document = { version, content };
-  return putPlan(node, Buffer.from(JSON.stringify(plan)), Buffer.from(JSON.stringify(document)));
+  return proposeConfiguration(node, Buffer.from(documentTextOf(configuration)), Buffer.from(JSON.stringify(document)));
 }
 
 async function readBack(node: ClusterNode): Promise<ApiReply> {
--- a/packages/testkit/src/sim/simTransport.ts
+++ b/packages/testkit/src/sim/simTransport.ts
@@ -156,8 +156,8 @@
     if (port === undefined || port.body.isDead || this.#cuts.has(key)) return;
     if (port.body.pausedUntil > this.#world.now)
       return void this.#world.at(port.body.pausedUntil, () => this.#arrive(key, to, bytes));
-    this.#world.mark(`${this.#world.now} ${key} `);
-    this.#world.mark(bytes);
+    this.#world.digestEvent(`${this.#world.now} ${key} `);
+    this.#world.digestEvent(bytes);
     const frame = Wire.decode(bytes);
     if (frame !== undefined) port.take(frame);
   }
--- a/packages/testkit/src/sim/simWorld.ts
+++ b/packages/testkit/src/sim/simWorld.ts
@@ -36,7 +36,7 @@
   }
 
   /** Makes what happened part of the trace. */
-  mark(text: string | Uint8Array): void {
+  digestEvent(text: string | Uint8Array): void {
     this.#trace.update(text);
   }
 
--- a/packages/testkit/src/sim/staleNodes.ts
+++ b/packages/testkit/src/sim/staleNodes.ts
@@ -1,25 +1,26 @@
 import { SimLoad } from "./simLoad.js";
 import type { SimFleet } from "./simFleet.js";
 import type { Served } from "./hand.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 /** Within this long after an acknowledgement nobody in touch acts on what was in force before. */
 export const boundMs = 3000;
 
 /** The mark under which an operator had the usual plan accepted, asking one node until it was. */
 export async function accepted({ fleet, load, ask }: Served, at: string): Promise<number> {
-  const mark = load.nextMark;
-  const body = JSON.stringify(SimLoad.plan(mark));
+  const version = load.nextVersion;
+  const body = documentTextOf(SimLoad.configuration(version));
   for (let tries = 0; tries < 20; tries += 1) {
-    if ((await ask(at, "PUT", "/v1/plan", body))["status"] === 200) return mark;
+    if ((await ask(at, "PUT", "/v1/plan", body))["status"] === 200) return version;
     await fleet.run(300);
   }
   return 0;
 }
 
 /** Nodes that take what they know for fresh and act on a lower mark. */
-export const actingOnOld = (fleet: SimFleet, mark: number): string[] =>
+export const actingOnOld = (fleet: SimFleet, version: number): string[] =>
   fleet.names.filter((name) => {
     const life = fleet.find(name);
     if (life === undefined || life.body.pausedUntil > fleet.world.now) return false;
-    return life.node.feed.isFresh && life.node.plan.mark < mark;
+    return life.node.feed.isFresh && life.node.configuration.version < version;
   });
--- a/packages/testkit/src/sim/store.test.ts
+++ b/packages/testkit/src/sim/store.test.ts
@@ -1,11 +1,12 @@
 import { test } from "node:test";
 import { Wire } from "@cranetrack/core/rpc/wire.js";
-import { putPlan } from "@cranetrack/control/configuration/proposeConfiguration.js";
+import { proposeConfiguration } from "@cranetrack/control/configuration/proposeConfiguration.js";
 import { readDocument } from "@cranetrack/control/configuration/readDocument.js";
 import { expect } from "earl";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 type Rollout = { taken: number; of: number; nodes: Array<{ name: string; hasTakenUp: boolean; why?: string }> };
 
@@ -57,7 +58,7 @@
     expect(
       await fleet.until(() => voters().length === 5 && fresh.every((id) => voters().includes(id)), 20_000),
     ).toEqual(true);
-    await load.readPlan();
+    await load.readConfiguration();
     expect(load.history.seen.at(-1)?.kind).toEqual("planRead");
   },
 );
@@ -80,7 +81,10 @@
     const old = leader(fleet)!;
     const others = fleet.names.filter((name) => name !== old);
     fleet.isolate(old, others, "both");
-    const asked = settled(fleet, fleet.port.call(old, "PUT", "/v1/plan", JSON.stringify(SimLoad.plan(50, ["notes"]))));
+    const asked = settled(
+      fleet,
+      fleet.port.call(old, "PUT", "/v1/plan", documentTextOf(SimLoad.configuration(50, ["notes"]))),
+    );
     const answer = await asked;
     expect([503, 504].includes(answer.status)).toEqual(true);
     expect(
@@ -90,8 +94,10 @@
       ),
     ).toEqual(true);
     expect(fleet.find(old)!.control!.raft!.isInTouch).toEqual(false);
-    const next = load.nextMark;
-    expect(await settled(fleet, load.putPlan({ ...SimLoad.plan(next), mark: next }))).toEqual(200);
+    const next = load.nextVersion;
+    expect(await settled(fleet, load.proposeConfiguration({ ...SimLoad.configuration(next), version: next }))).toEqual(
+      200,
+    );
     fleet.wires.heal();
     await fleet.run(3000);
     expect(
@@ -105,17 +111,17 @@
   const old = leader(fleet)!;
   fleet.pause(old, 6000);
   await fleet.until(() => leader(fleet) !== undefined && leader(fleet) !== old, 5000);
-  const mark = load.nextMark;
+  const version = load.nextVersion;
   const asked = settled(fleet, fleet.port.call(old, "GET", "/v1/plan", undefined));
   const other = leader(fleet)!;
   let status = 0;
   void fleet.port
-    .call(other, "PUT", "/v1/plan", JSON.stringify(SimLoad.plan(mark)))
+    .call(other, "PUT", "/v1/plan", documentTextOf(SimLoad.configuration(version)))
     .then((reply) => (status = reply.status));
   await fleet.until(() => status !== 0, 4000);
   expect(status).toEqual(200);
   const read = await asked;
-  if (read.status === 200) expect(JSON.parse(String(read.body["raw"])).mark).toEqual(mark);
+  if (read.status === 200) expect(JSON.parse(String(read.body["raw"])).mark).toEqual(version);
   else expect([0, 503].includes(read.status)).toEqual(true);
 });
 
@@ -124,21 +130,29 @@
     "receipt, stale and broken ones change nothing",
   async () => {
     const { fleet } = await founded(26);
-    const put = (node: string, plan: unknown): Promise<{ status: number; body: Record<string, unknown> }> =>
-      fleet.port.call(node, "PUT", "/v1/plan", typeof plan === "string" ? plan : JSON.stringify(plan));
+    const put = (node: string, configuration: unknown): Promise<{ status: number; body: Record<string, unknown> }> =>
+      fleet.port.call(
+        node,
+        "PUT",
+        "/v1/plan",
+        typeof configuration === "string" ? configuration : documentTextOf(configuration),
+      );
     const rivals = await settled(
       fleet,
       Promise.all([
-        put("lathe-1", SimLoad.plan(7, ["notes"])),
-        put("vise-2", SimLoad.plan(7, ["notices"])),
-        put("anvil-1", SimLoad.plan(7, ["extra"])),
+        put("lathe-1", SimLoad.configuration(7, ["notes"])),
+        put("vise-2", SimLoad.configuration(7, ["notices"])),
+        put("anvil-1", SimLoad.configuration(7, ["extra"])),
       ]),
     );
     expect(rivals.map((reply) => reply.status).sort()).toEqual([200, 409, 409]);
     const won = rivals.findIndex((reply) => reply.status === 200);
-    const again = await settled(fleet, put("lathe-2", SimLoad.plan(7, [["notes"], ["notices"], ["extra"]][won])));
+    const again = await settled(
+      fleet,
+      put("lathe-2", SimLoad.configuration(7, [["notes"], ["notices"], ["extra"]][won])),
+    );
     expect([again.status, again.body["revision"]]).toEqual([200, rivals[won]!.body["revision"]]);
-    const stale = await settled(fleet, put("lathe-3", SimLoad.plan(6)));
+    const stale = await settled(fleet, put("lathe-3", SimLoad.configuration(6)));
     expect([stale.status, (stale.body["error"] as { markInForce: number }).markInForce]).toEqual([409, 7]);
     const broken = await settled(
       fleet,
@@ -165,7 +179,9 @@
       "spaces.0.program.0.owe.fault_budget.machines",
     );
     const read = await settled(fleet, fleet.port.call("vise-3", "GET", "/v1/plan", undefined));
-    expect(read.body["raw"]).toEqual(JSON.stringify(SimLoad.plan(7, [["notes"], ["notices"], ["extra"]][won])));
+    expect(read.body["raw"]).toEqual(
+      documentTextOf(SimLoad.configuration(7, [["notes"], ["notices"], ["extra"]][won])),
+    );
   },
 );
 
@@ -175,8 +191,8 @@
     (await settled(fleet, fleet.port.call("lathe-1", "GET", "/v1/plan/rollout", undefined))).body as Rollout;
   fleet.isolate("vise-2", fleet.names, "both");
   await fleet.run(500);
-  const mark = load.nextMark;
-  expect(await settled(fleet, load.putPlan({ ...SimLoad.plan(mark), mark }))).toEqual(200);
+  const version = load.nextVersion;
+  expect(await settled(fleet, load.proposeConfiguration({ ...SimLoad.configuration(version), version }))).toEqual(200);
   await fleet.run(3000);
   const cut = await rollout();
   expect(cut.nodes.filter((node) => !node.hasTakenUp).map((node) => node.name)).toEqual(["vise-2"]);
@@ -304,15 +320,15 @@
 
 test("the operators' document goes with its plan, and a stale mark leaves both; marks may leap", async () => {
   const { fleet } = await founded(41);
-  const body = (mark: number, spaces?: readonly string[]): Uint8Array =>
-    Buffer.from(JSON.stringify(SimLoad.plan(mark, spaces)));
-  const put = async (name: string, plan: Uint8Array, document?: Uint8Array): Promise<number> =>
-    (await settled(fleet, putPlan(fleet.find(name)!.node, plan, document))).status;
+  const body = (version: number, spaces?: readonly string[]): Uint8Array =>
+    Buffer.from(documentTextOf(SimLoad.configuration(version, spaces)));
+  const put = async (name: string, configuration: Uint8Array, document?: Uint8Array): Promise<number> =>
+    (await settled(fleet, proposeConfiguration(fleet.find(name)!.node, configuration, document))).status;
   const read = async (name = "lathe-3"): Promise<string> => {
     const got = await settled(fleet, readDocument(fleet.find(name)!.node));
     return got.outcome === "done" ? Buffer.from(got.document).toString("latin1") : got.outcome;
   };
-  const markOf = async (): Promise<number> => {
+  const versionOf = async (): Promise<number> => {
     const { body: got } = await settled(fleet, fleet.port.call("lathe-2", "GET", "/v1/plan", undefined));
     return (JSON.parse(String(got["raw"])) as { mark: number }).mark;
   };
@@ -326,12 +342,12 @@
   expect(await put("lathe-2", body(3999), Buffer.from("older"))).toEqual(200);
   expect(await put("lathe-1", body(3999), Buffer.from("older, but other"))).toEqual(409);
   expect(await put("lathe-2", Buffer.from('{"mark":5000}'), Buffer.from("broken"))).toEqual(422);
-  expect([await markOf(), await read()]).toEqual([4000, Buffer.from(document).toString("latin1")]);
+  expect([await versionOf(), await read()]).toEqual([4000, Buffer.from(document).toString("latin1")]);
   // Two operators with one plan and different documents: one wins with its own.
   const rivals = ["lathe-4", "lathe-5"];
   const statuses = await settled(
     fleet,
-    Promise.all(rivals.map((name) => putPlan(fleet.find(name)!.node, body(9_000_000), Buffer.from(name)))),
+    Promise.all(rivals.map((name) => proposeConfiguration(fleet.find(name)!.node, body(9_000_000), Buffer.from(name)))),
   );
   expect(statuses.map(({ status }) => status).sort()).toEqual([200, 409]);
   expect(await read()).toEqual(rivals[statuses.findIndex(({ status }) => status === 200)]!);
@@ -339,5 +355,5 @@
   const keys = fleet.names.flatMap((name) => fleet.find(name)!.node.journal.recent.map((change) => change.key));
   expect(keys.filter((key) => key.startsWith("documents/"))).toEqual([]);
   expect(await put("lathe-1", body(9_000_001))).toEqual(200);
-  expect([await markOf(), await read()]).toEqual([9_000_001, "none"]);
+  expect([await versionOf(), await read()]).toEqual([9_000_001, "none"]);
 });
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -6,6 +6,7 @@
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
+import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 const placeOf = (hand: Hand, topic: string): string =>
   String([...hand.lines].reverse().find((line) => line["topic"] === topic && line["place"] !== undefined)!["place"]);
@@ -71,8 +72,8 @@
 test("a quiet topic's place in a busy space outlives the trimming of the others; only theirs expires", async () => {
   const all = await served(53);
   const { fleet, publish } = all;
-  await all.plan(["notes", "notices", "extra"], (spaces) => {
-    spaces["extra"]![0]!.owe["keep"] = 46;
+  await all.configuration(["notes", "notices", "extra"], (spaces) => {
+    spaces["extra"]![0]!.contract["keep"] = 46;
   });
   const reader = await connectSession(all, "vise-1", "desk", ["extra/t0", "extra/t1"]);
   await connectSession(all, "vise-2", "pen", []);
@@ -124,9 +125,9 @@
   // All storage machines sleep through both plans; nobody else has the logs.
   for (const name of fleet.withRole("anvil")) fleet.kill(name);
   await fleet.run(1500);
-  expect((await all.plan(["notices"]))["status"]).toEqual(200);
+  expect((await all.configuration(["notices"]))["status"]).toEqual(200);
   await fleet.run(300);
-  expect((await all.plan(["notes", "notices"]))["status"]).toEqual(200);
+  expect((await all.configuration(["notes", "notices"]))["status"]).toEqual(200);
   for (const name of fleet.withRole("anvil")) fleet.revive(name);
   await fleet.run(6000);
   const again = new Hand(fleet, "vise-2", "desk", { subscriptions: [{ topic: "notes/t1", after: before }] });
@@ -142,20 +143,20 @@
   const all = await served(56);
   const pathsOf = ({ error }: Line): unknown[] =>
     (error as { problems: Array<{ path: string }> }).problems.map((one) => one.path);
-  const mixed = await all.plan(["notes", "notices"], (spaces) => {
-    spaces["notes"]!.push({ owe: { keep: 60, order: "one", fault_budget: {} }, ...{ when: {} } });
+  const mixed = await all.configuration(["notes", "notices"], (spaces) => {
+    spaces["notes"]!.push({ contract: { keep: 60, order: "one", fault_budget: {} }, ...{ when: {} } });
   });
   expect([mixed["status"], pathsOf(mixed)]).toEqual([422, ["spaces.0.program.1.owe.order"]]);
-  const turned = await all.plan(["notes", "notices"], (spaces) => {
-    spaces["notices"]![0]!.owe["order"] = "sender";
+  const turned = await all.configuration(["notes", "notices"], (spaces) => {
+    spaces["notices"]![0]!.contract["order"] = "sender";
   });
   expect([turned["status"], pathsOf(turned)]).toEqual([422, ["spaces.1.program.0.owe.order"]]);
   const inForce = await all.ask("vise-1", "GET", "/v1/plan");
-  expect(JSON.parse(String(inForce["raw"]))).toEqual(SimLoad.plan(1));
+  expect(JSON.parse(String(inForce["raw"]))).toEqual(JSON.parse(documentTextOf(SimLoad.configuration(1))));
   // Removed and made again it may have another.
-  expect((await all.plan(["notes"]))["status"]).toEqual(200);
-  const made = await all.plan(["notes", "notices"], (spaces) => {
-    spaces["notices"]![0]!.owe["order"] = "sender";
+  expect((await all.configuration(["notes"]))["status"]).toEqual(200);
+  const made = await all.configuration(["notes", "notices"], (spaces) => {
+    spaces["notices"]![0]!.contract["order"] = "sender";
   });
   expect(made["status"]).toEqual(200);
 });
@@ -163,12 +164,12 @@
 test("an edge that has not heard of a space answers 503 at once; 404 only where the store knows none", async () => {
   const all = await served(57);
   const { fleet, ask } = all;
-  await all.plan(["notes", "notices"]);
+  await all.configuration(["notes", "notices"]);
   await fleet.run(1000);
   await connectSession(all, "vise-1", "desk", []);
   const deaf = fleet.addressOf("vise-1");
   fleet.wires.mutate = (_from, to, bytes) => (to === deaf && isKind(bytes, "feedPush") ? [] : undefined);
-  expect((await all.plan(["notes", "notices", "extra"]))["status"]).toEqual(200);
+  expect((await all.configuration(["notes", "notices", "extra"]))["status"]).toEqual(200);
   const askedAt = fleet.world.now;
   const body = JSON.stringify({ topic: "extra/t0", number: 1, payload: "x" });
   const early = await ask("vise-1", "POST", "/v1/sessions/desk/messages", body);
@@ -179,7 +180,9 @@
   const unknown = JSON.stringify({ topic: "nowhere/t0", number: 1, payload: "x" });
   expect((await ask("vise-1", "POST", "/v1/sessions/desk/messages", unknown))["status"]).toEqual(404);
   fleet.wires.heal();
-  expect(await fleet.until(() => fleet.find("vise-1")!.node.plan.route("extra/t0") !== undefined, 4000)).toEqual(true);
+  expect(
+    await fleet.until(() => fleet.find("vise-1")!.node.configuration.route("extra/t0") !== undefined, 4000),
+  ).toEqual(true);
   expect((await ask("vise-1", "POST", "/v1/sessions/desk/messages", body))["receipt"]).toEqual("accepted");
 });
 
@@ -253,14 +256,14 @@
   await connectSession(all, "vise-1", "desk", []);
   const deaf = fleet.addressOf("vise-1");
   fleet.wires.mutate = (_from, to, bytes) => (to === deaf && isKind(bytes, "feedPush") ? [] : undefined);
-  expect((await all.plan(["notes", "notices"]))["status"]).toEqual(200);
-  expect((await all.plan(["notes", "notices", "extra"]))["status"]).toEqual(200);
+  expect((await all.configuration(["notes", "notices"]))["status"]).toEqual(200);
+  expect((await all.configuration(["notes", "notices", "extra"]))["status"]).toEqual(200);
   const early = await publish("desk", 1, "vise-1", "extra/t0");
   expect([early["status"], Number(early["comeBack"]) > 0]).toEqual([503, true]);
   const body = JSON.stringify({ topic: "extra/t0" });
   expect((await all.ask("vise-1", "POST", "/v1/sessions/desk/subscriptions", body))["status"]).toEqual(503);
   fleet.wires.heal();
-  expect(await fleet.until(() => fleet.find("vise-1")!.node.plan.mark === 3, 4000)).toEqual(true);
+  expect(await fleet.until(() => fleet.find("vise-1")!.node.configuration.version === 3, 4000)).toEqual(true);
   expect((await publish("desk", 1, "vise-1", "extra/t0"))["receipt"]).toEqual("accepted");
 });
 
@@ -269,22 +272,25 @@
   const { fleet, publish } = all;
   await connectSession(all, "vise-1", "desk", []);
   const { node, edge } = fleet.find("vise-1")!;
-  const leaderName = node.shards.find(edge!.streams.shardOf(node.plan.route("extra/t0")!.stream)).leader;
+  const leaderName = node.shards.find(edge!.streams.shardOf(node.configuration.route("extra/t0")!.stream)).leader;
   const deaf = [fleet.addressOf("vise-1")];
   fleet.wires.mutate = (_from, to, bytes) => (deaf.includes(to) && isKind(bytes, "feedPush") ? [] : undefined);
-  expect((await all.plan(["notes", "notices"]))["status"]).toEqual(200);
-  expect(await fleet.until(() => fleet.find(leaderName)!.node.plan.mark === 2, 1000)).toEqual(true);
+  expect((await all.configuration(["notes", "notices"]))["status"]).toEqual(200);
+  expect(await fleet.until(() => fleet.find(leaderName)!.node.configuration.version === 2, 1000)).toEqual(true);
   deaf.push(fleet.addressOf(leaderName));
-  expect((await all.plan(["notes", "notices", "extra"]))["status"]).toEqual(200);
+  expect((await all.configuration(["notes", "notices", "extra"]))["status"]).toEqual(200);
   const body = JSON.stringify({ topic: "extra/t0" });
   const asked = [publish("desk", 1, "vise-1", "extra/t0")];
   asked.push(all.ask("vise-1", "POST", "/v1/sessions/desk/subscriptions", body));
   for (const { status, comeBack: retryAfterSeconds } of await Promise.all(asked))
     expect([status, Number(retryAfterSeconds) > 0]).toEqual([503, true]);
-  expect([node.plan.mark, fleet.find(leaderName)!.node.plan.mark]).toEqual([1, 2]);
+  expect([node.configuration.version, fleet.find(leaderName)!.node.configuration.version]).toEqual([1, 2]);
   fleet.wires.heal();
   expect(
-    await fleet.until(() => [node, fleet.find(leaderName)!.node].every(({ plan }) => plan.mark === 3), 4000),
+    await fleet.until(
+      () => [node, fleet.find(leaderName)!.node].every(({ configuration }) => configuration.version === 3),
+      4000,
+    ),
   ).toEqual(true);
   expect((await publish("desk", 1, "vise-1", "extra/t0"))["receipt"]).toEqual("accepted");
 });
@@ -294,10 +300,10 @@
   const { fleet, publish, load } = all;
   const topic = "notes/deep/t1";
   const put = async (isNested: boolean): Promise<void> => {
-    const plan = SimLoad.plan(load.nextMark);
-    const owe = { keep: 120, order: "topic", fault_budget: { machines: 1 } };
-    const nested = { name: "deep", prefix: "notes/deep/", program: [{ when: {}, owe }] };
-    const text = JSON.stringify({ ...plan, spaces: [...(isNested ? [nested] : []), ...plan.spaces] });
+    const configuration = SimLoad.configuration(load.nextVersion);
+    const contract = { keep: 120, order: "topic", fault_budget: { machines: 1 } };
+    const nested = { name: "deep", prefix: "notes/deep/", program: [{ when: {}, contract }] };
+    const text = documentTextOf({ ...configuration, spaces: [...(isNested ? [nested] : []), ...configuration.spaces] });
     expect((await all.ask("lathe-2", "PUT", "/v1/plan", text))["status"]).toEqual(200);
     await fleet.run(2000);
   };
@@ -346,12 +352,12 @@
   reader.close();
   for (const name of fleet.withRole("anvil")) fleet.kill(name);
   await fleet.run(1500);
-  const owe = { keep: 120, order: "topic", fault_budget: {} };
-  const deep = { name: "deep", prefix: "notes/deep/", program: [{ when: {}, owe }] };
-  const plans = [SimLoad.plan(load.nextMark), SimLoad.plan(load.nextMark)];
-  plans[0]!.spaces.push(deep);
-  for (const plan of plans) {
-    expect((await all.ask("lathe-2", "PUT", "/v1/plan", JSON.stringify(plan)))["status"]).toEqual(200);
+  const contract = { keep: 120, order: "topic", fault_budget: {} };
+  const deep = { name: "deep", prefix: "notes/deep/", program: [{ when: {}, contract }] };
+  const configurations = [SimLoad.configuration(load.nextVersion), SimLoad.configuration(load.nextVersion)];
+  configurations[0]!.spaces.push(deep);
+  for (const configuration of configurations) {
+    expect((await all.ask("lathe-2", "PUT", "/v1/plan", documentTextOf(configuration)))["status"]).toEqual(200);
     await fleet.run(300);
   }
   for (const name of fleet.withRole("anvil")) fleet.revive(name);
@@ -366,10 +372,10 @@
 test("a space with an empty prefix has the topics that no other space has", async () => {
   const at = await served(77);
   const { fleet, load, ask, publish } = at;
-  const owe = { keep: 60, order: "sender", fault_budget: { machines: 1 } };
-  const spaces = ["", "notes/"].map((prefix, i) => ({ name: `s${i}`, prefix, program: [{ when: {}, owe }] }));
+  const contract = { keep: 60, order: "sender", fault_budget: { machines: 1 } };
+  const spaces = ["", "notes/"].map((prefix, i) => ({ name: `s${i}`, prefix, program: [{ when: {}, contract }] }));
   const put = (of: object[]): Promise<Line> =>
-    ask("lathe-2", "PUT", "/v1/plan", JSON.stringify({ mark: load.nextMark, spaces: of }));
+    ask("lathe-2", "PUT", "/v1/plan", documentTextOf({ mark: load.nextVersion, spaces: of }));
   expect((await put(spaces))["status"]).toEqual(200);
   await fleet.run(2000);
   const reader = await connectSession(at, "vise-2", "reader", ["anything", "notes/t1"]);
--- a/packages/testkit/src/slopes/nodeSlopes.ts
+++ b/packages/testkit/src/slopes/nodeSlopes.ts
@@ -1,7 +1,7 @@
 import { create, toBinary } from "@bufbuild/protobuf";
 import { KvSchema, MemberSchema, type Member } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { ShardLeaderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
-import { PlanReader } from "@cranetrack/core/configuration/configurationReader.js";
+import { ConfigurationReader } from "@cranetrack/core/configuration/configurationReader.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import { ShardsView } from "@cranetrack/core/feeds/shardsView.js";
 import type { Change } from "@cranetrack/core/feeds/feedFollower.js";
@@ -36,13 +36,13 @@
     state: "up",
     disk: disk(i),
   });
-const planOf = (spaces: number): string =>
+const configurationOf = (spaces: number): string =>
   JSON.stringify({
     mark: 5700,
     spaces: Array.from({ length: spaces }, (_, i) => ({
       name: `space-${i}`,
       prefix: `space-${i}/`,
-      program: [{ when: {}, owe: { keep: 120, order: "topic", fault_budget: { machines: 1 } } }],
+      program: [{ when: {}, contract: { keep: 120, order: "topic", fault_budget: { machines: 1 } } }],
     })),
   });
 
@@ -96,17 +96,17 @@
     return used / rounds;
   },
 
-  planBytes: (spaces: number): number => planOf(spaces).length,
-  planHeapBytes: (spaces: number): number => {
-    const text = planOf(spaces);
-    return Meter.heldBy(() => PlanReader.parse(text));
+  configurationBytes: (spaces: number): number => configurationOf(spaces).length,
+  configurationHeapBytes: (spaces: number): number => {
+    const text = configurationOf(spaces);
+    return Meter.heldBy(() => ConfigurationReader.parse(text));
   },
-  async planProcessor(spaces: number): Promise<number> {
-    const text = planOf(spaces);
-    for (let i = 0; i < 20; i += 1) PlanReader.parse(text);
+  async configurationProcessor(spaces: number): Promise<number> {
+    const text = configurationOf(spaces);
+    for (let i = 0; i < 20; i += 1) ConfigurationReader.parse(text);
     const rounds = 20;
     const used = await Meter.processor(() => {
-      for (let i = 0; i < rounds; i += 1) PlanReader.parse(text);
+      for (let i = 0; i < rounds; i += 1) ConfigurationReader.parse(text);
     });
     return used / rounds;
   },
--- a/packages/testkit/src/slopes/slopeRuns.ts
+++ b/packages/testkit/src/slopes/slopeRuns.ts
@@ -177,26 +177,26 @@
     sizes: [6, 24, 54],
     run: NodeSlopes.leaseIdleBytes,
   },
-  plan: {
+  configuration: {
     what: "a plan as the store keeps and pushes it, by spaces",
     unit: "bytes",
     per: "space",
     sizes: [100, 1000, 4000],
-    run: NodeSlopes.planBytes,
+    run: NodeSlopes.configurationBytes,
   },
-  planHeap: {
+  configurationHeap: {
     what: "heap of a plan that a node has taken up",
     unit: "bytes",
     per: "space",
     sizes: [100, 1000, 4000],
-    run: NodeSlopes.planHeapBytes,
+    run: NodeSlopes.configurationHeapBytes,
   },
-  planTime: {
+  configurationTime: {
     what: "processor time of a node to read a plan",
     unit: "microseconds",
     per: "space",
     sizes: [100, 1000, 4000],
-    run: NodeSlopes.planProcessor,
+    run: NodeSlopes.configurationProcessor,
   },
   call: {
     what: "processor time of both ends of small calls over loopback, 50 at once",
--- a/packages/testkit/src/slopes/storeSlopes.ts
+++ b/packages/testkit/src/slopes/storeSlopes.ts
@@ -156,7 +156,7 @@
     const state = (i: number): Parameters<typeof create<typeof FeedStateType>>[1] => ({
       name: `vise-${i}`,
       revision: 1_000_000 + i,
-      planMark: 5700,
+      configurationVersion: 5700,
       age: 120,
     });
     const feeds = Array.from({ length: count }, (_, i) => create(FeedStateSchema, state(i)));
