--- a/packages/cli/src/fleetClient.test.ts
+++ b/packages/cli/src/fleetClient.test.ts
@@ -42,7 +42,7 @@
   expect(await ask("PUT", drain, resetting)).toEqual([0, "unsure", [1, 0]]);
 });
 
-test("reads, and plans, which are known by version and content, are asked of the next node", async () => {
+test("reads, and configurations, which are known by version and content, are asked of the next node", async () => {
   expect(await ask("GET", "/v1/status", resetting)).toEqual([200, "", [1, 1]]);
   expect(await ask("PUT", "/v1/plan", resetting)).toEqual([200, "", [1, 1]]);
 });
--- a/packages/cli/src/retryPolicy.ts
+++ b/packages/cli/src/retryPolicy.ts
@@ -36,7 +36,8 @@
   },
 
   /**
-   * Reads change nothing. A plan is known by its version and content, and is acknowledged again. Other changes may undo
+   * Reads change nothing. A configuration is known by its version and content, and is acknowledged again. Other changes
+   * may undo
    * what somebody else did between the two.
    */
   mayRepeat(method: Method, path: string): boolean {
--- a/packages/control/src/configuration/configurationArchive.test.ts
+++ b/packages/control/src/configuration/configurationArchive.test.ts
@@ -78,7 +78,7 @@
   expect(existsSync(archive.earlierFolder)).toEqual(true);
 });
 
-test("of many plans at once the newest are committed, and no more wait than a few", async () => {
+test("of many configurations at once the newest are committed, and no more wait than a few", async () => {
   const folder = join(mkdtempSync(join(tmpdir(), "cranetrack-plans-")), "plans");
   const journal = new ChangeJournal<Change>();
   const archive = new ConfigurationArchive(
--- a/packages/control/src/configuration/configurationArchive.ts
+++ b/packages/control/src/configuration/configurationArchive.ts
@@ -7,10 +7,11 @@
 import type { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 
 /**
- * Accepted plans as commits in a Git object store beside the lathe's data. Only a copy: it follows what the
+ * Accepted configurations as commits in a Git object store beside the control node's data. Only a copy: it follows what
+ * the
  * metadata store accepted, is never on the way of an acceptance, and what is lost is made again from there.
  * Its size is bounded: a full archive becomes the earlier one, beside it, in place of the one before.
- * Invariant: commits are made one at a time, in the order of the marks.
+ * Invariant: commits are made one at a time, in the order of the versions.
  */
 export class ConfigurationArchive {
   static readonly author = { name: "cranetrack", email: "cranetrack@localhost" };
@@ -19,7 +20,7 @@
   static readonly maxBytes = 8 * 1024 * 1024;
   /** The size is looked at each so many commits: that reads the whole folder. */
   static readonly lookEach = 25;
-  /** Plans that may wait to be committed; of more the oldest are left out. */
+  /** Configurations that may wait to be committed; of more the oldest are left out. */
   static readonly maxWaiting = 8;
 
   readonly #folder: string;
@@ -43,7 +44,7 @@
     configuration.on("changed", () => this.#follow(configuration.version, configuration.text));
   }
 
-  /** The newest mark that is committed here. */
+  /** The newest version that is committed here. */
   get version(): number {
     return this.#kept;
   }
@@ -53,7 +54,7 @@
     return this.#queue.onIdle();
   }
 
-  /** The marks of the newest commits, newest first; without a number, of all. */
+  /** The versions of the newest commits, newest first; without a number, of all. */
   async versions(most?: number): Promise<number[]> {
     const depth = most === undefined ? {} : { depth: most };
     const commits = await git.log({ fs: nodeFs, dir: this.#folder, ...depth }).catch(() => []);
--- a/packages/control/src/configuration/configurationCapacity.ts
+++ b/packages/control/src/configuration/configurationCapacity.ts
@@ -48,7 +48,10 @@
   return disks;
 }
 
-/** Whether the plan in force promises as much: it was accepted by what the fleet has, and no machine leaves that. */
+/**
+ * Whether the configuration in force promises as much: it was accepted by what the fleet has, and no machine leaves
+ * that.
+ */
 function restsOn({ configuration }: CapacityParts, budget: "machines" | "zones", lost: number): boolean {
   return (
     configuration.configuration?.spaces.some(({ program }) =>
--- a/packages/control/src/configuration/getRollout.ts
+++ b/packages/control/src/configuration/getRollout.ts
@@ -3,7 +3,7 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 
-/** How far the plan in force has got: the acknowledgements of all lathes' feeds, counted by node. */
+/** How far the configuration in force has got: the acknowledgements of all control nodes' feeds, counted by node. */
 export async function getRollout(node: ClusterNode): Promise<ApiReply> {
   const present = await node.store.read([ConfigurationKey.name]);
   if (present.outcome !== "done") return ApiReplies.unavailable("no majority of the lathes answers");
--- a/packages/control/src/configuration/judgeOrder.ts
+++ b/packages/control/src/configuration/judgeOrder.ts
@@ -73,7 +73,10 @@
   },
 };
 
-/** The content in force tells by itself; a plan sent alone asks for the plan, whatever document came with it. */
+/**
+ * The content in force tells by itself; a configuration sent alone asks for the configuration, whatever document came
+ * with it.
+ */
 function isSameAsHeld({ body, document }: Order, facts: OrderFacts): boolean {
   if (document === undefined)
     return isEqual(
--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -19,11 +19,13 @@
 const maxAttempts = 8;
 
 /**
- * A whole plan under a rising mark, with the operators' own document about it: accepted once a majority of the
- * lathes has both on disk, with a record of its content. A plan without a document leaves none.
+ * A whole configuration under a rising version, with the operators' own document about it: accepted once a majority of
+ * the
+ * control nodes has both on disk, with a record of its content. A configuration without a document leaves none.
  *
  * First comes the question whether it was taken already, by its content as it was sent; only what is new is held
- * against the fleet and the plan in force. With a document, a mark below the one in force is acknowledged without
+ * against the fleet and the configuration in force. With a document, a version below the one in force is acknowledged
+ * without
  * effect, once its content is recorded; without one it is refused as stale.
  */
 export async function proposeConfiguration(
@@ -69,7 +71,7 @@
   }
 }
 
-/** A confirmed read. The document is as large as the plan, and needed only where its version has no record. */
+/** A confirmed read. The document is as large as the configuration, and needed only where its version has no record. */
 async function readFacts(node: ClusterNode, { version, document }: Order): Promise<OrderFacts | undefined> {
   const read = async (keys: string[]): Promise<OrderFacts | undefined> => {
     const present = await node.store.read(keys);
@@ -82,7 +84,7 @@
   return read([...OrderFactKeys.of(version), DocumentKey.name]);
 }
 
-/** Above all marks so far: put in force, and recorded, in one step, if nothing else was put meanwhile. */
+/** Above all versions so far: put in force, and recorded, in one step, if nothing else was put meanwhile. */
 async function putNewer(
   node: ClusterNode,
   order: Order,
@@ -108,8 +110,8 @@
 }
 
 /**
- * Below the mark in force and never acknowledged so far. It changes nothing; but its content is committed before it
- * is acknowledged, so that no other content under its mark can be.
+ * Below the version in force and never acknowledged so far. It changes nothing; but its content is committed before it
+ * is acknowledged, so that no other content under its version can be.
  */
 async function record(node: ClusterNode, order: Order, facts: OrderFacts): Promise<ApiReply | "conflict"> {
   const check = { key: AcceptedOrderKey.of(order.version), revision: facts.record?.revision ?? 0 };
--- a/packages/control/src/configuration/readDocument.ts
+++ b/packages/control/src/configuration/readDocument.ts
@@ -4,12 +4,15 @@
 
 export type DocumentRead = { outcome: "done"; document: Uint8Array } | { outcome: "none" } | { outcome: "away" };
 
-/** The operators' own document about the plan in force, byte for byte; none where the plan came without one. */
+/**
+ * The operators' own document about the configuration in force, byte for byte; none where the configuration came
+ * without one.
+ */
 export function readDocument(node: ClusterNode): Promise<DocumentRead> {
   return readNewest(node, DocumentKey.name);
 }
 
-/** The plan in force, byte for byte; none where none was ever accepted. */
+/** The configuration in force, byte for byte; none where none was ever accepted. */
 export function readConfiguration(node: ClusterNode): Promise<DocumentRead> {
   return readNewest(node, ConfigurationKey.name);
 }
--- a/packages/control/src/configuration/startUp.test.ts
+++ b/packages/control/src/configuration/startUp.test.ts
@@ -15,7 +15,7 @@
   return /arktype is loaded/.exec(stderr.toString())?.[0] ?? stderr.toString();
 }
 
-test("a lathe with its calls, the check of a plan too, is loaded without arktype; only settings need it", () => {
+test("a control node with its calls, the check of a configuration too, is loaded without arktype; only settings need it", () => {
   expect(load("../controlNode.js")).toEqual("");
   expect(load("readDocument.js")).toEqual("");
   expect(load("proposeConfiguration.js")).toEqual("");
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -29,10 +29,11 @@
 }
 
 /**
- * How a store comes to be: the lathes at the founders' addresses, or the expected number of blank lathes where no
- * founders are named, agree, all of them, each synced. Any other blank lathe joins.
- * Invariants: an identity is synced before it is used; a lathe accepts only the founding it agreed to
- * last; a founded lathe never agrees again; a disk that was blank at a start that may not found never founds.
+ * How a store comes to be: the control nodes at the founders' addresses, or the expected number of blank control nodes
+ * where no
+ * founders are named, agree, all of them, each synced. Any other blank control node joins.
+ * Invariants: an identity is synced before it is used; a control node accepts only the founding it agreed to
+ * last; a founded control node never agrees again; a disk that was blank at a start that may not found never founds.
  */
 export class Founding extends EventEmitter<{ founded: [] }> {
   readonly #node: ClusterNode;
@@ -194,7 +195,7 @@
     this.emit("founded");
   }
 
-  /** A blank lathe beside a founded store: the founder's word again, or a new member's start. */
+  /** A blank control node beside a founded store: the founder's word again, or a new member's start. */
   async #join(founded: Member): Promise<void> {
     if (!this.isStandingBy) this.missing = `asks ${founded.name} to join the founded store`;
     if (this.#identity.agreed === founded.founding) return this.#found(founded.founding, this.#identity.members);
--- a/packages/control/src/consensus/proposals.test.ts
+++ b/packages/control/src/consensus/proposals.test.ts
@@ -12,7 +12,7 @@
 const settled = async <T>(asked: Promise<T>): Promise<T | "open"> =>
   Promise.race([asked, new Promise<"open">((resolve) => setImmediate(() => resolve("open")))]);
 
-/** A proposer of three whose turns end when told to, and everything that it writes and sends. */
+/** A leader of three whose turns end when told to, and everything that it writes and sends. */
 function leader(): {
   proposals: Proposals;
   log: ReplicaLog;
--- a/packages/control/src/consensus/proposals.ts
+++ b/packages/control/src/consensus/proposals.ts
@@ -9,7 +9,7 @@
 type Settle = (applied: Applied | undefined) => void;
 
 /**
- * What this lathe proposes while it is the proposer, until the log says what became of it. What is asked in one
+ * What this control node proposes while it is the leader, until the log says what became of it. What is asked in one
  * turn of the event loop goes into the log with one sync, and to the others in one message and one round.
  * Invariant: whatever was asked settles; with `undefined` or false once the term is over.
  */
@@ -39,7 +39,7 @@
     this.#pending.clear();
   }
 
-  /** Undefined: not the proposer any more; the command may or may not be carried out. */
+  /** Undefined: not the leader any more; the command may or may not be carried out. */
   propose(data: Uint8Array, kind: number): Promise<Applied | undefined> {
     if (this.#replicator === undefined) return Promise.resolve(undefined);
     const settled = new Promise<Applied | undefined>((resolve) => this.#asked.push({ data, kind, settle: resolve }));
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -32,7 +32,7 @@
 }
 
 /**
- * One lathe's part in the replicated log, by Raft's rules. Which lathe proposes changes with every
+ * One control node's part in the replicated log, by Raft's rules. Which control node proposes changes with every
  * election and has no lasting meaning.
  * Invariants: at most one vote a term, synced before it is answered; `applied` never passes the commit.
  */
@@ -72,10 +72,10 @@
   #isPre = false;
   #noopIndex = 0;
   #isResigned = false;
-  /** Taken out of the members: asks for no votes until a proposer speaks to it again. */
+  /** Taken out of the members: asks for no votes until a leader speaks to it again. */
   #isStandingBy = false;
   readonly #slowWatch = new SlowMajorityWatch();
-  /** The last term whose proposer gave up: whatever comes of it now was sent before. */
+  /** The last term whose leader gave up: whatever comes of it now was sent before. */
   #yieldedTerm = 0;
 
   constructor(parts: RaftNodeParts) {
@@ -144,20 +144,20 @@
     return this.#log.term;
   }
 
-  /** Whether a majority stands behind what this lathe tells its feeds, and it has all that was committed. */
+  /** Whether a majority stands behind what this control node tells its feeds, and it has all that was committed. */
   get isInTouch(): boolean {
     if (this.#replicator === undefined) return this.#leader !== "" && this.#contact.isCurrent;
     return this.isLeader && !this.#contact.hasJustResumed && this.#replicator.majorityAgo() < this.#contact.limitMs;
   }
 
-  /** Undefined: not the proposer any more; the command may or may not be carried out. */
+  /** Undefined: not the leader any more; the command may or may not be carried out. */
   propose(data: Uint8Array, kind: number = entryKind.command): Promise<Applied | undefined> {
     const settled = this.#proposals.propose(data, kind);
     if (kind === entryKind.members) this.#findMembers();
     return settled;
   }
 
-  /** True once this lathe is known to have proposed after the call began, and has applied all before it. */
+  /** True once this control node is known to have proposed after the call began, and has applied all before it. */
   async confirm(): Promise<boolean> {
     if (!this.isLeader) return false;
     return (await this.#proposals.confirm()) && this.isLeader;
@@ -326,7 +326,7 @@
     this.#stepDown("the process is stopping");
   }
 
-  /** The proposer gave up: the others pass it on, for its word may be slow, and ask in turn, to split no votes. */
+  /** The leader gave up: the others pass it on, for its word may be slow, and ask in turn, to split no votes. */
   #succeed({ term, sender, isSlow }: Yield): undefined {
     if (isSlow && term >= this.#log.term) this.#slowWatch.otherGaveWay(this.#clock.now());
     if (term !== this.#log.term || sender !== this.#leader || this.#replicator !== undefined) return undefined;
--- a/packages/control/src/consensus/raftNodeParts.ts
+++ b/packages/control/src/consensus/raftNodeParts.ts
@@ -7,7 +7,7 @@
 import type { InvariantMonitor } from "@cranetrack/core/runtime/invariantMonitor.js";
 import type { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 
-/** What a ledger works with: this lathe's identity in the founded store, its log, and the seams. */
+/** What a ledger works with: this control node's identity in the founded store, its log, and the seams. */
 export interface RaftNodeParts {
   readonly id: string;
   readonly founding: string;
--- a/packages/control/src/consensus/slowMajorityWatch.ts
+++ b/packages/control/src/consensus/slowMajorityWatch.ts
@@ -1,7 +1,7 @@
 /**
- * Tells when a proposer that others answer slowly should give way: it may be the slow one, and leases would
+ * Tells when a leader that others answer slowly should give way: it may be the slow one, and leases would
  * suffer from it.
- * Invariants: says so at most once in a while, and not soon after another proposer gave way for it, since the slowness
+ * Invariants: says so at most once in a while, and not soon after another leader gave way for it, since the slowness
  * of all of them must not keep them electing; who did not look for a while, because it slept itself, says nothing of
  * the others' slowness.
  */
@@ -21,7 +21,7 @@
     this.#quickAt = this.#lookedAt = now;
   }
 
-  /** Another proposer has given way: if this one is answered as slowly, it was not that one's fault. */
+  /** Another leader has given way: if this one is answered as slowly, it was not that one's fault. */
   otherGaveWay(now: number): void {
     this.#gaveWayAt = now;
   }
--- a/packages/control/src/membership/memberChanges.ts
+++ b/packages/control/src/membership/memberChanges.ts
@@ -19,7 +19,7 @@
 
 /**
  * Who is taken into the store and who is taken out, as long as this control node leads it.
- * Invariants: one change at a time; a newcomer learns before it votes, and votes only once it has caught up; no
+ * Invariants: one change at a time; a joining replica learns before it votes, and votes only once it has caught up; no
  * change of voters is begun whose new set has no majority that answers just now; a machine that is
  * to leave is never taken in.
  */
@@ -34,7 +34,7 @@
   static readonly askedMs = 1500;
   /** Who has answered within this is there. */
   static readonly answeredMs = 500;
-  /** A newcomer starts its part of the store first, so it gets longer than a voter to be heard from. */
+  /** A joining replica starts its part of the store first, so it gets longer than a voter to be heard from. */
   static readonly learnerMs = 3000;
 
   readonly #node: ClusterNode;
@@ -51,7 +51,8 @@
   }
 
   /**
-   * Done: it is a member. Standby: there are enough, and it is kept in mind for a loss. A newcomer is enlisted in
+   * Done: it is a member. Standby: there are enough, and it is kept in mind for a loss. A joining replica is enlisted
+   * in
    * answer to its own call, so that it is known to listen by the time it is sent anything.
    */
   join({ id, name }: Join): Outcome {
--- a/packages/control/src/membership/membershipStatus.ts
+++ b/packages/control/src/membership/membershipStatus.ts
@@ -2,8 +2,9 @@
 import type { RaftNode } from "../consensus/raftNode.js";
 
 /**
- * Whether this lathe, which has a log of the store, is a member of it. One that was taken out, perhaps while it was
- * away, hears of it from the others, stands by, and is in the store again once a proposer speaks to it.
+ * Whether this control node, which has a log of the store, is a member of it. One that was taken out, perhaps while it
+ * was
+ * away, hears of it from the others, stands by, and is in the store again once a leader speaks to it.
  */
 export class MembershipStatus {
   /** How often a control node that stands by asks again: it has to be known when a voter is lost. */
--- a/packages/control/src/membership/voterPlan.ts
+++ b/packages/control/src/membership/voterPlan.ts
@@ -17,7 +17,8 @@
  * The voters that there should be, from those that there are. Pure.
  *
  * A voter that is lost or is to leave is exchanged for a caught-up learner in one joint change, {A,B,X} to {A,B,N}.
- * Two single changes need more machines in between: with the newcomer first, {A,B,X,N} has X dead and needs all three
+ * Two single changes need more machines in between: with the joining replica first, {A,B,X,N} has X dead and needs all
+ * three
  * others, so that the loss of N stops the store; with the removal first, {A,B} needs both. The joint change needs A and
  * B, just what {A,B,X} needed, and once it is over any one of {A,B,N} may be lost.
  */
--- a/packages/control/src/store/feeds.ts
+++ b/packages/control/src/store/feeds.ts
@@ -30,13 +30,14 @@
   fault: string;
   isReady: boolean;
   openedAt: number;
-  /** What the leader had committed once the feed was open: nothing is told before this lathe has it too. */
+  /** What the leader had committed once the feed was open: nothing is told before this control node has it too. */
   confirmed: number | undefined;
 }
 
 /**
  * Numbered changes down held connections, one push in flight a feed; acknowledgements are counted.
- * Invariant: a feed is told nothing while this lathe is out of touch with the majority, and at first nothing older
+ * Invariant: a feed is told nothing while this control node is out of touch with the majority, and at first nothing
+ * older
  * than what the leader had committed when the feed was opened.
  */
 export class Feeds {
@@ -49,7 +50,7 @@
   static readonly paceMs = 100;
   static readonly paceBytes = 2000;
   static readonly maxPaceMs = 1000;
-  /** A lathe that still lacks what was committed when the feed was opened lets go of it after this. */
+  /** A control node that still lacks what was committed when the feed was opened lets go of it after this. */
   static readonly behindMs = 1500;
   static readonly #outOfTouch = "out of touch with the majority";
 
@@ -154,7 +155,7 @@
     this.#begin(feed);
   }
 
-  /** The first push goes out once this lathe has what was committed when the feed was opened. */
+  /** The first push goes out once this control node has what was committed when the feed was opened. */
   #begin(feed: Feed): void {
     if (feed.isReady || feed.confirmed === undefined || this.#raft.metadata.revision < feed.confirmed) return;
     feed.isReady = true;
--- a/packages/control/src/store/leases.ts
+++ b/packages/control/src/store/leases.ts
@@ -2,9 +2,9 @@
 import type { RaftNode } from "../consensus/raftNode.js";
 
 /**
- * When each lease ends, as the present proposer counts it. Expiry itself is a log entry.
+ * When each lease ends, as the present leader counts it. Expiry itself is a log entry.
  * Invariant: a lease's due is never earlier than its full length after the last renewal confirmed by a
- * majority, or after the present proposer was elected.
+ * majority, or after the present leader was elected.
  */
 export class Leases {
   static readonly tickIntervalMs = 25;
@@ -26,7 +26,7 @@
     clock.every(Leases.tickIntervalMs, () => this.#tick());
   }
 
-  /** True where the lease was there to renew. The caller confirms the proposer before and answers after. */
+  /** True where the lease was there to renew. The caller confirms the leader before and answers after. */
   renew(lease: string): boolean {
     const record = this.#raft.metadata.leases.get(lease);
     if (record === undefined || this.#ending.has(lease)) return false;
@@ -34,7 +34,7 @@
     return true;
   }
 
-  /** Milliseconds until a lease may be lost if nobody renews it; 0 where it is none or the proposer can't tell. */
+  /** Milliseconds until a lease may be lost if nobody renews it; 0 where it is none or the leader can't tell. */
   leftOf(lease: string): number {
     return Math.max(0, (this.#due.get(lease) ?? 0) - this.#clock.now());
   }
--- a/packages/control/src/store/metadata.ts
+++ b/packages/control/src/store/metadata.ts
@@ -139,7 +139,10 @@
     return true;
   }
 
-  /** A plan is kept with its spaces' births, which follow from the plan before it and from nothing else. */
+  /**
+   * A configuration is kept with its spaces' incarnations, which follow from the configuration before it and from
+   * nothing else.
+   */
   #withIncarnations(puts: readonly Kv[]): readonly Kv[] {
     if (!puts.some((kv) => kv.key === ConfigurationKey.name)) return puts;
     return puts.flatMap((kv) => {
--- a/packages/control/src/store/storeService.ts
+++ b/packages/control/src/store/storeService.ts
@@ -22,7 +22,7 @@
 import { ValueHistory } from "./valueHistory.js";
 import { MemberChanges } from "../membership/memberChanges.js";
 
-/** Takes every call on the store; what only the proposer can answer is passed on to it, once. */
+/** Takes every call on the store; what only the leader can answer is passed on to it, once. */
 export class StoreService {
   readonly #node: ClusterNode;
   readonly #raft: RaftNode;
@@ -98,7 +98,7 @@
     return this.#raft.isLeader ? Promise.all(calls.map((call) => this.run(call))) : this.#pass(calls);
   }
 
-  /** Their nodes go on at other lathes at once. */
+  /** Their nodes go on at other control nodes at once. */
   closeFeeds(reason: string): void {
     this.#feeds.closeAll(reason);
   }
@@ -161,14 +161,14 @@
       { case: "storeBatch", value: { calls: calls.map(({ call }) => ({ call, isForwarded: true })) } },
       kinds.has("renew") ? 800 : 450,
     );
-    // What may be repeated may as well be asked of the next proposer, once there is one.
+    // What may be repeated may as well be asked of the next leader, once there is one.
     const body = await (isRepeatable ? this.#unlessLed(passed) : passed);
     if (body === "led") return this.#runAll(calls);
     if (body?.case === "storeBatchReply" && body.value.replies.length === calls.length) return body.value.replies;
     return all({ outcome: "unsure", retryAfterSeconds: 0.5 });
   }
 
-  /** What was passed on, or word that another proposes now: maybe this lathe itself. */
+  /** What was passed on, or word that another proposes now: maybe this control node itself. */
   #unlessLed<T>(passed: Promise<T>): Promise<T | "led"> {
     return new Promise((resolve) => {
       const end = (settled: T | "led"): void => {
--- a/packages/core/src/configuration/configuration.test.ts
+++ b/packages/core/src/configuration/configuration.test.ts
@@ -37,7 +37,7 @@
   ]);
 });
 
-test("every problem of a plan is named with its path", () => {
+test("every problem of a configuration is named with its path", () => {
   const faultsOf = (value: unknown): string[] => {
     const read = ConfigurationSchema.read(documentOf(value));
     return "faults" in read ? read.faults.map((fault) => fault.path) : [];
@@ -59,7 +59,7 @@
   for (const value of [null, 7, "plan", [], {}]) expect(faultsOf(value).length > 0).toEqual(true);
 });
 
-test("a plan that this node cannot read leaves the old one in force and is said; an older one changes nothing", () => {
+test("a configuration that this node cannot read leaves the old one in force and is said; an older one changes nothing", () => {
   const journal = new ChangeJournal<Change>();
   const view = new ConfigurationView(journal);
   const put = (value: { version: number; spaces: unknown[]; newer?: boolean }, revision: number): void => {
@@ -130,7 +130,7 @@
   expect(none.filter((topic) => Configurations.isTopic(topic))).toEqual([]);
 });
 
-test("what a plan may say: prefixes, three orders, nothing kept, limits and deadlines; and what it may not", () => {
+test("what a configuration may say: prefixes, three orders, nothing kept, limits and deadlines; and what it may not", () => {
   const faultsOf = (...spaces: object[]): string[] => {
     const read = ConfigurationSchema.read(documentOf({ mark: 1, spaces }));
     return "faults" in read ? read.faults.map((fault) => fault.path) : [];
@@ -161,7 +161,7 @@
   ]);
 });
 
-test("the reader of accepted plans takes what the whole check takes, and distrusts every shape", () => {
+test("the reader of accepted configurations takes what the whole check takes, and distrusts every shape", () => {
   const full = {
     version: 3,
     spaces: [space("a", { prefix: "a.", deadlineMs: 9 }, { order: "one", publishers: ["x"], maxBytes: 1 })],
--- a/packages/core/src/configuration/configuration.ts
+++ b/packages/core/src/configuration/configuration.ts
@@ -30,7 +30,9 @@
   problem: string;
 }
 
-/** Made at the first question about a plan. Invariant: a plan that was asked about is never changed. */
+/**
+ * Made at the first question about a configuration. Invariant: a configuration that was asked about is never changed.
+ */
 const indexes = new WeakMap<Configuration, PrefixIndex<Space>>();
 
 function indexOf(configuration: Configuration): PrefixIndex<Space> {
@@ -42,10 +44,10 @@
 
 /** The operators' configuration: data, checked whole where it is put, judged by pure functions on every node. */
 export const Configurations = {
-  /** Of a plan, and of the operators' document about it: 5,000 routes have about 1.2 MB. */
+  /** Of a configuration, and of the operators' document about it: 5,000 routes have about 1.2 MB. */
   maxBytes: 4 * 1024 * 1024,
   maxSpaces: 16_384,
-  /** Bytes of a payload, and topics of a connection, where the plan names no other limit. */
+  /** Bytes of a payload, and topics of a connection, where the configuration names no other limit. */
   usualPayloadBytes: 65_536,
   usualSubscriptions: 500,
 
@@ -68,7 +70,7 @@
     return configuration === undefined ? undefined : indexOf(configuration).get(prefix)?.program[0]?.contract.order;
   },
 
-  /** What the plan owes a topic: its space's first rule that matches; undefined where none does. */
+  /** What the configuration owes a topic: its space's first rule that matches; undefined where none does. */
   contractFor(configuration: Configuration | undefined, topic: string): TopicContract | undefined {
     const space = Configurations.spaceOf(configuration, topic);
     if (space === undefined) return undefined;
@@ -81,7 +83,10 @@
     return rule?.contract;
   },
 
-  /** Bytes that a message under this contract may have: the plan's limit holds for all, whatever a contract allows. */
+  /**
+   * Bytes that a message under this contract may have: the configuration's limit holds for all, whatever a contract
+   * allows.
+   */
   maxPayload(configuration: Configuration | undefined, contract: TopicContract): number {
     return Math.min(
       contract.maxBytes ?? Configurations.usualPayloadBytes,
--- a/packages/core/src/configuration/configurationReader.ts
+++ b/packages/core/src/configuration/configurationReader.ts
@@ -21,7 +21,7 @@
   };
 }
 
-/** Keys that end with a question mark may be absent; no others may be there. */
+/** Keys that end with a question version may be absent; no others may be there. */
 function record(fields: Record<string, Check>): Check {
   const checks = new Map(Object.entries(fields).map(([key, check]) => [key.replace("?", ""), check]));
   const needed = Object.keys(fields).filter((key) => !key.endsWith("?"));
@@ -66,7 +66,7 @@
 });
 
 /**
- * Reads plans that were checked when they were put, on every node and without a library: only whether the data
+ * Reads configurations that were checked when they were put, on every node and without a library: only whether the data
  * has the shape that this version knows.
  */
 export const ConfigurationReader = {
--- a/packages/core/src/configuration/configurationSchema.ts
+++ b/packages/core/src/configuration/configurationSchema.ts
@@ -49,14 +49,14 @@
 });
 
 /**
- * The whole check of an operator's plan: every problem with its path. Its library is one that is loaded in
+ * The whole check of an operator's configuration: every problem with its path. Its library is one that is loaded in
  * milliseconds, for a control node stands still meanwhile.
  */
 export const ConfigurationSchema = {
   read(value: unknown): ConfigurationRead {
     const checked = v.safeParse(configurationType, value);
     if (!checked.success) return { faults: checked.issues.map(faultOf) };
-    // The schema takes a list for an object; no node could read that plan.
+    // The schema takes a list for an object; no node could read that configuration.
     const read = ConfigurationReader.read(value);
     if ("faults" in read) return read;
     const { configuration } = read;
--- a/packages/core/src/configuration/configurationView.ts
+++ b/packages/core/src/configuration/configurationView.ts
@@ -9,15 +9,15 @@
 import { Streams, type StreamRoute } from "./streams.js";
 
 /**
- * The plan in force on this node, and its spaces' births.
- * Invariants: the mark only rises; plan and births are taken up together, those of one mark.
+ * The configuration in force on this node, and its spaces' incarnations.
+ * Invariants: the version only rises; configuration and incarnations are taken up together, those of one version.
  */
 export class ConfigurationView extends EventEmitter<{ changed: [] }> {
   configuration: Configuration | undefined;
   text = "";
-  /** The store's revision of the plan in force here; 0 while there is none. */
+  /** The store's revision of the configuration in force here; 0 while there is none. */
   revision = 0;
-  /** Why the newest plan is not in force here; empty when it is. */
+  /** Why the newest configuration is not in force here; empty when it is. */
   fault = "";
   #incarnations: IncarnationsRecord | undefined;
   readonly #invariants: Pick<InvariantMonitor, "violated"> | undefined;
@@ -40,7 +40,10 @@
     return Streams.route(this.configuration, this.#incarnations, topic);
   }
 
-  /** The space's birth that a stream must have to be in force; undefined where the plan has no such stream. */
+  /**
+   * The space's incarnation that a stream must have to be in force; undefined where the configuration has no such
+   * stream.
+   */
   spaceIncarnationOf(stream: string): number | undefined {
     return Streams.spaceIncarnationIn(this.configuration, this.#incarnations, stream);
   }
--- a/packages/core/src/configuration/contentDigest.ts
+++ b/packages/core/src/configuration/contentDigest.ts
@@ -11,7 +11,7 @@
 /**
  * SHA-256 over what an operator sent, in canonical form: equal for JSON texts that differ only in white space, the
  * order of an object's keys and the spelling of numbers and strings. What is no JSON is taken byte for byte.
- * A plan alone and a document about a plan never have the same digest.
+ * A configuration alone and a document about a configuration never have the same digest.
  */
 export function contentDigest(kind: ContentKind, bytes: Uint8Array): Uint8Array {
   return createHash("sha256").update(`${kind}\n`).update(canonicalOf(bytes)).digest();
--- a/packages/core/src/configuration/keepsNothing.ts
+++ b/packages/core/src/configuration/keepsNothing.ts
@@ -1,7 +1,7 @@
 import { Configurations, type Configuration } from "./configuration.js";
 import { Streams } from "./streams.js";
 
-/** Whether a stream lives in its holder's memory alone: all that the plan owes in it is kept for no time. */
+/** Whether a stream lives in its leader's memory alone: all that the configuration owes in it is kept for no time. */
 export function keepsNothing(configuration: Configuration | undefined, stream: string): boolean {
   const space = Streams.spaceOf(stream);
   if (Configurations.orderOf(configuration, space) !== "space")
--- a/packages/core/src/configuration/streams.test.ts
+++ b/packages/core/src/configuration/streams.test.ts
@@ -9,7 +9,10 @@
 
 type Spaces = Record<string, Order>;
 
-/** A plan and its births after the ones before; each plan is given as the orders of its prefixes. */
+/**
+ * A configuration and its incarnations after the ones before; each configuration is given as the orders of its
+ * prefixes.
+ */
 class MemoryIncarnation {
   configuration: Configuration | undefined;
   incarnations: IncarnationsRecord | undefined;
@@ -54,7 +57,7 @@
   ]);
 });
 
-test("a topic that a longer prefix takes and gives back has another stream or a later birth each time", () => {
+test("a topic that a longer prefix takes and gives back has another stream or a later incarnation each time", () => {
   const incarnation = new MemoryIncarnation().put(1, { "a/": "topic" });
   const seen: Array<StreamRoute | undefined> = [incarnation.route("a/b/1")];
   seen.push(incarnation.put(5, { "a/": "topic", "a/b/": "topic" }).route("a/b/1"));
@@ -90,7 +93,7 @@
   });
 });
 
-test("while some plan has a topic its birth only rises, whatever plans come; and it changes with its stream", () => {
+test("while some configuration has a topic its incarnation only rises, whatever configurations come; and it changes with its stream", () => {
   const prefixes = ["a", "a/", "a/b", "a/b/", "a/b/c", "constructor", "__proto__"];
   const topics = ["a/b/c/d", "a/b/x", "a/y", "constructor", "__proto__"];
   let state = 7;
@@ -131,7 +134,7 @@
   expect(Object.keys(incarnation.incarnations!.ended)).toEqual([]);
 });
 
-test("births under keys that objects have by nature, and bytes that are no births", () => {
+test("incarnations under keys that objects have by nature, and bytes that are no incarnations", () => {
   const incarnation = new MemoryIncarnation().put(
     3,
     JSON.parse(`{"constructor":"topic","__proto__":"topic"}`) as Spaces,
--- a/packages/core/src/configuration/streams.ts
+++ b/packages/core/src/configuration/streams.ts
@@ -2,7 +2,7 @@
 import { PrefixIndex } from "./prefixIndex.js";
 import { Configurations, type Order, type Configuration } from "./configuration.js";
 
-/** Where a topic's messages go: a pure function of its space, the space's order and its birth. */
+/** Where a topic's messages go: a pure function of its space, the space's order and its incarnation. */
 export interface StreamRoute {
   stream: string;
   /** The space's prefix. */
@@ -29,7 +29,7 @@
     return stream.slice(stream.indexOf(":") + 1);
   },
 
-  /** Undefined where this plan has no space for the topic. */
+  /** Undefined where this configuration has no space for the topic. */
   route(
     configuration: Configuration | undefined,
     incarnations: IncarnationsRecord | undefined,
@@ -45,7 +45,10 @@
       : { stream: Streams.of(space, topic, order), space, spaceIncarnation };
   },
 
-  /** The space's birth that a stream must have to be in force; undefined where the plan has no such stream. */
+  /**
+   * The space's incarnation that a stream must have to be in force; undefined where the configuration has no such
+   * stream.
+   */
   spaceIncarnationIn(
     configuration: Configuration | undefined,
     incarnations: IncarnationsRecord | undefined,
@@ -58,12 +61,12 @@
     return route?.stream === stream ? route.spaceIncarnation : undefined;
   },
 
-  /** A stream's birth: its space's, and something that no other stream and no later life of this one has. */
+  /** A stream's incarnation: its space's, and something that no other stream and no later life of this one has. */
   incarnation(spaceIncarnation: number, identity: string): string {
     return `${spaceIncarnation.toString(16)}-${identity.slice(0, 10)}`;
   },
 
-  /** The birth of the space in a stream's birth; 0 where it is none of ours. */
+  /** The incarnation of the space in a stream's incarnation; 0 where it is none of ours. */
   spaceIncarnationOf(incarnation: string): number {
     const found = /^([0-9a-f]{1,14})-[0-9a-f]{6,20}$/.exec(incarnation);
     return found === null ? 0 : Number.parseInt(found[1]!, 16);
@@ -72,7 +75,7 @@
 
 type Ended = readonly [prefix: string, mark: number];
 
-/** Made at the first question about births. Invariant: births that were asked about are never changed. */
+/** Made at the first question about incarnations. Invariant: incarnations that were asked about are never changed. */
 const indexes = new WeakMap<IncarnationsRecord, PrefixIndex<Ended>>();
 
 function endedIn(incarnations: IncarnationsRecord): PrefixIndex<Ended> {
@@ -82,7 +85,7 @@
   return index;
 }
 
-/** The space's birth as a topic has it: later where the topic came to the space later. */
+/** The space's incarnation as a topic has it: later where the topic came to the space later. */
 function incarnationOf(incarnations: IncarnationsRecord | undefined, space: string, topic: string): number | undefined {
   if (incarnations === undefined || !Object.hasOwn(incarnations.spaces, space)) return undefined;
   let latest = incarnations.spaces[space]!;
--- a/packages/core/src/feeds/feedFollower.ts
+++ b/packages/core/src/feeds/feedFollower.ts
@@ -20,26 +20,27 @@
 }
 
 /**
- * Follows the store's numbered changes from one lathe at a time and appends them to the journal.
+ * Follows the store's numbered changes from one control node at a time and appends them to the journal.
  * Invariants: `revision` only rises; a push is applied only in its number's turn, and whole: one with a difference
  * whose base is not held here is refused, and everything is asked for anew.
  */
 export class FeedFollower extends EventEmitter<{ first: [] }> {
   static readonly staleMs = 1450;
   /**
-   * A push answers an acknowledgement, at the lathe's next beat (500 ms) at the latest. What comes later than this was
+   * A push answers an acknowledgement, at the control node's next beat (500 ms) at the latest. What comes later than
+   * this was
    * on its way, or in a buffer of a process that stood still, for the rest of the time.
    */
   static readonly answerMs = 700;
-  /** Two beats without a word: another lathe is asked before what this node knows is stale. */
+  /** Two beats without a word: another control node is asked before what this node knows is stale. */
   static readonly silentMs = 1000;
-  /** A lathe says at once whether it takes a feed. */
+  /** A control node says at once whether it takes a feed. */
   static readonly acceptMs = 500;
   /** Feeds not accepted in time that are remembered: slow machines answer late, and asking anew makes it no sooner. */
   static readonly maxUnaccepted = 4;
   /** A first snapshot may take this long; asking elsewhere sooner only makes it later. What follows is short. */
   static readonly openMs = 2500;
-  /** After a lathe let go of the feed; it may have been told so at once. */
+  /** After a control node let go of the feed; it may have been told so at once. */
   static readonly closedMs = 200;
   static readonly reopenMs = 1000;
   static readonly livelyMs = 900;
@@ -57,7 +58,7 @@
   #feed = "";
   #controlNode = "";
   #number = 0;
-  /** Invariant: at most `answerMs` later than when the lathe sent what was heard. */
+  /** Invariant: at most `answerMs` later than when the control node sent what was heard. */
   #heardAt = -Infinity;
   #arrivedAt = -Infinity;
   /** When the last push was acknowledged first, or the feed was opened. */
@@ -66,14 +67,17 @@
   #opens = 0;
   /** Feeds that were asked for and not accepted in time: word of them, or their first push, may still be on its way. */
   readonly #unaccepted = new Map<string, UnacceptedFeed>();
-  /** The lathe let go of the feed. What was heard before stays as old as it is: another lathe may go on from it. */
+  /**
+   * The control node let go of the feed. What was heard before stays as old as it is: another control node may go on
+   * from it.
+   */
   #isClosed = false;
   /** A push was refused: nothing but a snapshot will do. */
   #needsSnapshot = false;
   /** Pushes that were refused for want of a difference's base. */
   refused = 0;
   revision = 0;
-  /** Told by the plan's view, to be acknowledged. */
+  /** Told by the configuration's view, to be acknowledged. */
   configurationVersion: () => number = () => 0;
   fault: () => string = () => "";
 
@@ -100,7 +104,7 @@
     });
   }
 
-  /** Milliseconds since the store was last heard through a lathe in touch with its majority. */
+  /** Milliseconds since the store was last heard through a control node in touch with its majority. */
   get age(): number {
     return this.#clock.now() - this.#heardAt;
   }
--- a/packages/core/src/feeds/shardsView.ts
+++ b/packages/core/src/feeds/shardsView.ts
@@ -35,7 +35,7 @@
     return [...this.#routes].sort((a, b) => a[0] - b[0]);
   }
 
-  /** Resolves when the shard is no longer that holder's, or the due has passed: waiting for it has no use then. */
+  /** Resolves when the shard is no longer that leader's, or the due has passed: waiting for it has no use then. */
   moved(shard: number, leader: string, clock: Clock, timeoutMs: number): Promise<undefined> {
     return new Promise((resolve) => {
       const look = (changed: number): void => {
--- a/packages/core/src/http/bodyReader.ts
+++ b/packages/core/src/http/bodyReader.ts
@@ -3,7 +3,7 @@
 import { JsonBody } from "./jsonBody.js";
 
 export const BodyReader = {
-  /** The checked body, or the receipt that says what is wrong with it and where. */
+  /** The checked body, or the reply that says what is wrong with it and where. */
   read<T>(body: Uint8Array, shape: Type<T>): { value: T } | { reply: ApiReply } {
     const json = JsonBody.read(body);
     if ("reply" in json) return json;
--- a/packages/core/src/http/httpServer.ts
+++ b/packages/core/src/http/httpServer.ts
@@ -5,7 +5,7 @@
 
 type Stream = (path: string, body: Uint8Array, reply: FastifyReply) => Promise<ApiReply | undefined>;
 
-/** HTTP/1.1 towards callers and operators. All calls end in the router but long links, which stream. */
+/** HTTP/1.1 towards callers and operators. All calls end in the router but long connections, which stream. */
 export class HttpServer {
   readonly #app: FastifyInstance;
 
--- a/packages/core/src/http/jsonBody.ts
+++ b/packages/core/src/http/jsonBody.ts
@@ -1,7 +1,7 @@
 import { ApiReplies, type ApiReply } from "./apiReply.js";
 
 export const JsonBody = {
-  /** Whatever JSON the body is, or the receipt that says that it is none. */
+  /** Whatever JSON the body is, or the reply that says that it is none. */
   read(body: Uint8Array): { value: unknown } | { reply: ApiReply } {
     try {
       return { value: JSON.parse(new TextDecoder("utf8", { fatal: true }).decode(body)) as unknown };
--- a/packages/core/src/http/router.ts
+++ b/packages/core/src/http/router.ts
@@ -24,7 +24,7 @@
  */
 export class Router {
   static readonly maxBody = 1_200_000;
-  /** Of a plan; a little more than it may have, so that one beyond its bound is told what that is. */
+  /** Of a configuration; a little more than it may have, so that one beyond its bound is told what that is. */
   static readonly maxConfigurationBody = Configurations.maxBytes + 200_000;
   static readonly forwardTimeoutMs = 2500;
 
--- a/packages/core/src/keys/configurationKey.ts
+++ b/packages/core/src/keys/configurationKey.ts
@@ -1,7 +1,7 @@
 import { Configurations } from "../configuration/configuration.js";
 import { documentFields } from "../configuration/configurationDocument.js";
 
-/** What a plan's spaces are to those who need not know their contracts. */
+/** What a configuration's spaces are to those who need not know their contracts. */
 export interface SpaceOutline {
   prefix: string;
   /** The whole space is one stream. */
@@ -21,11 +21,11 @@
   }>;
 }
 
-/** The key that holds the plan in force, byte for byte as it was sent. */
+/** The key that holds the configuration in force, byte for byte as it was sent. */
 export const ConfigurationKey = {
   name: "plan",
 
-  /** The mark and the spaces, whatever else this version can't read; undefined where there are none. */
+  /** The version and the spaces, whatever else this version can't read; undefined where there are none. */
   outline(value: Uint8Array): ConfigurationOutline | undefined {
     try {
       const { [documentFields.version]: version, spaces } = JSON.parse(Buffer.from(value).toString()) as RawDocument;
--- a/packages/core/src/keys/documentKey.ts
+++ b/packages/core/src/keys/documentKey.ts
@@ -1,2 +1,5 @@
-/** The key of the operators' own document about the plan in force; written with the plan, and pushed to nobody. */
+/**
+ * The key of the operators' own document about the configuration in force; written with the configuration, and pushed
+ * to nobody.
+ */
 export const DocumentKey = { name: "documents/plan" };
--- a/packages/core/src/keys/incarnationsKey.ts
+++ b/packages/core/src/keys/incarnationsKey.ts
@@ -2,11 +2,11 @@
 import { JsonValue } from "./jsonValue.js";
 import type { ConfigurationOutline, SpaceOutline } from "./configurationKey.js";
 
-/** Marks of plans, by prefix. */
+/** Versions of configurations, by prefix. */
 export interface IncarnationsRecord {
-  /** The plan that this belongs to. */
+  /** The configuration that this belongs to. */
   version: number;
-  /** For each space the mark of the plan in which it appeared, or appeared again. */
+  /** For each space the version of the configuration in which it appeared, or appeared again. */
   spaces: Record<string, number>;
   /** For each prefix whose topics fell back to a space with a shorter one, when they last did. */
   ended: Record<string, number>;
@@ -17,7 +17,10 @@
 
 type Versions = ReadonlyArray<readonly [prefix: string, mark: number]>;
 
-/** The key beside the plan that says when each of its spaces was born; written with the plan, in one step. */
+/**
+ * The key beside the configuration that says when each of its spaces was born; written with the configuration, in one
+ * step.
+ */
 export const IncarnationsKey = {
   name: "plan/births",
   /** So many ended prefixes are told apart; for the eldest ones beyond, the space that has their topics is reborn. */
@@ -39,8 +42,10 @@
   },
 
   /**
-   * A space keeps its birth from plan to plan; one that was not there before is born with this plan. Topics that
-   * a longer prefix gives back begin anew, so a topic's birth only rises while some plan has it: one by one where
+   * A space keeps its incarnation from configuration to configuration; one that was not there before is born with this
+   * configuration. Topics that
+   * a longer prefix gives back begin anew, so a topic's incarnation only rises while some configuration has it: one by
+   * one where
    * each is a stream, and with the whole space where that is one stream.
    */
   next(before: IncarnationsRecord | undefined, { version, spaces }: ConfigurationOutline): IncarnationsRecord {
@@ -87,7 +92,7 @@
   return spaces.longest(prefix, prefix.length - 1);
 }
 
-/** Neither the heir's birth nor a later end of a shorter prefix says the same. */
+/** Neither the heir's incarnation nor a later end of a shorter prefix says the same. */
 function isNeeded(
   later: LaterPrefixes,
   [prefix, version]: Versions[number],
--- a/packages/core/src/keys/shardLeaderKey.ts
+++ b/packages/core/src/keys/shardLeaderKey.ts
@@ -1,13 +1,13 @@
 import { JsonValue } from "./jsonValue.js";
 
-/** The holder's node, the identity of its disk, and the lease that the key is under. */
+/** The leader's node, the identity of its disk, and the lease that the key is under. */
 export interface ShardLeaderRecord {
   name: string;
   id: string;
   lease: string;
 }
 
-/** The key that names a shard's holder; its revision is the shard's epoch. */
+/** The key that names a shard's leader; its revision is the shard's epoch. */
 export const ShardLeaderKey = {
   of(shard: number): string {
     return `shards/${shard}/holder`;
--- a/packages/core/src/membership/addressBook.ts
+++ b/packages/core/src/membership/addressBook.ts
@@ -4,7 +4,7 @@
 
 /**
  * The addresses of the members last known, on disk, so that a start finds somebody where its seeds are down or
- * have moved. Lathes first, then the others; few, and written only when they changed.
+ * have moved. Control nodes first, then the others; few, and written only when they changed.
  */
 export class AddressBook {
   static readonly most = 16;
--- a/packages/core/src/replication/followerLog.ts
+++ b/packages/core/src/replication/followerLog.ts
@@ -88,7 +88,7 @@
     this.#agreed = { term, index: this.#agreed.term === term ? Math.max(this.#agreed.index, index) : index };
   }
 
-  /** No answer leaves before the term is synced: each waits for it in `#receipt`. */
+  /** No answer leaves before the term is synced: each waits for it in `#reply`. */
   #promise(term: number): void {
     if (term > this.#log.term) void this.#log.promise(term, "");
   }
--- a/packages/core/src/runtime/invariantMonitor.ts
+++ b/packages/core/src/runtime/invariantMonitor.ts
@@ -2,7 +2,7 @@
 
 /** What must hold in every process, whatever fails around it. The names are those of the metrics. */
 export const invariantNames = [
-  /** A publisher's numbers rise within one birth of a stream. */
+  /** A publisher's numbers rise within one incarnation of a stream. */
   "publisherOrder",
   /** A confirmed read of the configuration is no older than anything that this process has seen of it before. */
   "configurationRead",
--- a/packages/core/src/runtime/programHost.ts
+++ b/packages/core/src/runtime/programHost.ts
@@ -11,7 +11,7 @@
 import { SettingsWatch } from "./settingsWatch.js";
 import { TcpTransport } from "../transport/tcpTransport.js";
 
-/** A server towards callers that a program opens besides the link to its fellows. */
+/** A server towards callers that a program opens besides the connection to its fellows. */
 export interface Front {
   listen(): Promise<void>;
   close(): Promise<void>;
--- a/packages/core/src/runtime/settings.test.ts
+++ b/packages/core/src/runtime/settings.test.ts
@@ -33,7 +33,7 @@
   for (const key of Object.keys(good)) expect(problemsOf({ ...good, [key]: undefined }).length > 0).toEqual(true);
 });
 
-test("as many lathes vote as found the store, named or not, where the settings do not say otherwise", () => {
+test("as many control nodes vote as found the store, named or not, where the settings do not say otherwise", () => {
   const voters = (more: object): number =>
     (SettingsReader.check({ ...good, ...more }) as { settings: Settings }).settings.voters;
   const founders = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"];
--- a/packages/core/src/runtime/settings.ts
+++ b/packages/core/src/runtime/settings.ts
@@ -18,14 +18,17 @@
   /** Where an edge's clients connect, if not at its HTTP front; clients of a node that stops are sent there. */
   "clients?": address,
   seeds: address.array().atLeastLength(1).atMostLength(9),
-  /** Addresses of the lathes that found the store, all of them together; without them any `lathes` blank ones do. */
+  /**
+   * Addresses of the control nodes that found the store, all of them together; without them any `control nodes` blank
+   * ones do.
+   */
   "founders?": address.array().atLeastLength(1).atMostLength(9),
   /** False: never founds a store; joins one, or goes on with what its disk has. */
   mayFound: "boolean = true",
   lathes: "1 <= number.integer <= 9",
-  /** How many lathes are members of the store; without it as many as found it. Others stand by. */
+  /** How many control nodes are members of the store; without it as many as found it. Others stand by. */
   "voters?": "1 <= number.integer <= 9",
-  /** A member gone for longer is replaced by a lathe that stands by. */
+  /** A member gone for longer is replaced by a control node that stands by. */
   replaceVoterMs: "1000 <= number.integer <= 3600000 = 10000",
   /** How many replicas each topic log has: 2f + 1, where f machines with a disk may be lost at once. */
   replicas: "1 <= number.integer <= 9 = 3",
@@ -33,7 +36,7 @@
   replaceReplicaMs: "500 <= number.integer <= 3600000 = 10000",
   /** A replica silent for longer is replaced by a machine that joined about when it fell silent, its successor. */
   replaceByNewcomerMs: "300 <= number.integer <= 3600000 = 1000",
-  /** A lathe that also keeps topic logs as a full storage machine. */
+  /** A control node that also keeps topic logs as a full storage machine. */
   stores: "boolean = false",
   shards: "1 <= number.integer <= 256 = 32",
   "data?": "string > 0",
--- a/packages/core/src/store/leaseKeepAlive.test.ts
+++ b/packages/core/src/store/leaseKeepAlive.test.ts
@@ -46,7 +46,7 @@
   }
 }
 
-test("a holder counts from when it sent the renewal and stops before the store could expire it", async () => {
+test("a leader counts from when it sent the renewal and stops before the store could expire it", async () => {
   const clock = new HandClock();
   let answer: (outcome: string) => void = () => undefined;
   const store = {
--- a/packages/core/src/store/leaseKeepAlive.ts
+++ b/packages/core/src/store/leaseKeepAlive.ts
@@ -4,7 +4,7 @@
 import type { StoreChange, StoreClient } from "./storeClient.js";
 
 /**
- * Holds one lease with the store. The holder counts from when it SENT the renewal, and stops a
+ * Holds one lease with the store. The leader counts from when it SENT the renewal, and stops a
  * tenth early, so that it stops before the store can expire it.
  */
 export class LeaseKeepAlive extends EventEmitter<{ held: [lease: string]; lost: [lease: string] }> {
--- a/packages/core/src/store/storeClient.test.ts
+++ b/packages/core/src/store/storeClient.test.ts
@@ -7,7 +7,10 @@
 import { StoreClient, type StoreChange } from "./storeClient.js";
 import { Wire, type BodyInit } from "../rpc/wire.js";
 
-/** A client of the lathes in the store, the frames that it sent, the lathes' answers, and the end of its patience. */
+/**
+ * A client of the control nodes in the store, the frames that it sent, the control nodes' answers, and the end of its
+ * patience.
+ */
 function client(inStore: readonly string[] = ["lathe-2"]): {
   store: StoreClient;
   frames: Frame[];
@@ -60,7 +63,7 @@
 const reply = (revision: number): ReturnType<typeof create<typeof StoreReplySchema>> =>
   create(StoreReplySchema, { outcome: "done", revision });
 
-test("calls of one turn go to a lathe in the store in a frame for each kind, each with its own answer", async () => {
+test("calls of one turn go to a control node in the store in a frame for each kind, each with its own answer", async () => {
   const { store, frames, turn, answer } = client();
   const reads = [1, 2, 3].map((i) => store.read([`k${i}`]));
   const written = store.txn({ deletes: ["k1"] });
@@ -78,7 +81,7 @@
   expect((await Promise.all([...reads, written])).map((one) => one.revision)).toEqual([1, 2, 3, 4]);
 });
 
-/** Which lathes are asked, one after the other, where each says this in turn; and what the client says then. */
+/** Which control nodes are asked, one after the other, where each says this in turn; and what the client says then. */
 async function asked(call: StoreChange, says: readonly string[]): Promise<{ asked: number; outcome: string }> {
   const { store, frames, turn, silence, answer } = client(["lathe-1", "lathe-2", "lathe-3"]);
   const calls = (): Frame[] => frames.filter((frame) => frame.body.case === "storeCall");
@@ -104,7 +107,7 @@
   [["away", "away", "away"], 3, "away"],
 ];
 
-test("a call that may not be repeated is asked of another lathe only after word that it was not done", async () => {
+test("a call that may not be repeated is asked of another control node only after word that it was not done", async () => {
   for (const [says, count, outcome] of once) expect(await asked(txn, says)).toEqual({ asked: count, outcome });
 });
 
--- a/packages/core/src/store/storeClient.ts
+++ b/packages/core/src/store/storeClient.ts
@@ -18,9 +18,9 @@
   settle: (reply: StoreReply | undefined) => void;
 }
 
-/** Calls on the metadata store. Any lathe takes any call and passes it on. */
+/** Calls on the metadata store. Any control node takes any call and passes it on. */
 export class StoreClient {
-  /** How long one lathe gets for a call that may as well be made twice; longer for what another might undo. */
+  /** How long one control node gets for a call that may as well be made twice; longer for what another might undo. */
   static readonly readMs = 300;
   static readonly maxBatch = 200;
   static readonly waitMs = 200;
@@ -29,12 +29,12 @@
   readonly #rpc: RpcEndpoint;
   readonly #membership: Membership;
   readonly #clock: Clock;
-  /** The lathe that last said what became of a call; only a hint. */
+  /** The control node that last said what became of a call; only a hint. */
   #favourite = "";
-  /** Calls under way, and since when: a lathe that keeps one waiting is not given the next. */
+  /** Calls under way, and since when: a control node that keeps one waiting is not given the next. */
   readonly #open = new Map<number, { name: string; at: number }>();
   #lastCall = 0;
-  /** What is to be asked of a lathe at the end of this turn: one frame for all calls of a kind. */
+  /** What is to be asked of a control node at the end of this turn: one frame for all calls of a kind. */
   readonly #batches = new Map<string, Asked[]>();
   readonly #values = new LargeValues();
 
@@ -70,7 +70,7 @@
 
   /**
    * Ends by `due` with an outcome: `unsure` where a change may have been carried out, `away` where it was not and never
-   * will be. After `away` the next lathe is asked; after a silence or `unsure` only if the call may be repeated.
+   * will be. After `away` the next control node is asked; after a silence or `unsure` only if the call may be repeated.
    */
   async call(call: StoreChange, timeoutMs = 1200): Promise<Outcome> {
     const end = this.#clock.now() + timeoutMs;
--- a/packages/core/src/transport/tcpTransport.ts
+++ b/packages/core/src/transport/tcpTransport.ts
@@ -4,7 +4,7 @@
 import type { Transport, Urgency } from "./transport.js";
 import { TcpConnection } from "./tcpConnection.js";
 
-/** Frames over held TCP connections: one outward link an address, as many inward as come. */
+/** Frames over held TCP connections: one outward connection an address, as many inward as come. */
 export class TcpTransport implements Transport {
   static readonly connectTimeoutMs = 1000;
   /** Pauses between tries to reach an address: the first, doubled with every failure, up to the longest. */
--- a/packages/edge/src/connections/clientEndpoint.ts
+++ b/packages/edge/src/connections/clientEndpoint.ts
@@ -2,7 +2,9 @@
 
 /** What a front that speaks to clients in its own way stands on, inside the process. Outcomes are values. */
 export interface ClientEndpoint {
-  /** Claims the session for this node and ties the link to it; all topics are brought by the client afterwards. */
+  /**
+   * Claims the session for this node and ties the connection to it; all topics are brought by the client afterwards.
+   */
   connect(session: string, connection: ClientConnection): Promise<Connected>;
   /** Subscribers of a topic now. */
   count(topic: string): Promise<Counted>;
@@ -10,7 +12,7 @@
 
 export interface SessionEndpoint {
   readonly session: string;
-  /** Never throws. `confirmed`: messages follow on the link only after this promise has settled. */
+  /** Never throws. `confirmed`: messages follow on the connection only after this promise has settled. */
   subscribe(topic: string, after?: string): Promise<Subscribed>;
   unsubscribe(topic: string): Promise<Unsubscribed>;
   publish(topic: string, number: number, payload: string): Promise<Published>;
--- a/packages/edge/src/connections/httpConnection.ts
+++ b/packages/edge/src/connections/httpConnection.ts
@@ -1,7 +1,7 @@
 import type { ServerResponse } from "node:http";
 import type { ClientConnection } from "./clientConnection.js";
 
-/** The answer of a link request, kept open: one JSON line after the other. */
+/** The answer of a connection request, kept open: one JSON line after the other. */
 export class HttpConnection implements ClientConnection {
   readonly #answer: ServerResponse;
   #isClosed = false;
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -10,7 +10,7 @@
 import { StreamTable } from "./fanout/streamTable.js";
 import type { EdgeParts } from "./edgeParts.js";
 
-/** An edge: clients' links, their sessions, and the topics these need. Keeps nothing on disk. */
+/** An edge: clients' connections, their sessions, and the topics these need. Keeps nothing on disk. */
 export class EdgeNode implements EdgeParts {
   static readonly outOfTouchMs = 3000;
 
--- a/packages/edge/src/edgeParts.ts
+++ b/packages/edge/src/edgeParts.ts
@@ -19,9 +19,9 @@
   readonly publishTimeoutMs: number;
   readonly sessionRetentionMs: number;
   readonly isDraining: boolean;
-  /** Link requests under way that will count as links if they succeed. */
+  /** Connection requests under way that will count as connections if they succeed. */
   admitting: number;
   readonly live: { maxConnections: number; bufferBytes: number };
-  /** False once the claim is gone or the reader too slow; the link is closed then. */
+  /** False once the claim is gone or the reader too slow; the connection is closed then. */
   maySend(session: Session, connection: ClientConnection): boolean;
 }
--- a/packages/edge/src/fanout/countTopic.ts
+++ b/packages/edge/src/fanout/countTopic.ts
@@ -8,7 +8,7 @@
 export type Count =
   { outcome: "counted"; count: number } | { outcome: "unknown-topic" } | { outcome: "away"; retryAfterSeconds: number };
 
-/** Subscribers of a topic at all edges, told by the shard's holder, and by the next one while it changes hands. */
+/** Subscribers of a topic at all edges, told by the shard's leader, and by the next one while it changes hands. */
 export async function countTopic(edge: EdgeParts, topic: string): Promise<Count> {
   const { rpc, shards, parts, configuration } = edge.node;
   const end = parts.clock.now() + maxMs;
@@ -26,7 +26,7 @@
       const ask = rpc.call(leader, { case: "countRequest", value: { shard, topics: [topic] } }, Math.min(callMs, left));
       const reply = await Promise.race([ask, shards.moved(shard, leader, parts.clock, left)]);
       const found = reply?.case === "countReply" ? reply.value.counts[0] : undefined;
-      // A holder that does not know the space is behind, or this edge is: which it is shows in a moment.
+      // A leader that does not know the space is behind, or this edge is: which it is shows in a moment.
       if (found?.fault === "") return { outcome: "counted", count: found.count };
     }
     await new Promise<void>((resolve) => void parts.clock.once(againMs, resolve));
--- a/packages/edge/src/fanout/publisherOrder.test.ts
+++ b/packages/edge/src/fanout/publisherOrder.test.ts
@@ -38,7 +38,7 @@
   expect(order.faultOf(message(1, 1, "pen-3"), 0)).toEqual(7);
 });
 
-test("a tail tells of disorder within one birth", () => {
+test("a tail tells of disorder within one incarnation", () => {
   const tail = new StreamTail({ stream: "0:t", space: "", spaceIncarnation: 1 }, 0);
   const faults: OrderFault[] = [];
   tail.on("disorder", (fault) => faults.push(fault));
--- a/packages/edge/src/fanout/publisherOrder.ts
+++ b/packages/edge/src/fanout/publisherOrder.ts
@@ -8,7 +8,7 @@
 
 /**
  * The order of each publisher in each topic: its numbers rise, whatever happens to who sequences them. Bounded: whoever
- * was silent longest is forgotten first. Holders forget publishers that were silent for ten minutes, who may begin
+ * was silent longest is forgotten first. Leaders forget publishers that were silent for ten minutes, who may begin
  * anew, so what is older than half of that counts for nothing here.
  */
 export class PublisherOrder {
--- a/packages/edge/src/fanout/replicaFollow.ts
+++ b/packages/edge/src/fanout/replicaFollow.ts
@@ -7,17 +7,18 @@
 import type { StreamTail } from "./streamTail.js";
 
 /**
- * This edge's following of one shard's kept streams at a replica in its own region, beside the holder's, which
- * confirms heads, births and faults and pushes nothing meanwhile.
- * Invariants: a stream is served here only in the birth that the holder has confirmed, from the head that this edge
- * has; at the first doubt the whole follow is left and the holder pushes again, from that head on.
+ * This edge's following of one shard's kept streams at a replica in its own region, beside the leader's, which
+ * confirms heads, incarnations and faults and pushes nothing meanwhile.
+ * Invariants: a stream is served here only in the incarnation that the leader has confirmed, from the head that this
+ * edge
+ * has; at the first doubt the whole follow is left and the leader pushes again, from that head on.
  */
 export class ReplicaFollow {
   /** A replica that was left is tried again so much later; longer each time, unless it had served a while. */
   static readonly againMs = 2000;
   static readonly maxRepeatMs = 16_000;
   static readonly provenMs = 10_000;
-  /** When a stream is asked for again that the replica did not have in its birth. */
+  /** When a stream is asked for again that the replica did not have in its incarnation. */
   static readonly lackedMs = 400;
 
   readonly #node: ClusterNode;
@@ -33,7 +34,7 @@
   #since = 0;
   #againAt = 0;
   #waitMs = ReplicaFollow.againMs;
-  /** Rises when a follow is left; a receipt of an earlier turn is not heeded. */
+  /** Rises when a follow is left; a reply of an earlier turn is not heeded. */
   #turn = 0;
 
   constructor(node: ClusterNode, shard: number, atLeader: ShardFollow) {
@@ -61,7 +62,7 @@
     tail.servedIncarnation = "";
   }
 
-  /** From now on the holder pushes the stream again. */
+  /** From now on the leader pushes the stream again. */
   giveBack(tail: StreamTail): void {
     if (tail.servedIncarnation === "") return;
     tail.servedIncarnation = "";
@@ -69,7 +70,7 @@
     this.#atLeader.add(tail);
   }
 
-  /** Follows what the holder has confirmed and the replica does not serve yet. */
+  /** Follows what the leader has confirmed and the replica does not serve yet. */
   async tend(): Promise<void> {
     const near = this.#near();
     if (this.#server !== "" && this.#server !== near) this.#leave();
@@ -131,7 +132,7 @@
     return { shard: this.#shard, follow, seen, isFull: false, left, isAtReplica: true, serial };
   }
 
-  /** The replica's answer to a beat, if it gave one; and what the holder had applied before the beat was sent. */
+  /** The replica's answer to a beat, if it gave one; and what the leader had applied before the beat was sent. */
   onHeartbeatOutcome(
     heartbeat: FollowInit,
     outcome: string | undefined,
@@ -185,7 +186,7 @@
     return isOurs && now >= (this.#lacked.get(tail) ?? 0);
   }
 
-  /** The replica to follow: in this edge's region (zone, where there are none); nobody where the holder is. */
+  /** The replica to follow: in this edge's region (zone, where there are none); nobody where the leader is. */
   #near(): string {
     const { shards, membership, rpc } = this.#node;
     const { leader, set } = shards.find(this.#shard);
--- a/packages/edge/src/fanout/shardFollow.test.ts
+++ b/packages/edge/src/fanout/shardFollow.test.ts
@@ -20,7 +20,7 @@
 const push = (follow: string, number: number, seqs: number[]): Push =>
   create(PushSchema, { follow, number, batches: [{ stream, incarnation, messages: seqs.map(message) }] });
 
-/** A follow at a holder that answers a full follow and pushes what it owes in the same breath. */
+/** A follow at a leader that answers a full follow and pushes what it owes in the same breath. */
 function followed(pendingNumbers: number[]): { tail: StreamTail; follow: ShardFollow; asked: () => number } {
   let fulls = 0;
   const turns: Array<() => void> = [];
@@ -38,7 +38,7 @@
         const heads = [{ stream, incarnation, from: 0, low: 0 }];
         const value = create(FollowReplySchema, { outcome: "done", epoch: 7, number: 0, heads });
         const reply = Promise.resolve<Body>({ case: "followReply", value });
-        // One piece of the net's: the receipt settles its promise, the push is handed on before anybody saw that.
+        // One piece of the net's: the reply settles its promise, the push is handed on before anybody saw that.
         follow.take(push(body.value.follow!, 1, pendingNumbers));
         return reply;
       },
@@ -56,16 +56,16 @@
   return { tail, follow, asked: () => fulls };
 }
 
-test("pushes that come in one piece with the receipt of their follow count, and are not asked for again", async () => {
+test("pushes that come in one piece with the reply of their follow count, and are not asked for again", async () => {
   const { tail, follow, asked } = followed([1, 2, 3]);
   await new Promise<void>((resolve) => setImmediate(resolve));
   expect([tail.isKnown, tail.head, tail.messages.length]).toEqual([true, 3, 3]);
-  // The holder counts one push, and so does this edge: its beat is answered with "done".
+  // The leader counts one push, and so does this edge: its beat is answered with "done".
   const heartbeat = follow.heartbeat()!;
   expect([heartbeat.seen, asked()]).toEqual([1, 1]);
 });
 
-test("a push that overtakes the receipt which tells of its stream is asked for again", async () => {
+test("a push that overtakes the reply which tells of its stream is asked for again", async () => {
   const turns: Array<() => void> = [];
   const asked: Array<{ streams: string[]; answer: (heads: object[]) => Promise<void> }> = [];
   const turn = (): Promise<void> => new Promise<void>((resolve) => setImmediate(resolve));
@@ -106,7 +106,7 @@
   await add("6:notes/t0");
   await asked[0]!.answer([head("6:notes/t0", 0)]);
   const late = await add(stream);
-  // The holder tells of the stream, and then pushes its first message; the push comes first.
+  // The leader tells of the stream, and then pushes its first message; the push comes first.
   follow.take(push("vise-1/identity", 1, [1]));
   await asked[1]!.answer([head(stream, 0)]);
   for (const ring of turns.splice(0)) ring();
--- a/packages/edge/src/fanout/shardFollow.ts
+++ b/packages/edge/src/fanout/shardFollow.ts
@@ -29,13 +29,13 @@
   readonly #streams = new Map<string, StreamTail>();
   readonly #asked = new Set<StreamTail>();
   readonly #countsOf: CountsOf;
-  /** Topics whose counts the holder does not have yet, by stream; and streams that it still pushes for nobody. */
+  /** Topics whose counts the leader does not have yet, by stream; and streams that it still pushes for nobody. */
   readonly #counted = new Map<StreamTail, Set<string>>();
   readonly #left = new Set<string>();
-  /** Served by a replica since a moment ago: the holder need not push them. */
+  /** Served by a replica since a moment ago: the leader need not push them. */
   readonly #quiet = new Set<StreamTail>();
   readonly #learned: () => void;
-  /** Up to which index the holder had applied the shard's log when it last answered a beat. */
+  /** Up to which index the leader had applied the shard's log when it last answered a beat. */
   applied = 0;
   #isTelling = false;
   readonly #pushes = new NumberedPushes();
@@ -43,7 +43,7 @@
   #serial = 0;
   #isAsking = false;
   #isStale = true;
-  /** Rises when the holder changes; a receipt of an earlier turn is not heeded. */
+  /** Rises when the leader changes; a reply of an earlier turn is not heeded. */
   #turn = 0;
 
   constructor(node: ClusterNode, shard: number, countsOf: CountsOf, learned: () => void) {
@@ -78,12 +78,12 @@
     this.#quiet.delete(tail);
   }
 
-  /** A replica serves the stream: the holder hears of it with the next beat. */
+  /** A replica serves the stream: the leader hears of it with the next beat. */
   quieten(tail: StreamTail): void {
     if (this.#streams.get(tail.stream) === tail) this.#quiet.add(tail);
   }
 
-  /** A topic's subscribers have changed: the holder is told at once, or right behind what it is being told. */
+  /** A topic's subscribers have changed: the leader is told at once, or right behind what it is being told. */
   countChanged(tail: StreamTail, topic: string): void {
     if (this.#streams.get(tail.stream) !== tail) return;
     let topics = this.#counted.get(tail);
@@ -94,18 +94,18 @@
     this.#node.parts.clock.once(0, () => void this.#tell());
   }
 
-  /** The shard may have another holder now. */
+  /** The shard may have another leader now. */
   moved(): void {
     const route = this.#node.shards.find(this.#shard);
     if (route.leader === "" || route.epoch === this.#epoch) return;
     this.#isStale = true;
-    // Whatever the old holder was asked has no use any more.
+    // Whatever the old leader was asked has no use any more.
     this.#isAsking = false;
     this.#turn += 1;
     void this.tend();
   }
 
-  /** Asks the holder for what is missing; nothing to do where nothing is. */
+  /** Asks the leader for what is missing; nothing to do where nothing is. */
   async tend(): Promise<void> {
     if (this.#isAsking || this.isIdle || this.leader === "") return;
     if (!this.#isStale && this.#asked.size === 0) return;
@@ -153,7 +153,7 @@
       void this.#tell();
     }
     if (this.#asked.size > 0) void this.tend();
-    // Who has not heard of the newest plan, this node or the holder, is given until the next beat.
+    // Who has not heard of the newest configuration, this node or the leader, is given until the next beat.
     for (const { fault, stream } of reply.value.heads) {
       const tail = this.#streams.get(stream);
       if (fault === "behind" && tail !== undefined) this.#asked.add(tail);
@@ -182,7 +182,7 @@
     return { shard: this.#shard, follow, seen, isFull: false, counts, left, quiet, serial };
   }
 
-  /** The holder's answer to a beat, if it gave one. */
+  /** The leader's answer to a beat, if it gave one. */
   async onHeartbeatOutcome(heartbeat: FollowInit, outcome: string | undefined): Promise<void> {
     const { follow, seen } = this.#pushes;
     if (outcome === "done" || heartbeat.follow !== follow || (outcome === "resync" && seen !== heartbeat.seen)) return;
@@ -207,7 +207,7 @@
     }
   }
 
-  /** Messages after a place that the tail no longer has; undefined where the holder can't be asked now. */
+  /** Messages after a place that the tail no longer has; undefined where the leader can't be asked now. */
   fetch(stream: string, incarnation: string, after: number): Promise<Fetched | undefined> {
     return fetchMessages(this.#node, this.leader, { shard: this.#shard, stream, incarnation, after });
   }
--- a/packages/edge/src/fanout/streamTable.ts
+++ b/packages/edge/src/fanout/streamTable.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * The streams that this edge's links need, each followed once.
- * Invariant: a stream of an earlier birth of its space is in here only until the last link has left it.
+ * The streams that this edge's connections need, each followed once.
+ * Invariant: a stream of an earlier incarnation of its space is in here only until the last connection has left it.
  */
 export class StreamTable {
   static readonly lingerMs = 5000;
@@ -30,7 +30,7 @@
 
   /** Who subscribes to what here; cursors tell it. */
   readonly counts = new SubscriberCounts((tail, topic) => this.#follows[tail.shard]!.countChanged(tail, topic));
-  /** What the holders are told; whoever replaces it tells of changes by `countChanged`. */
+  /** What the leaders are told; whoever replaces it tells of changes by `countChanged`. */
   countsOf: CountsOf = (stream) => this.counts.of(stream);
 
   constructor(node: ClusterNode) {
@@ -75,7 +75,7 @@
     return tail.servedIncarnation !== "" ? this.#atReplicas[tail.shard]!.server : this.#follows[tail.shard]!.leader;
   }
 
-  /** Messages after a place that the tail no longer has; the holder has them where the replica does not yet. */
+  /** Messages after a place that the tail no longer has; the leader has them where the replica does not yet. */
   async fetch(tail: StreamTail, incarnation: string, after: number): Promise<Fetched | undefined> {
     const { stream, shard } = tail;
     if (tail.servedIncarnation === incarnation) {
@@ -114,7 +114,7 @@
     });
   }
 
-  /** Resolves once the stream's holder has told of it, or said that it has none, or the due has passed. */
+  /** Resolves once the stream's leader has told of it, or said that it has none, or the due has passed. */
   known(tail: StreamTail, timeoutMs: number): Promise<void> {
     if (tail.isKnown) return Promise.resolve();
     return new Promise((resolve) => {
@@ -166,7 +166,10 @@
     for (const [i, { heed }] of list.entries()) heed(outcomes[i], applied[i] ?? 0);
   }
 
-  /** A plan in force that has no such stream, or another birth of its space, ends what was followed of it. */
+  /**
+   * A configuration in force that has no such stream, or another incarnation of its space, ends what was followed of
+   * it.
+   */
   #configurationChanged(): void {
     for (const tail of this.#tails.values()) {
       tail.keepsNothing = keepsNothing(this.#node.configuration.configuration, tail.stream);
--- a/packages/edge/src/fanout/streamTail.test.ts
+++ b/packages/edge/src/fanout/streamTail.test.ts
@@ -17,7 +17,7 @@
   }
 }
 
-test("a tail that ended and comes back in the same birth with a higher head has no gap before it", () => {
+test("a tail that ended and comes back in the same incarnation with a higher head has no gap before it", () => {
   const tail = tailOf();
   tail.learn(incarnation, 0, 0);
   tail.extend(incarnation, [message(1), message(2)]);
--- a/packages/edge/src/fanout/streamTail.ts
+++ b/packages/edge/src/fanout/streamTail.ts
@@ -10,9 +10,9 @@
 }
 
 /**
- * The newest messages of a stream that this edge has heard of, shared by all its links.
- * Invariants: `messages` are contiguous and end at `head`, whatever was heard or missed; within one birth
- * `head` only rises; it is known only while its holder has confirmed that it owes the stream.
+ * The newest messages of a stream that this edge has heard of, shared by all its connections.
+ * Invariants: `messages` are contiguous and end at `head`, whatever was heard or missed; within one incarnation
+ * `head` only rises; it is known only while its leader has confirmed that it owes the stream.
  */
 export class StreamTail extends EventEmitter<{
   grown: [];
@@ -30,15 +30,15 @@
   messages: StreamMessage[] = [];
   #bytes = 0;
   isKnown = false;
-  /** In which birth a replica near this edge pushes it; empty where the holder does. */
+  /** In which incarnation a replica near this edge pushes it; empty where the leader does. */
   servedIncarnation = "";
   users = 0;
   /**
-   * Whether the holder alone has the stream: then a new birth is the same stream at another holder, which knows
+   * Whether the leader alone has the stream: then a new incarnation is the same stream at another leader, which knows
    * nothing of the numbers that the last one took.
    */
   keepsNothing = false;
-  /** Of the messages in this birth: what its holder takes is in each publisher's order. */
+  /** Of the messages in this incarnation: what its leader takes is in each publisher's order. */
   readonly #order = new PublisherOrder();
 
   constructor(route: StreamRoute, shard: number) {
@@ -63,7 +63,7 @@
     return first === undefined || seq + 1 < first.seq ? undefined : this.messages[seq + 1 - first.seq];
   }
 
-  /** The holder pushes what comes after `from`. What lies before it and was not heard is for readers to fetch. */
+  /** The leader pushes what comes after `from`. What lies before it and was not heard is for readers to fetch. */
   learn(incarnation: string, from: number, low: number): void {
     if (incarnation !== this.incarnation) this.#reborn(incarnation);
     this.low = Math.max(low, this.low);
--- a/packages/edge/src/publishing/configurationCheck.ts
+++ b/packages/edge/src/publishing/configurationCheck.ts
@@ -14,7 +14,7 @@
   readonly #store: Pick<StoreClient, "read">;
   #running: Promise<Prefixes | undefined> | undefined;
   #next: Promise<Prefixes | undefined> | undefined;
-  /** What was read last: edges that have just started ask again and again, and a plan may be large. */
+  /** What was read last: edges that have just started ask again and again, and a configuration may be large. */
   #latest: { revision: number; prefixes: Prefixes } | undefined;
 
   constructor(store: Pick<StoreClient, "read">) {
--- a/packages/edge/src/publishing/publishCall.ts
+++ b/packages/edge/src/publishing/publishCall.ts
@@ -20,7 +20,7 @@
   "too-large": 413,
 };
 
-/** A publish over HTTP, from its body to its receipt. */
+/** A publish over HTTP, from its body to its reply. */
 export async function publishCall(edge: EdgeParts, call: ApiCall): Promise<ApiReply> {
   const read = BodyReader.read(call.body, messageBody);
   if ("reply" in read) return read.reply;
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -6,7 +6,7 @@
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
 
-/** How long a free shard is waited for, and a holder that does not serve yet. */
+/** How long a free shard is waited for, and a leader that does not serve yet. */
 const claimMs = 300;
 const againMs = 40;
 
@@ -17,7 +17,7 @@
   | { outcome: "away"; reason: string; retryAfterSeconds: number; code?: string }
   | { outcome: "unsure"; reason: string; retryAfterSeconds: number };
 
-/** One publish of an owned session, to its final answer. The shard's holder alone judges it. */
+/** One publish of an owned session, to its final answer. The shard's leader alone judges it. */
 export async function publishMessage(
   edge: EdgeParts,
   session: Session,
@@ -76,7 +76,7 @@
 }
 
 /**
- * Hands a publish to the shard's holder, and to the next one where the shard changes hands meanwhile: its number
+ * Hands a publish to the shard's leader, and to the next one where the shard changes hands meanwhile: its number
  * makes it the same message to both. Undefined where nobody answered; "mute" where nothing was handed over.
  */
 async function atLeader(
@@ -92,7 +92,7 @@
     if (rpc.isUnresponsive(leader) && !membership.isAlive(leader)) return isOpen ? undefined : "unresponsive";
     const mayBeRepeat = isOpen || publish.mayBeRepeat === true;
     const call: CallInit = { case: "publish", value: { ...publish, mayBeRepeat } };
-    // A short deadline gives this publish up, and not the holder, who may be slower than that and well.
+    // A short deadline gives this publish up, and not the leader, who may be slower than that and well.
     const body = await Promise.race([
       rpc.call(leader, call, edge.publishTimeoutMs),
       shards.moved(shard, leader, parts.clock, left),
--- a/packages/edge/src/publishing/publishNumbers.ts
+++ b/packages/edge/src/publishing/publishNumbers.ts
@@ -1,7 +1,7 @@
 /** What is known of a session's publish numbers in one topic. */
 interface TopicNumbers {
   highest: number;
-  /** Handed to a holder, and no answer for good came back. */
+  /** Handed to a leader, and no answer for good came back. */
   open: Set<number>;
 }
 export interface NumberRecord {
--- a/packages/edge/src/sessions/openConnection.ts
+++ b/packages/edge/src/sessions/openConnection.ts
@@ -69,7 +69,7 @@
   };
 }
 
-/** A link that names its topics gets these and no others. */
+/** A connection that names its topics gets these and no others. */
 function forgetOthers(session: Session, wishes: readonly Wish[] | undefined): void {
   if (wishes === undefined) return;
   const wanted = new Set(wishes.map((wish) => wish.topic));
--- a/packages/edge/src/sessions/session.ts
+++ b/packages/edge/src/sessions/session.ts
@@ -6,7 +6,7 @@
 /**
  * What the owner of a client's session holds: the publish numbers accepted, the publishes not yet
  * acknowledged, and the subscriptions with their cursors.
- * Invariants: `epoch` is the revision of the owner key written for this node; at most one link.
+ * Invariants: `epoch` is the revision of the owner key written for this node; at most one connection.
  */
 export class Session {
   readonly id: string;
@@ -14,12 +14,12 @@
   /** False where an earlier owner's state was lost with it: a number not known here may have been handed over. */
   readonly isWhole: boolean;
   readonly numbers = new PublishNumbers();
-  /** Cursors of topics without a live subscription: shipped, or left by an earlier link. */
+  /** Cursors of topics without a live subscription: shipped, or left by an earlier connection. */
   readonly resumeCursors = new Map<string, Cursor>();
   /** By topic: the cursor of its stream. Topics of one stream share one. */
   readonly subscriptions = new Map<string, StreamCursor>();
   connection: ClientConnection | undefined;
-  /** Topics being looked up for the link that there is: they count against the plan's limit already. */
+  /** Topics being looked up for the connection that there is: they count against the configuration's limit already. */
   joining = 0;
   /** The client brings its topics and places with every connection: none are kept for it in between. */
   bringsTopics = false;
@@ -32,7 +32,7 @@
     this.isWhole = isWhole;
   }
 
-  /** Stops deliveries on the present link, keeps their cursors, and says goodbye. */
+  /** Stops deliveries on the present connection, keeps their cursors, and says goodbye. */
   disconnect(reason: string, retryAfterSeconds: number, now: number, address = ""): void {
     const { connection } = this;
     if (connection === undefined) return;
--- a/packages/edge/src/sessions/sessions.ts
+++ b/packages/edge/src/sessions/sessions.ts
@@ -35,7 +35,7 @@
   readonly #claiming = new Set<string>();
   /** Sessions whose owner was seen to be gone with their state, and when: numbers may have been handed over. */
   readonly #orphans = new Map<string, number>();
-  /** State already shipped, for an asker whose receipt was lost. */
+  /** State already shipped, for an asker whose reply was lost. */
   readonly #shipped = new Map<string, Shipped>();
 
   constructor(node: ClusterNode, lease: LeaseKeepAlive) {
@@ -134,7 +134,7 @@
       await this.#node.store.txn({ checks: [{ key, revision: session.epoch }], deletes: [key] });
   }
 
-  /** Closes every link; the sessions stay to be pulled until released. */
+  /** Closes every connection; the sessions stay to be pulled until released. */
   goodbye(reason: string, retryAfterSeconds: () => number, addressFor: (session: string) => string): void {
     for (const session of this.#table.values())
       session.disconnect(reason, retryAfterSeconds(), this.#node.parts.clock.now(), addressFor(session.id));
@@ -187,7 +187,7 @@
     return { retryAfterSeconds, reason: `the owner ${owner.node} does not answer; its lease must run out first` };
   }
 
-  /** The old owner's part: close the link, stop, prepare, ship. */
+  /** The old owner's part: close the connection, stop, prepare, ship. */
   #ship(pull: Pull): BodyInit {
     const session = this.#table.get(pull.session);
     const again = this.#shipped.get(`${pull.session}@${pull.ownerRevision}`);
--- a/packages/edge/src/subscriptions/askStarts.ts
+++ b/packages/edge/src/subscriptions/askStarts.ts
@@ -6,7 +6,7 @@
 const callMs = 700;
 const againMs = 80;
 
-/** Asks a shard's holder for starts, and whoever holds it next while it changes hands; undefined where none can. */
+/** Asks a shard's leader for starts, and whoever holds it next while it changes hands; undefined where none can. */
 export async function askStarts(
   edge: EdgeParts,
   shard: number,
--- a/packages/edge/src/subscriptions/cursor.ts
+++ b/packages/edge/src/subscriptions/cursor.ts
@@ -3,7 +3,7 @@
   seq: number;
 }
 
-/** A client's place in a topic: an opaque string to the client, stream's birth and sequence number to us. */
+/** A client's place in a topic: an opaque string to the client, stream's incarnation and sequence number to us. */
 export const Cursors = {
   write(incarnation: string, seq: number): string {
     return `${incarnation}.${seq}`;
--- a/packages/edge/src/subscriptions/findStarts.ts
+++ b/packages/edge/src/subscriptions/findStarts.ts
@@ -33,7 +33,7 @@
 
 /**
  * Where each topic's delivery starts. A place that this edge has heard of is good; all else is judged by the
- * stream's holder, never by what this edge has cached. Each start comes with a taken tail, to be left again.
+ * stream's leader, never by what this edge has cached. Each start comes with a taken tail, to be left again.
  */
 export async function findStarts(
   edge: EdgeParts,
@@ -56,7 +56,7 @@
   }
   const starts: Start[] = [];
   const unknown: Routed[] = [];
-  // One follow of an edge tells the confirmed heads of all its links' streams; a crowd need not ask one by one.
+  // One follow of an edge tells the confirmed heads of all its connections' streams; a crowd need not ask one by one.
   await Promise.all(routed.map(({ tail }) => edge.streams.known(tail, knownMs)));
   for (const one of routed) {
     const heard = heardStart(edge, one);
@@ -74,7 +74,9 @@
   return { starts, faults };
 }
 
-/** What the tail shows by itself: a place it has passed in the same birth, of a topic that the plan owes. */
+/**
+ * What the tail shows by itself: a place it has passed in the same incarnation, of a topic that the configuration owes.
+ */
 function heardStart(edge: EdgeParts, { topic, tail, cursor }: Routed): Start | undefined {
   if (!tail.isKnown || Configurations.contractFor(edge.node.configuration.configuration, topic) === undefined)
     return undefined;
--- a/packages/edge/src/subscriptions/joinStreams.ts
+++ b/packages/edge/src/subscriptions/joinStreams.ts
@@ -6,7 +6,7 @@
 import type { Start } from "./findStarts.js";
 
 /**
- * Subscribes a link to topics from their starts on. All topics of a stream join its cursor before it moves, so
+ * Subscribes a connection to topics from their starts on. All topics of a stream join its cursor before it moves, so
  * that what they missed comes in the stream's order. Tells of each topic before anything of it is delivered.
  */
 export function joinStreams(
--- a/packages/edge/src/subscriptions/streamCursor.ts
+++ b/packages/edge/src/subscriptions/streamCursor.ts
@@ -12,24 +12,24 @@
   tail: StreamTail;
   connection: ClientConnection;
   clock: Clock;
-  /** False closes the link: nothing may be sent any more. */
+  /** False closes the connection: nothing may be sent any more. */
   maySend: () => boolean;
   onEnd: (topic: string) => void;
 }
 
 /**
- * One stream on one link: reads the log by cursor, in order, and hands on what is of the topics asked for.
- * Invariants: `cursor` is the last message read and only rises within a birth, but where a topic joins with an
+ * One stream on one connection: reads the log by cursor, in order, and hands on what is of the topics asked for.
+ * Invariants: `cursor` is the last message read and only rises within an incarnation, but where a topic joins with an
  * older place; a topic's entry in `topics` is the last place up to which it needs nothing more, so no message
  * is handed on twice; nothing is handed on before its topic was confirmed, or after it was stopped; where nothing is
- * kept, each publisher's numbers in a topic rise from birth to birth, whichever way a message came.
+ * kept, each publisher's numbers in a topic rise from incarnation to incarnation, whichever way a message came.
  */
 export class StreamCursor {
   static readonly againMs = 250;
 
   readonly #parts: CursorParts;
   readonly #topics = new Map<string, number>();
-  /** By topic: what was handed on, where nothing is kept and places begin anew with each holder. */
+  /** By topic: what was handed on, where nothing is kept and places begin anew with each leader. */
   readonly #given = new Map<string, PublisherOrder>();
   readonly #grown = (): void => void this.#pump();
   readonly #ended = (fault: string): void => this.#endAll(fault);
@@ -95,7 +95,7 @@
     this.#parts.table.leave(this.#parts.tail);
   }
 
-  /** Topics that the plan now in force owes nothing, or gives to another space, end. */
+  /** Topics that the configuration now in force owes nothing, or gives to another space, end. */
   configurationChanged(configuration: Configuration | undefined): void {
     for (const topic of [...this.#topics.keys()]) {
       const space = Configurations.spaceOf(configuration, topic);
@@ -118,7 +118,7 @@
       else await this.#fetch();
       if (this.cursor > before) continue;
       if (tail.keepsNothing && tail.incarnation === this.incarnation && tail.after(before) === undefined) {
-        // What neither the tail nor the holder has any more is owed to nobody.
+        // What neither the tail nor the leader has any more is owed to nobody.
         this.cursor = Math.max(before, (tail.messages[0]?.seq ?? tail.head + 1) - 1);
         if (this.cursor > before) continue;
       }
@@ -157,7 +157,7 @@
     this.#parts.connection.send({ kind: "message", topic, sender: session, number, place: cursor, payload: text });
   }
 
-  /** What an earlier holder's stream brought, or something before it: published again for want of a receipt. */
+  /** What an earlier leader's stream brought, or something before it: published again for want of a reply. */
   #isRepeat(message: StreamMessage): boolean {
     if (!this.tail.keepsNothing) return false;
     const given = this.#given.get(message.topic) ?? new PublisherOrder();
@@ -175,7 +175,9 @@
     this.cursor = Math.max(cursor, low);
   }
 
-  /** The stream was made again: all of the new birth is news. Where nothing is kept that is no loss to tell of. */
+  /**
+   * The stream was made again: all of the new incarnation is news. Where nothing is kept that is no loss to tell of.
+   */
   #restart(): void {
     const { tail } = this.#parts;
     this.incarnation = tail.incarnation;
--- a/packages/edge/src/subscriptions/subscribeTopics.ts
+++ b/packages/edge/src/subscriptions/subscribeTopics.ts
@@ -12,8 +12,8 @@
 
 /**
  * Each topic: find where its stream starts, write the key under the owner key's revision, and only then
- * confirm and deliver. A connection has no more topics than the plan's limit. What fails is answered for that
- * topic alone; undefined where the link had to be closed.
+ * confirm and deliver. A connection has no more topics than the configuration's limit. What fails is answered for that
+ * topic alone; undefined where the connection had to be closed.
  */
 export async function subscribeTopics(
   edge: EdgeParts,
--- a/packages/edge/src/subscriptions/unsubscribeTopic.ts
+++ b/packages/edge/src/subscriptions/unsubscribeTopic.ts
@@ -4,7 +4,7 @@
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
 
-/** Ends one topic on the session's link at once, and its key in the store. */
+/** Ends one topic on the session's connection at once, and its key in the store. */
 export async function unsubscribeTopic(edge: EdgeParts, session: Session, topic: string): Promise<ApiReply> {
   session.subscriptions.get(topic)?.remove(topic);
   session.subscriptions.delete(topic);
--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -11,9 +11,9 @@
 
 /**
  * Follower reads: a replica that does not hold its shard pushes what is committed to edges that are near it.
- * Invariants: only entries up to the commit index that the shard's present holder told are served, and only while
- * that holder was heard lately, nothing told has stayed unapplied for long, and the feed is fresh; nothing is judged
- * here: a stream that is not here in the birth that the edge has from the holder is left to the holder.
+ * Invariants: only entries up to the commit index that the shard's present leader told are served, and only while
+ * that leader was heard lately, nothing told has stayed unapplied for long, and the feed is fresh; nothing is judged
+ * here: a stream that is not here in the incarnation that the edge has from the leader is left to the leader.
  */
 export class FollowerReads {
   static readonly heardMs = 700;
@@ -117,7 +117,7 @@
     return log !== undefined && log.incarnation === incarnation && log.spaceIncarnation === spaceIncarnation;
   }
 
-  /** A stream has news; or any may have, or be there no more in the birth that is followed, where it is none. */
+  /** A stream has news; or any may have, or be there no more in the incarnation that is followed, where it is none. */
   #heed(stream: string): void {
     if (this.#follows.count === 0) return;
     if (stream === "") this.#mustLookAtAll = true;
--- a/packages/log-storage/src/follows/follows.test.ts
+++ b/packages/log-storage/src/follows/follows.test.ts
@@ -28,7 +28,7 @@
   return { table, pushed, add };
 }
 
-test("what a replica serves is not pushed by the holder, until the edge asks for it again", () => {
+test("what a replica serves is not pushed by the leader, until the edge asks for it again", () => {
   const { table, pushed, add } = follows();
   add();
   expect(pushed.length).toEqual(1);
--- a/packages/log-storage/src/follows/follows.ts
+++ b/packages/log-storage/src/follows/follows.ts
@@ -36,7 +36,7 @@
   turn: PushTurn;
   /** The stream as it is owed now, in the log or in memory. */
   find: (stream: string) => StreamLog | undefined;
-  /** Streams in memory, of which an edge that knew an earlier birth is pushed all there is. */
+  /** Streams in memory, of which an edge that knew an earlier incarnation is pushed all there is. */
   isInMemory: (stream: string) => boolean;
 }
 
@@ -77,7 +77,7 @@
     return [...this.#byStream.keys()];
   }
 
-  /** Whether the stream is there no more in a birth that somebody follows. */
+  /** Whether the stream is there no more in an incarnation that somebody follows. */
   isOfAnotherIncarnation(stream: string): boolean {
     const incarnation = this.#parts.find(stream)?.incarnation;
     return [...(this.#byStream.get(stream) ?? [])].some((one) => one.streams.get(stream)?.incarnation !== incarnation);
@@ -154,12 +154,12 @@
     for (const [following, list] of batches) this.#send(following, list);
   }
 
-  /** Tells the followers of streams that no plan owes any more. */
+  /** Tells the followers of streams that no configuration owes any more. */
   end(streams: Iterable<string>): void {
     this.#dismiss(streams, "topic-gone");
   }
 
-  /** Streams that go on in another birth, in memory or in the log: a batch of none makes their followers ask. */
+  /** Streams that go on in another incarnation, in memory or in the log: a batch of none makes their followers ask. */
   askAgain(streams: Iterable<string>): void {
     this.#dismiss(streams, "");
   }
@@ -179,7 +179,7 @@
       if (now - following.heardAt > Follows.silentMs) this.#drop(following);
   }
 
-  /** Messages after a place, as many as fit one receipt. */
+  /** Messages after a place, as many as fit one reply. */
   static slice(messages: readonly StreamMessage[], low: number, after: number, most: number): StreamMessage[] {
     const found: StreamMessage[] = [];
     let size = 0;
--- a/packages/log-storage/src/repair/placement.test.ts
+++ b/packages/log-storage/src/repair/placement.test.ts
@@ -36,7 +36,7 @@
   expect(new Set(Array.from({ length: 12 }, (_, shard) => names(`replicas ${shard}`, all))).size > 6).toEqual(true);
 });
 
-test("a newcomer is chosen by the zones of those that stay", () => {
+test("a joining replica is chosen by the zones of those that stay", () => {
   const [north, south, west] = machines(3, ["n-1", "s-1", "w-1"]);
   const secondNorth = { name: "x", zone: "n-1", region: "n" };
   const secondSouth = { name: "y", zone: "s-1", region: "s" };
--- a/packages/log-storage/src/repair/replicaRepair.ts
+++ b/packages/log-storage/src/repair/replicaRepair.ts
@@ -23,18 +23,20 @@
 }
 
 /**
- * Keeps one held shard's replica set whole, by one change at a time: a newcomer copies, then commits count the old
+ * Keeps one held shard's replica set whole, by one change at a time: a joining replica copies, then commits count the
+ * old
  * set and the new one, then one transaction of the store swaps the set and moves the epoch.
- * Invariants: a newcomer has everything before it counts; from the moment the new set may be in force until that is
+ * Invariants: a joining replica has everything before it counts; from the moment the new set may be in force until that
+ * is
  * decided, commits need a majority of both; the store is asked to take a set only while a majority of it, members that
  * answer just now, has everything that is committed.
  */
 export class ReplicaRepair {
   /** A change that has not come to its decision by then is dropped and chosen anew. */
   static readonly giveUpMs = 60_000;
-  /** A newcomer that has answered nothing for so long is gone. */
+  /** A joining replica that has answered nothing for so long is gone. */
   static readonly newcomerLostMs = 3000;
-  /** A newcomer that lacks no more than so many entries is near enough for commits to wait for it. */
+  /** A joining replica that lacks no more than so many entries is near enough for commits to wait for it. */
   static readonly nearly = 20;
 
   readonly #node: ClusterNode;
--- a/packages/log-storage/src/repair/setChange.test.ts
+++ b/packages/log-storage/src/repair/setChange.test.ts
@@ -20,7 +20,7 @@
 test("a set is put in force only while a majority of it, that answers, has all that is committed", () => {
   // Of {a, b, x}, x goes and n comes: a and n have everything.
   expect(isSafe("abn", "n", 10, { a: [10], b: [4], n: [10] })).toEqual(true);
-  // The newcomer lacks one entry; the commit is behind; the newcomer alone has it.
+  // The joining replica lacks one entry; the commit is behind; the joining replica alone has it.
   expect(isSafe("abn", "n", 10, { a: [10], b: [10], n: [9] })).toEqual(false);
   expect(isSafe("abn", "n", 9, { a: [10], b: [10], n: [10] })).toEqual(false);
   expect(isSafe("abn", "n", 10, { a: [9], b: [4], n: [10] })).toEqual(false);
--- a/packages/log-storage/src/replication/replica.ts
+++ b/packages/log-storage/src/replication/replica.ts
@@ -55,7 +55,7 @@
   readonly #compaction: LogCompaction;
   readonly #node: ReplicaNode;
   applied = 0;
-  /** When a holder was last heard, of which epoch, and how far it said the log is committed. */
+  /** When a leader was last heard, of which epoch, and how far it said the log is committed. */
   #heard = { term: 0, at: -Infinity, commit: 0 };
   /** Since when something is committed that is not applied here; 0 while all is. */
   #behindSince = 0;
@@ -111,14 +111,14 @@
     if (this.#compaction.isDue) void this.#compaction.compact(this.applied, this.state.snapshot());
   }
 
-  /** The holder of an epoch says how far the log is committed. */
+  /** The leader of an epoch says how far the log is committed. */
   committed(epoch: number, index: number): void {
     if (epoch !== this.log.term || !Number.isSafeInteger(index)) return;
     this.#followerLog.onHeartbeatReply(epoch, index);
     this.#hear(epoch, index);
   }
 
-  /** Milliseconds since the holder of an epoch was last heard. */
+  /** Milliseconds since the leader of an epoch was last heard. */
   heardAgo(epoch: number): number {
     return this.#heard.term === epoch ? this.#node.parts.clock.now() - this.#heard.at : Infinity;
   }
@@ -146,7 +146,7 @@
     };
   }
 
-  /** A new holder with a shorter log asks for what it lacks: a piece of the snapshot, or entries. */
+  /** A new leader with a shorter log asks for what it lacks: a piece of the snapshot, or entries. */
   pull(pull: ShardPull): BodyInit | undefined {
     if (pull.epoch !== this.log.term || !Number.isSafeInteger(pull.offset) || pull.offset < 0) return undefined;
     const { baseIndex, snapshotIndex, snapshotTerm, snapshot } = this.log;
--- a/packages/log-storage/src/shards/memoryStreams.test.ts
+++ b/packages/log-storage/src/shards/memoryStreams.test.ts
@@ -16,7 +16,7 @@
   return streams.accept(create(AcceptSchema, { ...accept, payload: new Uint8Array(bytes) })).outcome;
 }
 
-test("a stream is one birth as long as its space is, and never one of an earlier birth", () => {
+test("a stream is one incarnation as long as its space is, and never one of an earlier incarnation", () => {
   const streams = made();
   const first = streams.take(stream, 1, 0)!;
   expect(streams.take(stream, 1, 0)).toEqual(first);
--- a/packages/log-storage/src/shards/memoryStreams.ts
+++ b/packages/log-storage/src/shards/memoryStreams.ts
@@ -4,16 +4,16 @@
 
 interface Kept {
   log: StreamLog;
-  /** Shard time at which this holder made it. */
+  /** Shard time at which this leader made it. */
   bornAt: number;
   /** Shard time of the last use. */
   usedAt: number;
 }
 
 /**
- * The streams of one held shard whose spaces keep nothing: sequenced by the holder alone, on no disk.
- * Invariants: a birth lives as long as this holder at most; messages are trimmed only by `trim`, so what one
- * event-loop turn accepted is still there to be pushed; a stream is never replaced by one of an earlier birth of
+ * The streams of one held shard whose spaces keep nothing: sequenced by the leader alone, on no disk.
+ * Invariants: an incarnation lives as long as this leader at most; messages are trimmed only by `trim`, so what one
+ * event-loop turn accepted is still there to be pushed; a stream is never replaced by one of an earlier incarnation of
  * its space.
  */
 export class MemoryStreams {
@@ -43,7 +43,7 @@
     return [...this.#streams.values()].map(({ log }) => log);
   }
 
-  /** The stream, made where there was none of this birth of its space; undefined where there is a later one. */
+  /** The stream, made where there was none of this incarnation of its space; undefined where there is a later one. */
   take(stream: string, spaceIncarnation: number, at: number): StreamLog | undefined {
     let kept = this.#streams.get(stream);
     if (kept === undefined || kept.log.spaceIncarnation < spaceIncarnation) {
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Whether numbers may still arrive that an earlier holder of the stream took. Which ones it took died with it, so
-   * nothing is known here of a number that this holder did not take.
+   * Whether numbers may still arrive that an earlier leader of the stream took. Which ones it took died with it, so
+   * nothing is known here of a number that this leader did not take.
    */
   mayHavePredecessor(stream: string, at: number): boolean {
     const kept = this.#streams.get(stream);
--- a/packages/log-storage/src/shards/publishOutcomes.ts
+++ b/packages/log-storage/src/shards/publishOutcomes.ts
@@ -3,7 +3,7 @@
 
 export type PublishOutcome = Extract<BodyInit, { case: "publishReply" }>;
 
-/** Receipts of publishes. */
+/** Replies of publishes. */
 export const PublishOutcomes = {
   refused(code: string, reason: string): PublishOutcome {
     return { case: "publishReply", value: { outcome: "refused", code, reason } };
--- a/packages/log-storage/src/shards/shardLeader.ts
+++ b/packages/log-storage/src/shards/shardLeader.ts
@@ -18,9 +18,9 @@
 }
 
 /**
- * A shard's holder for one epoch. It serves only after a majority has pledged its epoch and an entry of
+ * A shard's leader for one epoch. It serves only after a majority has pledged its epoch and an entry of
  * that epoch is committed, so everything committed before is in its log.
- * Invariant: once over, it never serves again; the next claim makes another holder.
+ * Invariant: once over, it never serves again; the next claim makes another leader.
  */
 export class ShardLeader extends EventEmitter<ShardLeaderEvents> implements CommitSource {
   static readonly silentMs = 700;
--- a/packages/log-storage/src/shards/shardLeadership.ts
+++ b/packages/log-storage/src/shards/shardLeadership.ts
@@ -22,7 +22,7 @@
 
 /**
  * Claims free shards for this disk, in rendezvous order, by compare-and-set; nobody assigns them.
- * Invariant: a holder here acts only while the lease that its key is under is held.
+ * Invariant: a leader here acts only while the lease that its key is under is held.
  */
 export class ShardLeadership {
   static readonly electionTurnMs = 100;
@@ -38,7 +38,7 @@
   readonly #claims = new Map<number, Claim>();
   readonly #freeSince = new Map<number, number>();
   readonly #busy = new Set<number>();
-  /** Shards whose set is being swapped: their key's new epoch may be heard of before the swap's own receipt. */
+  /** Shards whose set is being swapped: their key's new epoch may be heard of before the swap's own reply. */
   readonly #mending = new Set<number>();
   readonly #turn: PushTurn;
   readonly #commits: CommitNotices;
@@ -115,7 +115,7 @@
   #consider(replica: Replica): void {
     const { shard } = replica;
     const route = this.#node.shards.find(shard);
-    // A holder of this name that is not this process was one before it: nobody needs to wait for its lease.
+    // A leader of this name that is not this process was one before it: nobody needs to wait for its lease.
     const isOwnKey = route.leader === this.#node.rpc.name && this.#claims.get(shard)?.leader.epoch !== route.epoch;
     if (this.#busy.has(shard) || this.#mending.has(shard)) return;
     if (isOwnKey) return void this.#guard(shard, () => this.#giveBack(shard, route.epoch));
@@ -165,7 +165,7 @@
     await this.#hold(replica, set, reply.revision!, lease);
   }
 
-  /** The store names this disk the holder under an epoch: serves once a majority has pledged it. */
+  /** The store names this disk the leader under an epoch: serves once a majority has pledged it. */
   async #hold(replica: Replica, set: ShardSet, epoch: number, lease: string): Promise<void> {
     const { shard } = replica;
     const leader = new ShardLeader(replica, set, epoch, this.#node, this.#commits);
@@ -202,7 +202,7 @@
     await this.#node.store.txn({ checks: [{ key, revision: epoch }], deletes: [key] });
   }
 
-  /** The store names another holder: whatever this one thinks, it is over. */
+  /** The store names another leader: whatever this one thinks, it is over. */
   #heed(shard: number): void {
     const claim = this.#claims.get(shard);
     const route = this.#node.shards.find(shard);
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -34,7 +34,7 @@
 import { StreamStandings } from "./streamStandings.js";
 
 /**
- * What a shard's holder does for edges: judges publishes against the plan, births streams, answers
+ * What a shard's leader does for edges: judges publishes against the configuration, incarnations streams, answers
  * starts, follows and fetches, and trims.
  */
 export class ShardService {
@@ -42,7 +42,7 @@
   /** Numbers sent before are known for this long after their session's last one in the topic. */
   static readonly forgetMs = 600_000;
   static readonly maxPending = 2000;
-  /** A new holder counts no subscribers until the edges have had this long to tell it of theirs. */
+  /** A new leader counts no subscribers until the edges have had this long to tell it of theirs. */
   static readonly countMs = 700;
 
   readonly #node: ClusterNode;
@@ -85,7 +85,7 @@
     leader.on("serving", () => (this.#servesSince = node.parts.clock.now()));
   }
 
-  /** Whether claims, plan and epoch may be acted on now. */
+  /** Whether claims, configuration and epoch may be acted on now. */
   get isOpen(): boolean {
     return this.#leader.isServing && this.#isHeld() && this.#node.feed.isFresh;
   }
@@ -108,7 +108,8 @@
     const { configuration } = this.#node.configuration;
     const route = this.#node.configuration.route(topic);
     const standing = this.#standings.ofIncarnation(route?.spaceIncarnation, spaceIncarnation);
-    // One of the two has not heard of the newest plan yet; a space that this node has seen removed may be back.
+    // One of the two has not heard of the newest configuration yet; a space that this node has seen removed may be
+    // back.
     if (route === undefined || standing !== "ours") return this.#unavailable("the topic's space is changing", 0.2);
     const contract = Configurations.contractFor(configuration, topic);
     if (contract === undefined)
@@ -157,8 +158,8 @@
   }
 
   /**
-   * Whether what an earlier holder may have pushed to some edges could come to others in another order than it had
-   * there: one order for all is promised, and the earlier one died with its holder.
+   * Whether what an earlier leader may have pushed to some edges could come to others in another order than it had
+   * there: one order for all is promised, and the earlier one died with its leader.
    */
   #wouldReorder(stream: string, { order }: TopicContract): boolean {
     return order !== "sender" && this.#memory.mayHavePredecessor(stream, this.#leader.at);
@@ -172,7 +173,7 @@
   }
 
   /**
-   * What is accepted has been pushed: nothing else remembers it. What an earlier holder may have accepted and pushed
+   * What is accepted has been pushed: nothing else remembers it. What an earlier leader may have accepted and pushed
    * is not refused: a refusal promises that it never was and never will be delivered.
    */
   async #inMemory(stream: string, verdict: Verdict): Promise<PublishOutcome> {
@@ -271,7 +272,7 @@
     const inMemory = this.#memory.all();
     const isGone = (log: StreamLog): boolean => this.#standings.of(log.stream, log.spaceIncarnation) === "gone";
     const gone = logs.filter(isGone);
-    // A stream that moved between log and memory goes on in another birth.
+    // A stream that moved between log and memory goes on in another incarnation.
     const left = inMemory.filter((log) => !this.#standings.isInMemory(log.stream));
     const moved = logs.filter((log) => this.#standings.isInMemory(log.stream));
     this.#follows.end([...gone, ...inMemory.filter(isGone)].map((log) => log.stream));
@@ -299,7 +300,7 @@
     const streams = [...state.streams.values()].flatMap((log): Array<MessageInitShape<typeof TrimStreamSchema>> => {
       const { stream, incarnation } = log;
       const standing = this.#standings.of(stream, log.spaceIncarnation);
-      // Nothing of it is owed any more; should it be kept again, that is another birth.
+      // Nothing of it is owed any more; should it be kept again, that is another incarnation.
       if (standing === "ours" && this.#standings.isInMemory(stream)) return [{ stream, incarnation, isRemoved: true }];
       if (standing !== "ours") return standing === "gone" ? [{ stream, incarnation, isRemoved: true }] : [];
       const old = log.messages.findIndex((message) => message.at >= at - this.#retentionMs(message.topic));
@@ -322,7 +323,10 @@
     return this.#standings.isInMemory(stream) ? this.#memory.find(stream) : this.#replica.state.streams.get(stream);
   }
 
-  /** The stream's birth, made where there was none of this birth of its space; undefined where it could not be. */
+  /**
+   * The stream's incarnation, made where there was none of this incarnation of its space; undefined where it could not
+   * be.
+   */
   async #incarnationOf(stream: string, spaceIncarnation: number): Promise<string | undefined> {
     if (this.#standings.isInMemory(stream))
       return this.#memory.take(stream, spaceIncarnation, this.#leader.at)?.incarnation;
--- a/packages/log-storage/src/shards/shardState.ts
+++ b/packages/log-storage/src/shards/shardState.ts
@@ -12,7 +12,7 @@
 
 /**
  * What a shard's committed log says. Deterministic, and the only judge of what was sent twice.
- * Invariant: a stream is never replaced by one of an earlier birth of its space.
+ * Invariant: a stream is never replaced by one of an earlier incarnation of its space.
  */
 export class ShardState {
   readonly streams = new Map<string, StreamLog>();
--- a/packages/log-storage/src/shards/startOf.ts
+++ b/packages/log-storage/src/shards/startOf.ts
@@ -18,7 +18,7 @@
 }
 
 /**
- * The same in a stream that keeps nothing: a place of another birth, or one that is no place, starts at the head,
+ * The same in a stream that keeps nothing: a place of another incarnation, or one that is no place, starts at the head,
  * for nothing older is owed; one in the tail goes on from there.
  */
 export function startInMemory(log: StreamLog, { topic, incarnation, seq }: TopicCursor): TopicStart {
--- a/packages/log-storage/src/shards/streamStandings.ts
+++ b/packages/log-storage/src/shards/streamStandings.ts
@@ -3,7 +3,7 @@
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
-/** What the plan that this node has taken up says of streams and of births of their spaces. */
+/** What the configuration that this node has taken up says of streams and of incarnations of their spaces. */
 export class StreamStandings {
   readonly #node: ClusterNode;
 
@@ -11,13 +11,14 @@
     this.#node = node;
   }
 
-  /** Whether the holder keeps the stream in its memory alone. */
+  /** Whether the leader keeps the stream in its memory alone. */
   isInMemory(stream: string): boolean {
     return keepsNothing(this.#node.configuration.configuration, stream);
   }
 
   /**
-   * What this node's plan, in which a topic's space has the birth `present`, says of another birth of it: whether
+   * What this node's configuration, in which a topic's space has the incarnation `present`, says of another incarnation
+   * of it: whether
    * it is in force, was removed, is older than the one in force, or newer than all that this node has heard of.
    */
   ofIncarnation(present: number | undefined, spaceIncarnation: number): "ours" | "behind" | "older" | "gone" {
--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -12,7 +12,7 @@
 import { PushTurn } from "./follows/pushTurn.js";
 import { Replica } from "./replication/replica.js";
 
-/** The topic logs on one machine's disk. Runs on storage machines, also as a part of lathes. */
+/** The topic logs on one machine's disk. Runs on storage machines, also as a part of control nodes. */
 export class StorageNode {
   /** Storage machines may come one after the other: the first sets are named once all were there for so long. */
   static readonly foundMs = 900;
@@ -25,7 +25,7 @@
   readonly #isSpare: boolean;
   readonly #lease: LeaseKeepAlive;
   readonly #replicas: Replica[] = [];
-  /** Of each shard; idle where its replica is the holder's, or this disk is not in its set. */
+  /** Of each shard; idle where its replica is the leader's, or this disk is not in its set. */
   readonly #reads: FollowerReads[] = [];
   readonly #turn: PushTurn;
   #claims: ShardLeadership | undefined;
--- a/packages/testkit/src/callers/caller.ts
+++ b/packages/testkit/src/callers/caller.ts
@@ -12,11 +12,11 @@
 }
 
 /**
- * One caller: holds one long link, comes back with its last places, publishes under rising numbers and
- * tries a number again until it has a final receipt.
+ * One caller: holds one long connection, comes back with its last places, publishes under rising numbers and
+ * tries a number again until it has a final reply.
  */
 export class Caller {
-  /** A link that stays silent for so many of its beats is given up. */
+  /** A connection that stays silent for so many of its beats is given up. */
   static readonly missedHeartbeats = 3;
 
   readonly session: string;
@@ -30,14 +30,14 @@
   #isOpen = false;
   #isWanted = false;
   #attempt = 0;
-  /** Publishes that wait for a link. */
+  /** Publishes that wait for a connection. */
   #whenOpen: Array<() => void> = [];
-  /** Publishes that wait for a receipt over the present link. */
+  /** Publishes that wait for a reply over the present connection. */
   #whenCut: Array<() => void> = [];
   #heartbeatIntervalMs = 2000;
   #waiting: TimerHandle | undefined;
   #silence: TimerHandle | undefined;
-  /** Publishes whose number has no final receipt yet. */
+  /** Publishes whose number has no final reply yet. */
   open = 0;
   reconnects = 0;
 
@@ -54,7 +54,7 @@
     return this.#node;
   }
 
-  /** All topics asked for are confirmed on the present link. */
+  /** All topics asked for are confirmed on the present connection. */
   get isSettled(): boolean {
     return this.#isOpen && this.#confirmed.size === this.#places.size;
   }
@@ -137,7 +137,9 @@
     return false;
   }
 
-  /** Settles when the present link breaks: what was asked over it is asked again on the next, under its number. */
+  /**
+   * Settles when the present connection breaks: what was asked over it is asked again on the next, under its number.
+   */
   #cutConnection(): Promise<PortReply> {
     return new Promise((resolve) => {
       this.#whenCut.push(() => resolve({ status: 0, body: {}, retryAfterSeconds: 0 }));
@@ -222,7 +224,7 @@
     }
   }
 
-  /** Asks for one topic again on the link that is there. */
+  /** Asks for one topic again on the connection that is there. */
   #subscribeAgain(topic: string): void {
     const attempt = this.#attempt;
     this.#parts.clock.once(300 + this.#parts.draw() * 700, () => {
--- a/packages/testkit/src/callers/callerPort.ts
+++ b/packages/testkit/src/callers/callerPort.ts
@@ -9,7 +9,7 @@
 
 /** How a stand-in reaches nodes: over HTTP in a real fleet, through virtual wires in the simulator. */
 export interface CallerPort {
-  /** Opens a link; resolves with the receipt where it was refused. */
+  /** Opens a connection; resolves with the reply where it was refused. */
   connection(
     node: string,
     session: string,
--- a/packages/testkit/src/capacity/capacity.ts
+++ b/packages/testkit/src/capacity/capacity.ts
@@ -321,7 +321,7 @@
     return [line(columns), line(columns.map(() => "---")), ...rows.map(line)].join("\n");
   },
 
-  /** A page with its tables between their marks as they are now. */
+  /** A page with its tables between their versions as they are now. */
   fill(page: string, slopes: SlopesByName): string {
     return Capacity.tables(slopes).reduce((text, table) => {
       const [open, end] = [`<!-- table ${table.id} -->`, `<!-- end ${table.id} -->`];
--- a/packages/testkit/src/checker/checker.test.ts
+++ b/packages/testkit/src/checker/checker.test.ts
@@ -188,14 +188,14 @@
   });
 }
 
-test("a topic that could not be had on a link catches up outside the order; a restart forgets marks", () => {
+test("a topic that could not be had on a connection catches up outside the order; a restart forgets versions", () => {
   const catching = crossed([faulted(5), ...of("notices/t9", [{ kind: "confirmed", at: 20, subscriber: "b", topic }])]);
   expect(rulesOf(catching, got(14, 1, "b"), of("notices/t9", [got(21, 1, "b", "z")]))).toEqual([]);
   const versions = [4, 0, 4, 5].map((version, at): Seen => ({ kind: "marked", at, node: "n", version }));
   expect(rulesOf(versions)).toEqual([]);
 });
 
-test("a plan whose put got no final receipt may be the one read back; one that was refused may not", () => {
+test("a configuration whose put got no final reply may be the one read back; one that was refused may not", () => {
   const unknown = { kind: "planTried", at: 5, version: 2, text: configurationText(2, ["other"]) } as const;
   const read: Seen = { kind: "planRead", at: 9, text: configurationText(2, ["other"]) };
   expect(rulesOf(configuration(0, 1), unknown, read)).toEqual([]);
--- a/packages/testkit/src/checker/checker.ts
+++ b/packages/testkit/src/checker/checker.ts
@@ -27,7 +27,7 @@
   resetAt: number;
   /** When it last had the topic. */
   seenAt: number;
-  /** Could not have the topic on a link that it had; and until when it caught up after that. */
+  /** Could not have the topic on a connection that it had; and until when it caught up after that. */
   isLagging: boolean;
   lagsUntil: number;
 }
@@ -195,7 +195,8 @@
 
   /**
    * The order in which a subscriber sees a space, or a topic, that has one order for all. A topic that could not be
-   * had for a while, on a link that went on with others, catches up afterwards; what it missed has no place in it.
+   * had for a while, on a connection that went on with others, catches up afterwards; what it missed has no place in
+   * it.
    */
   #keepOrder(one: Extract<Seen, { kind: "received" }>, message: Message | undefined, reader: Reader): void {
     const stream = this.#configurations.oneOrderOf(one.topic);
@@ -207,7 +208,7 @@
     order.push(`${one.topic} ${keyOf(one.sender, one.number)}`);
   }
 
-  /** New messages of a space that no plan in force for more than 3 s has. */
+  /** New messages of a space that no configuration in force for more than 3 s has. */
   #afterRemoval(one: Extract<Seen, { kind: "received" }>, message: Message): void {
     const contracts = this.#configurations.contractsBetween(one.topic, message.firstAt, one.at);
     if (contracts === undefined || contracts.some((contract) => contract !== undefined)) return;
@@ -215,7 +216,9 @@
     this.#breach("removed-space", one.at, `${what} was sent and delivered over 3 s after its space was removed`);
   }
 
-  /** A rule in force for more than 3 s must be known to whoever is asked: what all plans allow is not refused. */
+  /**
+   * A rule in force for more than 3 s must be known to whoever is asked: what all configurations allow is not refused.
+   */
   #refused(one: Extract<Seen, { kind: "refused" }>): void {
     const message = this.#messages.get(one.topic)?.get(keyOf(one.sender, one.number));
     const contracts = this.#configurations.contractsBetween(
@@ -239,7 +242,7 @@
   #accepted(one: Extract<Seen, { kind: "accepted" }>): void {
     const message = this.#messages.get(one.topic)?.get(keyOf(one.sender, one.number));
     if (message === undefined) return;
-    // An earlier try may have been taken under an earlier plan.
+    // An earlier try may have been taken under an earlier configuration.
     const contracts = this.#configurations.contractsBetween(one.topic, message.firstAt, one.at);
     if (contracts === undefined) return;
     const isAllowed = contracts.some(
@@ -250,7 +253,7 @@
     if (!isAllowed) this.#breach("plan-late", one.at, `${what} was accepted over 3 s after the plans ruled it out`);
   }
 
-  /** A node may forget its plan with a restart, but never goes back to an older one. */
+  /** A node may forget its configuration with a restart, but never goes back to an older one. */
   #marked({ node, version, at }: Extract<Seen, { kind: "marked" }>): void {
     const before = this.#versions.get(node) ?? 0;
     if (version > 0 && version < before)
--- a/packages/testkit/src/checker/configurationHistory.ts
+++ b/packages/testkit/src/checker/configurationHistory.ts
@@ -13,11 +13,11 @@
   text: string;
 }
 
-/** The plans that operators sent, and which of them may have been in force when, as far as they could see. */
+/** The configurations that operators sent, and which of them may have been in force when, as far as they could see. */
 export class ConfigurationHistory {
-  /** So long a plan may take until it is in effect everywhere. */
+  /** So long a configuration may take until it is in effect everywhere. */
   static readonly takeUpMs = 3000;
-  /** A receipt is on its way for so long at the most, after what it tells of. */
+  /** A reply is on its way for so long at the most, after what it tells of. */
   static readonly acknowledgementMs = 1000;
 
   readonly #accepted: Put[] = [];
@@ -40,7 +40,7 @@
     );
   }
 
-  /** A put that got no final receipt may have been accepted all the same. */
+  /** A put that got no final reply may have been accepted all the same. */
   mayHaveBeenAccepted(text: string): boolean {
     const put = this.#tried.get(text);
     return (
@@ -51,7 +51,8 @@
   }
 
   /**
-   * All plans that somebody may have acted on between two moments: the one accepted for long enough before, and
+   * All configurations that somebody may have acted on between two moments: the one accepted for long enough before,
+   * and
    * every one that was sent since. Undefined where none was in force for sure.
    */
   between(from: number, to: number): Configuration[] | undefined {
@@ -69,14 +70,14 @@
     return [settled.configuration, ...later.map((put) => put.configuration)];
   }
 
-  /** What every plan that may have been in force then owed the topic; undefined where none was for sure. */
+  /** What every configuration that may have been in force then owed the topic; undefined where none was for sure. */
   contractsBetween(topic: string, from: number, to: number): Array<TopicContract | undefined> | undefined {
     return this.between(from, to)?.map((configuration) =>
       ConfigurationHistory.#limited(configuration, Configurations.contractFor(configuration, topic)),
     );
   }
 
-  /** Whether some plan sent in that time did not have the topic. */
+  /** Whether some configuration sent in that time did not have the topic. */
   wasGone(topic: string, from: number, to: number): boolean {
     return [...this.#tried.values(), ...this.#accepted].some(
       ({ at, configuration }) =>
@@ -86,7 +87,9 @@
     );
   }
 
-  /** The stream of one order for all that every plan of the run which has the topic puts it in; else undefined. */
+  /**
+   * The stream of one order for all that every configuration of the run which has the topic puts it in; else undefined.
+   */
   oneOrderOf(topic: string): string | undefined {
     const streams = new Set(
       [...this.#tried.values(), ...this.#accepted].flatMap(({ configuration }) => {
@@ -101,7 +104,7 @@
     return streams.size === 1 ? [...streams][0] : undefined;
   }
 
-  /** The plan's limit of a payload holds whatever a contract allows. */
+  /** The configuration's limit of a payload holds whatever a contract allows. */
   static #limited({ limits }: Configuration, contract: TopicContract | undefined): TopicContract | undefined {
     const most = limits?.payloadBytes;
     return contract === undefined || most === undefined
--- a/packages/testkit/src/checker/lateness.ts
+++ b/packages/testkit/src/checker/lateness.ts
@@ -16,8 +16,8 @@
   aimMs: 333,
 
   /**
-   * Receipts by subscribers that were confirmed when the message was first tried and have not dropped off of
-   * their own accord since. A link that broke, or a node that fell silent, excuses nothing.
+   * Replies by subscribers that were confirmed when the message was first tried and have not dropped off of
+   * their own accord since. A connection that broke, or a node that fell silent, excuses nothing.
    */
   deliveries(seen: readonly Seen[]): Delivery[] {
     const first = new Map<string, number>();
@@ -63,7 +63,7 @@
     };
   },
 
-  /** Late receipts counted by what was going on between the try and the receipt; nothing is a cause of its own. */
+  /** Late replies counted by what was going on between the try and the reply; nothing is a cause of its own. */
   byCause(deliveries: readonly Delivery[], causes: ReadonlyArray<{ what: string; from: number; to: number }>) {
     const counts = new Map<string, { count: number; worst: number }>();
     for (const { triedAt, at, delay } of deliveries) {
--- a/packages/testkit/src/checker/orderRules.test.ts
+++ b/packages/testkit/src/checker/orderRules.test.ts
@@ -15,7 +15,7 @@
   expect(rules(seen("planSuperseded", 1, "a"), seen("planSuperseded", 1, "b"), taken)).toEqual([]);
 });
 
-test("a mark is acknowledged with one content", () => {
+test("a version is acknowledged with one content", () => {
   expect(rules(seen("planTaken", 1, "a"), seen("planTaken", 2, "b"), seen("planSuperseded", 1, "c"))).toEqual([]);
   expect(rules(seen("planTaken", 1, "a"), seen("planTaken", 1, "b"))).toEqual(["two-contents"]);
 });
--- a/packages/testkit/src/checker/passingRules.ts
+++ b/packages/testkit/src/checker/passingRules.ts
@@ -9,13 +9,14 @@
 type Received = Extract<Seen, { kind: "received" }>;
 
 /**
- * Judges a history of topics whose space keeps nothing: on one link a publisher's numbers rise and none comes twice,
+ * Judges a history of topics whose space keeps nothing: on one connection a publisher's numbers rise and none comes
+ * twice,
  * nothing comes that nobody sent, and nothing of which every try was refused for good.
  */
 export function judgePassing(seen: readonly Seen[]): Breach[] {
   const breaches: Breach[] = [];
   const fates = fatesOf(seen);
-  /** By subscriber, then by topic and publisher: the last number on the present link. */
+  /** By subscriber, then by topic and publisher: the last number on the present connection. */
   const connections = new Map<string, Map<string, number>>();
   for (const one of seen) {
     if (one.kind === "linked") connections.set(one.subscriber, new Map());
--- a/packages/testkit/src/checker/soakRules.test.ts
+++ b/packages/testkit/src/checker/soakRules.test.ts
@@ -15,7 +15,7 @@
 };
 const rulesOf = (...seen: Seen[]): string[] => judgePassing(seen).map(({ rule }) => rule);
 
-test("on one link numbers rise, and none comes twice; a new link begins anew", () => {
+test("on one connection numbers rise, and none comes twice; a new connection begins anew", () => {
   const sent = [tried(1), tried(2), tried(3), connectedEvent];
   expect(rulesOf(...sent, got(1), got(3))).toEqual([]);
   expect(rulesOf(...sent, got(2), got(2))).toEqual(["twice"]);
--- a/packages/testkit/src/explore/explore.test.ts
+++ b/packages/testkit/src/explore/explore.test.ts
@@ -19,7 +19,7 @@
 import { scenarios, searchOf } from "./scenarios.js";
 import { Trace } from "./trace.js";
 
-/** A failure is told soon; `jig explore` shrinks it further. */
+/** A failure is told soon; `cranetrack-lab explore` shrinks it further. */
 const shrinkMs = 3000;
 
 interface Group {
@@ -63,7 +63,7 @@
   ]);
 });
 
-test("point 3, losses: members as production tends them, with lost disks, newcomers and drains", async () => {
+test("point 3, losses: members as production tends them, with lost disks, joining replicas and drains", async () => {
   const report = await walk({ machines: 5, walks: 150, profiles: ["tended"] });
   expectAll(report, ["joint members committed", "other voters committed", "leader replaced", "snapshot installed"]);
 });
--- a/packages/testkit/src/explore/exploreCommand.ts
+++ b/packages/testkit/src/explore/exploreCommand.ts
@@ -26,7 +26,7 @@
 
 type Say = (text: string) => void;
 
-/** `jig explore`: false where a property was broken. */
+/** `cranetrack-lab explore`: false where a property was broken. */
 export async function explore(options: ExploreOptions, say: Say): Promise<boolean> {
   const ignored = (options.ignore?.split(",") ?? []) as PropertyName[];
   if (options.replay !== undefined) return replay(options.replay, say);
--- a/packages/testkit/src/explore/memberSteps.ts
+++ b/packages/testkit/src/explore/memberSteps.ts
@@ -8,7 +8,8 @@
 
 /**
  * Changes of members, asked of a leader one step at a time, and which disks may be lost.
- * The rules are those of the code that changes members in production: a newcomer learns before it votes, one change
+ * The rules are those of the code that changes members in production: a joining replica learns before it votes, one
+ * change
  * at a time, and voters are taken out or exchanged only where a majority of the new set is there. A leader may leave.
  */
 export class MemberSteps {
--- a/packages/testkit/src/fleet/deployments.ts
+++ b/packages/testkit/src/fleet/deployments.ts
@@ -19,7 +19,7 @@
   broadcast: { space: string; topics: number; perSecond: number; reads: number; senders: number };
   /** Topics of a space that keeps nothing, whose senders don't wait for one message before the next. */
   passing?: PassingTopics;
-  /** Lathes that keep the topic logs too, in place of lathes and storage machines. */
+  /** Control nodes that keep the topic logs too, in place of control nodes and storage machines. */
   storingControlNodes?: number;
 }
 export interface PassingTopics {
--- a/packages/testkit/src/fleet/drill.ts
+++ b/packages/testkit/src/fleet/drill.ts
@@ -52,7 +52,9 @@
     this.#load = load;
   }
 
-  /** The named drills; the first four on an edge, on a machine that holds shards, and on the lathe that proposes. */
+  /**
+   * The named drills; the first four on an edge, on a machine that holds shards, and on the control node that proposes.
+   */
   async run(names: readonly string[], targets: readonly Target[] = ["edge", "holder", "proposer"]): Promise<void> {
     const each = async (act: (name: string, target: Target) => Promise<void>): Promise<void> => {
       for (const target of targets) await act(await this.#find(target), target);
--- a/packages/testkit/src/fleet/fleet.ts
+++ b/packages/testkit/src/fleet/fleet.ts
@@ -221,7 +221,7 @@
     return ((body["shards"] ?? []) as Array<{ leader: string }>).map((shard) => shard.leader);
   }
 
-  /** Resolves when every shard has a holder, as one edge sees it. */
+  /** Resolves when every shard has a leader, as one edge sees it. */
   async held(timeoutMs = 30_000): Promise<void> {
     const startedAt = performance.now();
     for (;;) {
--- a/packages/testkit/src/fleet/load.ts
+++ b/packages/testkit/src/fleet/load.ts
@@ -51,7 +51,7 @@
     this.history.add({ kind: "planAccepted", at: this.#clock.now(), version: configuration.version, text });
   }
 
-  /** Plan, callers, confirmations. */
+  /** Configuration, callers, confirmations. */
   async begin(share = 1): Promise<void> {
     const { deployment } = this.#fleet;
     await this.proposeConfiguration(Deployments.configuration(deployment, (await this.versionInForce()) + 1));
@@ -79,7 +79,10 @@
     if (unsettled > 0) throw new Error(`${unsettled} callers have no confirmed link after 30 s`);
   }
 
-  /** Milliseconds from a plan's acceptance until every node has acknowledged it, for several plans in turn. */
+  /**
+   * Milliseconds from a configuration's acceptance until every node has acknowledged it, for several configurations in
+   * turn.
+   */
   async takeUps(count: number): Promise<number[]> {
     const taken: number[] = [];
     for (let i = 0; i < count; i += 1) {
@@ -120,7 +123,7 @@
     this.#every(2500, () => this.isCalm || this.#move(this.#any(this.callers)));
   }
 
-  /** Operators send several plans at once, at different nodes; one is stale and one is broken. */
+  /** Operators send several configurations at once, at different nodes; one is stale and one is broken. */
   async changeConfiguration(): Promise<void> {
     const { deployment } = this.#fleet;
     const version = await this.versionInForce();
--- a/packages/testkit/src/fleet/probe.ts
+++ b/packages/testkit/src/fleet/probe.ts
@@ -12,7 +12,7 @@
 
 /**
  * Whether service is back: every caller publishes a message, and every reader of its topic receives it.
- * Links that are up prove nothing by themselves.
+ * Connections that are up prove nothing by themselves.
  */
 export class Probe {
   readonly #history: History;
@@ -41,7 +41,7 @@
     }
   }
 
-  /** A refusal under a plan that is being replaced just now does not end it. */
+  /** A refusal under a configuration that is being replaced just now does not end it. */
   async #publish(caller: Caller, topic: string, payload: string): Promise<void> {
     let isAccepted = false;
     for (let tries = 0; tries < 20 && !isAccepted; tries += 1) isAccepted = await caller.publish(topic, payload);
--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -49,7 +49,7 @@
   expect([logBuffer.lines.length, logBuffer.lines.at(-1)!.includes("line 999")]).toEqual([20, true]);
 });
 
-test("sessions without a link are given back, and states that were shipped are forgotten", async () => {
+test("sessions without a connection are given back, and states that were shipped are forgotten", async () => {
   const { fleet } = await served(64);
   const wish = { subscriptions: [{ topic: "notes/t1" }] };
   const hands = Array.from({ length: 8 }, (_, i) => new Hand(fleet, "vise-1", `desk-${i}`, wish));
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -72,7 +72,7 @@
   expect(fleet.find(fleet.leader!)!.control!.raft!.metadata.get(key)).toEqual(undefined);
 });
 
-test("a transaction that a lathe passed on is not passed on again when another proposes; a revocation is", async () => {
+test("a transaction that a control node passed on is not passed on again when another proposes; a revocation is", async () => {
   const { fleet } = await served(9102);
   const old = fleet.leader!;
   const passed: string[] = [];
--- a/packages/testkit/src/sim/configurationCapacity.test.ts
+++ b/packages/testkit/src/sim/configurationCapacity.test.ts
@@ -8,7 +8,7 @@
 import { SimConfigurations } from "./simConfigurations.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
-/** So many machines with a disk: lathes that store topic logs too. */
+/** So many machines with a disk: control nodes that store topic logs too. */
 const machines = (disks: number, replicas = 3): Machine[] =>
   Scenario.machines(disks, 0, 2).map((one) => ({
     ...one,
@@ -54,7 +54,7 @@
     expect(await put(fleet, load.nextVersion, spaces)).toEqual({ status: 503, paths: [path] });
   });
 
-test("the first plan rests on the replica sets, also while one of their machines is down", async () => {
+test("the first configuration rests on the replica sets, also while one of their machines is down", async () => {
   const fleet = await withDisks(93, 3);
   fleet.cycle("lathe-1");
   await fleet.run(3000);
--- a/packages/testkit/src/sim/configurationStorm.test.ts
+++ b/packages/testkit/src/sim/configurationStorm.test.ts
@@ -243,7 +243,7 @@
   expect(carried(counted) < last.sent.length).toEqual(true);
   // 26 kB as measured: five pushes to each of nine nodes, none of them whole.
   expect(counted.get("feedPush")! < 60_000).toEqual(true);
-  // A node reads the whole plan at each change, so large ones come in larger steps.
+  // A node reads the whole configuration at each change, so large ones come in larger steps.
   const most = Math.ceil((fleet.world.now - began) / 400) + 1;
   for (const [, count] of changes) expect(count > 2 && count <= most).toEqual(true);
 });
--- a/packages/testkit/src/sim/connections.test.ts
+++ b/packages/testkit/src/sim/connections.test.ts
@@ -105,11 +105,11 @@
   expect([refused.outcome, "code" in refused && refused.code]).toEqual(["refused", "unknown-topic"]);
 });
 
-test("a publish that no holder took is away; one whose earlier try may have been taken is never promised", async () => {
+test("a publish that no leader took is away; one whose earlier try may have been taken is never promised", async () => {
   const { fleet } = await served(73);
   const { connection } = await open(fleet, "vise-1", "desk");
   expect((await settled(fleet, connection.publish("notes/t1", 1, "one"))).outcome).toEqual("accepted");
-  // Both ways to the holders go while the edge's own lease holds.
+  // Both ways to the leaders go while the edge's own lease holds.
   fleet.isolate("vise-1", ["anvil-1", "anvil-2", "anvil-3", "lathe-1", "lathe-2", "lathe-3"], "in");
   expect((await settled(fleet, connection.publish("notes/t1", 2, "two"))).outcome).toEqual("unsure");
   expect((await settled(fleet, connection.publish("notes/t1", 2, "two"))).outcome).toEqual("unsure");
--- a/packages/testkit/src/sim/cutOff.test.ts
+++ b/packages/testkit/src/sim/cutOff.test.ts
@@ -30,7 +30,7 @@
   status: number;
   /** Of an order, or of what was read. */
   version: number;
-  /** The highest mark that was acknowledged when it was asked. */
+  /** The highest version that was acknowledged when it was asked. */
   after: number;
   at: number;
 }
--- a/packages/testkit/src/sim/drains.test.ts
+++ b/packages/testkit/src/sim/drains.test.ts
@@ -42,7 +42,7 @@
   return false;
 }
 
-/** A plan with the next mark is taken, and read back. */
+/** A configuration with the next version is taken, and read back. */
 async function isServed({ fleet, load, ask }: Served, node: string): Promise<boolean> {
   let status = 0;
   const due = fleet.world.now + 6000;
--- a/packages/testkit/src/sim/elections.test.ts
+++ b/packages/testkit/src/sim/elections.test.ts
@@ -5,10 +5,10 @@
 const seeds = Array.from({ length: 30 }, (_, i) => 1000 + i);
 /** Elections that may take more than one term, where two ask at the same moment: 6 of 100 were measured. */
 const maxSplit = 3;
-/** A proposer's silence is over by then, pre-votes and votes take one way and back each. */
+/** A leader's silence is over by then, pre-votes and votes take one way and back each. */
 const electedMs = 300;
 
-test("lathes that hear each other again elect at once: no vote is asked for in a term that is over", async () => {
+test("control nodes that hear each other again elect at once: no vote is asked for in a term that is over", async () => {
   const late: string[] = [];
   const split: number[] = [];
   for (const seed of seeds) {
--- a/packages/testkit/src/sim/faultActs.ts
+++ b/packages/testkit/src/sim/faultActs.ts
@@ -99,7 +99,10 @@
     return 2000;
   };
 
-  /** Operators send different plans under one mark, at different nodes, and one sends what is stale or broken. */
+  /**
+   * Operators send different configurations under one version, at different nodes, and one sends what is stale or
+   * broken.
+   */
   readonly race: Act = () => {
     const version = this.#load.nextVersion;
     void this.#load.proposeConfiguration(SimLoad.configuration(version));
@@ -109,7 +112,7 @@
     return 0;
   };
 
-  /** The same while the lathe that proposes is frozen. */
+  /** The same while the control node that proposes is frozen. */
   readonly raceFrozen: Act = (name, ms) => {
     const leader = this.#fleet.leader;
     if (leader !== undefined) this.#fleet.pause(leader, ms);
@@ -197,7 +200,7 @@
     return this.#later(this.#random.between(3000, 6000), () => this.#fleet.retire(name));
   }
 
-  /** A shard's holder and the edge of some session fail at once, each in its own way. */
+  /** A shard's leader and the edge of some session fail at once, each in its own way. */
   readonly pair: Act = (_name, ms) => {
     const leaderName = this.#fleet.leaderName;
     const { node } = this.#random.pick(this.#load.callers);
@@ -206,7 +209,7 @@
     return ms;
   };
 
-  /** Nearly all links are reset, and again while the sessions that they left are being pulled. */
+  /** Nearly all connections are reset, and again while the sessions that they left are being pulled. */
   readonly pulls: Act = (_name, ms) => {
     this.#load.dropAll();
     this.#later(350, () => this.#load.dropAll());
--- a/packages/testkit/src/sim/faults.ts
+++ b/packages/testkit/src/sim/faults.ts
@@ -145,7 +145,7 @@
     for (const name of this.#fleet.names) this.#fleet.revive(name);
   }
 
-  /** A last fault, just before operators ask for their plan back. */
+  /** A last fault, just before operators ask for their configuration back. */
   async finish(): Promise<void> {
     const closings: Closing[] = ["kill", "wipe", "all", "ackKillAll", "ackCrashAll", "ackWipe", "ackWipeAll"];
     this.closing = this.#random.pick(closings);
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -11,11 +11,11 @@
 interface Scene extends Served {
   shard: number;
   leaderName: string;
-  /** The shard's replica in the reader's region, which is not the holder's. */
+  /** The shard's replica in the reader's region, which is not the leader's. */
   replica: string;
   edge: string;
   reader: Hand;
-  /** A message every 50 ms for a while, each sent until it is accepted; then the longest wait from a receipt on. */
+  /** A message every 50 ms for a while, each sent until it is accepted; then the longest wait from a reply on. */
   play(ms: number): Promise<number>;
 }
 
@@ -27,7 +27,7 @@
   return server;
 };
 
-/** A reader at an edge whose region's replica serves it, and a sender at an edge of the holder's region. */
+/** A reader at an edge whose region's replica serves it, and a sender at an edge of the leader's region. */
 async function scene(seed: number): Promise<Scene> {
   const all = await served(seed);
   const { fleet } = all;
@@ -95,13 +95,13 @@
   expect([reader.of("expired"), reader.of("ended"), reader.of("fault"), reader.isClosed]).toEqual([[], [], [], false]);
 }
 
-/** What a holder says of a shard's log, to one of its replicas; also where it comes through another node. */
+/** What a leader says of a shard's log, to one of its replicas; also where it comes through another node. */
 const isOfLog = (frame: Frame | undefined): boolean => {
   if (frame?.body.case === "relay") return isOfLog(Wire.decode(frame.body.value.frame));
   return frame !== undefined && ["append", "snapshot", "commits"].includes(frame.body.case ?? "");
 };
 
-test("an edge is fed by its region's replica: the holder pushes it nothing, and counts its subscribers", async () => {
+test("an edge is fed by its region's replica: the leader pushes it nothing, and counts its subscribers", async () => {
   const all = await scene(901);
   const { fleet, shard, leaderName, replica, edge } = all;
   const counts = countPushes(fleet, edge);
@@ -117,7 +117,7 @@
 interface Trouble {
   what: string;
   seed: number;
-  /** From a receipt to the reader, in ms. */
+  /** From a reply to the reader, in ms. */
   maxMs: number;
   begin: (scene: Scene) => void;
   end?: (scene: Scene) => void;
@@ -187,7 +187,7 @@
     const worst = await all.play(3000);
     expectWhole(all);
     expect(worst <= maxMs).toEqual(true);
-    // In the end whoever feeds the edge is in its region again, be it a replica or the new holder.
+    // In the end whoever feeds the edge is in its region again, be it a replica or the new leader.
     const isNear = (): boolean => fleet.zoneOf(serverOf(all) || leaderName) === fleet.zoneOf(all.edge);
     expect(await fleet.until(isNear, 40_000)).toEqual(true);
     await fleet.run(1000);
@@ -198,7 +198,7 @@
   });
 }
 
-test("a replica that hears its holder again and again only for a moment is not followed again each time", async () => {
+test("a replica that hears its leader again and again only for a moment is not followed again each time", async () => {
   const all = await scene(909);
   const { fleet, replica, shard } = all;
   let follows = 0;
--- a/packages/testkit/src/sim/founding.test.ts
+++ b/packages/testkit/src/sim/founding.test.ts
@@ -7,7 +7,7 @@
 
 type Address = `${string}:${number}`;
 const addresses = (count: number): Address[] => Array.from({ length: count }, (_, i): Address => `10.0.0.${i + 1}:1`);
-/** Lathes with settings of their own, as many as given; then edges. */
+/** Control nodes with settings of their own, as many as given; then edges. */
 const withControlNodes = (settings: ReadonlyArray<Machine["settings"]>, edgeCount = 1): Machine[] => [
   ...Scenario.machines(settings.length, 0, 0).map((machine, i): Machine => ({ ...machine, settings: settings[i] })),
   ...Scenario.machines(0, 0, edgeCount),
@@ -19,7 +19,7 @@
   return (members?.voters ?? []).map((one) => one.name).sort();
 };
 
-test("named founders found the store, all of them and nobody else; a fourth lathe only joins", async () => {
+test("named founders found the store, all of them and nobody else; a fourth control node only joins", async () => {
   const founders = addresses(3);
   const fleet = new SimFleet(71, withControlNodes(Array.from({ length: 4 }, () => ({ founders, lathes: 3 }))));
   for (const name of ["lathe-1", "lathe-2", "lathe-4", "vise-1"]) fleet.start(name);
@@ -36,7 +36,7 @@
   expect(others.every((one) => one === founding || one === "")).toEqual(true);
 });
 
-test("a lathe that may not found never does, nor do several, and it joins a store that is there", async () => {
+test("a control node that may not found never does, nor do several, and it joins a store that is there", async () => {
   const fleet = new SimFleet(
     72,
     withControlNodes(
@@ -103,7 +103,7 @@
   expect(await fleet.until(() => fleet.find("lathe-4")!.control!.isReady, 4000)).toEqual(true);
 });
 
-/** Five lathes over three zones, of which three vote. */
+/** Five control nodes over three zones, of which three vote. */
 async function withStandbys(seed: number): Promise<SimFleet> {
   const settings = { founders: addresses(3), replaceVoterMs: 3000, stores: true };
   const fleet = new SimFleet(seed, withControlNodes(Array.from({ length: 5 }, () => settings)));
@@ -133,7 +133,7 @@
   return outcome;
 };
 
-test("a lathe beyond the voters stands by: no calls and no feeds go to it, and it is ready", async () => {
+test("a control node beyond the voters stands by: no calls and no feeds go to it, and it is ready", async () => {
   const fleet = await withStandbys(77);
   for (const name of ["lathe-4", "lathe-5"]) {
     const { control, node } = fleet.find(name)!;
@@ -188,7 +188,7 @@
     expect(await written(fleet, "later")).toEqual("done");
   });
 
-test("lathes that store serve publishes with no other storage machine, and go on without one of them", async () => {
+test("control nodes that store serve publishes with no other storage machine, and go on without one of them", async () => {
   const { fleet, publish } = await served(
     76,
     withControlNodes(
--- a/packages/testkit/src/sim/freshness.test.ts
+++ b/packages/testkit/src/sim/freshness.test.ts
@@ -126,7 +126,7 @@
   expect([asked > 0, fleet.world.now - startedAt < 1500]).toEqual([true, true]);
 });
 
-test("a shard's holder whose feed is silent accepts nothing for a space that may be gone", async () => {
+test("a shard's leader whose feed is silent accepts nothing for a space that may be gone", async () => {
   const { fleet, load, ask } = await served(506);
   const { node } = fleet.find("vise-1")!;
   const { stream, spaceIncarnation } = node.configuration.route("notes/t1")!;
--- a/packages/testkit/src/sim/hand.ts
+++ b/packages/testkit/src/sim/hand.ts
@@ -7,7 +7,7 @@
 
 export type Line = Record<string, unknown>;
 
-/** A client by hand: one link and the lines it gave. */
+/** A client by hand: one connection and the lines it gave. */
 export class Hand {
   readonly lines: Line[] = [];
   isClosed = false;
@@ -40,7 +40,7 @@
   /** Any call at any node; awaited under virtual time. */
   ask(node: string, method: string, path: string, body?: string): Promise<Line>;
   publish(session: string, number: number, node?: string, topic?: string): Promise<Line>;
-  /** Puts the usual plan with these spaces and these changes of their contracts; returns the receipt. */
+  /** Puts the usual configuration with these spaces and these changes of their contracts; returns the reply. */
   configuration(
     spaces: readonly string[],
     change?: (spaces: Record<string, Array<{ contract: Line }>>) => void,
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -22,7 +22,7 @@
   return answer.connection;
 }
 
-/** The usual plan with changes of all its spaces and of itself, taken up by the edge. */
+/** The usual configuration with changes of all its spaces and of itself, taken up by the edge. */
 async function change(
   { fleet, load, ask }: Served,
   space: object,
@@ -40,7 +40,7 @@
   await fleet.run(1000);
 }
 
-test("a connection has as many topics as the plan says, over either interface; one left makes room", async () => {
+test("a connection has as many topics as the configuration says, over either interface; one left makes room", async () => {
   const place = await served(95);
   const { fleet, ask } = place;
   await change(place, {}, { subscriptions: 2 });
@@ -67,7 +67,7 @@
   expect([(await one())["status"], await subscribe("t1")]).toEqual([200, "confirmed"]);
 });
 
-test("a payload above the plan's limit is refused, also where a contract allows more", async () => {
+test("a payload above the configuration's limit is refused, also where a contract allows more", async () => {
   const place = await served(96);
   await change(place, {}, { payloadBytes: 8 }, { maxBytes: 100 });
   const connection = await open(place.fleet);
@@ -98,7 +98,7 @@
   const leaders = fleet.names.filter((name) => !name.startsWith("vise"));
   fleet.isolate("vise-1", leaders, "in");
   expect(await publish(2)).toEqual(["unsure", true]);
-  // A publish given up at its own deadline says nothing of the holder.
+  // A publish given up at its own deadline says nothing of the leader.
   expect(leaders.filter((name) => fleet.find("vise-1")!.node.rpc.isUnresponsive(name))).toEqual([]);
   fleet.wires.heal();
   expect(await publish(2)).toEqual(["accepted", true]);
--- a/packages/testkit/src/sim/memberChanges.test.ts
+++ b/packages/testkit/src/sim/memberChanges.test.ts
@@ -102,7 +102,7 @@
     expect(await readsAll(fleet, writer)).toEqual(true);
   });
 
-test("a newcomer that is lost again at any moment of being taken in stops nothing", async () => {
+test("a joining replica that is lost again at any moment of being taken in stops nothing", async () => {
   for (let afterMs = 400; afterMs <= 2800; afterMs += 120) {
     const fleet = await founded(110, 4, ["lathe-4"]);
     fleet.retire("lathe-3");
@@ -182,7 +182,7 @@
   });
 }
 
-test("a newcomer that is sent nothing never votes, and makes room for the next", async () => {
+test("a joining replica that is sent nothing never votes, and makes room for the next", async () => {
   const fleet = await founded(116, 5, ["lathe-4", "lathe-5"]);
   fleet.wires.mutate = (_from, to, bytes) =>
     to === fleet.addressOf("lathe-4") && Wire.decode(bytes)?.body.case === "append" ? [] : undefined;
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -82,7 +82,7 @@
   const { publish, ask, fleet } = all;
   await connectSession(all, "vise-2", "pen", []);
   expect((await publish("pen", 4, "vise-2"))["receipt"]).toEqual("accepted");
-  // An earlier holder might have taken it, as long as anybody would still repeat it.
+  // An earlier leader might have taken it, as long as anybody would still repeat it.
   expect((await publish("pen", 3, "vise-2"))["status"]).toEqual(504);
   await fleet.run(MemoryStreams.repeatMs);
   expect((await publish("pen", 4, "vise-2"))["receipt"]).toEqual("accepted");
@@ -93,7 +93,7 @@
   expect((await publish("pen", 6, "vise-2"))["receipt"]).toEqual("accepted");
 });
 
-test("the holder changes in the middle: silent, no message twice, the sender's order holds", async () => {
+test("the leader changes in the middle: silent, no message twice, the sender's order holds", async () => {
   const all = await keepingNothing(803);
   const { fleet, publish } = all;
   const reader = await connectSession(all, "vise-1", "desk", [{ topic: "notes/t1" }]);
@@ -109,7 +109,7 @@
       9000,
     ),
   ).toEqual(true);
-  // Whoever had no receipt for these sends them again, to a holder that knows nothing of them.
+  // Whoever had no reply for these sends them again, to a leader that knows nothing of them.
   for (const number of [2, 3, 4, 5]) {
     let reply = await publish("pen", number, "vise-2");
     for (let tries = 0; reply["receipt"] !== "accepted" && tries < 20; tries += 1) {
@@ -129,7 +129,7 @@
   return edge!.streams.shardOf(node.configuration.route("notes/t1")!.stream);
 }
 
-test("a place of another birth, or of nowhere, is confirmed without a word where nothing is kept", async () => {
+test("a place of another incarnation, or of nowhere, is confirmed without a word where nothing is kept", async () => {
   const all = await keepingNothing(804);
   const { fleet, publish } = all;
   const reader = await connectSession(all, "vise-1", "desk", [{ topic: "notes/t1" }]);
@@ -153,7 +153,7 @@
   }
 });
 
-test("numbers sent without waiting for each other are taken in order while the birth is being made", async () => {
+test("numbers sent without waiting for each other are taken in order while the incarnation is being made", async () => {
   const all = await keepingNothing(805);
   const { fleet } = all;
   for (const topic of ["notes/new", "notices/new"]) {
@@ -177,7 +177,7 @@
   }
 });
 
-test("a number that comes in the turn that commits its birth does not overtake those that waited", async () => {
+test("a number that comes in the turn that commits its incarnation does not overtake those that waited", async () => {
   const all = await served(806);
   const { fleet } = all;
   const topic = "notes/fresh";
@@ -201,7 +201,7 @@
   ]);
 });
 
-test("what an earlier holder may have delivered is not refused for good by the next one", async () => {
+test("what an earlier leader may have delivered is not refused for good by the next one", async () => {
   const all = await keepingNothing(809);
   const { fleet } = all;
   const topic = "notes/t1";
@@ -209,7 +209,7 @@
   await connectSession(all, "vise-2", "pen", []);
   const { name, shard } = shardLeaderOf(all, topic);
   const pen = fleet.addressOf("vise-2");
-  // Number 1 is taken and pushed, and its receipt is lost.
+  // Number 1 is taken and pushed, and its reply is lost.
   fleet.wires.mutate = (_from, to, bytes) =>
     to === pen && Wire.decode(bytes)?.body.case === "publishReply" ? [] : undefined;
   let reply: Record<string, unknown> | undefined;
@@ -218,7 +218,7 @@
     .call("vise-2", "POST", "/v1/sessions/pen/messages", body)
     .then((got) => (reply = { status: got.status, ...got.body }));
   expect(await fleet.until(() => reader.got().length === 1, 1000)).toEqual(true);
-  // Its holder gives the shard up; number 2 is at the next holder before number 1 comes again.
+  // Its leader gives the shard up; number 2 is at the next leader before number 1 comes again.
   fleet.wires.mutate = (from, _to, bytes) =>
     from === pen && Wire.decode(bytes)?.body.case === "publish" ? [{ bytes, delay: 100 }] : undefined;
   void fleet.find(name)!.storage!.claims!.release(shard, "the test says so");
@@ -246,7 +246,7 @@
   expect(again["status"]).toEqual(504);
 });
 
-test("what a reader fetched from one holder does not come a second time from the next", async () => {
+test("what a reader fetched from one leader does not come a second time from the next", async () => {
   const all = await keepingNothing(810);
   const { fleet, publish } = all;
   const topic = "notes/t1";
@@ -265,7 +265,7 @@
   fleet.kill(name);
   const next = (): string => fleet.find("vise-2")!.node.shards.find(shard).leader;
   expect(await fleet.until(() => ![name, ""].includes(next()), 9000)).toEqual(true);
-  // Its publisher had no receipt for it.
+  // Its publisher had no reply for it.
   for (const number of [2, 3]) {
     let reply = await publish("pen", number, "vise-2");
     for (let tries = 0; reply["receipt"] !== "accepted" && tries < 20; tries += 1) {
@@ -278,7 +278,7 @@
   expect(again.got(topic)).toEqual([2, 3]);
 });
 
-test("one order for all holds over a change of holder, also for what only some edges were given", async () => {
+test("one order for all holds over a change of leader, also for what only some edges were given", async () => {
   const all = await keepingNothing(811);
   const { fleet } = all;
   const topic = "extra/t0";
@@ -290,7 +290,7 @@
   for (const pen of pens) await connectSession(all, "vise-2", pen, []);
   const { name, shard } = shardLeaderOf(all, topic);
   const [far, near] = [fleet.addressOf("vise-3"), fleet.addressOf("vise-2")];
-  // One edge is given both messages; the other one's pushes are lost, and so are the receipts.
+  // One edge is given both messages; the other one's pushes are lost, and so are the replies.
   fleet.wires.mutate = (_from, to, bytes) => {
     const kind = Wire.decode(bytes)?.body.case;
     const isLost = (to === far && (kind === "push" || kind === "pushes")) || (to === near && kind === "publishReply");
@@ -324,7 +324,7 @@
   expect(part).toEqual(whole.filter((one) => part.includes(one)));
 });
 
-test("subscribers are counted right after joins, leaves, an edge's death and a change of holder", async () => {
+test("subscribers are counted right after joins, leaves, an edge's death and a change of leader", async () => {
   const all = await keepingNothing(807);
   const { fleet } = all;
   const count = async (topic = "notes/t1"): Promise<number | string> => {
--- a/packages/testkit/src/sim/oldState.test.ts
+++ b/packages/testkit/src/sim/oldState.test.ts
@@ -20,7 +20,7 @@
   return got!.value;
 }
 
-/** Puts so many plans, one after the other; returns the last one's mark. */
+/** Puts so many configurations, one after the other; returns the last one's version. */
 async function change(fleet: SimFleet, load: SimLoad, count: number): Promise<number> {
   let version = 0;
   for (let i = 0; i < count; i += 1) {
--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -17,7 +17,7 @@
   backMs: number;
   accepted: number;
   received: number;
-  /** Receipts above 2 s by cause, and the worst of each. */
+  /** Replies above 2 s by cause, and the worst of each. */
   late: Array<{ cause: string; count: number; worst: number }>;
   events: number;
   trace: string;
@@ -38,7 +38,8 @@
 
 /**
  * One seeded run: callers play, faults come and go, everything heals, service must be back, a while of fair
- * weather follows in which nothing may be late, and what callers saw is judged. Then a last fault, and the plan
+ * weather follows in which nothing may be late, and what callers saw is judged. Then a last fault, and the
+ * configuration
  * is read back.
  */
 export const Scenario = {
--- a/packages/testkit/src/sim/sessions.test.ts
+++ b/packages/testkit/src/sim/sessions.test.ts
@@ -4,7 +4,7 @@
 import { Hand, served, type Line } from "./hand.js";
 import type { SimFleet } from "./simFleet.js";
 
-/** What the store itself says: the newest of all lathes. */
+/** What the store itself says: the newest of all control nodes. */
 function ownerOf(fleet: SimFleet, session: string): { node: string; revision: number } {
   const kept = ["lathe-1", "lathe-2", "lathe-3"]
     .map((name) => fleet.find(name)?.control?.raft?.metadata.get(OwnerKey.of(session)))
@@ -46,7 +46,7 @@
     const after = ownerOf(fleet, "desk");
     expect([after.node, after.revision > before.revision]).toEqual(["vise-2", true]);
 
-    // Shipped: the numbers accepted and the cursor, so nothing comes twice and a known number keeps its receipt.
+    // Shipped: the numbers accepted and the cursor, so nothing comes twice and a known number keeps its reply.
     expect(second.of("open")[0]?.["numbers"]).toEqual({ "notes/t1": 1 });
     expect((await publish("desk", 1, "vise-2"))["receipt"]).toEqual("accepted");
     expect((await publish("desk", 2, "vise-3"))["receipt"]).toEqual("accepted");
@@ -76,7 +76,7 @@
       return last.of("confirmed").length === 1;
     }, 12_000);
     expect(took).toEqual(true);
-    // The cut-off owner gave its links up before the key could be taken from it.
+    // The cut-off owner gave its connections up before the key could be taken from it.
     expect(first.isClosed).toEqual(true);
     expect(fleet.find("vise-1")!.edge!.sessions.find("desk")).toEqual(undefined);
   },
@@ -108,7 +108,7 @@
   });
 }
 
-test("lathes that let go of their feeds for a moment cost no edge its connections", async () => {
+test("control nodes that let go of their feeds for a moment cost no edge its connections", async () => {
   const { fleet } = await served(21);
   const hands = ["vise-1", "vise-2", "vise-3"].map((node) => new Hand(fleet, node, `desk-${node}`, wish));
   expect(await fleet.until(() => hands.every((hand) => hand.of("confirmed").length === 1), 5000)).toEqual(true);
@@ -121,7 +121,7 @@
   expect(hands.map((hand) => hand.isClosed)).toEqual([false, false, false]);
 });
 
-test("an edge frozen past its lease closes its links before it delivers or takes anything", async () => {
+test("an edge frozen past its lease closes its connections before it delivers or takes anything", async () => {
   const { fleet, publish } = await served(13);
   const first = new Hand(fleet, "vise-1", "desk", wish);
   await fleet.until(() => first.of("confirmed").length === 1, 5000);
@@ -172,7 +172,7 @@
   },
 );
 
-test("places: malformed, unknown and of another birth each get a definite answer for that topic alone", async () => {
+test("places: malformed, unknown and of another incarnation each get a definite answer for that topic alone", async () => {
   const { fleet, publish } = await served(16);
   const hand = new Hand(fleet, "vise-1", "desk", {
     subscriptions: [
@@ -198,7 +198,7 @@
   expect((await publish("desk", 1))["receipt"]).toEqual("accepted");
 });
 
-test("numbers: a known one keeps its receipt, one that goes backwards is refused for good", async () => {
+test("numbers: a known one keeps its reply, one that goes backwards is refused for good", async () => {
   const { fleet, publish } = await served(17);
   const hand = new Hand(fleet, "vise-1", "desk", wish);
   await fleet.until(() => hand.of("confirmed").length === 1, 5000);
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -61,7 +61,7 @@
   return version;
 }
 
-/** Takes the space out of the plan and sees that nothing is accepted in it from 3 s later on. */
+/** Takes the space out of the configuration and sees that nothing is accepted in it from 3 s later on. */
 async function removeNotes(fleet: SimFleet, load: SimLoad): Promise<number> {
   const version = await acceptConfiguration(fleet, load, ["notices"]);
   await fleet.run(3000);
@@ -249,7 +249,7 @@
   },
 );
 
-test("a holder that keeps its lease but hears nothing of plans stops taking messages", async () => {
+test("a leader that keeps its lease but hears nothing of configurations stops taking messages", async () => {
   const { fleet, load } = await loaded(39, Scenario.machines());
   const leaderName = shardLeaderOf(fleet, "notes/t1");
   fleet.wires.mutate = (_from, to, bytes) =>
@@ -288,7 +288,7 @@
   });
 }
 
-test("a holder that comes back with a blank disk gives up at once what its earlier self held", async () => {
+test("a leader that comes back with a blank disk gives up at once what its earlier self held", async () => {
   const { fleet } = await served(57);
   const { leaderName } = fleet;
   const routes = (): Array<[number, { leader: string; epoch: number }]> => fleet.find("vise-1")!.node.shards.all();
--- a/packages/testkit/src/sim/simConfigurations.ts
+++ b/packages/testkit/src/sim/simConfigurations.ts
@@ -5,12 +5,14 @@
 
 const spaceNames: readonly string[] = ["notes", "notices", "extra", "passing"];
 
-/** The plans of simulated operators: three spaces that keep messages, one that does not, and how they change. */
+/**
+ * The configurations of simulated operators: three spaces that keep messages, one that does not, and how they change.
+ */
 export const SimConfigurations = {
   all: spaceNames,
   topics: { notes: 6, notices: 3, extra: 2, passing: 2 } as Record<string, number>,
 
-  /** The plan with which all callers are served. */
+  /** The configuration with which all callers are served. */
   usual(): SimSpaces {
     return {
       notes: [{ when: {}, contract: { keep: 120, order: "sender", fault_budget: { machines: 1 } } }],
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -162,7 +162,7 @@
     this.#slots.get(name)!.rate = rate;
   }
 
-  /** The lathe that proposes and knows that it does. */
+  /** The control node that proposes and knows that it does. */
   get leader(): string | undefined {
     return this.withRole("lathe").find((name) => {
       const life = this.find(name);
@@ -185,7 +185,7 @@
       .map(([invariant, count]) => `${name} ${invariant} ${count}`);
   }
 
-  /** Whoever holds some shard, as the proposer sees it. */
+  /** Whoever holds some shard, as the leader sees it. */
   get leaderName(): string | undefined {
     const { leader } = this;
     const routes = leader === undefined ? [] : this.find(leader)!.node.shards.all();
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -50,7 +50,7 @@
     return (this.#version += 1);
   }
 
-  /** An operator's put, tried again until it has a final receipt. */
+  /** An operator's put, tried again until it has a final reply. */
   async proposeConfiguration(configuration: { version: number; spaces?: unknown }, first?: string): Promise<number> {
     const text = documentTextOf(configuration);
     const { version } = configuration;
@@ -156,7 +156,7 @@
     return `${space}/t${Math.floor(this.#random.draw() * topics)}`;
   }
 
-  /** What some node shows as the plan in force. */
+  /** What some node shows as the configuration in force. */
   async #lookAtVersion(): Promise<void> {
     const node = this.#random.pick(this.#fleet.names);
     const { status, body } = await this.#fleet.port.call(node, "GET", "/v1/status", undefined);
@@ -238,7 +238,7 @@
     return isSettled;
   }
 
-  /** Callers without a link, topics or receipts, for people's eyes. */
+  /** Callers without a connection, topics or replies, for people's eyes. */
   get unsettled(): string {
     return this.callers
       .filter((caller) => !caller.isSettled || caller.open > 0)
@@ -246,7 +246,7 @@
       .join(", ");
   }
 
-  /** Reads the plan back through any node that runs. */
+  /** Reads the configuration back through any node that runs. */
   async readConfiguration(): Promise<void> {
     let isDone = false;
     void this.#read().then(() => void (isDone = true));
--- a/packages/testkit/src/sim/staleNodes.ts
+++ b/packages/testkit/src/sim/staleNodes.ts
@@ -6,7 +6,7 @@
 /** Within this long after an acknowledgement nobody in touch acts on what was in force before. */
 export const boundMs = 3000;
 
-/** The mark under which an operator had the usual plan accepted, asking one node until it was. */
+/** The version under which an operator had the usual configuration accepted, asking one node until it was. */
 export async function accepted({ fleet, load, ask }: Served, at: string): Promise<number> {
   const version = load.nextVersion;
   const body = documentTextOf(SimLoad.configuration(version));
@@ -17,7 +17,7 @@
   return 0;
 }
 
-/** Nodes that take what they know for fresh and act on a lower mark. */
+/** Nodes that take what they know for fresh and act on a lower version. */
 export const actingOnOld = (fleet: SimFleet, version: number): string[] =>
   fleet.names.filter((name) => {
     const life = fleet.find(name);
--- a/packages/testkit/src/sim/store.test.ts
+++ b/packages/testkit/src/sim/store.test.ts
@@ -106,7 +106,7 @@
   },
 );
 
-test("a frozen proposer reads nothing stale when it wakes", async () => {
+test("a frozen leader reads nothing stale when it wakes", async () => {
   const { fleet, load } = await founded(25);
   const old = leader(fleet)!;
   fleet.pause(old, 6000);
@@ -227,7 +227,7 @@
   expect(await fleet.until(() => feed.revision > 0, 6000)).toEqual(true);
 });
 
-test("a proposer that was cut off a moment ago answers no read it cannot confirm", async () => {
+test("a leader that was cut off a moment ago answers no read it cannot confirm", async () => {
   const { fleet } = await founded(30);
   const old = leader(fleet)!;
   fleet.isolate(old, fleet.names, "both");
@@ -279,7 +279,7 @@
   });
 }
 
-test("the word of a proposer that gives up goes round where it is slow, and nothing older undoes it", async () => {
+test("the word of a leader that gives up goes round where it is slow, and nothing older undoes it", async () => {
   const { fleet } = await founded(62);
   const old = fleet.leader!;
   const { voters } = fleet.find(old)!.control!.raft!.members;
@@ -297,7 +297,7 @@
   expect(fleet.leader === old).toEqual(false);
 });
 
-test("a lathe that proposes itself carries on what it had passed on before; no other keeps it waiting", async () => {
+test("a control node that proposes itself carries on what it had passed on before; no other keeps it waiting", async () => {
   const { fleet } = await founded(63);
   const old = fleet.leader!;
   fleet.wires.mutate = (from, _to, bytes) =>
@@ -314,11 +314,11 @@
   expect(await fleet.until(() => fleet.leader !== undefined, 400)).toEqual(true);
   await fleet.run(100);
   expect(answered.get(fleet.leader!)).toEqual("lost");
-  // Those that heard of the new proposer before its first entry was committed send their callers round again.
+  // Those that heard of the new leader before its first entry was committed send their callers round again.
   expect(others.filter((name) => answered.get(name) === undefined)).toEqual([]);
 });
 
-test("the operators' document goes with its plan, and a stale mark leaves both; marks may leap", async () => {
+test("the operators' document goes with its configuration, and a stale version leaves both; versions may leap", async () => {
   const { fleet } = await founded(41);
   const body = (version: number, spaces?: readonly string[]): Uint8Array =>
     Buffer.from(documentTextOf(SimLoad.configuration(version, spaces)));
@@ -343,7 +343,7 @@
   expect(await put("lathe-1", body(3999), Buffer.from("older, but other"))).toEqual(409);
   expect(await put("lathe-2", Buffer.from('{"mark":5000}'), Buffer.from("broken"))).toEqual(422);
   expect([await versionOf(), await read()]).toEqual([4000, Buffer.from(document).toString("latin1")]);
-  // Two operators with one plan and different documents: one wins with its own.
+  // Two operators with one configuration and different documents: one wins with its own.
   const rivals = ["lathe-4", "lathe-5"];
   const statuses = await settled(
     fleet,
@@ -351,7 +351,7 @@
   );
   expect(statuses.map(({ status }) => status).sort()).toEqual([200, 409]);
   expect(await read()).toEqual(rivals[statuses.findIndex(({ status }) => status === 200)]!);
-  // No node is pushed a document, and a plan without one leaves none.
+  // No node is pushed a document, and a configuration without one leaves none.
   const keys = fleet.names.flatMap((name) => fleet.find(name)!.node.journal.recent.map((change) => change.key));
   expect(keys.filter((key) => key.startsWith("documents/"))).toEqual([]);
   expect(await put("lathe-1", body(9_000_001))).toEqual(200);
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -25,7 +25,7 @@
   return hand;
 }
 
-test("a space of one order has it over all its topics, whoever holds what, through a change of holder", async () => {
+test("a space of one order has it over all its topics, whoever holds what, through a change of leader", async () => {
   const fleet = new SimFleet(51, Scenario.machines());
   const load = new SimLoad(fleet);
   expect(await load.begin(12)).toEqual(true);
@@ -46,7 +46,7 @@
   expect(Checker.judge(load.history.seen, fleet.world.now).map((breach) => breach.rule)).toEqual([]);
 });
 
-test("a link that resumes with several places in a stream reads from the lowest and skips what each had", async () => {
+test("a connection that resumes with several places in a stream reads from the lowest and skips what each had", async () => {
   const all = await served(52);
   const { fleet, publish } = all;
   const reader = await connectSession(all, "vise-1", "desk", ["notices/t0", "notices/t1"]);
@@ -93,7 +93,7 @@
   expect(again.got()).toEqual(["extra/t0 6", "extra/t1 2"]);
 });
 
-test("a place that is ahead of what an edge has heard is no unknown place: the holder is asked", async () => {
+test("a place that is ahead of what an edge has heard is no unknown place: the leader is asked", async () => {
   const all = await served(54);
   const { fleet, publish } = all;
   const here = await connectSession(all, "vise-1", "desk", ["notes/t1"]);
@@ -114,7 +114,7 @@
   expect(moved.got("notes/t1")).toEqual([4]);
 });
 
-test("a space removed and made again has a new birth, though the holder saw neither plan", async () => {
+test("a space removed and made again has a new incarnation, though the leader saw neither configuration", async () => {
   const all = await served(55);
   const { fleet, publish } = all;
   const reader = await connectSession(all, "vise-1", "desk", ["notes/t1"]);
@@ -122,7 +122,7 @@
   expect(await fleet.until(() => reader.got().length === 1, 2000)).toEqual(true);
   const before = placeOf(reader, "notes/t1");
   reader.close();
-  // All storage machines sleep through both plans; nobody else has the logs.
+  // All storage machines sleep through both configurations; nobody else has the logs.
   for (const name of fleet.withRole("anvil")) fleet.kill(name);
   await fleet.run(1500);
   expect((await all.configuration(["notices"]))["status"]).toEqual(200);
@@ -199,7 +199,7 @@
   expect(await fleet.until(() => reader.got().length === 350, 3000)).toEqual(true);
 });
 
-test("places of another space, stream or birth, or made up, get an answer for their topic alone", async () => {
+test("places of another space, stream or incarnation, or made up, get an answer for their topic alone", async () => {
   const all = await served(59);
   const { fleet, publish } = all;
   const reader = await connectSession(all, "vise-1", "desk", ["notes/t1", "notes/t2", "extra/t0"]);
@@ -231,7 +231,7 @@
   expect(await fleet.until(() => hand.got("extra/t0").length === 1, 2000)).toEqual(true);
 });
 
-test("a push that overtakes the receipt which tells of its stream is not lost", async () => {
+test("a push that overtakes the reply which tells of its stream is not lost", async () => {
   const all = await served(60);
   const { fleet, publish } = all;
   const { streams } = fleet.find("vise-1")!.edge!;
@@ -267,7 +267,7 @@
   expect((await publish("desk", 1, "vise-1", "extra/t0"))["receipt"]).toEqual("accepted");
 });
 
-test("a holder that has heard of a space's removal, and not of its return, says come back, never 404", async () => {
+test("a leader that has heard of a space's removal, and not of its return, says come back, never 404", async () => {
   const all = await served(68);
   const { fleet, publish } = all;
   await connectSession(all, "vise-1", "desk", []);
@@ -341,7 +341,7 @@
   expect(new Set(places.map((place) => place.split(".")[0])).size).toEqual(3);
 });
 
-test("a topic comes back to a space whose holders slept meanwhile: it does not go on with what was kept", async () => {
+test("a topic comes back to a space whose leaders slept meanwhile: it does not go on with what was kept", async () => {
   const all = await served(67);
   const { fleet, publish, load } = all;
   const topic = "notes/deep/t1";
--- a/packages/testkit/src/slopes/nodeSlopes.ts
+++ b/packages/testkit/src/slopes/nodeSlopes.ts
@@ -120,7 +120,7 @@
   gossipBytes: (edges: number): Promise<number> => gossipBytes(edges, 40_000),
   youngGossipBytes: (edges: number): Promise<number> => gossipBytes(edges, 10_000),
 
-  /** What an idle fleet's feeds cost, and its leases with what lathes pass on to one another. */
+  /** What an idle fleet's feeds cost, and its leases with what control nodes pass on to one another. */
   feedIdleBytes: (edges: number): Promise<number> => idleBytes(edges, ["feedPush", "feedAck"]),
   leaseIdleBytes: (edges: number): Promise<number> =>
     idleBytes(edges, ["storeCall", "storeReply", "storeBatch", "storeBatchReply"]),
--- a/packages/testkit/src/slopes/slopeClients.ts
+++ b/packages/testkit/src/slopes/slopeClients.ts
@@ -1,7 +1,7 @@
 import { once } from "node:events";
 import { connect } from "node:net";
 
-/** So many clients of one edge's link in a process of their own: they ask, and read past what they are sent. */
+/** So many clients of one edge's connection in a process of their own: they ask, and read past what they are sent. */
 const [port, count] = process.argv.slice(2).map(Number) as [number, number];
 for (let i = 0; i < count; i += 50) {
   const some = Array.from({ length: Math.min(50, count - i) }, () => {
--- a/packages/testkit/src/slopes/storeSlopes.ts
+++ b/packages/testkit/src/slopes/storeSlopes.ts
@@ -40,7 +40,7 @@
   return metadata;
 }
 
-/** A lathe's feeds without a network: what is told is encoded as a frame and counted. */
+/** A control node's feeds without a network: what is told is encoded as a frame and counted. */
 function feedsOf(count: number): {
   feeds: Feeds;
   change: () => void;
@@ -104,7 +104,7 @@
   ownerSnapshotBytes: (count: number): number => withOwners(count).snapshot(undefined).length,
   leaseBytes: (count: number): number => Meter.heldBy(() => withLeases(count)),
 
-  /** The proposer's look over all leases, a second of it. */
+  /** The leader's look over all leases, a second of it. */
   leaseProcessor(count: number): Promise<number> {
     const metadata = withLeases(count);
     const raft = Object.assign(new EventEmitter(), { metadata, isLeader: true });
