--- a/packages/testkit/src/sim/sessions.test.ts
+++ b/packages/testkit/src/sim/sessions.test.ts
@@ -68,7 +68,7 @@
     const second = new Hand(fleet, "vise-2", "desk", wish);
     expect(await fleet.until(() => second.reply !== undefined, 3000)).toEqual(true);
     expect(second.reply!["status"]).toEqual(503);
-    expect(Number(second.reply!["comeBack"]) > 0).toEqual(true);
+    expect(Number(second.reply!["retryAfterSeconds"]) > 0).toEqual(true);
     expect(fleet.world.now - askedAt < 1500).toEqual(true);
     let last = second;
     const took = await fleet.until(() => {
@@ -96,7 +96,7 @@
     let comeAt = cutAt + 900;
     const isServed = (): boolean => {
       const { reply } = next;
-      if (reply !== undefined) comeAt = Math.min(comeAt, fleet.world.now) + Number(reply["comeBack"]) * 1000;
+      if (reply !== undefined) comeAt = Math.min(comeAt, fleet.world.now) + Number(reply["retryAfterSeconds"]) * 1000;
       if (reply !== undefined || next === first) {
         if (fleet.world.now < comeAt) return false;
         next = new Hand(fleet, "vise-2", "desk", wish);
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -173,9 +173,9 @@
   const askedAt = fleet.world.now;
   const body = JSON.stringify({ topic: "extra/t0", number: 1, payload: "x" });
   const early = await ask("vise-1", "POST", "/v1/sessions/desk/messages", body);
-  expect([early["status"], Number(early["comeBack"]) > 0]).toEqual([503, true]);
+  expect([early["status"], Number(early["retryAfterSeconds"]) > 0]).toEqual([503, true]);
   const asked = await ask("vise-1", "POST", "/v1/sessions/desk/subscriptions", JSON.stringify({ topic: "extra/t0" }));
-  expect([asked["status"], Number(asked["comeBack"]) > 0]).toEqual([503, true]);
+  expect([asked["status"], Number(asked["retryAfterSeconds"]) > 0]).toEqual([503, true]);
   expect(fleet.world.now - askedAt < 300).toEqual(true);
   const unknown = JSON.stringify({ topic: "nowhere/t0", number: 1, payload: "x" });
   expect((await ask("vise-1", "POST", "/v1/sessions/desk/messages", unknown))["status"]).toEqual(404);
@@ -259,7 +259,7 @@
   expect((await all.configuration(["notes", "notices"]))["status"]).toEqual(200);
   expect((await all.configuration(["notes", "notices", "extra"]))["status"]).toEqual(200);
   const early = await publish("desk", 1, "vise-1", "extra/t0");
-  expect([early["status"], Number(early["comeBack"]) > 0]).toEqual([503, true]);
+  expect([early["status"], Number(early["retryAfterSeconds"]) > 0]).toEqual([503, true]);
   const body = JSON.stringify({ topic: "extra/t0" });
   expect((await all.ask("vise-1", "POST", "/v1/sessions/desk/subscriptions", body))["status"]).toEqual(503);
   fleet.wires.heal();
@@ -282,7 +282,7 @@
   const body = JSON.stringify({ topic: "extra/t0" });
   const asked = [publish("desk", 1, "vise-1", "extra/t0")];
   asked.push(all.ask("vise-1", "POST", "/v1/sessions/desk/subscriptions", body));
-  for (const { status, comeBack: retryAfterSeconds } of await Promise.all(asked))
+  for (const { status, retryAfterSeconds } of await Promise.all(asked))
     expect([status, Number(retryAfterSeconds) > 0]).toEqual([503, true]);
   expect([node.configuration.version, fleet.find(leaderName)!.node.configuration.version]).toEqual([1, 2]);
   fleet.wires.heal();
