--- a/eslint.config.js
+++ b/eslint.config.js
@@ -118,6 +118,13 @@
   "jsdoc/require-description": "error",
 };
 
+/** Globals of Node.js that scripts use. */
+const nodeGlobals = Object.fromEntries(
+  ["AbortController", "AbortSignal", "TextDecoder", "console", "fetch", "performance", "process", "setTimeout"].map(
+    (name) => [name, "readonly"],
+  ),
+);
+
 const hidden = "a cast through unknown or never hides a type";
 
 /** Imports go one way: platform and cli above edge, control and log-storage, these above core. */
@@ -193,5 +200,5 @@
   ...finished,
   ...longFunctions.map(({ files }) => ({ files: [files], rules: { "max-lines-per-function": "off" } })),
   { files: ["eslint.config.js"], rules: { "no-restricted-syntax": "off" } },
-  { files: ["**/*.js", "**/*.mjs"], languageOptions: { globals: { process: "readonly", console: "readonly" } } },
+  { files: ["**/*.js", "**/*.mjs"], languageOptions: { globals: nodeGlobals } },
 );
--- a/scripts/mixedFleet.mjs
+++ b/scripts/mixedFleet.mjs
@@ -213,9 +213,8 @@
     reader.isStopped = true;
     reader.abort.abort();
   }
-  console.log(
-    `${acknowledged.length} messages acknowledged, ${readers.map(({ received }) => received.length).join(" and ")} received, ${problems.length} problems`,
-  );
+  const received = readers.map((reader) => reader.received.length).join(" and ");
+  console.log(`${acknowledged.length} messages acknowledged, ${received} received, ${problems.length} problems`);
 } finally {
   for (const { child } of nodes) child?.kill("SIGKILL");
   rmSync(folder, { recursive: true, force: true });
