--- a/packages/edge/src/fanout/shardFollow.test.ts
+++ b/packages/edge/src/fanout/shardFollow.test.ts
@@ -102,7 +102,7 @@
     await turn();
     return tail;
   };
-  const head = (name: string, from: number): object => ({ stream: name, birth: incarnation, from, low: 0 });
+  const head = (name: string, from: number): object => ({ stream: name, incarnation, from, low: 0 });
   await add("6:notes/t0");
   await asked[0]!.answer([head("6:notes/t0", 0)]);
   const late = await add(stream);
--- a/packages/testkit/src/slopes/storeSlopes.ts
+++ b/packages/testkit/src/slopes/storeSlopes.ts
@@ -79,7 +79,7 @@
   const acknowledge = (number: number): void => {
     const { revision } = metadata;
     for (let i = 0; i < count; i += 1)
-      serve.get("feedAck")!({ feed: `vise-${i}/01234567`, number, revision, planMark: 1, fault: "" });
+      serve.get("feedAck")!({ feed: `vise-${i}/01234567`, number, revision, configurationVersion: 1, fault: "" });
   };
   const change = (): void => {
     numbers += 1;
