--- a/packages/testkit/src/callers/caller.ts
+++ b/packages/testkit/src/clients/client.ts
@@ -1,5 +1,5 @@
 import type { TimerHandle, Clock } from "@cranetrack/core/runtime/clock.js";
-import type { CallerPort, PortConnection, PortReply } from "./callerPort.js";
+import type { CallerPort, PortConnection, PortReply } from "./clientPort.js";
 import type { History } from "../checker/history.js";
 
 interface CallerParts {
--- a/packages/testkit/src/callers/httpPort.ts
+++ b/packages/testkit/src/clients/httpPort.ts
@@ -1,5 +1,5 @@
 import { Agent, request } from "undici";
-import type { CallerPort, PortConnection, PortReply } from "./callerPort.js";
+import type { CallerPort, PortConnection, PortReply } from "./clientPort.js";
 
 /** Calls over HTTP/1.1, as a caller of the service makes them. */
 export class HttpPort implements CallerPort {
--- a/packages/testkit/src/callers/pipelinedPublisher.ts
+++ b/packages/testkit/src/clients/pipelinedPublisher.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
 import type { History } from "../checker/history.js";
-import type { Caller } from "./caller.js";
-import type { CallerPort, PortReply } from "./callerPort.js";
+import type { Caller } from "./client.js";
+import type { CallerPort, PortReply } from "./clientPort.js";
 
 interface PublisherParts {
   /** Whose session it publishes under, and at whose node. */
--- a/packages/testkit/src/callers/passingCallers.ts
+++ b/packages/testkit/src/clients/temporaryClients.ts
@@ -3,8 +3,8 @@
 import { History } from "../checker/history.js";
 import { judgePassing } from "../checker/passingRules.js";
 import type { SimRandom } from "../sim/simRandom.js";
-import { Caller } from "./caller.js";
-import type { CallerPort } from "./callerPort.js";
+import { Caller } from "./client.js";
+import type { CallerPort } from "./clientPort.js";
 import { PipelinedPublisher } from "./pipelinedPublisher.js";
 
 interface PassingParts {
--- a/packages/testkit/src/explore/modelWorld.ts
+++ b/packages/testkit/src/explore/modelWorld.ts
@@ -4,14 +4,14 @@
 import { EntrySchema, MembersSchema, type StoreMember } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import type { Action } from "./action.js";
-import { Callers } from "./callers.js";
+import { Callers } from "./modelClients.js";
 import { Coverage } from "./coverage.js";
 import { MemberSteps } from "./memberSteps.js";
 import { ModelMachine } from "./modelMachine.js";
 import { ModelMember, modelBounds } from "./modelMember.js";
 import { ModelNetwork } from "./modelNetwork.js";
 import { Observer } from "./observer.js";
-import { TendedSteps } from "./tendedSteps.js";
+import { TendedSteps } from "./maintenanceSteps.js";
 import { Violation, type PropertyName } from "./violation.js";
 
 export interface WorldSettings {
--- a/packages/testkit/src/fleet/load.ts
+++ b/packages/testkit/src/fleet/load.ts
@@ -4,7 +4,7 @@
 import { Lateness } from "../checker/lateness.js";
 import { History } from "../checker/history.js";
 import { Deployments } from "./deployments.js";
-import { Caller } from "../callers/caller.js";
+import { Caller } from "../clients/client.js";
 import { Probe } from "./probe.js";
 import type { Fleet } from "./fleet.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
--- a/packages/testkit/src/fleet/probe.ts
+++ b/packages/testkit/src/fleet/probe.ts
@@ -1,5 +1,5 @@
 import type { History, Seen } from "../checker/history.js";
-import type { Caller } from "../callers/caller.js";
+import type { Caller } from "../clients/client.js";
 
 interface ProbeParts {
   history: History;
--- a/packages/testkit/src/sabotage/cutOffSabotages.ts
+++ b/packages/testkit/src/mutants/cutOffMutants.ts
@@ -1,4 +1,4 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Sabotage } from "./mutant.js";
 
 const test = "testkit/dist/sim/freshness.test.js";
 
--- a/packages/testkit/src/sabotage/diskSabotages.ts
+++ b/packages/testkit/src/mutants/diskMutants.ts
@@ -1,4 +1,4 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Sabotage } from "./mutant.js";
 
 const test = "core/dist/storage/newFolder.test.js";
 
--- a/packages/testkit/src/sabotage/electionSabotages.ts
+++ b/packages/testkit/src/mutants/electionMutants.ts
@@ -1,4 +1,4 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Sabotage } from "./mutant.js";
 
 const file = "control/dist/consensus/raftNode.js";
 const test = "testkit/dist/sim/elections.test.js";
--- a/packages/testkit/src/sabotage/exploreSabotages.ts
+++ b/packages/testkit/src/mutants/exploreMutants.ts
@@ -1,4 +1,4 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Sabotage } from "./mutant.js";
 
 const test = "testkit/dist/explore/explore.test.js";
 /** Traces for what the bounded part hardly comes by. */
--- a/packages/testkit/src/sabotage/incidentSabotages.ts
+++ b/packages/testkit/src/mutants/incidentMutants.ts
@@ -1,4 +1,4 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Sabotage } from "./mutant.js";
 
 const sim = "testkit/dist/sim";
 const service = "log-storage/dist/shards/shardService.js";
--- a/packages/testkit/src/sabotage/logSabotages.ts
+++ b/packages/testkit/src/mutants/logMutants.ts
@@ -1,4 +1,4 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Sabotage } from "./mutant.js";
 
 /** Guards of replicated logs, their snapshots and their compaction. */
 export const logSabotages: readonly Sabotage[] = [
--- a/packages/testkit/src/sabotage/saboteur.ts
+++ b/packages/testkit/src/mutants/mutantRunner.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import PQueue from "p-queue";
-import type { Sabotage } from "./sabotage.js";
+import type { Sabotage } from "./mutant.js";
 
 export interface SabotageReport {
   name: string;
--- a/packages/testkit/src/sabotage/sabotages.test.ts
+++ b/packages/testkit/src/mutants/mutants.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { fileURLToPath } from "node:url";
 import { expect } from "earl";
-import { sabotages } from "./sabotages.js";
+import { sabotages } from "./mutants.js";
 
 const pathOf = (name: string): string => fileURLToPath(new URL(`../../../${name}`, import.meta.url));
 
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -1,15 +1,15 @@
-import { callSabotages } from "./callSabotages.js";
-import { configurationSabotages } from "./configurationSabotages.js";
-import { cutOffSabotages } from "./cutOffSabotages.js";
-import { diskSabotages } from "./diskSabotages.js";
-import { electionSabotages } from "./electionSabotages.js";
-import { exploreSabotages } from "./exploreSabotages.js";
-import { incidentSabotages } from "./incidentSabotages.js";
-import { logSabotages } from "./logSabotages.js";
-import { repairSabotages } from "./repairSabotages.js";
-import type { Sabotage } from "./sabotage.js";
-import { membershipSabotages } from "./membershipSabotages.js";
-import { orderSabotages } from "./orderSabotages.js";
+import { callSabotages } from "./callMutants.js";
+import { configurationSabotages } from "./configurationMutants.js";
+import { cutOffSabotages } from "./cutOffMutants.js";
+import { diskSabotages } from "./diskMutants.js";
+import { electionSabotages } from "./electionMutants.js";
+import { exploreSabotages } from "./exploreMutants.js";
+import { incidentSabotages } from "./incidentMutants.js";
+import { logSabotages } from "./logMutants.js";
+import { repairSabotages } from "./repairMutants.js";
+import type { Sabotage } from "./mutant.js";
+import { membershipSabotages } from "./membershipMutants.js";
+import { orderSabotages } from "./orderMutants.js";
 
 const sim = "testkit/dist/sim";
 
--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -8,7 +8,7 @@
 import { StreamTail } from "@cranetrack/edge/fanout/streamTail.js";
 import { OwnerKey } from "@cranetrack/edge/sessions/ownerKey.js";
 import { expect } from "earl";
-import { Hand, served } from "./hand.js";
+import { Hand, served } from "./testClient.js";
 
 const incarnation = "1-0123456789";
 
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -5,7 +5,7 @@
 import { Sessions } from "@cranetrack/edge/sessions/sessions.js";
 import { expect } from "earl";
 import { CallModel, type CallCounts } from "./callModel.js";
-import { Hand, served } from "./hand.js";
+import { Hand, served } from "./testClient.js";
 import { SimLoad } from "./simLoad.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
--- a/packages/testkit/src/sim/orderActs.ts
+++ b/packages/testkit/src/sim/changeFaultInjector.ts
@@ -1,4 +1,4 @@
-import { Acts, type Act } from "./acts.js";
+import { Acts, type Act } from "./faultInjector.js";
 import { SimLoad } from "./simLoad.js";
 import { SimConfigurations } from "./simConfigurations.js";
 import type { GivenAnswer } from "./simPort.js";
--- a/packages/testkit/src/sim/configurationCapacity.test.ts
+++ b/packages/testkit/src/sim/configurationCapacity.test.ts
@@ -2,7 +2,7 @@
 import { Membership } from "@cranetrack/core/membership/membership.js";
 import { expect } from "earl";
 import type { Machine } from "../fleet/deployments.js";
-import { served } from "./hand.js";
+import { served } from "./testClient.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimConfigurations } from "./simConfigurations.js";
--- a/packages/testkit/src/sim/connections.test.ts
+++ b/packages/testkit/src/sim/connections.test.ts
@@ -3,7 +3,7 @@
 import type { SessionEndpoint } from "@cranetrack/edge/connections/clientEndpoint.js";
 import { EdgeClientEndpoint } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
 import { expect } from "earl";
-import { served } from "./hand.js";
+import { served } from "./testClient.js";
 import type { SimFleet } from "./simFleet.js";
 
 type Line = Record<string, unknown>;
--- a/packages/testkit/src/sim/cutOff.test.ts
+++ b/packages/testkit/src/sim/cutOff.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import type { Settings } from "@cranetrack/core/runtime/settings.js";
 import { expect } from "earl";
-import { served, type Served } from "./hand.js";
+import { served, type Served } from "./testClient.js";
 import { Scenario } from "./scenario.js";
 import { SimLoad } from "./simLoad.js";
 import { accepted, actingOnOld, boundMs } from "./staleNodes.js";
--- a/packages/testkit/src/sim/diskActs.ts
+++ b/packages/testkit/src/sim/diskFaultInjector.ts
@@ -1,4 +1,4 @@
-import { Acts, type Act } from "./acts.js";
+import { Acts, type Act } from "./faultInjector.js";
 
 /** Disks that are full, hang or refuse a write. */
 export class DiskActs extends Acts {
--- a/packages/testkit/src/sim/drains.test.ts
+++ b/packages/testkit/src/sim/drains.test.ts
@@ -4,7 +4,7 @@
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { expect } from "earl";
 import type { Machine } from "../fleet/deployments.js";
-import { served, type Served } from "./hand.js";
+import { served, type Served } from "./testClient.js";
 import { Scenario } from "./scenario.js";
 import type { SimFleet } from "./simFleet.js";
 
--- a/packages/testkit/src/sim/elections.test.ts
+++ b/packages/testkit/src/sim/elections.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { served } from "./hand.js";
+import { served } from "./testClient.js";
 
 const seeds = Array.from({ length: 30 }, (_, i) => 1000 + i);
 /** Elections that may take more than one term, where two ask at the same moment: 6 of 100 were measured. */
--- a/packages/testkit/src/sim/faults.ts
+++ b/packages/testkit/src/sim/faults.ts
@@ -1,9 +1,9 @@
-import type { Act } from "./acts.js";
-import { CutActs } from "./cutActs.js";
-import { DiskActs } from "./diskActs.js";
-import { FaultActs } from "./faultActs.js";
-import { MachineActs } from "./machineActs.js";
-import { OrderActs } from "./orderActs.js";
+import type { Act } from "./faultInjector.js";
+import { CutActs } from "./partitionInjector.js";
+import { DiskActs } from "./diskFaultInjector.js";
+import { FaultActs } from "./generalFaultInjector.js";
+import { MachineActs } from "./machineFaultInjector.js";
+import { OrderActs } from "./changeFaultInjector.js";
 import type { SimRandom } from "./simRandom.js";
 import type { SimFleet } from "./simFleet.js";
 import type { SimLoad } from "./simLoad.js";
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -3,7 +3,7 @@
 import type { Frame } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { expect } from "earl";
-import { Hand, served, type Served } from "./hand.js";
+import { Hand, served, type Served } from "./testClient.js";
 import type { SimFleet } from "./simFleet.js";
 
 const topic = "notes/t1";
--- a/packages/testkit/src/sim/founding.test.ts
+++ b/packages/testkit/src/sim/founding.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import type { Machine } from "../fleet/deployments.js";
-import { Hand, served } from "./hand.js";
+import { Hand, served } from "./testClient.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 
--- a/packages/testkit/src/sim/freshness.test.ts
+++ b/packages/testkit/src/sim/freshness.test.ts
@@ -4,7 +4,7 @@
 import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { expect } from "earl";
-import { served } from "./hand.js";
+import { served } from "./testClient.js";
 import type { SimFleet } from "./simFleet.js";
 import { SimConfigurations } from "./simConfigurations.js";
 import { accepted, actingOnOld, boundMs } from "./staleNodes.js";
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -2,7 +2,7 @@
 import type { SessionEndpoint, Published } from "@cranetrack/edge/connections/clientEndpoint.js";
 import { EdgeClientEndpoint } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
 import { expect } from "earl";
-import { Hand, served, type Served } from "./hand.js";
+import { Hand, served, type Served } from "./testClient.js";
 import type { SimFleet } from "./simFleet.js";
 import { SimConfigurations } from "./simConfigurations.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
--- a/packages/testkit/src/sim/machineActs.ts
+++ b/packages/testkit/src/sim/machineFaultInjector.ts
@@ -1,5 +1,5 @@
 import type { Machine } from "../fleet/deployments.js";
-import { Acts, type Act } from "./acts.js";
+import { Acts, type Act } from "./faultInjector.js";
 
 /** Machines that come, go and are replaced, and whole groups that fall. */
 export class MachineActs extends Acts {
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -6,7 +6,7 @@
 import { Wire, type Body } from "@cranetrack/core/rpc/wire.js";
 import { countTopic, type Count } from "@cranetrack/edge/fanout/countTopic.js";
 import { expect } from "earl";
-import { Hand, served, type Served } from "./hand.js";
+import { Hand, served, type Served } from "./testClient.js";
 
 /** A fleet whose space `notes` keeps nothing, and so does `extra`, which has one order. */
 async function keepingNothing(seed: number): Promise<Served> {
--- a/packages/testkit/src/sim/orderHistories.test.ts
+++ b/packages/testkit/src/sim/orderHistories.test.ts
@@ -6,7 +6,7 @@
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { OrderHistory, SimOperator } from "./simOperator.js";
-import { Troubles, type Trouble } from "./storeTroubles.js";
+import { Troubles, type Trouble } from "./storeFaults.js";
 
 interface Play {
   seed: number;
--- a/packages/testkit/src/sim/cutActs.ts
+++ b/packages/testkit/src/sim/partitionInjector.ts
@@ -1,4 +1,4 @@
-import { Acts, type Act } from "./acts.js";
+import { Acts, type Act } from "./faultInjector.js";
 
 /** Cuts between machines that count, between those and edges, and connections that are reset. */
 export class CutActs extends Acts {
--- a/packages/testkit/src/sim/sessions.test.ts
+++ b/packages/testkit/src/sim/sessions.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { OwnerKey } from "@cranetrack/edge/sessions/ownerKey.js";
 import { expect } from "earl";
-import { Hand, served, type Line } from "./hand.js";
+import { Hand, served, type Line } from "./testClient.js";
 import type { SimFleet } from "./simFleet.js";
 
 /** What the store itself says: the newest of all control nodes. */
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -3,7 +3,7 @@
 import { expect } from "earl";
 import { Checker } from "../checker/checker.js";
 import type { Machine } from "../fleet/deployments.js";
-import { served } from "./hand.js";
+import { served } from "./testClient.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -4,8 +4,8 @@
 import { SimClock } from "./simClock.js";
 import type { SimFleet } from "./simFleet.js";
 import { SimRandom } from "./simRandom.js";
-import { Caller } from "../callers/caller.js";
-import { PassingCallers } from "../callers/passingCallers.js";
+import { Caller } from "../clients/client.js";
+import { PassingCallers } from "../clients/temporaryClients.js";
 import { Probe } from "../fleet/probe.js";
 import { SimConfigurations } from "./simConfigurations.js";
 import { History } from "../checker/history.js";
--- a/packages/testkit/src/sim/simOperator.ts
+++ b/packages/testkit/src/sim/simOperator.ts
@@ -2,7 +2,7 @@
 import { readDocument } from "@cranetrack/control/configuration/readDocument.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { PortReply } from "../callers/callerPort.js";
+import type { PortReply } from "../clients/clientPort.js";
 import type { Operation } from "../checker/linearizability.js";
 import type { OrderInput, OrderOutput } from "../checker/versionedRegister.js";
 import type { SimFleet } from "./simFleet.js";
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -1,5 +1,5 @@
 import type { ClientConnection } from "@cranetrack/edge/connections/clientConnection.js";
-import type { CallerPort, PortConnection, PortReply } from "../callers/callerPort.js";
+import type { CallerPort, PortConnection, PortReply } from "../clients/clientPort.js";
 import type { SimNode } from "./simNode.js";
 import type { SimWorld } from "./simWorld.js";
 import { Router } from "@cranetrack/core/http/router.js";
--- a/packages/testkit/src/sim/staleNodes.ts
+++ b/packages/testkit/src/sim/staleNodes.ts
@@ -1,6 +1,6 @@
 import { SimLoad } from "./simLoad.js";
 import type { SimFleet } from "./simFleet.js";
-import type { Served } from "./hand.js";
+import type { Served } from "./testClient.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 /** Within this long after an acknowledgement nobody in touch acts on what was in force before. */
--- a/packages/testkit/src/sim/storeHistories.test.ts
+++ b/packages/testkit/src/sim/storeHistories.test.ts
@@ -7,7 +7,7 @@
 import { checkLinearizability, type Operation } from "../checker/linearizability.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
-import { Troubles, type Trouble } from "./storeTroubles.js";
+import { Troubles, type Trouble } from "./storeFaults.js";
 
 type KeysOperation = Operation<KeysInput, KeysOutput>;
 interface Step {
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -2,7 +2,7 @@
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { expect } from "earl";
 import { Checker } from "../checker/checker.js";
-import { Hand, served, type Line, type Served } from "./hand.js";
+import { Hand, served, type Line, type Served } from "./testClient.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
