--- a/packages/testkit/src/checker/soakRules.test.ts
+++ b/packages/testkit/src/checker/soakRules.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import { judgeReads } from "./configurationReads.js";
 import type { Seen } from "./history.js";
-import { judgePassing } from "./passingRules.js";
+import { judgePassing } from "./ephemeralRules.js";
 
 const tried = (number: number, at = 0): Seen => {
   return { kind: "tried", at, sender: "pen", topic: "p/t", number, payload: `p${number}` };
--- a/packages/testkit/src/clients/temporaryClients.ts
+++ b/packages/testkit/src/clients/ephemeralClients.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
 import type { Breach } from "../checker/checker.js";
 import { History } from "../checker/history.js";
-import { judgePassing } from "../checker/passingRules.js";
+import { judgePassing } from "../checker/ephemeralRules.js";
 import type { SimRandom } from "../sim/simRandom.js";
 import { Caller } from "./client.js";
 import type { CallerPort } from "./clientPort.js";
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -1,7 +1,7 @@
 import { HostClock } from "@cranetrack/core/runtime/hostClock.js";
 import { InvariantMonitor } from "@cranetrack/core/runtime/invariantMonitor.js";
 import { Caller } from "../clients/client.js";
-import { PassingCallers } from "../clients/temporaryClients.js";
+import { PassingCallers } from "../clients/ephemeralClients.js";
 import type { Breach } from "../checker/checker.js";
 import { judgeReads } from "../checker/configurationReads.js";
 import { SimRandom } from "../sim/simRandom.js";
@@ -9,7 +9,7 @@
 import type { Fleet } from "./fleet.js";
 import { Load } from "./load.js";
 import { SoakOperators } from "./soakOperators.js";
-import { SoakTroubles, type Trouble } from "./soakFaults.js";
+import { SoakTroubles, type Trouble } from "./soakFaultInjector.js";
 
 /** Any troubles, or disks lost one after the other as soon as the users may. */
 export type SoakProfile = "any" | "disks";
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -5,7 +5,7 @@
 import type { SimFleet } from "./simFleet.js";
 import { SimRandom } from "./simRandom.js";
 import { Caller } from "../clients/client.js";
-import { PassingCallers } from "../clients/temporaryClients.js";
+import { PassingCallers } from "../clients/ephemeralClients.js";
 import { Probe } from "../fleet/probe.js";
 import { SimConfigurations } from "./simConfigurations.js";
 import { History } from "../checker/history.js";
