--- a/packages/testkit/src/cranetrack-lab.ts
+++ b/packages/testkit/src/cranetrack-lab.ts
@@ -4,8 +4,8 @@
 import { join } from "node:path";
 import { cac } from "cac";
 import { fileURLToPath } from "node:url";
-import { sabotages } from "./mutants/mutants.js";
-import { Saboteur } from "./mutants/mutantRunner.js";
+import { mutants } from "./mutants/mutants.js";
+import { MutantRunner } from "./mutants/mutantRunner.js";
 import { explore, type ExploreOptions } from "./explore/exploreCommand.js";
 import { Deployments } from "./fleet/deployments.js";
 import { Cost } from "./slopes/cost.js";
@@ -291,9 +291,9 @@
   .option("--only <text>", "Only guards whose name has this text", { default: "" })
   .action(async (options: { atOnce: number; only: string }) => {
     const root = fileURLToPath(new URL("../../..", import.meta.url));
-    const chosen = sabotages.filter(({ name }) => name.includes(options.only));
+    const chosen = mutants.filter(({ name }) => name.includes(options.only));
     if (chosen.length === 0) throw new Error(`no guard's name has "${options.only}"`);
-    const reports = await new Saboteur(root).run(chosen, options.atOnce, (report) =>
+    const reports = await new MutantRunner(root).run(chosen, options.atOnce, (report) =>
       process.stdout.write(`${report.outcome}: ${report.name} (${report.failed} tests failed)\n`),
     );
     const caught = reports.filter((report) => report.outcome === "caught").length;
--- a/packages/testkit/src/mutants/callMutants.ts
+++ b/packages/testkit/src/mutants/callMutants.ts
@@ -1,11 +1,11 @@
-import type { Sabotage } from "./mutant.js";
+import type { Mutant } from "./mutant.js";
 
 const sim = "testkit/dist/sim";
 const endpoint = "core/dist/rpc/rpcEndpoint.js";
 const endpointTest = "core/dist/rpc/rpcEndpoint.test.js";
 
 /** The guards around calls: whose reply settles what, and what may run or be sent twice. */
-export const callSabotages: readonly Sabotage[] = [
+export const callMutants: readonly Mutant[] = [
   {
     name: "a reply to an earlier life of the caller settles a call",
     file: endpoint,
--- a/packages/testkit/src/mutants/logMutants.ts
+++ b/packages/testkit/src/mutants/logMutants.ts
@@ -1,7 +1,7 @@
-import type { Sabotage } from "./mutant.js";
+import type { Mutant } from "./mutant.js";
 
 /** Guards of replicated logs, their snapshots and their compaction. */
-export const logSabotages: readonly Sabotage[] = [
+export const logMutants: readonly Mutant[] = [
   {
     name: "a snapshot takes away the entries behind it",
     file: "core/dist/replication/followerLog.js",
--- a/packages/testkit/src/mutants/membershipMutants.ts
+++ b/packages/testkit/src/mutants/membershipMutants.ts
@@ -1,9 +1,9 @@
-import type { Sabotage } from "./mutant.js";
+import type { Mutant } from "./mutant.js";
 
 const sim = "testkit/dist/sim";
 
 /** Guards of the store's membership and of drains. */
-export const membershipSabotages: readonly Sabotage[] = [
+export const membershipMutants: readonly Mutant[] = [
   {
     name: "elections in a joint configuration count one set",
     file: "control/dist/consensus/voterSets.js",
--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -1,23 +1,23 @@
-import { callSabotages } from "./callMutants.js";
-import { configurationSabotages } from "./configurationMutants.js";
-import { cutOffSabotages } from "./cutOffMutants.js";
-import { diskSabotages } from "./diskMutants.js";
-import { electionSabotages } from "./electionMutants.js";
-import { exploreSabotages } from "./exploreMutants.js";
-import { incidentSabotages } from "./incidentMutants.js";
-import { logSabotages } from "./logMutants.js";
-import { repairSabotages } from "./repairMutants.js";
-import type { Sabotage } from "./mutant.js";
-import { membershipSabotages } from "./membershipMutants.js";
-import { orderSabotages } from "./orderMutants.js";
+import { callMutants } from "./callMutants.js";
+import { configurationMutants } from "./configurationMutants.js";
+import { cutOffMutants } from "./cutOffMutants.js";
+import { diskMutants } from "./diskMutants.js";
+import { electionMutants } from "./electionMutants.js";
+import { exploreMutants } from "./exploreMutants.js";
+import { incidentMutants } from "./incidentMutants.js";
+import { logMutants } from "./logMutants.js";
+import { repairMutants } from "./repairMutants.js";
+import type { Mutant } from "./mutant.js";
+import { membershipMutants } from "./membershipMutants.js";
+import { orderMutants } from "./orderMutants.js";
 
 const sim = "testkit/dist/sim";
 
 /** Guards taken out on purpose; for each a test must fail. */
-export const sabotages: readonly Sabotage[] = [
-  ...configurationSabotages,
-  ...membershipSabotages,
-  ...incidentSabotages,
+export const mutants: readonly Mutant[] = [
+  ...configurationMutants,
+  ...membershipMutants,
+  ...incidentMutants,
   {
     name: "a replica answers before its disk",
     file: "core/dist/replication/followerLog.js",
@@ -326,12 +326,12 @@
     put: "this.head = from;",
     test: "edge/dist/fanout/streamTail.test.js",
   },
-  ...exploreSabotages,
-  ...logSabotages,
-  ...cutOffSabotages,
-  ...diskSabotages,
-  ...orderSabotages,
-  ...repairSabotages,
-  ...callSabotages,
-  ...electionSabotages,
+  ...exploreMutants,
+  ...logMutants,
+  ...cutOffMutants,
+  ...diskMutants,
+  ...orderMutants,
+  ...repairMutants,
+  ...callMutants,
+  ...electionMutants,
 ];
--- a/packages/testkit/src/mutants/orderMutants.ts
+++ b/packages/testkit/src/mutants/orderMutants.ts
@@ -1,9 +1,9 @@
-import type { Sabotage } from "./mutant.js";
+import type { Mutant } from "./mutant.js";
 
 const sim = "testkit/dist/sim";
 
 /** Guards of operators' orders: what was acknowledged, under which version, with which content. */
-export const orderSabotages: readonly Sabotage[] = [
+export const orderMutants: readonly Mutant[] = [
   {
     name: "a plan needs no rising mark",
     file: "control/dist/configuration/judgeOrder.js",
--- a/packages/testkit/src/mutants/repairMutants.ts
+++ b/packages/testkit/src/mutants/repairMutants.ts
@@ -1,9 +1,9 @@
-import type { Sabotage } from "./mutant.js";
+import type { Mutant } from "./mutant.js";
 
 const sim = "testkit/dist/sim";
 
 /** Guards of replica sets: where they are placed, when they are changed, and when a change may be decided. */
-export const repairSabotages: readonly Sabotage[] = [
+export const repairMutants: readonly Mutant[] = [
   {
     name: "lost replicas are never replaced",
     file: "log-storage/dist/repair/replicaRepair.js",
