--- a/packages/testkit/src/clients/httpPort.ts
+++ b/packages/testkit/src/clients/httpPort.ts
@@ -1,8 +1,8 @@
 import { Agent, request } from "undici";
-import type { CallerPort, PortConnection, PortReply } from "./clientPort.js";
+import type { ClientPort, PortConnection, PortReply } from "./clientPort.js";
 
 /** Calls over HTTP/1.1, as a caller of the service makes them. */
-export class HttpPort implements CallerPort {
+export class HttpPort implements ClientPort {
   readonly #addressOf: (node: string) => string;
   readonly #agent = new Agent({ connections: null, bodyTimeout: 0, headersTimeout: 8000, connect: { timeout: 1500 } });
 
@@ -14,7 +14,7 @@
     node: string,
     session: string,
     body: object,
-    heed: { line(line: Record<string, unknown>): void; closed(): void },
+    handlers: { line(line: Record<string, unknown>): void; closed(): void },
   ): Promise<PortConnection | PortReply> {
     const giveUp = new AbortController();
     try {
@@ -32,10 +32,10 @@
       answer.body.on("data", (chunk: string) => {
         const lines = (rest + chunk).split("\n");
         rest = lines.pop()!;
-        for (const line of lines) heed.line(JSON.parse(line) as Record<string, unknown>);
+        for (const line of lines) handlers.line(JSON.parse(line) as Record<string, unknown>);
       });
       answer.body.on("error", () => undefined);
-      answer.body.on("close", () => heed.closed());
+      answer.body.on("close", () => handlers.closed());
       return { close: () => giveUp.abort() };
     } catch {
       return { status: 0, body: {}, retryAfterSeconds: 0.3 };
--- a/packages/testkit/src/explore/modelWorld.ts
+++ b/packages/testkit/src/explore/modelWorld.ts
@@ -4,7 +4,7 @@
 import { EntrySchema, MembersSchema, type StoreMember } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import type { Action } from "./action.js";
-import { Callers } from "./modelClients.js";
+import { ModelClients } from "./modelClients.js";
 import { Coverage } from "./coverage.js";
 import { MemberSteps } from "./memberSteps.js";
 import { ModelMachine } from "./modelMachine.js";
@@ -37,7 +37,7 @@
   readonly machines: ModelMachine[];
   readonly network: ModelNetwork;
   readonly observer: Observer;
-  readonly callers: Callers;
+  readonly clients: ModelClients;
   readonly steps: MemberSteps;
   readonly tendedSteps: TendedSteps;
   /** Whose writes are not synced at once. */
@@ -50,7 +50,7 @@
     this.coverage = coverage;
     this.machines = Array.from({ length: settings.machines }, (_, i) => new ModelMachine(i));
     this.observer = new Observer(this.machines, coverage, settings.ignored);
-    this.callers = new Callers(this.observer, coverage);
+    this.clients = new ModelClients(this.observer, coverage);
     this.steps = new MemberSteps(this.machines, this.observer, coverage, settings.voters);
     this.tendedSteps = new TendedSteps(this.machines, settings.voters);
     this.network = new ModelNetwork((from, to, frame) => {
@@ -141,7 +141,7 @@
     this.coverage.count(`action: ${action.kind}`);
     this.observer.keep(() => this.#carryOut(action));
     await this.#settle();
-    this.observer.keep(() => this.callers.check());
+    this.observer.keep(() => this.clients.check());
     this.observer.check();
     return true;
   }
@@ -153,7 +153,7 @@
         `${history},${disk.pending},${member?.isUp},${member?.isFrozen},${diskId},${disk.text()}`,
     );
     const held = this.machines.map((machine) => this.#held.has(machine)).join();
-    const text = [machines.join("\n"), held, this.network.text(), this.observer.text(), this.callers.text()];
+    const text = [machines.join("\n"), held, this.network.text(), this.observer.text(), this.clients.text()];
     return createHash("sha1")
       .update(`${text.join("\n")}\n${this.steps.text()}`)
       .digest("base64");
@@ -205,16 +205,16 @@
         return this.network.mend(machine.name, second.name);
       case "propose":
         this.#remember(machine, kind);
-        return this.callers.propose(member, nth > 0);
+        return this.clients.propose(member, nth > 0);
       case "order":
         this.#remember(machine, kind);
-        return this.callers.order(member);
+        return this.clients.order(member);
       case "read":
         this.#remember(machine, kind);
-        return this.callers.read(member);
+        return this.clients.read(member);
       case "call":
         this.#remember(machine, `call ${other}`);
-        return this.callers.call(member, second.name);
+        return this.clients.call(member, second.name);
       default:
         this.#remember(machine, `${kind} ${second.diskId}`);
         return this.#memberSteps.take(kind, member, second);
@@ -251,7 +251,7 @@
     try {
       const member = new ModelMember(machine, this.network, machine.lives, this.#tended);
       machine.member = member;
-      this.callers.serve(member);
+      this.clients.serve(member);
       this.observer.watch(member);
     } catch (cause) {
       throw new Violation("no fault thrown", (cause as Error).message);
--- a/packages/testkit/src/fleet/chaosDrill.ts
+++ b/packages/testkit/src/fleet/chaosDrill.ts
@@ -174,7 +174,7 @@
     if (target === "edge")
       return most(
         this.#fleet.withRole("vise"),
-        this.#load.callers.map((caller) => caller.node),
+        this.#load.clients.map((client) => client.node),
       );
     if (target === "holder") return most(this.#fleet.withRole("anvil"), await this.#fleet.leaders());
     for (;;) {
@@ -194,7 +194,7 @@
     const returnedAt = this.#load.now;
     let probe: Probe | undefined;
     const isBack = (): boolean => {
-      if (this.#load.callers.every((caller) => caller.isSettled)) probe ??= this.#load.probe();
+      if (this.#load.clients.every((client) => client.isFullySubscribed)) probe ??= this.#load.probe();
       return probe?.isBack === true;
     };
     const ready = this.#fleet.ready().then((ms) => Math.round(ms));
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -1,9 +1,9 @@
 import { HostClock } from "@cranetrack/core/runtime/hostClock.js";
 import { InvariantMonitor } from "@cranetrack/core/runtime/invariantMonitor.js";
-import { Caller } from "../clients/client.js";
-import { PassingCallers } from "../clients/ephemeralClients.js";
+import { Client } from "../clients/client.js";
+import { EphemeralClients } from "../clients/ephemeralClients.js";
 import type { Breach } from "../checker/checker.js";
-import { judgeReads } from "../checker/configurationReads.js";
+import { checkReads } from "../checker/configurationReads.js";
 import { SimRandom } from "../sim/simRandom.js";
 import type { Deployment } from "./deployments.js";
 import type { Fleet } from "./fleet.js";
@@ -56,8 +56,8 @@
     // A store that was founded once is not founded anew, however many disks were lost: that would hide the loss.
     for (const name of this.#fleet.withRole("lathe")) this.#fleet.changeSettings(name, { mayFound: false });
     await this.#load.begin();
-    const passing = this.#passing(this.#fleet.deployment);
-    passing?.begin();
+    const ephemeralClients = this.#ephemeralClients(this.#fleet.deployment);
+    ephemeralClients?.begin();
     this.#load.play();
     const operators = new SoakOperators(
       this.#fleet,
@@ -76,10 +76,10 @@
     await operating;
     await this.#readBack(operators);
     prober.stop();
-    passing?.end();
+    ephemeralClients?.end();
     const report = await this.#load.end();
-    this.#breaches.push(...report.breaches, ...judgeReads(operators.accepted, operators.reads));
-    this.#breaches.push(...(passing?.judge() ?? []));
+    this.#breaches.push(...report.breaches, ...checkReads(operators.accepted, operators.reads));
+    this.#breaches.push(...(ephemeralClients?.check() ?? []));
     for (const text of operators.refused) this.#breach("change-refused", text);
     for (const text of this.#fleet.fallen) this.#breach("process-ended", text);
     for (const text of this.#fleet.logLines(InvariantMonitor.logText)) this.#breach("invariant", text);
@@ -89,7 +89,7 @@
       troubles: troubles.done,
       accepted: report.accepted,
       received: report.deliveries,
-      passed: passing?.received ?? 0,
+      passed: ephemeralClients?.received ?? 0,
       changes: operators.accepted.length,
       reads: operators.reads.length,
       unknown: operators.unknown,
@@ -109,7 +109,7 @@
   async #back(): Promise<number> {
     const from = this.#clock.now();
     this.#load.isCalm = true;
-    const isSettled = (): boolean => this.#load.callers.every((caller) => caller.isSettled);
+    const isSettled = (): boolean => this.#load.clients.every((client) => client.isFullySubscribed);
     while (!isSettled() && this.#clock.now() - from < Soak.backMs) await this.#wait(20);
     const probe = this.#load.probe();
     while (!probe.isBack && this.#clock.now() - from < Soak.backMs) await this.#wait(20);
@@ -128,7 +128,7 @@
 
   /** Publishes in spaces that come and go: what is refused and accepted there is judged by the versions in force. */
   #beginProbing(): { stop(): void } {
-    const caller = new Caller({
+    const client = new Client({
       session: "prober",
       port: this.#fleet.port,
       clock: this.#clock,
@@ -136,23 +136,23 @@
       history: this.#load.history,
       nodes: () => this.#edges(),
     });
-    caller.start([]);
+    client.start([]);
     const timer = this.#clock.every(Soak.probeMs, () => {
-      if (caller.isConnected && caller.open < Soak.maxProbes)
-        void caller.publish(`${this.#random.pick(SoakOperators.addedSpaces)}/t0`, `probe ${this.#random.identity()}`);
+      if (client.isConnected && client.pendingPublishes < Soak.maxProbes)
+        void client.publish(`${this.#random.pick(SoakOperators.addedSpaces)}/t0`, `probe ${this.#random.identity()}`);
     });
     return {
       stop: () => {
         timer.stop();
-        caller.stop();
+        client.stop();
       },
     };
   }
 
-  #passing({ passing }: Deployment): PassingCallers | undefined {
-    if (passing === undefined) return undefined;
-    const { space, topics, readers, senders, perSecond } = passing;
-    return new PassingCallers({
+  #ephemeralClients({ passing: ephemeralClients }: Deployment): EphemeralClients | undefined {
+    if (ephemeralClients === undefined) return undefined;
+    const { space, topics, readers, senders, perSecond } = ephemeralClients;
+    return new EphemeralClients({
       port: this.#fleet.port,
       clock: this.#clock,
       random: this.#random.fork(),
--- a/packages/testkit/src/sim/generalFaultInjector.ts
+++ b/packages/testkit/src/sim/generalFaultInjector.ts
@@ -203,7 +203,7 @@
   /** A shard's leader and the edge of some session fail at once, each in its own way. */
   readonly pair: Act = (_name, ms) => {
     const leaderName = this.#fleet.leaderName;
-    const { node } = this.#random.pick(this.#load.callers);
+    const { node } = this.#random.pick(this.#load.clients);
     const ways = [this.kill, this.pause, this.isolate];
     for (const name of [leaderName, node]) if (name !== undefined && name !== "") this.#random.pick(ways)(name, ms);
     return ms;
--- a/packages/testkit/src/sim/hostile.test.ts
+++ b/packages/testkit/src/sim/hostile.test.ts
@@ -129,6 +129,6 @@
     }
     expect(await load.settle(12_000)).toEqual(true);
     await load.readConfiguration();
-    expect(Checker.judge(load.history.seen, fleet.world.now)).toEqual([]);
+    expect(Checker.check(load.history.seen, fleet.world.now)).toEqual([]);
   },
 );
--- a/packages/testkit/src/sim/replicaSets.test.ts
+++ b/packages/testkit/src/sim/replicaSets.test.ts
@@ -59,7 +59,7 @@
 async function judged(fleet: SimFleet, load: SimLoad): Promise<string[]> {
   expect(await load.settle(12_000)).toEqual(true);
   await load.readConfiguration();
-  return Checker.judge(load.history.seen, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
+  return Checker.check(load.history.seen, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
 }
 
 /**
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -42,7 +42,7 @@
 async function judged(fleet: SimFleet, load: SimLoad): Promise<string[]> {
   expect(await load.settle(12_000)).toEqual(true);
   await load.readConfiguration();
-  return Checker.judge(load.history.seen, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
+  return Checker.check(load.history.seen, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
 }
 
 const streamShard = (fleet: SimFleet, topic: string): number => {
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -1,5 +1,5 @@
 import type { ClientConnection } from "@cranetrack/edge/connections/clientConnection.js";
-import type { CallerPort, PortConnection, PortReply } from "../clients/clientPort.js";
+import type { ClientPort, PortConnection, PortReply } from "../clients/clientPort.js";
 import type { SimNode } from "./simNode.js";
 import type { SimWorld } from "./simWorld.js";
 import { Router } from "@cranetrack/core/http/router.js";
@@ -24,7 +24,7 @@
 }
 
 /** Callers' wires in the simulator: latency both ways, resets when a node falls, silence while it is paused. */
-export class SimPort implements CallerPort {
+export class SimPort implements ClientPort {
   static readonly giveUpMs = 4000;
   /** Silence after which an operator takes an answer for lost. */
   static readonly silenceMs = 1000;
@@ -44,7 +44,7 @@
     name: string,
     session: string,
     body: object,
-    heed: { line(line: Record<string, unknown>): void; closed(): void },
+    handlers: { line(line: Record<string, unknown>): void; closed(): void },
   ): Promise<PortConnection | PortReply> {
     const simNode = this.#nodes.find(name);
     if (simNode?.edge === undefined) return this.#later(away);
@@ -55,7 +55,7 @@
       if (state.isClientGone) return;
       state.isServerGone = true;
       this.#afterWire(() => {
-        if (!state.isClientGone) heed.closed();
+        if (!state.isClientGone) handlers.closed();
       });
     };
     let waitingBytes = 0;
@@ -72,7 +72,7 @@
         const text = JSON.stringify(line);
         if (stalled.has(session)) return void (waitingBytes += text.length);
         this.#afterWire(() => {
-          if (!state.isClientGone) heed.line(JSON.parse(text) as Record<string, unknown>);
+          if (!state.isClientGone) handlers.line(JSON.parse(text) as Record<string, unknown>);
         });
       },
       close: () => closeClient(),
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -34,7 +34,7 @@
     if (round % 20 === 0) fleet.wires.slow.clear();
     if (round % 20 === 0) fleet.wires.slow.set(fleet.addressOf(fleet.withRole("anvil")[(round / 20) % 3]!), 60);
     if (round === 40) fleet.kill(fleet.leaderName!);
-    for (const [i, sender] of load.callers.slice(0, 2).entries())
+    for (const [i, sender] of load.clients.slice(0, 2).entries())
       void sender.publish(`notices/t${(round + i) % 3}`, `round ${round} of ${sender.session}`);
     await fleet.run(40);
   }
@@ -43,7 +43,7 @@
   expect(await load.settle()).toEqual(true);
   const got = load.history.seen.filter((one) => one.kind === "received" && one.topic.startsWith("notices/"));
   expect(got.length > 600).toEqual(true);
-  expect(Checker.judge(load.history.seen, fleet.world.now).map((breach) => breach.rule)).toEqual([]);
+  expect(Checker.check(load.history.seen, fleet.world.now).map((breach) => breach.rule)).toEqual([]);
 });
 
 test("a connection that resumes with several places in a stream reads from the lowest and skips what each had", async () => {
--- a/packages/testkit/src/sim/testClient.ts
+++ b/packages/testkit/src/sim/testClient.ts
@@ -15,8 +15,8 @@
   close: () => void = () => undefined;
 
   constructor(fleet: SimFleet, node: string, session: string, body: object) {
-    const heed = { line: (line: Line) => void this.lines.push(line), closed: () => void (this.isClosed = true) };
-    void fleet.port.connection(node, session, body, heed).then((got) => {
+    const handlers = { line: (line: Line) => void this.lines.push(line), closed: () => void (this.isClosed = true) };
+    void fleet.port.connection(node, session, body, handlers).then((got) => {
       if ("close" in got) this.close = () => got.close();
       else this.reply = { status: got.status, ...got.body, retryAfterSeconds: got.retryAfterSeconds };
     });
