--- a/packages/testkit/src/fleet/chaosDrill.ts
+++ b/packages/testkit/src/fleet/chaosDrill.ts
@@ -4,7 +4,7 @@
 import type { Load } from "./load.js";
 import type { Probe } from "./probe.js";
 
-export interface DrillStep {
+export interface ChaosDrillStep {
   what: string;
   /** When it was caused, and when service was back. */
   from: number;
@@ -25,7 +25,7 @@
 type Target = "edge" | "holder" | "proposer";
 
 /** Causes failures on a real fleet under load, one after the other, and measures how long service takes to be back. */
-export class Drill {
+export class ChaosDrill {
   static readonly backMs = 12_000;
   static readonly names = [
     "kill",
@@ -43,10 +43,10 @@
   ];
   readonly #fleet: Fleet;
   readonly #load: Load;
-  readonly #say: (step: DrillStep) => void;
-  readonly steps: DrillStep[] = [];
+  readonly #say: (step: ChaosDrillStep) => void;
+  readonly steps: ChaosDrillStep[] = [];
 
-  constructor(fleet: Fleet, load: Load, say: (step: DrillStep) => void = () => undefined) {
+  constructor(fleet: Fleet, load: Load, say: (step: ChaosDrillStep) => void = () => undefined) {
     this.#say = say;
     this.#fleet = fleet;
     this.#load = load;
@@ -56,8 +56,8 @@
    * The named drills; the first four on an edge, on a machine that holds shards, and on the control node that proposes.
    */
   async run(names: readonly string[], targets: readonly Target[] = ["edge", "holder", "proposer"]): Promise<void> {
-    const each = async (act: (name: string, target: Target) => Promise<void>): Promise<void> => {
-      for (const target of targets) await act(await this.#find(target), target);
+    const each = async (inject: (name: string, target: Target) => Promise<void>): Promise<void> => {
+      for (const target of targets) await inject(await this.#find(target), target);
     };
     const drills: Record<string, () => Promise<void>> = {
       kill: () => each((name, target) => this.kill([name], target)),
@@ -76,7 +76,7 @@
     };
     for (const name of names) {
       const drill = drills[name];
-      if (drill === undefined) throw new Error(`there is no drill ${name}: ${Drill.names.join(", ")}`);
+      if (drill === undefined) throw new Error(`there is no drill ${name}: ${ChaosDrill.names.join(", ")}`);
       await drill();
     }
   }
@@ -187,10 +187,10 @@
   }
 
   /** Causes it, and waits until every node is ready and a message of every caller has reached its readers. */
-  async #cause(what: string, act: () => Promise<void>): Promise<void> {
+  async #cause(what: string, inject: () => Promise<void>): Promise<void> {
     const from = this.#load.now;
     this.#load.isCalm = true;
-    await act();
+    await inject();
     const returnedAt = this.#load.now;
     let probe: Probe | undefined;
     const isBack = (): boolean => {
--- a/packages/testkit/src/fleet/load.ts
+++ b/packages/testkit/src/fleet/load.ts
@@ -226,11 +226,11 @@
     return list[Math.floor(this.#random.draw() * list.length)]!;
   }
 
-  #every(ms: number, act: () => unknown): void {
+  #every(ms: number, action: () => unknown): void {
     const startedAt = this.#clock.now();
     let count = 0;
     const timer = this.#clock.every(Math.max(5, ms), () => {
-      for (; count < (this.#clock.now() - startedAt) / ms; count += 1) act();
+      for (; count < (this.#clock.now() - startedAt) / ms; count += 1) action();
     });
     this.#stops.push(() => timer.stop());
   }
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -9,14 +9,14 @@
 import type { Fleet } from "./fleet.js";
 import { Load } from "./load.js";
 import { SoakOperators } from "./soakOperators.js";
-import { SoakTroubles, type Trouble } from "./soakFaultInjector.js";
+import { SoakFaultInjector, type Trouble } from "./soakFaultInjector.js";
 
 /** Any troubles, or disks lost one after the other as soon as the users may. */
 export type SoakProfile = "any" | "disks";
 export interface SoakReport {
   seed: number;
   breaches: Breach[];
-  troubles: readonly Trouble[];
+  faults: readonly Trouble[];
   accepted: number;
   received: number;
   passed: number;
@@ -68,9 +68,9 @@
     );
     const operating = operators.run();
     const prober = this.#beginProbing();
-    const troubles = new SoakTroubles(this.#fleet, this.#random.fork(), now);
+    const faults = new SoakFaultInjector(this.#fleet, this.#random.fork(), now);
     const until = now() + seconds * 1000;
-    await (profile === "any" ? troubles.rage(until) : troubles.loseDisks(until));
+    await (profile === "any" ? faults.rage(until) : faults.loseDisks(until));
     const backMs = await this.#back();
     operators.stop();
     await operating;
@@ -86,7 +86,7 @@
     return {
       seed: this.#seed,
       breaches: this.#breaches,
-      troubles: troubles.done,
+      faults: faults.done,
       accepted: report.accepted,
       received: report.deliveries,
       passed: ephemeralClients?.received ?? 0,
--- a/packages/testkit/src/sim/faultInjector.ts
+++ b/packages/testkit/src/sim/faultInjector.ts
@@ -3,10 +3,10 @@
 import type { SimRandom } from "./simRandom.js";
 
 /** Given a machine and a length, both drawn; returns after how many milliseconds the failure is over, -1 for never. */
-export type Act = (name: string, ms: number) => number;
+export type InjectFault = (name: string, ms: number) => number;
 
 /** What all kinds of failures work with. */
-export abstract class Acts {
+export abstract class FaultInjector {
   /** A failure that needs a moment or a state does not come about where neither comes. */
   static readonly notNow = -1;
 
@@ -20,8 +20,8 @@
     this.random = random;
   }
 
-  protected later(ms: number, act: () => void): number {
-    this.fleet.world.at(this.fleet.world.now + ms, act);
+  protected later(ms: number, task: () => void): number {
+    this.fleet.world.at(this.fleet.world.now + ms, task);
     return ms;
   }
 
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -114,7 +114,7 @@
   expect(reply.case === "countReply" && reply.value.counts?.map(({ count }) => count)).toEqual([1]);
 });
 
-interface Trouble {
+interface FollowerFault {
   what: string;
   seed: number;
   /** From a reply to the reader, in ms. */
@@ -122,7 +122,7 @@
   begin: (scene: Scene) => void;
   end?: (scene: Scene) => void;
 }
-const troubles: Trouble[] = [
+const faults: FollowerFault[] = [
   {
     what: "the replica hears nothing from its holder any more",
     seed: 902,
@@ -176,7 +176,7 @@
   },
 ];
 
-for (const { what, seed, maxMs, begin, end } of troubles) {
+for (const { what, seed, maxMs, begin, end } of faults) {
   test(`${what}: nothing is lost, doubled or out of order, and deliveries go on within ${maxMs} ms`, async () => {
     const all = await scene(seed);
     const { fleet, leaderName } = all;
--- a/packages/testkit/src/sim/lossBudget.ts
+++ b/packages/testkit/src/sim/lossBudget.ts
@@ -10,22 +10,22 @@
 
   readonly #fleet: SimFleet;
   readonly #syncMs: number;
-  #troubleAt: number;
+  #lastFaultAt: number;
 
   constructor(fleet: SimFleet, syncMs: number) {
     this.#fleet = fleet;
     this.#syncMs = syncMs;
-    this.#troubleAt = fleet.world.now;
+    this.#lastFaultAt = fleet.world.now;
     this.#look();
   }
 
   get isFree(): boolean {
-    return this.#fleet.world.now - this.#troubleAt >= this.#syncMs;
+    return this.#fleet.world.now - this.#lastFaultAt >= this.#syncMs;
   }
 
   #look(): void {
     const { world } = this.#fleet;
-    if (this.#isTroubled) this.#troubleAt = world.now;
+    if (this.#isTroubled) this.#lastFaultAt = world.now;
     world.at(world.now + LossBudget.lookMs, () => this.#look());
   }
 
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -124,12 +124,12 @@
   }
 
   /** A call on what runs on a node, carried there and back as `call` is. */
-  run(name: string, act: (simNode: SimNode) => Promise<ApiReply>): Promise<PortReply> {
+  run(name: string, run: (simNode: SimNode) => Promise<ApiReply>): Promise<PortReply> {
     const simNode = this.#nodes.find(name);
     if (simNode === undefined) return this.#later(away);
     return this.#ask<PortReply>(
       simNode,
-      (settle) => void act(simNode).then((reply) => settle(SimPort.#read(reply))),
+      (settle) => void run(simNode).then((reply) => settle(SimPort.#read(reply))),
       SimPort.#broken,
     );
   }
@@ -150,7 +150,7 @@
   }
 
   /** Carries a question over and its answer back; a fall or a long silence ends it without one. */
-  #ask<T>(simNode: SimNode, act: (settle: (value: T) => void) => void, giveUp: () => T): Promise<T> {
+  #ask<T>(simNode: SimNode, run: (settle: (value: T) => void) => void, giveUp: () => T): Promise<T> {
     const { world } = this.#nodes;
     return new Promise((resolve) => {
       let isDone = false;
@@ -163,7 +163,7 @@
       const forget = simNode.onFall(() => this.#afterWire(() => finish(giveUp)));
       world.at(world.now + SimPort.giveUpMs, () => finish(giveUp));
       this.#onNode(simNode, () =>
-        act((value) => {
+        run((value) => {
           if (!simNode.body.isDead) this.#afterWire(() => finish(() => value));
         }),
       );
@@ -174,18 +174,18 @@
     return new Promise((resolve) => this.#afterWire(() => resolve(value)));
   }
 
-  #afterWire(act: () => void): void {
+  #afterWire(run: () => void): void {
     const { world } = this.#nodes;
-    world.at(world.now + 1, act);
+    world.at(world.now + 1, run);
   }
 
   /** Runs on the node after the wire, once it is not paused, unless it falls first. */
-  #onNode(simNode: SimNode, act: () => void): void {
+  #onNode(simNode: SimNode, run: () => void): void {
     const { world } = this.#nodes;
     const arrive = (): void => {
       if (simNode.body.isDead) return;
       if (simNode.body.pausedUntil > world.now) return void world.at(simNode.body.pausedUntil, arrive);
-      act();
+      run();
     };
     world.at(world.now + 1, arrive);
   }
--- a/packages/testkit/src/sim/storeFaults.ts
+++ b/packages/testkit/src/sim/storeFaults.ts
@@ -2,7 +2,7 @@
 import type { SimFleet } from "./simFleet.js";
 
 /** What happens to control nodes, from the start of a play. */
-export interface Trouble {
+export interface StoreFault {
   at: number;
   ms: number;
   what: "cut" | "cut one way" | "kill" | "freeze" | "slow" | "loss";
@@ -15,12 +15,12 @@
   .record({ burst: fc.integer({ min: 0, max: 5 }), offset: fc.integer({ min: 0, max: 30 }) })
   .map(({ burst, offset }) => 1000 + burst * 2000 + offset);
 
-function cause(fleet: SimFleet, { what, who, ms }: Trouble): void {
+function cause(fleet: SimFleet, { what, who, ms }: StoreFault): void {
   const { world, wires } = fleet;
-  const all = Troubles.leaderFirst(fleet);
+  const all = StoreFaults.leaderFirst(fleet);
   const these = who.map((number) => all[number % all.length]!);
   const others = all.filter((name) => !these.includes(name));
-  const later = (act: () => void): void => void world.at(world.now + ms, act);
+  const later = (task: () => void): void => void world.at(world.now + ms, task);
   switch (what) {
     case "cut":
     case "cut one way":
@@ -41,7 +41,7 @@
 }
 
 /** Troubles of the metadata store, for plays that fast-check makes up and shrinks. */
-export const Troubles = {
+export const StoreFaults = {
   /** After a burst, while whoever led may not know that another does. */
   afterBurst: fc.record({ at: burst, later: fc.integer({ min: 0, max: 1500 }) }).map(({ at, later }) => at + later),
 
@@ -68,8 +68,8 @@
   },
 
   /** Asks for all of them from now on; each is over by itself. */
-  cause(fleet: SimFleet, troubles: readonly Trouble[]): void {
+  cause(fleet: SimFleet, faults: readonly StoreFault[]): void {
     const start = fleet.world.now;
-    for (const trouble of troubles) fleet.world.at(start + trouble.at, () => cause(fleet, trouble));
+    for (const fault of faults) fleet.world.at(start + fault.at, () => cause(fleet, fault));
   },
 };
