--- a/packages/testkit/src/explore/modelClients.ts
+++ b/packages/testkit/src/explore/modelClients.ts
@@ -18,7 +18,7 @@
   readonly #observer: Observer;
   readonly #coverage: Coverage;
   /** The newest revision that anybody was told of: no later read may be older. */
-  #told = 0;
+  #newestRevision = 0;
   /** The content of each entry that was acknowledged. */
   readonly #acknowledged = new Map<number, string>();
   /** Which order was confirmed as the one that replaced a revision. */
@@ -42,7 +42,7 @@
   }
 
   read(member: ModelMember): void {
-    const before = this.#told;
+    const before = this.#newestRevision;
     const { raft } = member;
     void raft.confirm().then((isConfirmed) => {
       if (!member.isUp) return;
@@ -53,7 +53,7 @@
         if (revision < before)
           throw new Violation("reads never go back", `${member.name} read ${revision} after ${before} was told`);
       });
-      this.#told = Math.max(this.#told, revision);
+      this.#newestRevision = Math.max(this.#newestRevision, revision);
     });
   }
 
@@ -98,7 +98,7 @@
   }
 
   text(): string {
-    return `${this.#told};${[...this.#confirmed].join()}`;
+    return `${this.#newestRevision};${[...this.#confirmed].join()}`;
   }
 
   #put(member: ModelMember, key: string, replaced: number | undefined, padding = 0): void {
@@ -125,7 +125,7 @@
     replaced?: number,
   ): void {
     this.#coverage.count(`event: change answered ${outcome}`);
-    this.#told = Math.max(this.#told, revision);
+    this.#newestRevision = Math.max(this.#newestRevision, revision);
     this.#acknowledged.set(revision, `0:${Buffer.from(data).toString("base64")}`);
     if (outcome !== "done" || replaced === undefined) return;
     this.#observer.keep(() => {
--- a/packages/testkit/src/explore/modelWorld.ts
+++ b/packages/testkit/src/explore/modelWorld.ts
@@ -11,7 +11,7 @@
 import { ModelMember, modelBounds } from "./modelMember.js";
 import { ModelNetwork } from "./modelNetwork.js";
 import { Observer } from "./observer.js";
-import { TendedSteps } from "./maintenanceSteps.js";
+import { MaintenanceSteps } from "./maintenanceSteps.js";
 import { Violation, type PropertyName } from "./violation.js";
 
 export interface WorldSettings {
@@ -39,7 +39,7 @@
   readonly observer: Observer;
   readonly clients: ModelClients;
   readonly steps: MemberSteps;
-  readonly tendedSteps: TendedSteps;
+  readonly maintenanceSteps: MaintenanceSteps;
   /** Whose writes are not synced at once. */
   readonly #held = new Set<ModelMachine>();
   /** All actions that were carried out. */
@@ -52,7 +52,7 @@
     this.observer = new Observer(this.machines, coverage, settings.ignored);
     this.clients = new ModelClients(this.observer, coverage);
     this.steps = new MemberSteps(this.machines, this.observer, coverage, settings.voters);
-    this.tendedSteps = new TendedSteps(this.machines, settings.voters);
+    this.maintenanceSteps = new MaintenanceSteps(this.machines, settings.voters);
     this.network = new ModelNetwork((from, to, frame) => {
       const machine = this.machines.find((one) => one.name === from)!;
       this.observer.sent(machine, to, frame);
@@ -73,7 +73,7 @@
       disk.sync();
     }
     for (const machine of world.machines) world.#boot(machine);
-    await world.#settle();
+    await world.#runUntilIdle();
     return world;
   }
 
@@ -140,7 +140,7 @@
     this.taken.push(action);
     this.coverage.count(`action: ${action.kind}`);
     this.observer.keep(() => this.#carryOut(action));
-    await this.#settle();
+    await this.#runUntilIdle();
     this.observer.keep(() => this.clients.check());
     this.observer.check();
     return true;
@@ -221,11 +221,11 @@
     }
   }
 
-  get #memberSteps(): MemberSteps | TendedSteps {
-    return this.settings.isTended === true ? this.tendedSteps : this.steps;
+  get #memberSteps(): MemberSteps | MaintenanceSteps {
+    return this.settings.isTended === true ? this.maintenanceSteps : this.steps;
   }
 
-  get #tended(): { voters: number } | undefined {
+  get #maintenance(): { voters: number } | undefined {
     return this.settings.isTended === true ? this.settings : undefined;
   }
 
@@ -246,10 +246,10 @@
   }
 
   #boot(machine: ModelMachine): void {
-    machine.lives += 1;
-    this.#remember(machine, `start ${machine.lives} from ${machine.diskId} ${machine.disk.text()}`);
+    machine.incarnations += 1;
+    this.#remember(machine, `start ${machine.incarnations} from ${machine.diskId} ${machine.disk.text()}`);
     try {
-      const member = new ModelMember(machine, this.network, machine.lives, this.#tended);
+      const member = new ModelMember(machine, this.network, machine.incarnations, this.#maintenance);
       machine.member = member;
       this.clients.serve(member);
       this.observer.watch(member);
@@ -263,7 +263,7 @@
   }
 
   /** All promises settle, and what is to be done after no time is done; where writes sync at once, they do. */
-  async #settle(): Promise<void> {
+  async #runUntilIdle(): Promise<void> {
     for (let isOver = false; !isOver;) {
       await new Promise<void>((resolve) => void setImmediate(resolve));
       isOver = true;
@@ -271,7 +271,7 @@
         const { member } = machine;
         if (member?.isRunning !== true) continue;
         this.observer.keep(() => {
-          if (member.clock.fireDue()) isOver = false;
+          if (member.clock.fireExpired()) isOver = false;
         });
         if (!this.settings.syncsAtOnce || this.#held.has(machine) || machine.disk.pending === 0) continue;
         machine.disk.sync();
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -109,8 +109,8 @@
   async #back(): Promise<number> {
     const from = this.#clock.now();
     this.#load.isCalm = true;
-    const isSettled = (): boolean => this.#load.clients.every((client) => client.isFullySubscribed);
-    while (!isSettled() && this.#clock.now() - from < Soak.backMs) await this.#wait(20);
+    const isStable = (): boolean => this.#load.clients.every((client) => client.isFullySubscribed);
+    while (!isStable() && this.#clock.now() - from < Soak.backMs) await this.#wait(20);
     const probe = this.#load.probe();
     while (!probe.isBack && this.#clock.now() - from < Soak.backMs) await this.#wait(20);
     if (!probe.isBack)
--- a/packages/testkit/src/sim/configurationCapacity.test.ts
+++ b/packages/testkit/src/sim/configurationCapacity.test.ts
@@ -2,7 +2,7 @@
 import { Membership } from "@cranetrack/core/membership/membership.js";
 import { expect } from "earl";
 import type { Machine } from "../fleet/deployments.js";
-import { served } from "./testClient.js";
+import { startTestFleet } from "./testClient.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimConfigurations } from "./simConfigurations.js";
@@ -41,7 +41,7 @@
   ["killed", "kill"],
 ] as const)
   test(`a machine that was ${how} is still the fleet's: plans that ask for no more are accepted`, async () => {
-    const { fleet, load } = await served(end === "kill" ? 91 : 92, machines(3));
+    const { fleet, load } = await startTestFleet(end === "kill" ? 91 : 92, machines(3));
     fleet[end]("lathe-1");
     await fleet.run(3000);
     expect(await put(fleet, load.nextVersion)).toEqual({ status: 200, paths: [] });
--- a/packages/testkit/src/sim/drains.test.ts
+++ b/packages/testkit/src/sim/drains.test.ts
@@ -4,7 +4,7 @@
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { expect } from "earl";
 import type { Machine } from "../fleet/deployments.js";
-import { served, type Served } from "./testClient.js";
+import { startTestFleet, type TestFleet } from "./testClient.js";
 import { Scenario } from "./scenario.js";
 import type { SimFleet } from "./simFleet.js";
 
@@ -29,13 +29,13 @@
 
 /** Asks one node after the other until the machine is empty. */
 async function emptied(
-  { fleet, ask }: Served,
+  { fleet, ask }: TestFleet,
   name: string,
   at: readonly string[],
   timeoutMs = 40_000,
 ): Promise<boolean> {
-  const due = fleet.world.now + timeoutMs;
-  for (let i = 0; fleet.world.now < due; i += 1) {
+  const deadline = fleet.world.now + timeoutMs;
+  for (let i = 0; fleet.world.now < deadline; i += 1) {
     if ((await ask(at[i % at.length]!, "GET", path(name)))["isEmpty"] === true) return true;
     await fleet.run(50);
   }
@@ -43,10 +43,11 @@
 }
 
 /** A configuration with the next version is taken, and read back. */
-async function isServed({ fleet, load, ask }: Served, node: string): Promise<boolean> {
+async function isServed({ fleet, load, ask }: TestFleet, node: string): Promise<boolean> {
   let status = 0;
-  const due = fleet.world.now + 6000;
-  while (status !== 200 && fleet.world.now < due) status = (await ask(node, "GET", "/v1/plan"))["status"] as number;
+  const deadline = fleet.world.now + 6000;
+  while (status !== 200 && fleet.world.now < deadline)
+    status = (await ask(node, "GET", "/v1/plan"))["status"] as number;
   if (status !== 200) return false;
   let put = 0;
   void load.proposeConfiguration({ version: load.nextVersion, spaces: [] }).then((got) => (put = got));
@@ -55,7 +56,7 @@
 
 for (const who of ["leader", "follower"] as const)
   test(`a ${who} is drained, its disk goes and another is cut off: the store goes on`, async () => {
-    const all = await served(who === "leader" ? 201 : 202, machines(6));
+    const all = await startTestFleet(who === "leader" ? 201 : 202, machines(6));
     const { fleet, ask } = all;
     const [first, second, third] = voters(fleet);
     const leaving = who === "leader" ? fleet.leader! : [first, second, third].find((one) => one !== fleet.leader)!;
@@ -68,7 +69,7 @@
   });
 
 test("a drain is not over while the machine votes, and its leadership is handed on", async () => {
-  const all = await served(203, machines(6));
+  const all = await startTestFleet(203, machines(6));
   const { fleet, ask } = all;
   const leaving = fleet.leader!;
   const standbys = others(fleet, ...voters(fleet));
@@ -85,7 +86,7 @@
 });
 
 test("a drained machine is not taken in again while the wish stands, and is once it is undone", async () => {
-  const all = await served(204, machines(4));
+  const all = await startTestFleet(204, machines(4));
   const { fleet, ask } = all;
   const leaving = voters(fleet)[0]!;
   expect((await ask(others(fleet, leaving)[0]!, "PUT", path(leaving)))["status"]).toEqual(200);
@@ -99,7 +100,7 @@
 });
 
 test("a drain that is over stays over while other voters are exchanged", async () => {
-  const all = await served(215, machines(6));
+  const all = await startTestFleet(215, machines(6));
   const { fleet, ask } = all;
   const leaving = voters(fleet).find((one) => one !== fleet.leader)!;
   expect((await ask(others(fleet, leaving)[0]!, "PUT", path(leaving)))["status"]).toEqual(200);
@@ -115,7 +116,7 @@
 });
 
 test("an order that was taken is acknowledged again: after another loss, and long after its machine left", async () => {
-  const all = await served(205, machines(4));
+  const all = await startTestFleet(205, machines(4));
   const { fleet, ask } = all;
   const leaving = voters(fleet).find((one) => one !== fleet.leader)!;
   const order = async (node: string): Promise<unknown> => (await ask(node, "PUT", path(leaving)))["status"];
@@ -138,7 +139,7 @@
 });
 
 test("without enough machines an order is refused at once, and nothing is recorded", async () => {
-  const all = await served(206, machines(3));
+  const all = await startTestFleet(206, machines(3));
   const { fleet, ask } = all;
   const refused = await ask("lathe-2", "PUT", path("lathe-1"));
   expect(refused["status"]).toEqual(409);
@@ -148,7 +149,7 @@
 });
 
 test("where no majority answers an order is neither taken nor refused", async () => {
-  const all = await served(207, machines(3));
+  const all = await startTestFleet(207, machines(3));
   const { fleet, ask } = all;
   for (const name of ["lathe-2", "lathe-3"]) fleet.isolate(name, fleet.names, "both");
   await fleet.run(2000);
@@ -156,7 +157,7 @@
 });
 
 test("a node that lags behind the store refuses no drain, though it can ask the store", async () => {
-  const all = await served(216, machines(3));
+  const all = await startTestFleet(216, machines(3));
   const { fleet, ask } = all;
   const node = voters(fleet).find((one) => one !== fleet.leader)!;
   fleet.wires.mutate = (_from, to, bytes) =>
@@ -172,7 +173,7 @@
 
 test("two orders at once, of which only one can be kept: one is taken; the same one twice is taken twice", async () => {
   for (const seed of [208, 209, 210, 211, 212, 213]) {
-    const { fleet } = await served(seed, machines(4));
+    const { fleet } = await startTestFleet(seed, machines(4));
     const nodes = others(fleet, fleet.leader!);
     const both = async (...names: [string, string]): Promise<unknown[]> => {
       const got: unknown[] = [];
@@ -191,7 +192,7 @@
 });
 
 test("of many wishes the oldest are dropped whose machines are gone, and no other", async () => {
-  const all = await served(214, machines(4));
+  const all = await startTestFleet(214, machines(4));
   const { fleet, ask } = all;
   const { store } = fleet.find("vise-1")!.node;
   const write = async (...names: string[]): Promise<void> => {
--- a/packages/testkit/src/sim/elections.test.ts
+++ b/packages/testkit/src/sim/elections.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { served } from "./testClient.js";
+import { startTestFleet } from "./testClient.js";
 
 const seeds = Array.from({ length: 30 }, (_, i) => 1000 + i);
 /** Elections that may take more than one term, where two ask at the same moment: 6 of 100 were measured. */
@@ -12,7 +12,7 @@
   const late: string[] = [];
   const split: number[] = [];
   for (const seed of seeds) {
-    const { fleet } = await served(seed);
+    const { fleet } = await startTestFleet(seed);
     const controlNodes = fleet.withRole("lathe");
     const termOf = (name: string): number => fleet.find(name)!.control!.raft!.term;
     const before = termOf(fleet.leader!);
@@ -33,7 +33,7 @@
 test("where all members are slow, one leader gives way for it, and not each in turn", async () => {
   const changes: number[] = [];
   for (const seed of [1101, 1102, 1103, 1104, 1105, 1106]) {
-    const { fleet } = await served(seed);
+    const { fleet } = await startTestFleet(seed);
     const controlNodes = fleet.withRole("lathe");
     const termOf = (): number => Math.max(...controlNodes.map((name) => fleet.find(name)!.control!.raft!.term));
     const before = termOf();
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -3,18 +3,18 @@
 import type { Frame } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { expect } from "earl";
-import { Hand, served, type Served } from "./testClient.js";
+import { TestClient, startTestFleet, type TestFleet } from "./testClient.js";
 import type { SimFleet } from "./simFleet.js";
 
 const topic = "notes/t1";
 
-interface Scene extends Served {
+interface Scene extends TestFleet {
   shard: number;
   leaderName: string;
   /** The shard's replica in the reader's region, which is not the leader's. */
   replica: string;
   edge: string;
-  reader: Hand;
+  reader: TestClient;
   /** A message every 50 ms for a while, each sent until it is accepted; then the longest wait from a reply on. */
   play(ms: number): Promise<number>;
 }
@@ -29,7 +29,7 @@
 
 /** A reader at an edge whose region's replica serves it, and a sender at an edge of the leader's region. */
 async function scene(seed: number): Promise<Scene> {
-  const all = await served(seed);
+  const all = await startTestFleet(seed);
   const { fleet } = all;
   const { node, edge: edgeNode } = fleet.find("vise-1")!;
   const shard = edgeNode!.streams.shardOf(node.configuration.route(topic)!.stream);
@@ -37,8 +37,8 @@
   const edge = fleet.withRole("vise").find((name) => fleet.zoneOf(name) !== fleet.zoneOf(leaderName))!;
   const near = fleet.withRole("vise").find((name) => fleet.zoneOf(name) === fleet.zoneOf(leaderName))!;
   const replica = set!.members.find((member) => member.zone === fleet.zoneOf(edge))!.name;
-  const reader = new Hand(fleet, edge, "desk", { subscriptions: [{ topic }] });
-  const pen = new Hand(fleet, near, "pen", { subscriptions: [] });
+  const reader = new TestClient(fleet, edge, "desk", { subscriptions: [{ topic }] });
+  const pen = new TestClient(fleet, near, "pen", { subscriptions: [] });
   expect(await fleet.until(() => reader.of("confirmed").length === 1 && pen.of("open").length === 1, 5000)).toEqual(
     true,
   );
--- a/packages/testkit/src/sim/founding.test.ts
+++ b/packages/testkit/src/sim/founding.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import type { Machine } from "../fleet/deployments.js";
-import { Hand, served } from "./testClient.js";
+import { TestClient, startTestFleet } from "./testClient.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 
@@ -178,25 +178,25 @@
     for (let ms = 0; ms < 10_000 && !isAt(); ms += 1) await fleet.run(1);
     expect(isAt()).toEqual(true);
     fleet.start("lathe-3");
-    const isSettled = (): boolean => {
+    const isStable = (): boolean => {
       const { learners, oldVoters } = members() ?? {};
       return voters(fleet).length === 3 && learners!.length === 0 && oldVoters!.length === 0;
     };
-    expect(await fleet.until(isSettled, 6000)).toEqual(true);
+    expect(await fleet.until(isStable, 6000)).toEqual(true);
     await fleet.run(5000);
-    expect(isSettled()).toEqual(true);
+    expect(isStable()).toEqual(true);
     expect(await written(fleet, "later")).toEqual("done");
   });
 
 test("control nodes that store serve publishes with no other storage machine, and go on without one of them", async () => {
-  const { fleet, publish } = await served(
+  const { fleet, publish } = await startTestFleet(
     76,
     withControlNodes(
       Array.from({ length: 3 }, () => ({ stores: true })),
       2,
     ),
   );
-  new Hand(fleet, "vise-1", "s1", { subscriptions: [{ topic: "notes/t1" }] });
+  new TestClient(fleet, "vise-1", "s1", { subscriptions: [{ topic: "notes/t1" }] });
   await fleet.run(1000);
   expect((await publish("s1", 1))["status"]).toEqual(200);
   const leaders = fleet
--- a/packages/testkit/src/sim/freshness.test.ts
+++ b/packages/testkit/src/sim/freshness.test.ts
@@ -4,7 +4,7 @@
 import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { expect } from "earl";
-import { served } from "./testClient.js";
+import { startTestFleet } from "./testClient.js";
 import type { SimFleet } from "./simFleet.js";
 import { SimConfigurations } from "./simConfigurations.js";
 import { accepted, actingOnOld, boundMs } from "./staleNodes.js";
@@ -16,7 +16,7 @@
 };
 
 test("a member that hears its leader but gets none of the entries hands out nothing, to nobody", async () => {
-  const all = await served(501);
+  const all = await startTestFleet(501);
   const { fleet } = all;
   const behind = fleet.withRole("lathe").find((name) => name !== fleet.leader)!;
   const before = await accepted(all, fleet.leader!);
@@ -46,7 +46,7 @@
 });
 
 test("a node that starts is told nothing older than what was acknowledged before, by a member that lags", async () => {
-  const all = await served(504);
+  const all = await startTestFleet(504);
   const { fleet } = all;
   const late = fleet.withRole("lathe").find((name) => name !== fleet.leader)!;
   fleet.wires.mutate = (_from, to, bytes) =>
@@ -64,7 +64,7 @@
 });
 
 test("a node that stood still takes nothing for fresh that lay in its buffers meanwhile", async () => {
-  const all = await served(502);
+  const all = await startTestFleet(502);
   const { fleet } = all;
   const [frozen] = fleet.withRole("vise");
   await fleet.run(1000);
@@ -85,7 +85,7 @@
 });
 
 test("a member and a node that stood still together hand on nothing old when they wake", async () => {
-  const all = await served(503);
+  const all = await startTestFleet(503);
   const { fleet } = all;
   const together = [fleet.withRole("lathe").find((name) => name !== fleet.leader)!, ...fleet.withRole("vise")];
   await fleet.run(1000);
@@ -104,7 +104,7 @@
 });
 
 test("a refused feed is asked for elsewhere at once, also where the refusal is lost", async () => {
-  const { fleet } = await served(505);
+  const { fleet } = await startTestFleet(505);
   const [alone] = fleet.withRole("lathe").filter((name) => name !== fleet.leader);
   const edge = fleet.withRole("vise").find((name) => fleet.zoneOf(name) === fleet.zoneOf(alone!))!;
   fleet.kill(edge);
@@ -127,7 +127,7 @@
 });
 
 test("a shard's leader whose feed is silent accepts nothing for a space that may be gone", async () => {
-  const { fleet, load, ask } = await served(506);
+  const { fleet, load, ask } = await startTestFleet(506);
   const { node } = fleet.find("vise-1")!;
   const { stream, spaceIncarnation } = node.configuration.route("notes/t1")!;
   const shard = Rendezvous.shardOf(stream, node.parts.settings.shards);
--- a/packages/testkit/src/sim/hostile.test.ts
+++ b/packages/testkit/src/sim/hostile.test.ts
@@ -127,7 +127,7 @@
         );
       if (i % 10 === 0) await fleet.run(30);
     }
-    expect(await load.settle(12_000)).toEqual(true);
+    expect(await load.finishPublishes(12_000)).toEqual(true);
     await load.readConfiguration();
     expect(Checker.check(load.history.seen, fleet.world.now)).toEqual([]);
   },
--- a/packages/testkit/src/sim/lossBudget.ts
+++ b/packages/testkit/src/sim/lossBudget.ts
@@ -34,8 +34,8 @@
     const counted = [...this.#fleet.withRole("lathe"), ...this.#fleet.withRole("anvil")];
     const used = counted.filter((name) => this.#fleet.isUsed(name));
     const isBad = (name: string): boolean => {
-      const life = this.#fleet.find(name);
-      return life === undefined || life.body.pausedUntil > world.now || this.#fleet.diskOf(name).isTroubled;
+      const running = this.#fleet.find(name);
+      return running === undefined || running.body.pausedUntil > world.now || this.#fleet.diskOf(name).isTroubled;
     };
     return wires.isTroubled || used.some(isBad);
   }
--- a/packages/testkit/src/sim/orderHistories.test.ts
+++ b/packages/testkit/src/sim/orderHistories.test.ts
@@ -55,8 +55,8 @@
   for (const name of fleet.withRole("lathe")) fleet.start(name);
   await fleet.run(calmMs);
   const last = new SimOperator(fleet, history, 0);
-  const settled = history.operations.filter(({ output }) => output !== undefined).map((one) => one.input);
-  const again = new Map(settled.map((one) => [JSON.stringify(one), one]));
+  const resolved = history.operations.filter(({ output }) => output !== undefined).map((one) => one.input);
+  const again = new Map(resolved.map((one) => [JSON.stringify(one), one]));
   const answers: unknown[] = [];
   for (const one of [...again.values(), { kind: "read" } as const])
     void last.ask(one).then((answer) => answers.push(answer));
--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -137,13 +137,13 @@
     await fleet.run(Scenario.fairMs);
     ephemeralClients.end();
     breaches.push(...ephemeralClients.check());
-    if (!(await load.settle())) breach("service-back", `callers are not settled: ${load.unsettled}`);
+    if (!(await load.finishPublishes())) breach("service-back", `callers are not settled: ${load.unsettled}`);
     breaches.push(...Checker.check(history.seen, fleet.world.now));
-    const judged = history.seen.length;
+    const checkedCount = history.seen.length;
     await faults.finish();
     await load.readConfiguration();
     const configurations = history.seen.filter(
-      (one, i) => one.kind.startsWith("plan") && (i >= judged || one.kind !== "planRead"),
+      (one, i) => one.kind.startsWith("plan") && (i >= checkedCount || one.kind !== "planRead"),
     );
     breaches.push(...Checker.check(configurations, fleet.world.now), ...checkOrders(history.seen));
     for (const violation of fleet.violations) breach("invariant", violation);
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -228,14 +228,14 @@
   }
 
   /** Stops sending; true where all callers are served again and all publishes settled by the due. */
-  async settle(timeoutMs = 25_000): Promise<boolean> {
+  async finishPublishes(timeoutMs = 25_000): Promise<boolean> {
     this.#isPlaying = false;
     let isRestored = false;
     void this.restore().then(() => (isRestored = true));
     await this.#fleet.until(() => isRestored, timeoutMs);
-    const isSettled = await this.#fleet.until(() => this.unsettled === "", timeoutMs);
+    const isFinished = await this.#fleet.until(() => this.unsettled === "", timeoutMs);
     await this.#fleet.run(3000);
-    return isSettled;
+    return isFinished;
   }
 
   /** Callers without a connection, topics or replies, for people's eyes. */
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -5,7 +5,7 @@
 import { Router } from "@cranetrack/core/http/router.js";
 import type { ApiReply } from "@cranetrack/core/http/apiReply.js";
 
-const away: PortReply = { status: 503, body: { error: { code: "unreachable" } }, retryAfterSeconds: 0.3 };
+const unreachable: PortReply = { status: 503, body: { error: { code: "unreachable" } }, retryAfterSeconds: 0.3 };
 
 /** The machines that callers reach. */
 interface ReachedNodes {
@@ -27,7 +27,7 @@
 export class SimPort implements ClientPort {
   static readonly giveUpMs = 4000;
   /** Silence after which an operator takes an answer for lost. */
-  static readonly silenceMs = 1000;
+  static readonly answerTimeoutMs = 1000;
   readonly #nodes: ReachedNodes;
   /** Sessions whose clients do not read: what is sent to them waits, in bytes. */
   readonly stalled = new Set<string>();
@@ -47,7 +47,7 @@
     handlers: { line(line: Record<string, unknown>): void; closed(): void },
   ): Promise<PortConnection | PortReply> {
     const simNode = this.#nodes.find(name);
-    if (simNode?.edge === undefined) return this.#later(away);
+    if (simNode?.edge === undefined) return this.#later(unreachable);
     const state = { isOpen: false, isClientGone: false, isServerGone: false, whenClosed: (): void => undefined };
     let forget = (): void => undefined;
     const closeClient = (): void => {
@@ -89,18 +89,18 @@
     };
     return this.#ask<PortConnection | PortReply>(
       simNode,
-      (settle) => {
+      (resolveCall) => {
         forget = simNode.onFall(closeClient);
         void simNode
           .edgeCalls!.connection(session, Buffer.from(JSON.stringify(body)), () => {
             state.isOpen = true;
-            settle({ close });
+            resolveCall({ close });
             return connection;
           })
           .then((reply) => {
             if (reply === undefined) return;
             forget();
-            settle(SimPort.#read(reply));
+            resolveCall(SimPort.#read(reply));
           });
       },
       () => {
@@ -114,22 +114,24 @@
     const answered = this.run(name, async (simNode) => {
       const reply = await simNode.router.run(method, path, Buffer.from(body ?? ""));
       if (!simNode.body.isDead)
-        for (const tell of this.onAnswer) tell({ name, method, path, status: reply.status, text: body ?? "" });
+        for (const listener of this.onAnswer) listener({ name, method, path, status: reply.status, text: body ?? "" });
       return reply;
     });
     const isOrder = method !== "GET" && method !== "POST";
     if (!isOrder || this.answerLoss === 0 || this.#nodes.world.random.draw() >= this.answerLoss) return answered;
     const { world } = this.#nodes;
-    return new Promise((resolve) => void world.at(world.now + SimPort.silenceMs, () => resolve(SimPort.#broken())));
+    return new Promise(
+      (resolve) => void world.at(world.now + SimPort.answerTimeoutMs, () => resolve(SimPort.#broken())),
+    );
   }
 
   /** A call on what runs on a node, carried there and back as `call` is. */
   run(name: string, run: (simNode: SimNode) => Promise<ApiReply>): Promise<PortReply> {
     const simNode = this.#nodes.find(name);
-    if (simNode === undefined) return this.#later(away);
+    if (simNode === undefined) return this.#later(unreachable);
     return this.#ask<PortReply>(
       simNode,
-      (settle) => void run(simNode).then((reply) => settle(SimPort.#read(reply))),
+      (resolveCall) => void run(simNode).then((reply) => resolveCall(SimPort.#read(reply))),
       SimPort.#broken,
     );
   }
@@ -150,7 +152,7 @@
   }
 
   /** Carries a question over and its answer back; a fall or a long silence ends it without one. */
-  #ask<T>(simNode: SimNode, run: (settle: (value: T) => void) => void, giveUp: () => T): Promise<T> {
+  #ask<T>(simNode: SimNode, run: (resolveCall: (value: T) => void) => void, giveUp: () => T): Promise<T> {
     const { world } = this.#nodes;
     return new Promise((resolve) => {
       let isDone = false;
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -2,27 +2,27 @@
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { expect } from "earl";
 import { Checker } from "../checker/checker.js";
-import { Hand, served, type Line, type Served } from "./testClient.js";
+import { TestClient, startTestFleet, type Line, type TestFleet } from "./testClient.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
-const placeOf = (hand: Hand, topic: string): string =>
-  String([...hand.lines].reverse().find((line) => line["topic"] === topic && line["place"] !== undefined)!["place"]);
+const placeOf = (client: TestClient, topic: string): string =>
+  String([...client.lines].reverse().find((line) => line["topic"] === topic && line["place"] !== undefined)!["place"]);
 
 const isKind = (bytes: Uint8Array, ...kinds: string[]): boolean => kinds.includes(Wire.decode(bytes)?.body.case ?? "");
 
 async function connectSession(
-  { fleet }: Served,
+  { fleet }: TestFleet,
   node: string,
   session: string,
   topics: readonly string[],
-): Promise<Hand> {
-  const hand = new Hand(fleet, node, session, { subscriptions: topics.map((topic) => ({ topic })) });
-  const isConnected = (): boolean => hand.of("open").length > 0 && hand.of("confirmed").length === topics.length;
+): Promise<TestClient> {
+  const client = new TestClient(fleet, node, session, { subscriptions: topics.map((topic) => ({ topic })) });
+  const isConnected = (): boolean => client.of("open").length > 0 && client.of("confirmed").length === topics.length;
   expect(await fleet.until(isConnected, 5000)).toEqual(true);
-  return hand;
+  return client;
 }
 
 test("a space of one order has it over all its topics, whoever holds what, through a change of leader", async () => {
@@ -40,14 +40,14 @@
   }
   fleet.wires.heal();
   for (const name of fleet.names) fleet.revive(name);
-  expect(await load.settle()).toEqual(true);
+  expect(await load.finishPublishes()).toEqual(true);
   const got = load.history.seen.filter((one) => one.kind === "received" && one.topic.startsWith("notices/"));
   expect(got.length > 600).toEqual(true);
   expect(Checker.check(load.history.seen, fleet.world.now).map((breach) => breach.rule)).toEqual([]);
 });
 
 test("a connection that resumes with several places in a stream reads from the lowest and skips what each had", async () => {
-  const all = await served(52);
+  const all = await startTestFleet(52);
   const { fleet, publish } = all;
   const reader = await connectSession(all, "vise-1", "desk", ["notices/t0", "notices/t1"]);
   await connectSession(all, "vise-2", "sender-1", []);
@@ -63,14 +63,14 @@
   await say(2, "notices/t1");
   await say(4, "notices/t0");
   const subscriptions = ["notices/t0", "notices/t1"].map((topic) => ({ topic, after: placeOf(reader, topic) }));
-  const again = new Hand(fleet, "vise-3", "desk", { subscriptions });
+  const again = new TestClient(fleet, "vise-3", "desk", { subscriptions });
   expect(await fleet.until(() => again.got().length === 3, 4000)).toEqual(true);
   await fleet.run(1000);
   expect(again.got()).toEqual(["notices/t0 3", "notices/t1 2", "notices/t0 4"]);
 });
 
 test("a quiet topic's place in a busy space outlives the trimming of the others; only theirs expires", async () => {
-  const all = await served(53);
+  const all = await startTestFleet(53);
   const { fleet, publish } = all;
   await all.configuration(["notes", "notices", "extra"], (spaces) => {
     spaces["extra"]![0]!.contract["keep"] = 46;
@@ -84,7 +84,7 @@
   const subscriptions = ["extra/t0", "extra/t1"].map((topic) => ({ topic, after: placeOf(reader, topic) }));
   for (let number = 2; number <= 5; number += 1) await publish("pen", number, "vise-2", "extra/t0");
   await fleet.run(70_000);
-  const again = new Hand(fleet, "vise-3", "desk", { subscriptions });
+  const again = new TestClient(fleet, "vise-3", "desk", { subscriptions });
   expect(await fleet.until(() => again.of("confirmed").length === 2, 5000)).toEqual(true);
   expect(again.of("expired").map((line) => line["topic"])).toEqual(["extra/t0"]);
   await publish("pen", 6, "vise-2", "extra/t0");
@@ -94,7 +94,7 @@
 });
 
 test("a place that is ahead of what an edge has heard is no unknown place: the leader is asked", async () => {
-  const all = await served(54);
+  const all = await startTestFleet(54);
   const { fleet, publish } = all;
   const here = await connectSession(all, "vise-1", "desk", ["notes/t1"]);
   const there = await connectSession(all, "vise-2", "other", ["notes/t1"]);
@@ -105,7 +105,7 @@
   expect(await fleet.until(() => here.got().length === 3, 2000)).toEqual(true);
   expect(there.got()).toEqual([]);
   const subscriptions = [{ topic: "notes/t1", after: placeOf(here, "notes/t1") }];
-  const moved = new Hand(fleet, "vise-2", "desk", { subscriptions });
+  const moved = new TestClient(fleet, "vise-2", "desk", { subscriptions });
   expect(await fleet.until(() => moved.of("confirmed").length + moved.of("fault").length > 0, 3000)).toEqual(true);
   expect(moved.of("fault")).toEqual([]);
   fleet.wires.heal();
@@ -115,7 +115,7 @@
 });
 
 test("a space removed and made again has a new incarnation, though the leader saw neither configuration", async () => {
-  const all = await served(55);
+  const all = await startTestFleet(55);
   const { fleet, publish } = all;
   const reader = await connectSession(all, "vise-1", "desk", ["notes/t1"]);
   expect((await publish("desk", 1))["receipt"]).toEqual("accepted");
@@ -130,7 +130,7 @@
   expect((await all.configuration(["notes", "notices"]))["status"]).toEqual(200);
   for (const name of fleet.withRole("anvil")) fleet.revive(name);
   await fleet.run(6000);
-  const again = new Hand(fleet, "vise-2", "desk", { subscriptions: [{ topic: "notes/t1", after: before }] });
+  const again = new TestClient(fleet, "vise-2", "desk", { subscriptions: [{ topic: "notes/t1", after: before }] });
   expect(await fleet.until(() => again.of("confirmed").length === 1, 5000)).toEqual(true);
   expect(again.of("expired").length).toEqual(1);
   expect(placeOf(again, "notes/t1").split(".")[0] === before.split(".")[0]).toEqual(false);
@@ -140,7 +140,7 @@
 });
 
 test("rules of a space with different orders, and a changed order of a living space, are 422 with paths", async () => {
-  const all = await served(56);
+  const all = await startTestFleet(56);
   const pathsOf = ({ error }: Line): unknown[] =>
     (error as { problems: Array<{ path: string }> }).problems.map((one) => one.path);
   const mixed = await all.configuration(["notes", "notices"], (spaces) => {
@@ -162,7 +162,7 @@
 });
 
 test("an edge that has not heard of a space answers 503 at once; 404 only where the store knows none", async () => {
-  const all = await served(57);
+  const all = await startTestFleet(57);
   const { fleet, ask } = all;
   await all.configuration(["notes", "notices"]);
   await fleet.run(1000);
@@ -187,7 +187,7 @@
 });
 
 test("an edge that missed more than a push may carry gets all of it without anybody's next message", async () => {
-  const all = await served(58);
+  const all = await startTestFleet(58);
   const { fleet, publish } = all;
   const reader = await connectSession(all, "vise-1", "desk", ["notes/t1"]);
   await connectSession(all, "vise-2", "pen", []);
@@ -200,7 +200,7 @@
 });
 
 test("places of another space, stream or incarnation, or made up, get an answer for their topic alone", async () => {
-  const all = await served(59);
+  const all = await startTestFleet(59);
   const { fleet, publish } = all;
   const reader = await connectSession(all, "vise-1", "desk", ["notes/t1", "notes/t2", "extra/t0"]);
   const afters: Record<string, string> = {
@@ -213,26 +213,26 @@
     ...Object.entries(afters).map(([topic, after]) => ({ topic, after })),
     { topic: "extra/t0", after: placeOf(reader, "extra/t0") },
   ];
-  const hand = new Hand(fleet, "vise-2", "desk", { subscriptions });
-  expect(await fleet.until(() => hand.of("confirmed").length === 3 && hand.of("fault").length === 2, 5000)).toEqual(
+  const client = new TestClient(fleet, "vise-2", "desk", { subscriptions });
+  expect(await fleet.until(() => client.of("confirmed").length === 3 && client.of("fault").length === 2, 5000)).toEqual(
     true,
   );
-  expect(hand.of("fault").map((line) => [line["topic"], line["code"]])).toLooseEqual([
+  expect(client.of("fault").map((line) => [line["topic"], line["code"]])).toLooseEqual([
     ["notices/t0", "malformed-place"],
     ["notes/t2", "unknown-place"],
   ]);
   expect(
-    hand
+    client
       .of("expired")
       .map((line) => line["topic"])
       .sort(),
   ).toEqual(["notes/t1", "notes/t3"]);
   expect((await publish("desk", 1, "vise-2", "extra/t0"))["receipt"]).toEqual("accepted");
-  expect(await fleet.until(() => hand.got("extra/t0").length === 1, 2000)).toEqual(true);
+  expect(await fleet.until(() => client.got("extra/t0").length === 1, 2000)).toEqual(true);
 });
 
 test("a push that overtakes the reply which tells of its stream is not lost", async () => {
-  const all = await served(60);
+  const all = await startTestFleet(60);
   const { fleet, publish } = all;
   const { streams } = fleet.find("vise-1")!.edge!;
   const shard = streams.shardOf("6:notes/t1");
@@ -251,7 +251,7 @@
 });
 
 test("an edge that slept through a space's removal and return is told to come back, never 404", async () => {
-  const all = await served(65);
+  const all = await startTestFleet(65);
   const { fleet, publish } = all;
   await connectSession(all, "vise-1", "desk", []);
   const deaf = fleet.addressOf("vise-1");
@@ -268,7 +268,7 @@
 });
 
 test("a leader that has heard of a space's removal, and not of its return, says come back, never 404", async () => {
-  const all = await served(68);
+  const all = await startTestFleet(68);
   const { fleet, publish } = all;
   await connectSession(all, "vise-1", "desk", []);
   const { node, edge } = fleet.find("vise-1")!;
@@ -296,7 +296,7 @@
 });
 
 test("a longer prefix takes a topic and gives it back: a place of one space is never good in the other", async () => {
-  const all = await served(66);
+  const all = await startTestFleet(66);
   const { fleet, publish, load } = all;
   const topic = "notes/deep/t1";
   const put = async (isNested: boolean): Promise<void> => {
@@ -310,13 +310,15 @@
   await connectSession(all, "vise-2", "pen", []);
   const places: string[] = [];
   let number = 0;
-  const life = async (isMiddle: boolean): Promise<void> => {
+  const incarnation = async (isMiddle: boolean): Promise<void> => {
     // The same numbers of earlier lives say nothing, and no place of theirs is good.
     for (const [i, after] of places.entries()) {
-      const hand = new Hand(fleet, "vise-3", `reader-${i}-${places.length}`, { subscriptions: [{ topic, after }] });
-      expect(await fleet.until(() => hand.of("confirmed").length === 1, 5000)).toEqual(true);
-      expect(hand.of("expired").length).toEqual(1);
-      hand.close();
+      const client = new TestClient(fleet, "vise-3", `reader-${i}-${places.length}`, {
+        subscriptions: [{ topic, after }],
+      });
+      expect(await fleet.until(() => client.of("confirmed").length === 1, 5000)).toEqual(true);
+      expect(client.of("expired").length).toEqual(1);
+      client.close();
     }
     const reader = await connectSession(all, "vise-1", `desk-${places.length}`, [topic, "notes/t1"]);
     expect((await publish("pen", 1, "vise-2", topic))["receipt"]).toEqual("accepted");
@@ -330,19 +332,19 @@
     await put(!isMiddle);
     expect(staying.of("ended").map((line) => line["topic"])).toEqual([topic]);
     staying.close();
-    const again = new Hand(fleet, "vise-3", "other", { subscriptions });
+    const again = new TestClient(fleet, "vise-3", "other", { subscriptions });
     expect(await fleet.until(() => again.of("confirmed").length === 1, 5000)).toEqual(true);
     expect(again.of("expired")).toEqual([]);
     again.close();
   };
-  await life(false);
-  await life(true);
-  await life(false);
+  await incarnation(false);
+  await incarnation(true);
+  await incarnation(false);
   expect(new Set(places.map((place) => place.split(".")[0])).size).toEqual(3);
 });
 
 test("a topic comes back to a space whose leaders slept meanwhile: it does not go on with what was kept", async () => {
-  const all = await served(67);
+  const all = await startTestFleet(67);
   const { fleet, publish, load } = all;
   const topic = "notes/deep/t1";
   const reader = await connectSession(all, "vise-1", "desk", [topic]);
@@ -362,7 +364,7 @@
   }
   for (const name of fleet.withRole("anvil")) fleet.revive(name);
   await fleet.run(6000);
-  const again = new Hand(fleet, "vise-2", "desk", { subscriptions: [{ topic, after }] });
+  const again = new TestClient(fleet, "vise-2", "desk", { subscriptions: [{ topic, after }] });
   expect(await fleet.until(() => again.of("confirmed").length === 1, 5000)).toEqual(true);
   expect(again.of("expired").length).toEqual(1);
   expect((await publish("desk", 1, "vise-2", topic))["receipt"]).toEqual("accepted");
@@ -370,7 +372,7 @@
 });
 
 test("a space with an empty prefix has the topics that no other space has", async () => {
-  const at = await served(77);
+  const at = await startTestFleet(77);
   const { fleet, load, ask, publish } = at;
   const contract = { keep: 60, order: "sender", fault_budget: { machines: 1 } };
   const spaces = ["", "notes/"].map((prefix, i) => ({ name: `s${i}`, prefix, program: [{ when: {}, contract }] }));
--- a/packages/testkit/src/slopes/nodeSlopes.ts
+++ b/packages/testkit/src/slopes/nodeSlopes.ts
@@ -46,8 +46,8 @@
     })),
   });
 
-async function gossipBytes(edges: number, settleMs: number): Promise<number> {
-  const { nodes, kinds } = await Cost.idle(edges, 10, 4, settleMs);
+async function gossipBytes(edges: number, stabilizeMs: number): Promise<number> {
+  const { nodes, kinds } = await Cost.idle(edges, 10, 4, stabilizeMs);
   return (kinds["gossip"] ?? 0) / nodes;
 }
 async function idleBytes(edges: number, wanted: readonly string[]): Promise<number> {
