--- a/packages/testkit/src/explore/action.ts
+++ b/packages/testkit/src/explore/action.ts
@@ -50,5 +50,5 @@
 export function actionText({ kind, member, other, nth }: Action): string {
   const numbers = [member, other, nth];
   while (numbers.length > 1 && numbers.at(-1) === 0) numbers.pop();
-  return `act("${kind}", ${numbers.join(", ")})`;
+  return `step("${kind}", ${numbers.join(", ")})`;
 }
--- a/packages/testkit/src/explore/modelMember.ts
+++ b/packages/testkit/src/explore/modelMember.ts
@@ -58,7 +58,7 @@
         disk: undefined,
         random: new SimRandom(machine.place * 1000 + incarnation),
         log: new LogBuffer(this.name, () => undefined),
-        incarnation: incarnation,
+        incarnation,
       },
       [],
     );
--- a/packages/testkit/src/explore/scenarios.ts
+++ b/packages/testkit/src/explore/scenarios.ts
@@ -56,7 +56,7 @@
       await deliver();
       await world.take(step("drain", 0, 2));
     },
-    limits: { deliver: Infinity, maintain: 1, tick: 1, crash: 1, propose: 1 },
+    limits: { deliver: Infinity, tend: 1, tick: 1, crash: 1, propose: 1 },
     depth: 3,
   },
   {
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -86,9 +86,9 @@
   const { rpc } = fleet.find("vise-1")!.node;
   const outcomes: string[] = [];
   const ask = (call: StoreChange): void => {
-    const handlers = (body: Body | undefined): void =>
+    const onReply = (body: Body | undefined): void =>
       void outcomes.push(`${call.case} ${body?.case === "storeReply" ? body.value.outcome : "silent"}`);
-    void rpc.call(other, { case: "storeCall", value: { call } }, 3000).then(handlers);
+    void rpc.call(other, { case: "storeCall", value: { call } }, 3000).then(onReply);
   };
   await fleet.run(20);
   passed.length = 0;
--- a/packages/testkit/src/sim/catchUp.ts
+++ b/packages/testkit/src/sim/catchUp.ts
@@ -64,12 +64,12 @@
   async #run(): Promise<CatchUpReport> {
     const fleet = this.#fleet;
     if (!(await this.#load.begin(0, 6, ["lathe-4"]))) throw new Error("the fleet did not begin");
-    const unreachableMachines = fleet.withRole("lathe").find((name) => name !== "lathe-4" && name !== fleet.leader)!;
-    this.#leave(unreachableMachines);
+    const absentMember = fleet.withRole("lathe").find((name) => name !== "lathe-4" && name !== fleet.leader)!;
+    this.#leave(absentMember);
     void this.#change();
     if (!(await fleet.until(() => this.#made >= this.#options.changes, this.#options.changes * 2000)))
       throw new Error("the changes were not taken");
-    const back = this.#options.comeback === "new" ? "lathe-4" : unreachableMachines;
+    const back = this.#options.comeback === "new" ? "lathe-4" : absentMember;
     this.#countBytesTo(fleet.addressOf(back));
     const startedAt = fleet.world.now;
     fleet.start(back);
@@ -86,10 +86,10 @@
     };
   }
 
-  #leave(unreachableMachines: string): void {
-    if (this.#options.comeback === "restarted") return this.#fleet.kill(unreachableMachines);
-    if (this.#options.comeback === "new") return this.#fleet.retire(unreachableMachines);
-    this.#fleet.wipe(unreachableMachines);
+  #leave(absentMember: string): void {
+    if (this.#options.comeback === "restarted") return this.#fleet.kill(absentMember);
+    if (this.#options.comeback === "new") return this.#fleet.retire(absentMember);
+    this.#fleet.wipe(absentMember);
   }
 
   #raftOf(name: string): RaftNode | undefined {
