--- a/packages/testkit/src/explore/callers.ts
+++ b/packages/testkit/src/explore/modelClients.ts
@@ -10,7 +10,7 @@
  * Who asks for changes and reads, at whichever member, and what was answered to them.
  * All keys are changed through one log, so an answer is in order where its revision is.
  */
-export class Callers {
+export class ModelClients {
   /** The key that orders replace, each naming the revision it replaces, as operators' orders do. */
   static readonly orderKey = "order";
   static readonly bigBytes = 1024 * 1024;
@@ -18,7 +18,7 @@
   readonly #observer: Observer;
   readonly #coverage: Coverage;
   /** The newest revision that anybody was told of: no later read may be older. */
-  #told = 0;
+  #newestRevision = 0;
   /** The content of each entry that was acknowledged. */
   readonly #acknowledged = new Map<number, string>();
   /** Which order was confirmed as the one that replaced a revision. */
@@ -33,16 +33,16 @@
 
   /** Puts a key of its own, whatever is there. A big one fills a frame, so that what follows comes in another. */
   propose(member: ModelMember, isBig: boolean): void {
-    this.#put(member, `key-${member.name}`, undefined, isBig ? Callers.bigBytes : 0);
+    this.#put(member, `key-${member.name}`, undefined, isBig ? ModelClients.bigBytes : 0);
   }
 
   /** Replaces the order in force at this member, if it still is then. */
   order(member: ModelMember): void {
-    this.#put(member, Callers.orderKey, member.raft.metadata.get(Callers.orderKey)?.revision ?? 0);
+    this.#put(member, ModelClients.orderKey, member.raft.metadata.get(ModelClients.orderKey)?.revision ?? 0);
   }
 
   read(member: ModelMember): void {
-    const before = this.#told;
+    const before = this.#newestRevision;
     const { raft } = member;
     void raft.confirm().then((isConfirmed) => {
       if (!member.isUp) return;
@@ -53,7 +53,7 @@
         if (revision < before)
           throw new Violation("reads never go back", `${member.name} read ${revision} after ${before} was told`);
       });
-      this.#told = Math.max(this.#told, revision);
+      this.#newestRevision = Math.max(this.#newestRevision, revision);
     });
   }
 
@@ -98,7 +98,7 @@
   }
 
   text(): string {
-    return `${this.#told};${[...this.#confirmed].join()}`;
+    return `${this.#newestRevision};${[...this.#confirmed].join()}`;
   }
 
   #put(member: ModelMember, key: string, replaced: number | undefined, padding = 0): void {
@@ -125,7 +125,7 @@
     replaced?: number,
   ): void {
     this.#coverage.count(`event: change answered ${outcome}`);
-    this.#told = Math.max(this.#told, revision);
+    this.#newestRevision = Math.max(this.#newestRevision, revision);
     this.#acknowledged.set(revision, `0:${Buffer.from(data).toString("base64")}`);
     if (outcome !== "done" || replaced === undefined) return;
     this.#observer.keep(() => {
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -1,23 +1,23 @@
-import { callSabotages } from "./callSabotages.js";
-import { configurationSabotages } from "./configurationSabotages.js";
-import { cutOffSabotages } from "./cutOffSabotages.js";
-import { diskSabotages } from "./diskSabotages.js";
-import { electionSabotages } from "./electionSabotages.js";
-import { exploreSabotages } from "./exploreSabotages.js";
-import { incidentSabotages } from "./incidentSabotages.js";
-import { logSabotages } from "./logSabotages.js";
-import { repairSabotages } from "./repairSabotages.js";
-import type { Sabotage } from "./sabotage.js";
-import { membershipSabotages } from "./membershipSabotages.js";
-import { orderSabotages } from "./orderSabotages.js";
+import { callMutants } from "./callMutants.js";
+import { configurationMutants } from "./configurationMutants.js";
+import { cutOffMutants } from "./cutOffMutants.js";
+import { diskMutants } from "./diskMutants.js";
+import { electionMutants } from "./electionMutants.js";
+import { exploreMutants } from "./exploreMutants.js";
+import { incidentMutants } from "./incidentMutants.js";
+import { logMutants } from "./logMutants.js";
+import { repairMutants } from "./repairMutants.js";
+import type { Mutant } from "./mutant.js";
+import { membershipMutants } from "./membershipMutants.js";
+import { orderMutants } from "./orderMutants.js";
 
 const sim = "testkit/dist/sim";
 
 /** Guards taken out on purpose; for each a test must fail. */
-export const sabotages: readonly Sabotage[] = [
-  ...configurationSabotages,
-  ...membershipSabotages,
-  ...incidentSabotages,
+export const mutants: readonly Mutant[] = [
+  ...configurationMutants,
+  ...membershipMutants,
+  ...incidentMutants,
   {
     name: "a replica answers before its disk",
     file: "core/dist/replication/followerLog.js",
@@ -326,12 +326,12 @@
     put: "this.head = from;",
     test: "edge/dist/fanout/streamTail.test.js",
   },
-  ...exploreSabotages,
-  ...logSabotages,
-  ...cutOffSabotages,
-  ...diskSabotages,
-  ...orderSabotages,
-  ...repairSabotages,
-  ...callSabotages,
-  ...electionSabotages,
+  ...exploreMutants,
+  ...logMutants,
+  ...cutOffMutants,
+  ...diskMutants,
+  ...orderMutants,
+  ...repairMutants,
+  ...callMutants,
+  ...electionMutants,
 ];
--- a/packages/testkit/src/sim/hostile.test.ts
+++ b/packages/testkit/src/sim/hostile.test.ts
@@ -127,8 +127,8 @@
         );
       if (i % 10 === 0) await fleet.run(30);
     }
-    expect(await load.settle(12_000)).toEqual(true);
+    expect(await load.finishPublishes(12_000)).toEqual(true);
     await load.readConfiguration();
-    expect(Checker.judge(load.history.seen, fleet.world.now)).toEqual([]);
+    expect(Checker.check(load.history.seen, fleet.world.now)).toEqual([]);
   },
 );
--- a/packages/testkit/src/sim/simOperator.ts
+++ b/packages/testkit/src/sim/simOperator.ts
@@ -2,7 +2,7 @@
 import { readDocument } from "@cranetrack/control/configuration/readDocument.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { PortReply } from "../callers/callerPort.js";
+import type { PortReply } from "../clients/clientPort.js";
 import type { Operation } from "../checker/linearizability.js";
 import type { OrderInput, OrderOutput } from "../checker/versionedRegister.js";
 import type { SimFleet } from "./simFleet.js";
@@ -21,7 +21,7 @@
  * Each try is an operation of the history: a try without a clear answer may take effect at any later moment.
  */
 export class SimOperator {
-  static readonly silenceMs = 1000;
+  static readonly answerTimeoutMs = 1000;
   static readonly firstPauseMs = 50;
   static readonly maxPauseMs = 1600;
   static readonly maxAttempts = 12;
@@ -57,7 +57,7 @@
     const operation: OrderOperation = { calledAt: world.now, returnedAt: Infinity, input, output: undefined };
     this.#history.operations.push(operation);
     const answered = port.run(name, ({ node }) => carryOut(node, input));
-    const reply = await Promise.race([answered, this.#pause(SimOperator.silenceMs)]);
+    const reply = await Promise.race([answered, this.#pause(SimOperator.answerTimeoutMs)]);
     const isLost = this.#random.draw() < this.#lossOfAnswers;
     const output = reply === undefined || isLost ? undefined : outputOf(input, reply);
     if (output === undefined) return undefined;
