--- a/packages/control/src/configuration/getRollout.ts
+++ b/packages/control/src/configuration/getRollout.ts
@@ -2,6 +2,7 @@
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
+import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
 /** How far the configuration in force has got: the acknowledgements of all control nodes' feeds, counted by node. */
 export async function getRollout(node: ClusterNode): Promise<ApiReply> {
@@ -11,7 +12,7 @@
   if (inForce === undefined) return ApiReplies.fault(404, "no-plan", "no plan was ever accepted");
   const version = ConfigurationKey.versionOf(inForce.value);
   const controlNodes = node.membership
-    .alive("lathe")
+    .alive(nodeRole.control)
     .filter((member) => member.isInStore)
     .map((member) => member.name);
   const asked = await Promise.all(
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -15,6 +15,7 @@
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { entryKind } from "./entryKind.js";
 import { MembershipStatus } from "../membership/membershipStatus.js";
+import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
 interface Identity {
   id: string;
@@ -107,7 +108,7 @@
   async #tick(): Promise<void> {
     if (this.founding !== "" || this.#isAsking || !this.#isReady) return;
     this.#isAsking = true;
-    const controlNodes = this.#node.membership.alive("lathe").filter((member) => member.disk !== "");
+    const controlNodes = this.#node.membership.alive(nodeRole.control).filter((member) => member.disk !== "");
     const founders = controlNodes.filter((member) => member.isFounder && this.#isNamed(member.address));
     const founded = controlNodes.find((member) => member.isInStore) ?? controlNodes.find((member) => member.isFounded);
     if (founded !== undefined) await this.#join(founded);
--- a/packages/control/src/cranetrack-control.ts
+++ b/packages/control/src/cranetrack-control.ts
@@ -3,8 +3,9 @@
 import { Program } from "@cranetrack/core/runtime/program.js";
 import { ConfigurationArchive } from "./configuration/configurationArchive.js";
 import { ControlNode } from "./controlNode.js";
+import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
-await new Program("lathe", ["plan", "shards/", "machines/"], ({ node, disk, router }) => {
+await new Program(nodeRole.control, ["plan", "shards/", "machines/"], ({ node, disk, router }) => {
   const control = new ControlNode(node, disk!, router);
   const archive = new ConfigurationArchive(
     join(node.parts.settings.data!, "plans"),
--- a/packages/control/src/drain/drainCapacity.ts
+++ b/packages/control/src/drain/drainCapacity.ts
@@ -1,6 +1,7 @@
 import type { Member } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
+import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
 /** What rests on the machines, as a confirmed read of the store has it. */
 export interface DrainFacts {
@@ -35,8 +36,8 @@
   left: readonly Member[],
 ): ApiReply | undefined {
   const { voters } = parts.settings;
-  const able = left.filter((one) => one.role === "lathe").length;
-  if (leaving?.role !== "lathe" || able >= voters) return undefined;
+  const able = left.filter((one) => one.role === nodeRole.control).length;
+  if (leaving?.role !== nodeRole.control || able >= voters) return undefined;
   return atRisk(`only ${able} control nodes would be left, and the metadata store needs ${voters}`);
 }
 
--- a/packages/control/src/membership/handOverVote.ts
+++ b/packages/control/src/membership/handOverVote.ts
@@ -1,5 +1,6 @@
 import { MembersKey } from "@cranetrack/core/keys/membersKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
+import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
 /** How long a process that stops waits for another to vote in its place; the process has a few seconds in all. */
 const maxMs = 2500;
@@ -15,7 +16,7 @@
   const { clock } = node.parts;
   const end = clock.now() + maxMs;
   // One that is taken in says so before it votes.
-  const standbys = node.membership.alive("lathe").filter((one) => !one.isInStore && isStaying(node, one.name));
+  const standbys = node.membership.alive(nodeRole.control).filter((one) => !one.isInStore && isStaying(node, one.name));
   while (clock.now() < end && standbys.some((one) => isStaying(node, one.name))) {
     const read = await node.store.read([MembersKey.name], [], readMs);
     const kv = read.kvs?.find((one) => one.key === MembersKey.name);
--- a/packages/control/src/membership/membershipStatus.ts
+++ b/packages/control/src/membership/membershipStatus.ts
@@ -1,5 +1,6 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { RaftNode } from "../consensus/raftNode.js";
+import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
 /**
  * Whether this control node, which has a log of the store, is a member of it. One that was taken out, perhaps while it
@@ -41,7 +42,7 @@
     if (this.#isAsking || clock.now() - this.#inTouchAt < MembershipStatus.silentMs) return;
     const { rpc, membership } = this.#node;
     const other = membership
-      .alive("lathe")
+      .alive(nodeRole.control)
       .find((one) => one.isInStore && one.name !== rpc.name && !rpc.isUnresponsive(one.name));
     if (other === undefined) return;
     this.#isAsking = true;
--- a/packages/core/src/feeds/feedFollower.ts
+++ b/packages/core/src/feeds/feedFollower.ts
@@ -7,6 +7,7 @@
 import type { Membership } from "../membership/membership.js";
 import { Rendezvous } from "../membership/rendezvous.js";
 import { PackedValue, type ValueVersion } from "../store/packedValue.js";
+import { nodeRole } from "../membership/nodeRole.js";
 
 export interface Change {
   key: string;
@@ -126,7 +127,7 @@
   }
 
   #open(): void {
-    const controlNodes = this.#membership.alive("lathe").filter((member) => member.isInStore);
+    const controlNodes = this.#membership.alive(nodeRole.control).filter((member) => member.isInStore);
     const lively = controlNodes.filter(
       ({ name }) =>
         name !== this.#controlNode &&
--- a/packages/core/src/http/router.ts
+++ b/packages/core/src/http/router.ts
@@ -4,6 +4,7 @@
 import { Rendezvous } from "../membership/rendezvous.js";
 import { mayRepeat, type CallInit } from "../rpc/callKinds.js";
 import type { BodyInit } from "../rpc/wire.js";
+import { nodeRole } from "../membership/nodeRole.js";
 
 export interface ApiCall {
   method: string;
@@ -32,8 +33,8 @@
   readonly #routes: Route[] = [];
   /** Which role does what this node does not. */
   readonly #elsewhere: Array<{ pattern: RegExp; role: string }> = [
-    { pattern: /^\/v1\/(plan|machines|members)\b/, role: "lathe" },
-    { pattern: /^\/v1\/sessions\//, role: "vise" },
+    { pattern: /^\/v1\/(plan|machines|members)\b/, role: nodeRole.control },
+    { pattern: /^\/v1\/sessions\//, role: nodeRole.edge },
   ];
 
   constructor(node: ClusterNode) {
--- a/packages/core/src/membership/addressBook.ts
+++ b/packages/core/src/membership/addressBook.ts
@@ -1,6 +1,7 @@
 import type { Clock } from "../runtime/clock.js";
 import type { Disk } from "../storage/disk.js";
 import type { Membership } from "./membership.js";
+import { nodeRole } from "./nodeRole.js";
 
 /**
  * The addresses of the members last known, on disk, so that a start finds somebody where its seeds are down or
@@ -33,8 +34,8 @@
     const { self } = this.#membership;
     const others = this.#membership.alive().filter((member) => member.name !== self.name);
     const addresses = [
-      ...others.filter((member) => member.role === "lathe"),
-      ...others.filter((member) => member.role !== "lathe"),
+      ...others.filter((member) => member.role === nodeRole.control),
+      ...others.filter((member) => member.role !== nodeRole.control),
     ]
       .slice(0, AddressBook.most)
       .map((member) => member.address);
--- a/packages/core/src/runtime/clusterNode.ts
+++ b/packages/core/src/runtime/clusterNode.ts
@@ -12,6 +12,7 @@
 import { ShardsView } from "../feeds/shardsView.js";
 import { PackedValue } from "../store/packedValue.js";
 import { StoreClient } from "../store/storeClient.js";
+import { nodeRole } from "../membership/nodeRole.js";
 
 /** What every process of the fleet is made of, whatever its role. */
 export class ClusterNode {
@@ -49,7 +50,7 @@
       clients: settings.clients ?? "",
       region: settings.region ?? "",
       incarnation: parts.incarnation,
-      isStorage: settings.role === "anvil" || (settings.role === "lathe" && settings.stores),
+      isStorage: settings.role === nodeRole.storage || (settings.role === nodeRole.control && settings.stores),
       disk,
     };
     this.membership = new Membership(self, settings.seeds, this.rpc, clock, random);
--- a/packages/core/src/store/storeClient.ts
+++ b/packages/core/src/store/storeClient.ts
@@ -7,6 +7,7 @@
 import type { Membership } from "../membership/membership.js";
 import { Rendezvous } from "../membership/rendezvous.js";
 import { LargeValues } from "./largeValues.js";
+import { nodeRole } from "../membership/nodeRole.js";
 
 export type StoreChange = NonNullable<MessageInitShape<typeof StoreCallSchema>["call"]>;
 export type Outcome = { outcome: string } & Partial<
@@ -128,7 +129,7 @@
   #order(): string[] {
     const controlNodes = this.#membership
       .all()
-      .filter((member) => member.role === "lathe" && member.isInStore && member.state === "up");
+      .filter((member) => member.role === nodeRole.control && member.isInStore && member.state === "up");
     const waiting = [...this.#open.values()].filter(({ at }) => this.#clock.now() - at > StoreClient.waitMs);
     const isBad = (name: string): boolean =>
       !this.#membership.isAlive(name) || this.#rpc.isUnresponsive(name) || waiting.some((one) => one.name === name);
--- a/packages/edge/src/cranetrack-edge.ts
+++ b/packages/edge/src/cranetrack-edge.ts
@@ -3,8 +3,9 @@
 import { HttpConnection } from "./connections/httpConnection.js";
 import { EdgeNode } from "./edgeNode.js";
 import { EdgeCalls } from "./edgeCalls.js";
+import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
-await new Program("vise", ["plan", "shards/"], ({ node, router }) => {
+await new Program(nodeRole.edge, ["plan", "shards/"], ({ node, router }) => {
   const edge = new EdgeNode(node, router);
   const calls = new EdgeCalls(edge, router);
   return {
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -9,6 +9,7 @@
 import { ConfigurationCheck } from "./publishing/configurationCheck.js";
 import { StreamTable } from "./fanout/streamTable.js";
 import type { EdgeParts } from "./edgeParts.js";
+import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
 /** An edge: clients' connections, their sessions, and the topics these need. Keeps nothing on disk. */
 export class EdgeNode implements EdgeParts {
@@ -88,7 +89,7 @@
   #nextAddresses(): string[] {
     const { rpc, membership, parts } = this.node;
     const others = membership
-      .alive("vise")
+      .alive(nodeRole.edge)
       .filter(({ name }) => name !== rpc.name)
       .map(({ zone, clients, http }) => ({ zone, address: clients === "" ? http : clients }))
       .filter(({ address }) => address !== "");
