--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -54,7 +54,7 @@
     super();
     this.#node = node;
     this.#disk = disk;
-    const { founders, lathes: controlCount, mayFound } = node.parts.settings;
+    const { founders, controlNodes: controlCount, mayFound } = node.parts.settings;
     this.#founders = founders;
     this.#expected = founders?.length ?? controlCount;
     const kept = disk.read("identity")[0];
--- a/packages/core/src/runtime/program.ts
+++ b/packages/core/src/runtime/program.ts
@@ -1,13 +1,13 @@
-import type { Settings } from "./settings.js";
+import { roleNameOf, type NodeRole } from "../membership/nodeRole.js";
 import { ProgramHost, type Built, type ProgramParts } from "./programHost.js";
 
 /** The command line that all three daemons share: flags, the settings file, then the host. */
 export class Program {
-  readonly #role: Settings["role"];
+  readonly #role: NodeRole;
   readonly #prefixes: string[];
   readonly #build: (parts: ProgramParts) => Built;
 
-  constructor(role: Settings["role"], prefixes: string[], build: (parts: ProgramParts) => Built) {
+  constructor(role: NodeRole, prefixes: string[], build: (parts: ProgramParts) => Built) {
     this.#role = role;
     this.#prefixes = prefixes;
     this.#build = build;
@@ -16,19 +16,19 @@
   async run(argv: string[]): Promise<void> {
     const { cac } = await import("cac");
     const { SettingsReader } = await import("./settings.js");
-    const cli = cac(this.#role);
+    const cli = cac(`cranetrack-${roleNameOf(this.#role)}`);
     cli.option("--settings <file>", "Settings file (JSON); flags win over it");
     for (const key of ["name", "zone", "region", "address", "listen", "http", "data", "disk", "log"])
       cli.option(`--${key} <value>`, `Setting ${key}`);
     for (const key of [
-      "lathes",
+      "controlNodes",
       "shards",
       "voters",
       "replaceVoterMs",
       "edgeLeaseMs",
-      "holderLeaseMs",
+      "shardLeaseMs",
       "electionMs",
-      "mostLinks",
+      "maxConnections",
       "bufferBytes",
       "diskMb",
     ])
@@ -42,18 +42,26 @@
     const { options, args } = cli.parse(argv);
     if (options["help"] === true || options["version"] === true) return;
     const { file, flags, problems } = Program.#flags(options, args);
+    const notices: string[] = [];
+    const onEarlierName = (notice: string): void => void notices.push(notice);
     const read =
       problems.length > 0
         ? { problems }
         : file === undefined
-          ? SettingsReader.check({ role: this.#role, ...flags })
-          : SettingsReader.fromFile(file, flags);
+          ? SettingsReader.check({ role: roleNameOf(this.#role), ...flags }, onEarlierName)
+          : SettingsReader.fromFile(file, flags, onEarlierName);
     if ("settings" in read && read.settings.role !== this.#role)
-      return Program.#refuse([`role: this program is a ${this.#role}, the settings are for a ${read.settings.role}`]);
+      return Program.#refuse([
+        `role: this program is a ${this.#role} (role ${roleNameOf(this.#role)}), ` +
+          `the settings are for a ${read.settings.role} (role ${roleNameOf(read.settings.role)})`,
+      ]);
     if ("problems" in read) return Program.#refuse(read.problems);
-    if (options["check"] === true) return void process.stdout.write("settings are good\n");
+    if (options["check"] === true) {
+      process.stderr.write(notices.map((notice) => `${notice}\n`).join(""));
+      return void process.stdout.write("settings are good\n");
+    }
     const watched = file === undefined ? undefined : { path: file, read: () => SettingsReader.fromFile(file, flags) };
-    await new ProgramHost(this.#prefixes, this.#build).start(read.settings, watched);
+    await new ProgramHost(this.#prefixes, this.#build).start(read.settings, watched, notices);
   }
 
   static #flags(
--- a/packages/core/src/runtime/programHost.ts
+++ b/packages/core/src/runtime/programHost.ts
@@ -51,9 +51,13 @@
     this.#build = build;
   }
 
-  /** Starts the program with settings that were checked; `watched` is the file that they came from. */
-  async start(settings: Settings, watched?: WatchedSettings): Promise<void> {
+  /**
+   * Starts the program with settings that were checked; `watched` is the file that they came from, `notices` what the
+   * log is to say of them.
+   */
+  async start(settings: Settings, watched?: WatchedSettings, notices: readonly string[] = []): Promise<void> {
     const log = LogBuffer.toFile(settings.name, settings.log);
+    for (const notice of notices) log.warn(notice);
     const clock = new HostClock();
     const transport = new TcpTransport(settings.address, log, settings.listen);
     const quit = (code: number, text: string): never => {
--- a/packages/core/src/runtime/settings.test.ts
+++ b/packages/core/src/runtime/settings.test.ts
@@ -7,13 +7,13 @@
 import { SettingsWatch } from "./settingsWatch.js";
 
 const good = {
-  name: "vise-1",
-  role: "vise",
+  name: "edge-1",
+  role: "edge",
   zone: "north",
   address: "127.0.0.1:7001",
   http: "127.0.0.1:8001",
   seeds: ["127.0.0.1:7001"],
-  lathes: 3,
+  controlNodes: 3,
 };
 const problemsOf = (value: unknown): string[] => {
   const read = SettingsReader.check(value);
@@ -26,19 +26,70 @@
   expect(read.settings.replicas).toEqual(3);
   expect(problemsOf({ ...good, replicas: 4 })).toEqual(["replicas: must be odd; an even set survives no more losses"]);
   expect(problemsOf({ ...good, colour: "red" })[0]).toEqual("colour: colour must be removed");
-  expect(problemsOf({ ...good, role: "lathe" })).toEqual(["data: a lathe needs a data folder"]);
+  expect(problemsOf({ ...good, role: "control" })).toEqual(["data: a control node needs a data folder"]);
   expect(problemsOf({ ...good, http: good.address })).toEqual(["http: must differ from address"]);
   expect(problemsOf({ ...good, address: "127.0.0.1:70000" })).toEqual(["address: the port is above 65535"]);
-  expect(problemsOf({ ...good, seeds: [], lathes: 0 }).length).toEqual(2);
+  expect(problemsOf({ ...good, seeds: [], controlNodes: 0 }).length).toEqual(2);
   for (const key of Object.keys(good)) expect(problemsOf({ ...good, [key]: undefined }).length > 0).toEqual(true);
 });
 
+const readWith = (value: unknown): { read: ReturnType<typeof SettingsReader.check>; notices: string[] } => {
+  const notices: string[] = [];
+  return { read: SettingsReader.check(value, (notice) => notices.push(notice)), notices };
+};
+
+for (const [name, stored] of [
+  ["control", "lathe"],
+  ["storage", "anvil"],
+  ["edge", "vise"],
+] as const)
+  test(`role ${name} is ${stored} between nodes, and settings still take ${stored}, with a line`, () => {
+    const now = readWith({ ...good, role: name, data: "folder" });
+    const earlier = readWith({ ...good, role: stored, data: "folder" });
+    expect((now.read as { settings: Settings }).settings.role).toEqual(stored);
+    expect(earlier.read).toEqual(now.read);
+    expect(now.notices).toEqual([]);
+    expect(earlier.notices).toEqual([`role ${stored} is now called ${name}; the earlier name is still taken`]);
+  });
+
+test("an unknown role, or none, is refused with the known ones", () => {
+  const known = ['"control"', '"storage"', '"edge"'];
+  for (const role of ["anvils", "Control", 3, undefined]) {
+    const problems = problemsOf({ ...good, role });
+    expect(problems.length).toEqual(1);
+    for (const one of known) expect(problems[0]).toEqual(expect.includes(one));
+    for (const stored of ["lathe", "vise"]) expect(problems[0]).not.toEqual(expect.includes(stored));
+  }
+});
+
+for (const [earlier, standard, value] of [
+  ["lathes", "controlNodes", 3],
+  ["holderLeaseMs", "shardLeaseMs", 1700],
+  ["mostLinks", "maxConnections", 7],
+] as const) {
+  const { controlNodes, ...others } = good;
+  const rest = standard === "controlNodes" ? others : { ...others, controlNodes };
+  test(`${earlier} is still taken for ${standard}, with one line that names it`, () => {
+    const { read, notices } = readWith({ ...rest, [earlier]: value });
+    expect(read).toEqual(SettingsReader.check({ ...rest, [standard]: value }));
+    expect((read as { settings: Settings }).settings[standard]).toEqual(value);
+    expect(notices).toEqual([`setting ${earlier} is now called ${standard}; the earlier name is still taken`]);
+  });
+
+  test(`${earlier} and ${standard} together are refused by name, and a wrong ${earlier} as what was given`, () => {
+    expect(problemsOf({ ...rest, [earlier]: value, [standard]: value })).toEqual([
+      `${earlier}: is the earlier name of ${standard}, and both are given; keep ${standard}`,
+    ]);
+    expect(problemsOf({ ...rest, [earlier]: 0 })[0]).toEqual(expect.includes(`${earlier}: ${standard} must be`));
+  });
+}
+
 test("as many control nodes vote as found the store, named or not, where the settings do not say otherwise", () => {
   const voters = (more: object): number =>
     (SettingsReader.check({ ...good, ...more }) as { settings: Settings }).settings.voters;
   const founders = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"];
   expect([voters({}), voters({ founders }), voters({ founders, voters: 1 })]).toEqual([3, 5, 1]);
-  expect(problemsOf({ ...good, stores: true })).toEqual(["stores: is for lathes only"]);
+  expect(problemsOf({ ...good, stores: true })).toEqual(["stores: is for control nodes only"]);
 });
 
 test("a changed file is taken up, a bad one changes nothing and is said, and what needs a start is said", () => {
@@ -55,15 +106,15 @@
   };
   const watch = new SettingsWatch(path, () => SettingsReader.fromFile(path), read.settings, clock);
   const taken: number[] = [];
-  watch.on("changed", (settings) => taken.push(settings.mostLinks));
-  write({ ...good, mostLinks: 5 });
+  watch.on("changed", (settings) => taken.push(settings.maxConnections));
+  write({ ...good, maxConnections: 5 });
   beats[0]!();
   expect(taken).toEqual([5]);
   write("{ broken");
   beats[0]!();
   expect(taken).toEqual([5]);
   expect(watch.fault).toEqual(expect.includes("the old settings stay"));
-  write({ ...good, mostLinks: 6, zone: "south" });
+  write({ ...good, maxConnections: 6, zone: "south" });
   beats[0]!();
   expect(taken).toEqual([5, 6]);
   expect(watch.fault).toEqual("changed in the file and taken up only at the next start: zone");
--- a/packages/core/src/runtime/settings.ts
+++ b/packages/core/src/runtime/settings.ts
@@ -1,14 +1,16 @@
 import { readFileSync } from "node:fs";
 import { type } from "arktype";
+import { nodeRole, roleNameOf } from "../membership/nodeRole.js";
+import { toStandardNames } from "./earlierNames.js";
 
 const address = type("/^[0-9a-fA-F.:\\[\\]]+:[0-9]{1,5}$/");
 
 const settingsType = type({
   "+": "reject",
   name: "/^[a-z0-9][a-z0-9-]{0,62}$/",
-  role: "'lathe' | 'anvil' | 'vise'",
+  role: type("'control' | 'storage' | 'edge'").pipe((name) => nodeRole[name]),
   zone: "1 <= string <= 64",
-  /** What lies close together: traffic between regions is dear. */
+  /** What is close together: traffic between regions is expensive. */
   "region?": "1 <= string <= 64",
   address,
   /** Where to listen, if not at the address that others know. */
@@ -19,13 +21,13 @@
   "clients?": address,
   seeds: address.array().atLeastLength(1).atMostLength(9),
   /**
-   * Addresses of the control nodes that found the store, all of them together; without them any `control nodes` blank
+   * Addresses of the control nodes that found the store, all of them together; without them any `controlNodes` blank
    * ones do.
    */
   "founders?": address.array().atLeastLength(1).atMostLength(9),
   /** False: never founds a store; joins one, or goes on with what its disk has. */
   mayFound: "boolean = true",
-  lathes: "1 <= number.integer <= 9",
+  controlNodes: "1 <= number.integer <= 9",
   /** How many control nodes are members of the store; without it as many as found it. Others stand by. */
   "voters?": "1 <= number.integer <= 9",
   /** A member gone for longer is replaced by a control node that stands by. */
@@ -45,39 +47,53 @@
   "diskMb?": "16 <= number.integer <= 1000000",
   "log?": "string > 0",
   edgeLeaseMs: "1000 <= number.integer <= 60000 = 1500",
-  holderLeaseMs: "1000 <= number.integer <= 60000 = 1500",
+  shardLeaseMs: "1000 <= number.integer <= 60000 = 1500",
   electionMs: "200 <= number.integer <= 10000 = 300",
-  mostLinks: "1 <= number.integer <= 100000 = 2000",
+  maxConnections: "1 <= number.integer <= 100000 = 2000",
   bufferBytes: "1024 <= number.integer <= 67108864 = 1048576",
 });
 
+/** The settings of a node, checked and with their defaults. Docs: `docs/settings.md`. */
 export type Settings = typeof settingsType.infer & { voters: number };
+/** Settings, or a line for each reason why there are none. */
 export type SettingsRead = { settings: Settings } | { problems: string[] };
+/** Gets a line for each earlier name that was used, which names today's. */
+export type EarlierNameListener = (notice: string) => void;
 
-/** One file or flags; unknown keys are errors; every problem gets a line. */
+/** Reads settings from a file or flags. Unknown keys are errors; every problem gets a line that begins with its key. */
 export const SettingsReader = {
-  check(value: unknown): SettingsRead {
-    const checked = settingsType(value);
-    if (checked instanceof type.errors)
-      return { problems: [...checked].map((fault) => `${fault.path.join(".") || "settings"}: ${fault.message}`) };
-    const voters = checked.voters ?? checked.founders?.length ?? checked.lathes;
-    const problems: string[] = [];
-    if (checked.role !== "vise" && checked.data === undefined)
-      problems.push(`data: a ${checked.role} needs a data folder`);
-    if (checked.stores && checked.role !== "lathe") problems.push("stores: is for lathes only");
-    if (checked.replicas % 2 === 0) problems.push("replicas: must be odd; an even set survives no more losses");
+  check(value: unknown, onEarlierName: EarlierNameListener = () => undefined): SettingsRead {
+    if (typeof value !== "object" || value === null) return { problems: ["settings: must be an object"] };
+    const { values, givenAs, notices, problems } = toStandardNames(value as Record<string, unknown>);
+    const checked = settingsType(values);
+    if (checked instanceof type.errors) {
+      const faults = [...checked].map((fault) => {
+        const [key = "settings", ...rest] = fault.path.map(String);
+        return `${[givenAs.get(key) ?? key, ...rest].join(".")}: ${fault.message}`;
+      });
+      return { problems: [...problems, ...faults] };
+    }
+    const voters = checked.voters ?? checked.founders?.length ?? checked.controlNodes;
+    const found = [...problems];
+    if (checked.role !== nodeRole.edge && checked.data === undefined)
+      found.push(`data: a ${roleNameOf(checked.role)} node needs a data folder`);
+    if (checked.stores && checked.role !== nodeRole.control) found.push("stores: is for control nodes only");
+    if (checked.replicas % 2 === 0) found.push("replicas: must be odd; an even set survives no more losses");
     for (const key of ["address", "http"] as const)
-      if (Number(checked[key]?.split(":").at(-1) ?? 0) > 65535) problems.push(`${key}: the port is above 65535`);
-    if (checked.address === checked.http) problems.push("http: must differ from address");
-    return problems.length > 0 ? { problems } : { settings: { ...checked, voters } };
+      if (Number(checked[key]?.split(":").at(-1) ?? 0) > 65535) found.push(`${key}: the port is above 65535`);
+    if (checked.address === checked.http) found.push("http: must differ from address");
+    if (found.length > 0) return { problems: found };
+    notices.forEach(onEarlierName);
+    return { settings: { ...checked, voters } };
   },
 
-  fromFile(path: string, flags: Record<string, unknown> = {}): SettingsRead {
+  /** Reads a file of one JSON object; `flags` win over what it says. */
+  fromFile(path: string, flags: Record<string, unknown> = {}, onEarlierName?: EarlierNameListener): SettingsRead {
     try {
       const read = JSON.parse(readFileSync(path, "utf8")) as unknown;
       if (typeof read !== "object" || read === null || Array.isArray(read))
         return { problems: [`${path}: must hold one JSON object`] };
-      return SettingsReader.check({ ...read, ...flags });
+      return SettingsReader.check({ ...read, ...flags }, onEarlierName);
     } catch (cause) {
       return { problems: [`${path}: ${(cause as Error).message}`] };
     }
--- a/packages/core/src/runtime/settingsWatch.ts
+++ b/packages/core/src/runtime/settingsWatch.ts
@@ -10,7 +10,7 @@
 export class SettingsWatch extends EventEmitter<{ changed: [settings: Settings]; fault: [text: string] }> {
   static readonly periodMs = 1000;
   /** Keys that a running process takes up when its file changes. */
-  static readonly live = ["mostLinks", "bufferBytes"] as const;
+  static readonly live = ["maxConnections", "bufferBytes"] as const;
 
   readonly #path: string;
   readonly #readSettings: () => SettingsRead;
--- a/packages/testkit/src/explore/modelMember.ts
+++ b/packages/testkit/src/explore/modelMember.ts
@@ -100,7 +100,7 @@
       address: `${name}:1`,
       seeds: [],
       mayFound: true,
-      lathes: voters,
+      controlNodes: voters,
       voters,
       replaceVoterMs: modelBounds.replaceVoterMs,
       replicas: 3,
@@ -109,9 +109,9 @@
       stores: false,
       shards: 1,
       edgeLeaseMs: 1500,
-      holderLeaseMs: 1500,
+      shardLeaseMs: 1500,
       electionMs: modelBounds.electionMs,
-      mostLinks: 1,
+      maxConnections: 1,
       bufferBytes: 1024,
     };
   }
--- a/packages/testkit/src/sim/catchUp.ts
+++ b/packages/testkit/src/sim/catchUp.ts
@@ -53,7 +53,7 @@
   private constructor(options: CatchUpOptions) {
     this.#options = options;
     this.#fleet = new SimFleet(options.seed, Scenario.machines(4, 3, 1));
-    for (const name of this.#fleet.names) this.#fleet.configure(name, { lathes: 3, voters: 3 });
+    for (const name of this.#fleet.names) this.#fleet.configure(name, { controlNodes: 3, voters: 3 });
     this.#load = new SimLoad(this.#fleet);
   }
 
--- a/packages/testkit/src/sim/founding.test.ts
+++ b/packages/testkit/src/sim/founding.test.ts
@@ -21,7 +21,7 @@
 
 test("named founders found the store, all of them and nobody else; a fourth control node only joins", async () => {
   const founders = addresses(3);
-  const fleet = new SimFleet(71, withControlNodes(Array.from({ length: 4 }, () => ({ founders, lathes: 3 }))));
+  const fleet = new SimFleet(71, withControlNodes(Array.from({ length: 4 }, () => ({ founders, controlNodes: 3 }))));
   for (const name of ["lathe-1", "lathe-2", "lathe-4", "vise-1"]) fleet.start(name);
   await fleet.run(6000);
   expect(fleet.withRole("lathe").filter((name) => isFounded(fleet, name))).toEqual([]);
--- a/packages/testkit/src/sim/replicaSets.test.ts
+++ b/packages/testkit/src/sim/replicaSets.test.ts
@@ -19,7 +19,7 @@
 
 /** Control nodes that keep topic logs themselves, with no spare beside them; later ones only join. */
 const storing = (count: number): Machine[] => {
-  const settings = { stores: true, lathes: 3, founders: [...founders], replaceVoterMs: 1000 };
+  const settings = { stores: true, controlNodes: 3, founders: [...founders], replaceVoterMs: 1000 };
   return [
     ...Scenario.machines(count, 0, 0).map((machine) => ({ ...machine, settings })),
     ...Scenario.machines(0, 0, 2),
@@ -201,7 +201,7 @@
     zone: `zone-${i % 6}`,
     region: `region-${i % 3}`,
   });
-  const storing = { stores: true, lathes: 3, voters: 5, founders: [...founders], replaceVoterMs: 1500 };
+  const storing = { stores: true, controlNodes: 3, voters: 5, founders: [...founders], replaceVoterMs: 1500 };
   const make = (role: Machine["role"], count: number, settings: Machine["settings"]): Machine[] =>
     Array.from({ length: count }, (_, i) => ({
       name: `${role}-${i + 1}`,
@@ -209,7 +209,7 @@
       zone: place(i).zone,
       settings: { ...settings, replicas: 5, region: place(i).region },
     }));
-  return [...make("lathe", 10, storing), ...make("vise", 4, { lathes: 3 })];
+  return [...make("lathe", 10, storing), ...make("vise", 4, { controlNodes: 3 })];
 }
 
 test("two losses allowed: five replicas in five zones, five voters; and both lose nothing", async () => {
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -34,14 +34,14 @@
   /** Invariants that processes which are gone counted as violated, as `name invariant count`. */
   readonly #violations: string[] = [];
   readonly #slots = new Map<string, Slot>();
-  readonly #shared: { seeds: Settings["seeds"]; shards: number; lathes: number };
+  readonly #shared: { seeds: Settings["seeds"]; shards: number; controlNodes: number };
 
   constructor(seed: number, machines: readonly Machine[], shards = 4) {
     this.world = new SimWorld(seed);
     this.wires = new SimWires(this.world);
     this.port = new SimPort(this);
     const seeds = machines.slice(0, 3).map((_, i) => `10.0.0.${i + 1}:1` as const);
-    this.#shared = { seeds, shards, lathes: machines.filter((one) => one.role === "lathe").length };
+    this.#shared = { seeds, shards, controlNodes: machines.filter((one) => one.role === "lathe").length };
     for (const machine of machines) this.enlist(machine);
   }
 
