--- a/packages/control/src/configuration/judgeOrder.ts
+++ b/packages/control/src/configuration/judgeOrder.ts
@@ -1,6 +1,6 @@
 import type { Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { contentDigest, contentKind } from "@cranetrack/core/configuration/contentDigest.js";
-import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 
@@ -59,7 +59,7 @@
 /** What the store is asked for; the document comes on top where there is no record. */
 export const OrderFactKeys = {
   of(version: number): string[] {
-    return [ConfigurationKey.name, AcceptedOrderKey.of(version), AcceptedOrderKey.floor];
+    return [ConfigurationKey.name, AcceptedChangeKey.of(version), AcceptedChangeKey.floor];
   },
 
   read(version: number, kvs: readonly Kv[]): OrderFacts {
@@ -67,8 +67,8 @@
     return {
       configuration: find(ConfigurationKey.name),
       document: find(DocumentKey.name),
-      record: find(AcceptedOrderKey.of(version)),
-      floor: AcceptedOrderKey.readFloor(find(AcceptedOrderKey.floor)?.value),
+      record: find(AcceptedChangeKey.of(version)),
+      floor: AcceptedChangeKey.readFloor(find(AcceptedChangeKey.floor)?.value),
     };
   },
 };
--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -6,7 +6,7 @@
   type ConfigurationRead,
 } from "@cranetrack/core/configuration/configuration.js";
 import { ConfigurationSchema } from "@cranetrack/core/configuration/configurationSchema.js";
-import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
@@ -114,12 +114,12 @@
  * is acknowledged, so that no other content under its version can be.
  */
 async function record(node: ClusterNode, order: Order, facts: OrderFacts): Promise<ApiReply | "conflict"> {
-  const check = { key: AcceptedOrderKey.of(order.version), revision: facts.record?.revision ?? 0 };
+  const check = { key: AcceptedChangeKey.of(order.version), revision: facts.record?.revision ?? 0 };
   return settled(order, await node.store.txn({ checks: [check], puts: [recordOf(order)], deletes: [] }));
 }
 
 function recordOf(order: Order): Pick<Kv, "key" | "value"> {
-  return { key: AcceptedOrderKey.of(order.version), value: digestOf(order) };
+  return { key: AcceptedChangeKey.of(order.version), value: digestOf(order) };
 }
 
 function settled(order: Order, written: { outcome: string; revision?: number }): ApiReply | "conflict" {
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -115,7 +115,7 @@
       append: (append, from) => this.#take(append, from, () => this.#followerLog.take(append, this.#commit)),
       snapshot: (snapshot, from) =>
         this.#take(snapshot, from, () => this.#followerLog.takeSnapshot(snapshot, this.#commit)),
-      onReply: (reply) => this.#replicator?.take(reply),
+      onReply: (reply) => this.#replicator?.handleReply(reply),
     };
     parts.groups.enlist(this.#log.group, ownMessages(this.id, parts.isTrusted, group));
     this.#rearm();
@@ -147,7 +147,11 @@
   /** Whether a majority stands behind what this control node tells its feeds, and it has all that was committed. */
   get isInTouch(): boolean {
     if (this.#replicator === undefined) return this.#leader !== "" && this.#contact.isCurrent;
-    return this.isLeader && !this.#contact.hasJustResumed && this.#replicator.majorityAgo() < this.#contact.limitMs;
+    return (
+      this.isLeader &&
+      !this.#contact.hasJustResumed &&
+      this.#replicator.sinceMajorityContactMs() < this.#contact.limitMs
+    );
   }
 
   /** Undefined: not the leader any more; the command may or may not be carried out. */
@@ -166,7 +170,7 @@
   matchOf(id: string): { match: number; behind: number; heardAgo: number } {
     if (this.#replicator === undefined) return { match: 0, behind: Infinity, heardAgo: Infinity };
     const match = this.#replicator.matchOf(id);
-    return { match, behind: this.#log.lastIndex - match, heardAgo: this.#replicator.heardAgo(id) };
+    return { match, behind: this.#log.lastIndex - match, heardAgo: this.#replicator.sinceContactMs(id) };
   }
 
   /** Whether the members in force are committed, and no exchange of voters is under way. */
@@ -207,9 +211,10 @@
     const now = this.#clock.now();
     this.#contact.tick();
     if (this.#replicator !== undefined) {
-      if (this.#replicator.majorityAgo() > this.#contact.limitMs) return this.#stepDown("no majority answers");
+      if (this.#replicator.sinceMajorityContactMs() > this.#contact.limitMs)
+        return this.#stepDown("no majority answers");
       if (this.#slowWatch.isSlow(now, this.#replicator.answerMs)) return this.#giveWay(now);
-      this.#replicator.askWaiting();
+      this.#replicator.heartbeatWaiting();
       return this.#replicator.sendHeartbeats();
     }
     const mayLead = this.memberExchange.voting(this.#commit).some((one) => one.id === this.id);
@@ -376,7 +381,7 @@
     // Its removal is committed: the others elect at once.
     if (this.isLeader && this.hasSettledMembers && !VoterSets.isVoter(this.members, this.id))
       this.#stepDown("it is no voter any more");
-    if (this.#compaction.isDue) this.#compact();
+    if (this.#compaction.shouldCompact) this.#compact();
   }
 
   #compact(): void {
@@ -396,6 +401,6 @@
   }
 
   #enlist(): void {
-    this.#replicator?.enlist(VoterSets.idSets(this.members), VoterSets.learnerIds(this.members));
+    this.#replicator?.setMembers(VoterSets.idSets(this.members), VoterSets.learnerIds(this.members));
   }
 }
--- a/packages/control/src/store/acceptedOrders.ts
+++ b/packages/control/src/store/acceptedOrders.ts
@@ -1,6 +1,6 @@
 import { create } from "@bufbuild/protobuf";
 import { KvSchema, type Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 
@@ -21,7 +21,7 @@
    * at or below a configuration without a record, which an earlier release put.
    */
   floor(keys: KeyReader): number {
-    const kept = AcceptedOrderKey.readFloor(keys.get(AcceptedOrderKey.floor)?.value);
+    const kept = AcceptedChangeKey.readFloor(keys.get(AcceptedChangeKey.floor)?.value);
     return Math.max(kept, unrecordedVersion(keys));
   },
 
@@ -40,10 +40,10 @@
   /** The records beyond the bound, lowest first, and the floor that stands for them. */
   surplus(keys: KeyReader, puts: readonly Kv[]): { floor: Kv; dropped: string[] } | undefined {
     if (versionsIn(puts).length === 0) return undefined;
-    const records = keys.range(AcceptedOrderKey.prefix);
-    const dropped = records.slice(0, Math.max(0, records.length - AcceptedOrderKey.maxRecords)).map(({ key }) => key);
+    const records = keys.range(AcceptedChangeKey.prefix);
+    const dropped = records.slice(0, Math.max(0, records.length - AcceptedChangeKey.maxRecords)).map(({ key }) => key);
     if (dropped.length === 0) return undefined;
-    const highest = AcceptedOrderKey.versionOf(dropped.at(-1)!) ?? 0;
+    const highest = AcceptedChangeKey.versionOf(dropped.at(-1)!) ?? 0;
     return { floor: floorKv(Math.max(highest, AcceptedOrders.floor(keys))), dropped };
   },
 };
@@ -52,13 +52,13 @@
 function unrecordedVersion(keys: KeyReader): number {
   const incarnations = keys.get(IncarnationsKey.name);
   const version = (incarnations === undefined ? undefined : IncarnationsKey.read(incarnations.value)?.version) ?? 0;
-  return version === 0 || keys.get(AcceptedOrderKey.of(version)) !== undefined ? 0 : version;
+  return version === 0 || keys.get(AcceptedChangeKey.of(version)) !== undefined ? 0 : version;
 }
 
 function versionsIn(puts: readonly Kv[]): number[] {
-  return puts.map(({ key }) => AcceptedOrderKey.versionOf(key)).filter((version) => version !== undefined);
+  return puts.map(({ key }) => AcceptedChangeKey.versionOf(key)).filter((version) => version !== undefined);
 }
 
 function floorKv(version: number): Kv {
-  return create(KvSchema, { key: AcceptedOrderKey.floor, value: AcceptedOrderKey.writeFloor(version) });
+  return create(KvSchema, { key: AcceptedChangeKey.floor, value: AcceptedChangeKey.writeFloor(version) });
 }
--- a/packages/core/src/configuration/configuration.test.ts
+++ b/packages/core/src/configuration/configuration.test.ts
@@ -83,7 +83,7 @@
   const journal = new ChangeJournal<Change>();
   const violated: string[] = [];
   const view = new ConfigurationView(journal, {
-    violated: (name, context) => void violated.push(`${name} ${context["told"]}`),
+    violated: (name, context) => void violated.push(`${name} ${context["notified"]}`),
   });
   for (const [version, revision] of [
     [3, 7],
--- a/packages/edge/src/cranetrack-edge.ts
+++ b/packages/edge/src/cranetrack-edge.ts
@@ -14,7 +14,7 @@
     stop: () => edge.drain(),
     isReady: () => edge.isReady,
     status: () => edge.status(),
-    take: ({ maxConnections, bufferBytes }) => Object.assign(edge.live, { maxConnections, bufferBytes }),
+    applySettings: ({ maxConnections, bufferBytes }) => Object.assign(edge.live, { maxConnections, bufferBytes }),
     stream: {
       pattern: EdgeCalls.connectionPath,
       open: (path, body, reply) =>
--- a/packages/testkit/src/sabotage/orderSabotages.ts
+++ b/packages/testkit/src/sabotage/orderSabotages.ts
@@ -63,7 +63,7 @@
   {
     name: "records of versions have no bound",
     file: "control/dist/store/acceptedOrders.js",
-    find: "records.length - AcceptedOrderKey.maxRecords",
+    find: "records.length - AcceptedChangeKey.maxRecords",
     put: "0",
     test: "control/dist/store/acceptedOrders.test.js",
   },
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -161,7 +161,7 @@
   {
     name: "receipts do not go back the way a frame came",
     file: "core/dist/rpc/rpcEndpoint.js",
-    find: "this.#unanswered(frame.from);",
+    find: "this.#markUnresponsive(frame.from);",
     put: ";",
     test: `${sim}/sessions.test.js`,
   },
--- a/packages/testkit/src/slopes/nodeSlopes.ts
+++ b/packages/testkit/src/slopes/nodeSlopes.ts
@@ -89,9 +89,9 @@
   async watchersProcessor(count: number): Promise<number> {
     const nodes = Array.from({ length: count }, (_, i) => ({ name: `vise-${i}`, zone: `zone-${i % 10}` }));
     const rounds = 20;
-    Rendezvous.spread("warm", nodes, 3);
+    Rendezvous.choose("warm", nodes, 3);
     const used = await Meter.processor(() => {
-      for (let i = 0; i < rounds; i += 1) Rendezvous.spread(`vise-${i}`, nodes, 3);
+      for (let i = 0; i < rounds; i += 1) Rendezvous.choose(`vise-${i}`, nodes, 3);
     });
     return used / rounds;
   },
