--- a/packages/control/src/configuration/judgeOrder.ts
+++ b/packages/control/src/configuration/judgeOrder.ts
@@ -1,6 +1,6 @@
 import type { Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { contentDigest, contentKind } from "@cranetrack/core/configuration/contentDigest.js";
-import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedChangeKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 
--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -6,7 +6,7 @@
   type ConfigurationRead,
 } from "@cranetrack/core/configuration/configuration.js";
 import { ConfigurationSchema } from "@cranetrack/core/configuration/configurationSchema.js";
-import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedChangeKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
--- a/packages/control/src/store/acceptedOrders.test.ts
+++ b/packages/control/src/store/acceptedOrders.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { create, toBinary } from "@bufbuild/protobuf";
 import { StoreCommandSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedChangeKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { expect } from "earl";
 import { Metadata } from "./metadata.js";
--- a/packages/control/src/store/acceptedOrders.ts
+++ b/packages/control/src/store/acceptedOrders.ts
@@ -1,6 +1,6 @@
 import { create } from "@bufbuild/protobuf";
 import { KvSchema, type Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedChangeKey.js";
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -7,7 +7,7 @@
 import { FailureDetector } from "./failureDetector.js";
 import { MemberTable } from "./memberTable.js";
 import { Rendezvous, RendezvousKeys } from "./rendezvous.js";
-import { MembershipUpdates } from "./rumours.js";
+import { MembershipUpdates } from "./membershipUpdates.js";
 
 /**
  * Who is there, after SWIM: a node sends heartbeats to the few watchers that rendezvous hashing names for it, and in
--- a/packages/core/src/rpc/wire.test.ts
+++ b/packages/core/src/rpc/wire.test.ts
@@ -2,7 +2,7 @@
 import { create, toBinary, type MessageInitShape } from "@bufbuild/protobuf";
 import { expect } from "earl";
 import { FrameSchema } from "../gen/cranetrack_pb.js";
-import { Checksum } from "./seal.js";
+import { Checksum } from "./checksum.js";
 import { Wire } from "./wire.js";
 
 const frame = Wire.encode({ id: 7, from: "vise-1", to: "anvil-1", body: { case: "ping", value: { about: "x" } } });
--- a/packages/core/src/rpc/wire.ts
+++ b/packages/core/src/rpc/wire.ts
@@ -1,7 +1,7 @@
 import { create, fromBinary, toBinary, type DescMessage, type MessageInitShape } from "@bufbuild/protobuf";
 import { BinaryWriter, WireType } from "@bufbuild/protobuf/wire";
 import { FrameSchema, type Frame } from "../gen/cranetrack_pb.js";
-import { Checksum } from "./seal.js";
+import { Checksum } from "./checksum.js";
 
 export type Body = Frame["body"];
 export type BodyInit = NonNullable<MessageInitShape<typeof FrameSchema>["body"]>;
--- a/packages/core/src/runtime/programHost.ts
+++ b/packages/core/src/runtime/programHost.ts
@@ -6,7 +6,7 @@
 import { LogBuffer } from "./logBuffer.js";
 import { NodeStatus } from "./nodeStatus.js";
 import { Router } from "../http/router.js";
-import { ChecksummedDisk } from "../storage/sealedDisk.js";
+import { ChecksummedDisk } from "../storage/checksummedDisk.js";
 import type { Settings, SettingsRead } from "./settings.js";
 import { SettingsWatch } from "./settingsWatch.js";
 import { TcpTransport } from "../transport/tcpTransport.js";
--- a/packages/core/src/storage/sealedDisk.ts
+++ b/packages/core/src/storage/checksummedDisk.ts
@@ -1,6 +1,6 @@
 import VError from "verror";
 import type { Disk, DiskChange } from "./disk.js";
-import { Checksum } from "../rpc/seal.js";
+import { Checksum } from "../rpc/checksum.js";
 
 /** A disk whose values carry checksums; a damaged one stops the process rather than be believed. */
 export class ChecksummedDisk implements Disk {
--- a/packages/core/src/storage/lmdbDisk.test.ts
+++ b/packages/core/src/storage/lmdbDisk.test.ts
@@ -6,7 +6,7 @@
 import { open } from "lmdb";
 import { expect } from "earl";
 import { LmdbDisk } from "./lmdbDisk.js";
-import { ChecksummedDisk } from "./sealedDisk.js";
+import { ChecksummedDisk } from "./checksummedDisk.js";
 
 const folderOf = (name: string): string => join(mkdtempSync(join(tmpdir(), "cranetrack-disk-")), name);
 
--- a/packages/testkit/src/golden/adapter.ts
+++ b/packages/testkit/src/golden/adapter.ts
@@ -13,7 +13,7 @@
 import { ChangeJournal } from "@cranetrack/core/feeds/changeJournal.js";
 import type { Change } from "@cranetrack/core/feeds/feedFollower.js";
 import * as messages from "@cranetrack/core/gen/cranetrack_pb.js";
-import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedChangeKey.js";
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
--- a/packages/testkit/src/golden/diskAdapter.ts
+++ b/packages/testkit/src/golden/diskAdapter.ts
@@ -6,12 +6,12 @@
 import { storeCompaction } from "@cranetrack/control/consensus/storeCompaction.js";
 import { Replica } from "@cranetrack/log-storage/replication/replica.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
-import { Checksum } from "@cranetrack/core/rpc/seal.js";
+import { Checksum } from "@cranetrack/core/rpc/checksum.js";
 import type { Disk, DiskChange } from "@cranetrack/core/storage/disk.js";
 import { JournalDisk } from "@cranetrack/core/storage/journalDisk.js";
 import { JournalRecord } from "@cranetrack/core/storage/journalRecord.js";
 import { LmdbDisk } from "@cranetrack/core/storage/lmdbDisk.js";
-import { ChecksummedDisk } from "@cranetrack/core/storage/sealedDisk.js";
+import { ChecksummedDisk } from "@cranetrack/core/storage/checksummedDisk.js";
 
 /** How a data folder is kept; the values of the setting `disk`. */
 export type DiskKind = "lmdb" | "journal";
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -62,7 +62,7 @@
   },
   {
     name: "frames carry no checksum",
-    file: "core/dist/rpc/seal.js",
+    file: "core/dist/rpc/checksum.js",
     find: "crc32(bytes) === sum",
     put: "true",
     test: "core/dist/rpc/wire.test.js",
--- a/packages/testkit/src/sim/hostile.test.ts
+++ b/packages/testkit/src/sim/hostile.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { create, ScalarType, type DescMessage, type Message, type MessageInitShape } from "@bufbuild/protobuf";
 import { FrameSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { Checksum } from "@cranetrack/core/rpc/seal.js";
+import { Checksum } from "@cranetrack/core/rpc/checksum.js";
 import { Wire, type BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { expect } from "earl";
 import { Checker } from "../checker/checker.js";
--- a/packages/testkit/src/sim/journalGrowth.ts
+++ b/packages/testkit/src/sim/journalGrowth.ts
@@ -6,7 +6,7 @@
 import { LogCompaction } from "@cranetrack/core/replication/logCompaction.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import { JournalDisk } from "@cranetrack/core/storage/journalDisk.js";
-import { ChecksummedDisk } from "@cranetrack/core/storage/sealedDisk.js";
+import { ChecksummedDisk } from "@cranetrack/core/storage/checksummedDisk.js";
 import { storeCompaction } from "@cranetrack/control/consensus/storeCompaction.js";
 
 export interface JournalGrowthReport {
--- a/packages/testkit/src/sim/simNode.ts
+++ b/packages/testkit/src/sim/simNode.ts
@@ -5,7 +5,7 @@
 import { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 import { NodeStatus } from "@cranetrack/core/runtime/nodeStatus.js";
 import { Router } from "@cranetrack/core/http/router.js";
-import { ChecksummedDisk } from "@cranetrack/core/storage/sealedDisk.js";
+import { ChecksummedDisk } from "@cranetrack/core/storage/checksummedDisk.js";
 import type { Settings } from "@cranetrack/core/runtime/settings.js";
 import { ControlNode } from "@cranetrack/control/controlNode.js";
 import { EdgeNode } from "@cranetrack/edge/edgeNode.js";
