--- a/packages/edge/src/cranetrack-edge.ts
+++ b/packages/edge/src/cranetrack-edge.ts
@@ -3,8 +3,9 @@
 import { HttpConnection } from "./connections/httpConnection.js";
 import { EdgeNode } from "./edgeNode.js";
 import { EdgeCalls } from "./edgeCalls.js";
+import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
-await new Program("vise", ["plan", "shards/"], ({ node, router }) => {
+await new Program(nodeRole.edge, ["plan", "shards/"], ({ node, router }) => {
   const edge = new EdgeNode(node, router);
   const calls = new EdgeCalls(edge, router);
   return {
@@ -13,7 +14,7 @@
     stop: () => edge.drain(),
     isReady: () => edge.isReady,
     status: () => edge.status(),
-    take: ({ mostLinks: maxConnections, bufferBytes }) => Object.assign(edge.live, { maxConnections, bufferBytes }),
+    applySettings: ({ maxConnections, bufferBytes }) => Object.assign(edge.live, { maxConnections, bufferBytes }),
     stream: {
       pattern: EdgeCalls.connectionPath,
       open: (path, body, reply) =>
--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -62,7 +62,7 @@
   },
   {
     name: "frames carry no checksum",
-    file: "core/dist/rpc/seal.js",
+    file: "core/dist/rpc/checksum.js",
     find: "crc32(bytes) === sum",
     put: "true",
     test: "core/dist/rpc/wire.test.js",
@@ -161,7 +161,7 @@
   {
     name: "receipts do not go back the way a frame came",
     file: "core/dist/rpc/rpcEndpoint.js",
-    find: "this.#unanswered(frame.from);",
+    find: "this.#markUnresponsive(frame.from);",
     put: ";",
     test: `${sim}/sessions.test.js`,
   },
