--- a/packages/control/src/configuration/startUp.test.ts
+++ b/packages/control/src/configuration/startUp.test.ts
@@ -15,7 +15,7 @@
   return /arktype is loaded/.exec(stderr.toString())?.[0] ?? stderr.toString();
 }
 
-test("a control node with its calls, the check of a configuration too, is loaded without arktype; only settings need it", () => {
+test("a control node, its calls and the check of a configuration load without arktype; only settings need it", () => {
   expect(load("../controlNode.js")).toEqual("");
   expect(load("readDocument.js")).toEqual("");
   expect(load("proposeConfiguration.js")).toEqual("");
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -201,7 +201,7 @@
     if (this.#identity.agreed === founded.founding) return this.#found(founded.founding, this.#identity.members);
     const { clock } = this.#node.parts;
     if (clock.now() < this.#restUntil) return;
-    const outcome = await MembershipStatus.ask(this.#node, founded.name, this.id);
+    const outcome = await MembershipStatus.requestJoin(this.#node, founded.name, this.id);
     if (outcome === "done") return this.#settle(founded.founding);
     this.isStandingBy = outcome === "standby" || (outcome === "away" && this.isStandingBy);
     if (!this.isStandingBy) return;
--- a/packages/control/src/store/acceptedOrders.ts
+++ b/packages/control/src/store/acceptedOrders.ts
@@ -15,7 +15,7 @@
  * Invariants: at most `mostRecords` are kept, the highest ones. Whatever has no record and was acknowledged once is
  * at or below the floor, and there no record is made any more: a version has one content in its whole life, or none.
  */
-export const AcceptedOrders = {
+export const AcceptedConfigurations = {
   /**
    * The version up to which it is not known which content was acknowledged: what was dropped, and what stands
    * at or below a configuration without a record, which an earlier release put.
@@ -28,13 +28,13 @@
   /** Whether a transaction would record a version whose first content may be forgotten. */
   isTooOld(keys: KeyReader, puts: readonly Kv[]): boolean {
     const versions = versionsIn(puts);
-    return versions.length > 0 && Math.min(...versions) <= AcceptedOrders.floor(keys);
+    return versions.length > 0 && Math.min(...versions) <= AcceptedConfigurations.floor(keys);
   },
 
   /** What goes with a transaction's puts: the floor, where one that was only implied is lost with them. */
   withFloor(keys: KeyReader, puts: readonly Kv[]): Kv[] {
     const implied = puts.some(({ key }) => key === ConfigurationKey.name) ? unrecordedVersion(keys) : 0;
-    return implied === 0 ? [...puts] : [floorKv(AcceptedOrders.floor(keys)), ...puts];
+    return implied === 0 ? [...puts] : [floorKv(AcceptedConfigurations.floor(keys)), ...puts];
   },
 
   /** The records beyond the bound, lowest first, and the floor that stands for them. */
@@ -44,7 +44,7 @@
     const dropped = records.slice(0, Math.max(0, records.length - AcceptedOrderKey.maxRecords)).map(({ key }) => key);
     if (dropped.length === 0) return undefined;
     const highest = AcceptedOrderKey.versionOf(dropped.at(-1)!) ?? 0;
-    return { floor: floorKv(Math.max(highest, AcceptedOrders.floor(keys))), dropped };
+    return { floor: floorKv(Math.max(highest, AcceptedConfigurations.floor(keys))), dropped };
   },
 };
 
--- a/packages/testkit/src/golden/adapter.ts
+++ b/packages/testkit/src/golden/adapter.ts
@@ -4,7 +4,7 @@
  */
 import { create, fromBinary, toBinary, type DescMessage, type Message } from "@bufbuild/protobuf";
 import { entryKind } from "@cranetrack/control/consensus/entryKind.js";
-import { digestOf } from "@cranetrack/control/configuration/judgeOrder.js";
+import { contentDigestOf } from "@cranetrack/control/configuration/judgeOrder.js";
 import { ConfigurationArchive } from "@cranetrack/control/configuration/configurationArchive.js";
 import { contentDigest, contentKind } from "@cranetrack/core/configuration/contentDigest.js";
 import { ConfigurationReader } from "@cranetrack/core/configuration/configurationReader.js";
@@ -129,12 +129,13 @@
     decode: (bytes) => ({ version: AcceptedOrderKey.readFloor(bytes) }),
   },
   "accepted configuration": {
-    encode: ({ text }: { text: string }) => digestOf({ version: 7, body: Buffer.from(text), document: undefined }),
+    encode: ({ text }: { text: string }) =>
+      contentDigestOf({ version: 7, body: Buffer.from(text), document: undefined }),
     decode: (bytes) => Buffer.from(bytes).toString("hex"),
   },
   "accepted document": {
     encode: ({ text }: { text: string }) =>
-      digestOf({ version: 7, body: Buffer.from("{}"), document: Buffer.from(text) }),
+      contentDigestOf({ version: 7, body: Buffer.from("{}"), document: Buffer.from(text) }),
     decode: (bytes) => Buffer.from(bytes).toString("hex"),
   },
   "drain request": {
@@ -298,7 +299,7 @@
       const incarnations = IncarnationsKey.write({ version, spaces: {} });
       journal.append({ key: IncarnationsKey.name, value: incarnations, revision: version });
       journal.append({ key: ConfigurationKey.name, value: Buffer.from(text), revision: version });
-      await archive.settled();
+      await archive.whenIdle();
     },
     versions: () => archive.versions(),
   };
--- a/packages/testkit/src/sabotage/logSabotages.ts
+++ b/packages/testkit/src/sabotage/logSabotages.ts
@@ -173,14 +173,14 @@
   {
     name: "the archive of plans grows for ever",
     file: "control/dist/configuration/configurationArchive.js",
-    find: "await this.#turnWhenFull();",
+    find: "await this.#rotateWhenFull();",
     put: "",
     test: "control/dist/configuration/configurationArchive.test.js",
   },
   {
     name: "any number of plans wait for the archive",
     file: "control/dist/configuration/configurationArchive.js",
-    find: "if (this.#waiting.length > _a.maxWaiting)",
+    find: "if (this.#pending.length > _a.maxPending)",
     put: "if (false)",
     test: "control/dist/configuration/configurationArchive.test.js",
   },
--- a/packages/testkit/src/sabotage/orderSabotages.ts
+++ b/packages/testkit/src/sabotage/orderSabotages.ts
@@ -7,7 +7,7 @@
   {
     name: "a plan needs no rising mark",
     file: "control/dist/configuration/judgeOrder.js",
-    find: "order.version > versionInForce",
+    find: "change.version > versionInForce",
     put: "true",
     test: `${sim}/store.test.js`,
   },
@@ -21,15 +21,15 @@
   {
     name: "an acknowledged version's content is not recorded",
     file: "control/dist/configuration/judgeOrder.js",
-    find: "facts.record !== undefined",
+    find: "inputs.record !== undefined",
     put: "false",
     test: `${sim}/orders.test.js`,
   },
   {
     name: "a superseded order is acknowledged before its record is committed",
     file: "control/dist/configuration/proposeConfiguration.js",
-    find: "return settled(order, await node.store.txn({ checks: [check]",
-    put: "return accepted(order.version, 0); settled(order, await node.store.txn({ checks: [check]",
+    find: "return replyToWrite(change, await node.store.txn({ checks: [check]",
+    put: "return accepted(change.version, 0); replyToWrite(change, await node.store.txn({ checks: [check]",
     test: `${sim}/orders.test.js`,
   },
   {
@@ -70,7 +70,7 @@
   {
     name: "a version is recorded again once its record was dropped",
     file: "control/dist/store/acceptedOrders.js",
-    find: "Math.min(...versions) <= AcceptedOrders.floor(keys)",
+    find: "Math.min(...versions) <= AcceptedConfigurations.floor(keys)",
     put: "false",
     test: "control/dist/store/acceptedOrders.test.js",
   },
@@ -84,14 +84,14 @@
   {
     name: "histories: contents are not recorded",
     file: "control/dist/configuration/judgeOrder.js",
-    find: "facts.record !== undefined",
+    find: "inputs.record !== undefined",
     put: "false",
     test: `${sim}/orderHistories.test.js`,
   },
   {
     name: "histories: a configuration is put over whatever came between",
     file: "control/dist/configuration/proposeConfiguration.js",
-    find: "checks: [{ key: ConfigurationKey.name, revision: facts.configuration?.revision ?? 0 }]",
+    find: "checks: [{ key: ConfigurationKey.name, revision: inputs.configuration?.revision ?? 0 }]",
     put: "checks: []",
     test: `${sim}/orderHistories.test.js`,
   },
@@ -106,7 +106,7 @@
     name: "histories: a lost answer of the store is a refusal",
     file: "control/dist/configuration/proposeConfiguration.js",
     find: 'return ApiReplies.unknown("the lathes did not answer',
-    put: 'return stale(order.version, 0, "the lathes did not answer',
+    put: 'return stale(change.version, 0, "the lathes did not answer',
     test: `${sim}/orderHistories.test.js`,
   },
   {
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -217,7 +217,7 @@
   {
     name: "a living space may change its order",
     file: "control/dist/configuration/proposeConfiguration.js",
-    find: "if (turned.length > 0)",
+    find: "if (orderFaults.length > 0)",
     put: "if (false)",
     test: `${sim}/streams.test.js`,
   },
--- a/packages/testkit/src/sim/drains.test.ts
+++ b/packages/testkit/src/sim/drains.test.ts
@@ -202,13 +202,13 @@
   };
   // A machine that is there, then as many that have left as are kept.
   await write("vise-2");
-  const gone = Array.from({ length: DrainMachine.maxWishes }, (_, i) => `gone-${i}`);
+  const gone = Array.from({ length: DrainMachine.maxRequests }, (_, i) => `gone-${i}`);
   await write(gone[0]!, gone[1]!);
   await write(...gone.slice(2));
   expect((await ask("lathe-2", "PUT", path("lathe-1")))["status"]).toEqual(200);
   const { metadata } = fleet.find(fleet.leader!)!.control!.raft!;
   const kept = metadata.range("machines/").map((kv) => kv.key.split("/")[1]!);
-  expect(kept.length).toEqual(DrainMachine.maxWishes);
+  expect(kept.length).toEqual(DrainMachine.maxRequests);
   expect(["vise-2", "lathe-1", gone[0]!, gone[1]!, gone[2]!].map((name) => kept.includes(name))).toEqual([
     true,
     true,
