--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -18,7 +18,7 @@
   ConfigurationChangeKeys,
   type ConfigurationChange,
   type ConfigurationChangeInputs,
-} from "./judgeOrder.js";
+} from "./decideConfigurationChange.js";
 import { checkConfigurationCapacity } from "./configurationCapacity.js";
 
 /** Of an order that loses a race again and again, each time to another one that was taken. */
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -12,7 +12,7 @@
 import { Founding } from "./consensus/founding.js";
 import { RaftNode } from "./consensus/raftNode.js";
 import { DiskWatch } from "./membership/diskWatch.js";
-import { transferVote } from "./membership/handOverVote.js";
+import { transferVote } from "./membership/transferVote.js";
 import { MembershipStatus } from "./membership/membershipStatus.js";
 import { StoreService } from "./store/storeService.js";
 
--- a/packages/control/src/membership/memberChanges.ts
+++ b/packages/control/src/membership/memberChanges.ts
@@ -5,7 +5,7 @@
 import type { Outcome } from "@cranetrack/core/store/storeClient.js";
 import type { RaftNode } from "../consensus/raftNode.js";
 import { VoterSets } from "../consensus/voterSets.js";
-import { VoterChoice, type VoterInputs } from "./voterPlan.js";
+import { VoterChoice, type VoterInputs } from "./voterChoice.js";
 
 interface CatchUpRound {
   /** What an earlier leadership of this node saw says nothing of the learner now. */
--- a/packages/control/src/membership/voterPlan.test.ts
+++ b/packages/control/src/membership/voterChoice.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import type { StoreMember } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { expect } from "earl";
-import { VoterChoice } from "./voterPlan.js";
+import { VoterChoice } from "./voterChoice.js";
 
 /** Members by letter; a capital letter is the same machine with another disk. */
 const list = (letters: string): StoreMember[] =>
--- a/packages/control/src/store/metadata.ts
+++ b/packages/control/src/store/metadata.ts
@@ -11,7 +11,7 @@
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { PackedValue } from "@cranetrack/core/store/packedValue.js";
-import { AcceptedConfigurations } from "./acceptedOrders.js";
+import { AcceptedConfigurations } from "./acceptedConfigurations.js";
 
 const BTree = BTreeModule.default;
 
--- a/packages/testkit/src/golden/adapter.ts
+++ b/packages/testkit/src/golden/adapter.ts
@@ -4,7 +4,7 @@
  */
 import { create, fromBinary, toBinary, type DescMessage, type Message } from "@bufbuild/protobuf";
 import { entryKind } from "@cranetrack/control/consensus/entryKind.js";
-import { contentDigestOf } from "@cranetrack/control/configuration/judgeOrder.js";
+import { contentDigestOf } from "@cranetrack/control/configuration/decideConfigurationChange.js";
 import { ConfigurationArchive } from "@cranetrack/control/configuration/configurationArchive.js";
 import { contentDigest, contentKind } from "@cranetrack/core/configuration/contentDigest.js";
 import { ConfigurationReader } from "@cranetrack/core/configuration/configurationReader.js";
