--- a/packages/testkit/src/sabotage/configurationSabotages.ts
+++ b/packages/testkit/src/sabotage/configurationSabotages.ts
@@ -70,8 +70,8 @@
   {
     name: "a node is told each change of a large configuration at once",
     file: "control/dist/store/feeds.js",
-    find: "feed.paceTo = now +",
-    put: "feed.paceTo = 0 *",
+    find: "feed.largeNotBefore = now +",
+    put: "feed.largeNotBefore = 0 *",
     test: storm,
   },
   {
--- a/packages/testkit/src/sabotage/cutOffSabotages.ts
+++ b/packages/testkit/src/sabotage/cutOffSabotages.ts
@@ -14,7 +14,7 @@
   {
     name: "a feed begins with what its member has, whatever was committed",
     file: "control/dist/store/feeds.js",
-    find: "this.#raft.metadata.revision < feed.confirmed",
+    find: "this.#raft.metadata.revision < feed.requiredRevision",
     put: "false",
     test,
   },
