--- a/packages/control/src/store/storeService.ts
+++ b/packages/control/src/store/storeService.ts
@@ -1,4 +1,4 @@
-import { create, toBinary } from "@bufbuild/protobuf";
+import { create, toBinary, type MessageInitShape } from "@bufbuild/protobuf";
 import {
   KvSchema,
   StoreCallSchema,
@@ -14,40 +14,42 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { packing, PackedValue } from "@cranetrack/core/store/packedValue.js";
 import type { Outcome } from "@cranetrack/core/store/storeClient.js";
-import { mayRepeatStoreCall } from "@cranetrack/core/rpc/callKinds.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { Feeds } from "./feeds.js";
+import { LeaderForwarding } from "./leaderForwarding.js";
 import { Leases } from "./leases.js";
 import type { RaftNode } from "../consensus/raftNode.js";
 import { ValueHistory } from "./valueHistory.js";
 import { MemberChanges } from "../membership/memberChanges.js";
 
-/** Takes every call on the store; what only the leader can answer is passed on to it, once. */
+/**
+ * Answers every call on the metadata store. The leader answers it itself, with reads confirmed by a majority; another
+ * control node forwards it.
+ * Outcomes: `away`, not done and never will be; `unsure`, may have been done; `lost`, the lease is gone; `rebase`, the
+ * value is wanted whole.
+ */
 export class StoreService {
-  readonly #node: ClusterNode;
   readonly #raft: RaftNode;
   readonly #leases: Leases;
   readonly #feeds: Feeds;
   readonly #values = new ValueHistory();
   readonly #memberChanges: MemberChanges;
+  readonly #forwarding: LeaderForwarding;
 
   constructor(node: ClusterNode, raft: RaftNode) {
-    this.#node = node;
     this.#raft = raft;
+    this.#forwarding = new LeaderForwarding(node, raft, (calls) => this.#runAll(calls));
     this.#leases = new Leases(
       raft,
       node.parts.clock,
-      (lease) =>
-        void raft.propose(
-          toBinary(StoreCommandSchema, create(StoreCommandSchema, { command: { case: "revoke", value: { lease } } })),
-        ),
+      (lease) => void raft.propose(encodeCommand({ case: "revoke", value: { lease } })),
     );
-    const look = create(StoreCallSchema, { call: { case: "read", value: {} } });
+    const emptyRead = create(StoreCallSchema, { call: { case: "read", value: {} } });
     this.#values.reset(raft.metadata.range(""));
     raft.on("applied", ({ changes }) => this.#values.keep(changes));
     raft.on("snapshotInstalled", () => this.#values.reset(raft.metadata.range("")));
     this.#feeds = new Feeds(node, raft, this.#values, async () => {
-      const { outcome, revision } = await this.run(look);
+      const { outcome, revision } = await this.run(emptyRead);
       return outcome === "done" ? revision : undefined;
     });
     node.rpc.serve("storeCall", async (call): Promise<BodyInit> => ({
@@ -61,18 +63,17 @@
     this.#memberChanges = new MemberChanges(node, raft);
   }
 
+  /** Carries out one call, here or at the leader. */
   async run(call: StoreCall): Promise<Outcome> {
     if (call.call.case === "feeds") return { outcome: "done", feeds: this.#feeds.states() };
-    if (!this.#raft.isLeader) return (await this.#pass([call]))[0]!;
+    if (!this.#raft.isLeader) return (await this.#forwarding.forward([call]))[0]!;
     switch (call.call.case) {
       case "txn":
         if (!this.#rebase(call.call.value)) return { outcome: "rebase" };
       // falls through
       case "grant":
       case "revoke": {
-        const applied = await this.#raft.propose(
-          toBinary(StoreCommandSchema, create(StoreCommandSchema, { command: call.call })),
-        );
+        const applied = await this.#raft.propose(encodeCommand(call.call));
         return applied === undefined
           ? { outcome: "unsure", retryAfterSeconds: 1 }
           : { outcome: applied.outcome, revision: applied.revision, kvs: this.#packed(applied.kvs) };
@@ -93,23 +94,24 @@
     }
   }
 
-  /** Calls of one kind, made in one turn somewhere: passed on in one frame. */
+  /** Calls that a node made in one turn: forwarded in one frame. */
   #runAll(calls: StoreCall[]): Promise<Outcome[]> {
-    return this.#raft.isLeader ? Promise.all(calls.map((call) => this.run(call))) : this.#pass(calls);
+    return this.#raft.isLeader ? Promise.all(calls.map((call) => this.run(call))) : this.#forwarding.forward(calls);
   }
 
-  /** Their nodes go on at other control nodes at once. */
+  /** Tells the nodes that follow the store here to go on at other control nodes at once. */
   closeFeeds(reason: string): void {
     this.#feeds.closeAll(reason);
   }
 
+  /** What each node with a feed at this control node has acknowledged. */
   get feeds(): FeedState[] {
     return this.#feeds.states();
   }
 
   /**
-   * Makes differences from earlier versions such from the present one, to which alone the log's entries apply.
-   * False where an earlier version is not known here any more.
+   * Turns differences from earlier versions into differences from the present one: only to that do the log's entries
+   * apply. False where an earlier version is no longer known here.
    */
   #rebase({ puts }: Txn): boolean {
     for (const put of puts) {
@@ -122,7 +124,7 @@
     return true;
   }
 
-  /** For a receiver that has these versions, and maybe none. */
+  /** Large values packed for a receiver that has these versions, and maybe none. */
   #packed(kvs: readonly Kv[], known: readonly Check[] = []): Kv[] {
     const revisionOf = (key: string): number => known.find((check) => check.key === key)?.revision ?? 0;
     return kvs.map((kv) => this.#values.packFrom(kv, revisionOf(kv.key)));
@@ -143,43 +145,14 @@
     };
   }
 
+  /** The voters as a key of the store, which they are not: for reading only. */
   #members(): Kv[] {
     const voting = this.#raft.memberExchange.voting(this.#raft.commit);
-    const voters = [...new Set(voting.map((one) => one.name))];
+    const voters = [...new Set(voting.map((member) => member.name))];
     return [create(KvSchema, { key: MembersKey.name, value: MembersKey.write({ voters }) })];
   }
+}
 
-  async #pass(calls: StoreCall[]): Promise<Outcome[]> {
-    const all = (outcome: Outcome): Outcome[] => calls.map(() => outcome);
-    const leader = this.#raft.leaderName;
-    if (calls.some((call) => call.isForwarded) || leader === "" || leader === this.#node.rpc.name)
-      return all({ outcome: "away", retryAfterSeconds: 1, reason: "no proposer is known" });
-    const kinds = new Set(calls.map((call) => call.call.case));
-    const isRepeatable = calls.every((call) => mayRepeatStoreCall(call.call.case));
-    const passed = this.#node.rpc.call(
-      leader,
-      { case: "storeBatch", value: { calls: calls.map(({ call }) => ({ call, isForwarded: true })) } },
-      kinds.has("renew") ? 800 : 450,
-    );
-    // What may be repeated may as well be asked of the next leader, once there is one.
-    const body = await (isRepeatable ? this.#unlessLed(passed) : passed);
-    if (body === "led") return this.#runAll(calls);
-    if (body?.case === "storeBatchReply" && body.value.replies.length === calls.length) return body.value.replies;
-    return all({ outcome: "unsure", retryAfterSeconds: 0.5 });
-  }
-
-  /** What was passed on, or word that another proposes now: maybe this control node itself. */
-  #unlessLed<T>(passed: Promise<T>): Promise<T | "led"> {
-    return new Promise((resolve) => {
-      const end = (settled: T | "led"): void => {
-        this.#raft.off("led", led);
-        this.#raft.off("elected", led);
-        resolve(settled);
-      };
-      const led = (): void => end("led");
-      this.#raft.on("led", led);
-      this.#raft.on("elected", led);
-      void passed.then(end);
-    });
-  }
+function encodeCommand(command: MessageInitShape<typeof StoreCommandSchema>["command"]): Uint8Array {
+  return toBinary(StoreCommandSchema, create(StoreCommandSchema, { command }));
 }
--- a/packages/testkit/src/sabotage/callSabotages.ts
+++ b/packages/testkit/src/sabotage/callSabotages.ts
@@ -113,7 +113,7 @@
   },
   {
     name: "a lathe passes on again what may not be repeated",
-    file: "control/dist/store/storeService.js",
+    file: "control/dist/store/leaderForwarding.js",
     find: "const isRepeatable = calls.every((call) => mayRepeatStoreCall(call.call.case));",
     put: "const isRepeatable = true;",
     test: `${sim}/calls.test.js`,
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -272,8 +272,8 @@
   },
   {
     name: "who proposes itself waits for the proposer before",
-    file: "control/dist/store/storeService.js",
-    find: 'this.#raft.on("elected", led);',
+    file: "control/dist/store/leaderForwarding.js",
+    find: 'this.#raft.on("elected", onLeader);',
     put: "",
     test: `${sim}/store.test.js`,
   },
