--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -217,7 +217,7 @@
   {
     name: "a living space may change its order",
     file: "control/dist/configuration/proposeConfiguration.js",
-    find: "if (turned.length > 0)",
+    find: "if (orderFaults.length > 0)",
     put: "if (false)",
     test: `${sim}/streams.test.js`,
   },
@@ -272,8 +272,8 @@
   },
   {
     name: "who proposes itself waits for the proposer before",
-    file: "control/dist/store/storeService.js",
-    find: 'this.#raft.on("elected", led);',
+    file: "control/dist/store/leaderForwarding.js",
+    find: 'this.#raft.on("elected", onLeader);',
     put: "",
     test: `${sim}/store.test.js`,
   },
