--- a/packages/testkit/src/slopes/slopeRuns.ts
+++ b/packages/testkit/src/slopes/slopeRuns.ts
@@ -14,7 +14,10 @@
 const many = [25_000, 50_000, 100_000];
 const nodes = [800, 1600, 3200];
 
-/** Every slope that the capacity page stands on; each can be measured again by its name. */
+/**
+ * Every slope that the capacity page stands on; each can be measured again by its name. The names rest in slopes.json:
+ * they stay as they are, `plan` for the configuration among them.
+ */
 export const slopeRuns: Readonly<Record<string, SlopeRun>> = {
   connection: {
     what: "resident memory of an edge by open HTTP links, each with a session and one subscription",
@@ -177,21 +180,21 @@
     sizes: [6, 24, 54],
     run: NodeSlopes.leaseIdleBytes,
   },
-  configuration: {
+  plan: {
     what: "a plan as the store keeps and pushes it, by spaces",
     unit: "bytes",
     per: "space",
     sizes: [100, 1000, 4000],
     run: NodeSlopes.configurationBytes,
   },
-  configurationHeap: {
+  planHeap: {
     what: "heap of a plan that a node has taken up",
     unit: "bytes",
     per: "space",
     sizes: [100, 1000, 4000],
     run: NodeSlopes.configurationHeapBytes,
   },
-  configurationTime: {
+  planTime: {
     what: "processor time of a node to read a plan",
     unit: "microseconds",
     per: "space",
