--- /dev/null
+++ b/packages/testkit/src/commands/soakCommand.ts
@@ -0,0 +1,61 @@
+import { join } from "node:path";
+import type { CAC } from "cac";
+import { Deployments } from "../fleet/deployments.js";
+import { Fleet } from "../fleet/fleet.js";
+import { Soak, type SoakProfile, type SoakReport } from "../fleet/soak.js";
+import { knownName } from "../names/knownName.js";
+import { folderOf, settingsOf, type FleetOptions } from "./sharedOptions.js";
+
+interface SoakOptions extends FleetOptions {
+  seconds: number;
+  from: number;
+  seeds: number;
+  profile: SoakProfile;
+}
+
+async function soakOnce(name: string, seed: number, options: SoakOptions): Promise<SoakReport> {
+  const deployment = Deployments.find(name);
+  const relayed = Deployments.machines(deployment).map((machine) => machine.name);
+  const folder = join(folderOf(options.folder), `seed-${seed}`);
+  const fleet = new Fleet(deployment, folder, relayed, settingsOf(options.set));
+  const soak = new Soak(fleet, seed);
+  try {
+    await fleet.start();
+    await fleet.held();
+    return await soak.run(options.seconds, options.profile);
+  } finally {
+    soak.halt();
+    await fleet.stop();
+  }
+}
+
+function printReport({ breaches, faults, ...figures }: SoakReport): void {
+  // Scripts read this line: its keys stay as they were first printed.
+  process.stdout.write(`${JSON.stringify({ ...figures, troubles: faults.length, breaches: breaches.length })}\n`);
+  for (const { rule, text } of breaches.slice(0, 10)) process.stdout.write(`  ${rule}: ${text}\n`);
+  if (breaches.length > 0)
+    for (const { kind, name, from, to } of faults) process.stdout.write(`  ${from} to ${to}: ${kind} ${name}\n`);
+}
+
+/** `soak`: random faults of real processes that overlap, a fleet and a history for each seed. */
+export function registerSoak(cli: CAC): void {
+  cli
+    .command("soak <deployment>", "Real processes under random faults that overlap, checked, one seed after the other")
+    .option("--seconds <n>", "How long faults go on for a seed", { default: 60 })
+    .option("--from <seed>", "First seed", { default: 1 })
+    .option("--seeds <n>", "How many seeds", { default: 5 })
+    .option("--profile <name>", "any, or disks: one disk lost after the other as soon as users may", { default: "any" })
+    .option("--folder <folder>", "Where settings, data and logs go")
+    .example("cranetrack-lab soak control --seconds 30 --seeds 2")
+    .action(async (name: string, options: SoakOptions) => {
+      knownName("profile", options.profile, ["any", "disks"]);
+      let failed = 0;
+      for (let seed = options.from; seed < options.from + options.seeds; seed += 1) {
+        const report = await soakOnce(name, seed, options);
+        if (report.breaches.length > 0) failed += 1;
+        printReport(report);
+      }
+      process.stdout.write(`${options.seeds - failed} passed, ${failed} failed\n`);
+      process.exitCode = failed === 0 ? 0 : 1;
+    });
+}
--- a/packages/testkit/src/explore/exploreCommand.ts
+++ b/packages/testkit/src/explore/exploreCommand.ts
@@ -2,6 +2,7 @@
 import type { Action } from "./action.js";
 import { ExhaustiveSearch } from "./exhaustiveSearch.js";
 import { RandomWalk, type WalkReport } from "./randomWalk.js";
+import { knownName, knownNames } from "../names/knownName.js";
 import { profiles } from "./profiles.js";
 import { scenarios, searchOf } from "./scenarios.js";
 import { Trace, type FoundTrace } from "./trace.js";
@@ -36,10 +37,7 @@
 
 async function walk(options: ExploreOptions, ignored: PropertyName[], say: Say): Promise<boolean> {
   const { seed, walks, steps, machines, voters } = options;
-  const names = options.profiles.split(",");
-  const unknown = names.filter((name) => profiles[name] === undefined);
-  if (unknown.length > 0)
-    throw new Error(`no profile ${unknown.join()}; there are ${Object.keys(profiles).join(", ")}`);
+  const names = knownNames("profile", options.profiles, Object.keys(profiles))!;
   const world: WorldSettings = { machines, voters, syncsAtOnce: false, isTended: names.includes("tended"), ignored };
   const report = await new RandomWalk({ world, profiles: names, seed, walks, steps, shrinkMs }).run();
   say(
@@ -50,9 +48,8 @@
 }
 
 async function search(options: ExploreOptions, ignored: PropertyName[], say: Say): Promise<boolean> {
-  const chosen = scenarios.filter(({ name }) => options.search === "all" || name === options.search);
-  if (chosen.length === 0)
-    throw new Error(`no scenario ${options.search}; all, ${scenarios.map((one) => one.name).join(", ")}`);
+  const name = knownName("scenario", options.search!, ["all", ...scenarios.map((scenario) => scenario.name)]);
+  const chosen = scenarios.filter((scenario) => name === "all" || scenario.name === name);
   let isGood = true;
   for (const scenario of chosen) {
     const world = { ...scenario.world, ignored };
--- a/packages/testkit/src/fleet/chaosDrill.ts
+++ b/packages/testkit/src/fleet/chaosDrill.ts
@@ -22,11 +22,13 @@
   max: number;
   above2000: number;
 }
-type Target = "edge" | "holder" | "proposer";
+type Target = (typeof ChaosDrill.targets)[number];
 
 /** Causes failures on a real fleet under load, one after the other, and measures how long service takes to be back. */
 export class ChaosDrill {
   static readonly backMs = 12_000;
+  /** On what kind of machine a fault is caused; also the words of `--targets`. */
+  static readonly targets = ["edge", "holder", "proposer"] as const;
   static readonly names = [
     "kill",
     "freeze",
@@ -55,7 +57,7 @@
   /**
    * The named drills; the first four on an edge, on a machine that holds shards, and on the control node that proposes.
    */
-  async run(names: readonly string[], targets: readonly Target[] = ["edge", "holder", "proposer"]): Promise<void> {
+  async run(names: readonly string[], targets: readonly Target[] = ChaosDrill.targets): Promise<void> {
     const each = async (inject: (name: string, target: Target) => Promise<void>): Promise<void> => {
       for (const target of targets) await inject(await this.#find(target), target);
     };
--- a/packages/testkit/src/fleet/deployments.ts
+++ b/packages/testkit/src/fleet/deployments.ts
@@ -1,3 +1,4 @@
+import { knownName } from "../names/knownName.js";
 import type { Settings } from "@cranetrack/core/runtime/settings.js";
 import type { Configuration } from "@cranetrack/core/configuration/configuration.js";
 
@@ -82,10 +83,9 @@
 export const Deployments = {
   names: Object.keys(deployments),
 
+  /** By its name; `UnknownNameError` where there is none. */
   find(name: string): Deployment {
-    const found = deployments[name];
-    if (found === undefined) throw new Error(`there is no deployment ${name}: ${Deployments.names.join(", ")}`);
-    return found;
+    return deployments[knownName("deployment", name, Deployments.names)]!;
   },
 
   machines({ zones, edges, name, storingControlNodes }: Deployment): Machine[] {
--- a/packages/testkit/src/slopes/slopeRecord.ts
+++ b/packages/testkit/src/slopes/slopeRecord.ts
@@ -2,6 +2,7 @@
 import { readFileSync, writeFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
 import type { MeasuredSlope } from "../capacity/slopes.js";
+import { knownName } from "../names/knownName.js";
 import { slopeRuns, type SlopeRun } from "./slopeRuns.js";
 
 const path = fileURLToPath(new URL("../../slopes.json", import.meta.url));
@@ -21,10 +22,7 @@
   },
 
   find(name: string): SlopeRun {
-    const run = slopeRuns[name];
-    if (run === undefined)
-      throw new Error(`no slope is called ${name}; there are ${Object.keys(slopeRuns).join(", ")}`);
-    return run;
+    return slopeRuns[knownName("slope", name, Object.keys(slopeRuns))]!;
   },
 
   /** Each size in a process of its own, so that none works in what another left behind. */
@@ -34,7 +32,7 @@
       Number(execFileSync(process.execPath, [lab, "slope", name, "--only", `${size}`], { encoding: "utf8" }));
     const points = (sizes ?? run.sizes).map((size): [number, number] => [size, valueAt(size)]);
     const { what, unit, per } = run;
-    const command = `jig slope ${name}${sizes === undefined ? "" : ` --sizes ${sizes.join()}`}`;
+    const command = `cranetrack-lab slope ${name}${sizes === undefined ? "" : ` --sizes ${sizes.join()}`}`;
     return { what, unit, per, points, command, date: new Date().toISOString().slice(0, 16), commit: commit() };
   },
 };
