--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -9,14 +9,14 @@
 import type { Fleet } from "./fleet.js";
 import { Load } from "./load.js";
 import { SoakOperators } from "./soakOperators.js";
-import { SoakFaultInjector, type Trouble } from "./soakFaultInjector.js";
+import { SoakFaultInjector, type InjectedFault } from "./soakFaultInjector.js";
 
 /** Any troubles, or disks lost one after the other as soon as the users may. */
 export type SoakProfile = "any" | "disks";
 export interface SoakReport {
   seed: number;
   breaches: Breach[];
-  faults: readonly Trouble[];
+  faults: readonly InjectedFault[];
   accepted: number;
   received: number;
   passed: number;
--- a/packages/testkit/src/fleet/soakFaultInjector.ts
+++ b/packages/testkit/src/fleet/soakFaultInjector.ts
@@ -2,7 +2,7 @@
 import type { SimRandom } from "../sim/simRandom.js";
 
 /** What was done to a process, from when to when, in milliseconds since the soak began. */
-export interface Trouble {
+export interface InjectedFault {
   readonly kind: SoakFaultKind;
   readonly name: string;
   readonly from: number;
@@ -34,7 +34,7 @@
   readonly #busy = new Set<string>();
   /** Since when every machine with a disk is well. */
   #wellSince = 0;
-  readonly done: Trouble[] = [];
+  readonly done: InjectedFault[] = [];
 
   constructor(fleet: Fleet, random: SimRandom, now: () => number) {
     this.#fleet = fleet;
@@ -98,13 +98,13 @@
     const from = this.#now();
     this.#busy.add(name);
     const ms = this.#random.between(300, 4000);
-    await this.#act(kind, name, ms);
+    await this.#inject(kind, name, ms);
     this.#busy.delete(name);
     if (this.#hasDisk(name)) this.#wellSince = this.#now();
     this.done.push({ kind, name, from: Math.round(from), to: Math.round(this.#now()) });
   }
 
-  async #act(kind: SoakFaultKind, name: string, ms: number): Promise<void> {
+  async #inject(kind: SoakFaultKind, name: string, ms: number): Promise<void> {
     const fleet = this.#fleet;
     switch (kind) {
       case "kill":
