--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -140,7 +140,9 @@
   {
     name: "a founded lathe agrees again",
     file: "control/dist/consensus/founding.js",
-    find: "const founded = controlNodes.find((member) => member.isInStore) ?? controlNodes.find((member) => member.isFounded);",
+    find:
+      "const founded = controlNodes.find((member) => member.isInStore) " +
+      "?? controlNodes.find((member) => member.isFounded);",
     put: "const founded = undefined;",
     test: `${sim}/store.test.js`,
   },
@@ -197,14 +199,18 @@
     name: "an edge judges a place by what it has heard",
     file: "edge/dist/subscriptions/findStarts.js",
     find: 'return isHeard ? { topic, tail, cursor, expired: "" } : undefined;',
-    put: 'return { topic, tail, cursor: { incarnation: tail.incarnation, seq: tail.head }, expired: isHeard ? "" : "unheard" };',
+    put:
+      "return { topic, tail, cursor: { incarnation: tail.incarnation, " +
+      'seq: tail.head }, expired: isHeard ? "" : "unheard" };',
     test: `${sim}/streams.test.js`,
   },
   {
     name: "births are kept from the space's earlier life",
     file: "control/dist/store/metadata.js",
     find: "IncarnationsKey.next(before === undefined ? undefined : IncarnationsKey.read(before.value), outline)",
-    put: 'IncarnationsKey.next({ version: 0, spaces: { "notes/": 1, "notices/": 1, "extra/": 1 }, ended: {} }, outline)',
+    put:
+      'IncarnationsKey.next({ version: 0, spaces: { "notes/": 1, "notices/": ' +
+      '1, "extra/": 1 }, ended: {} }, outline)',
     test: `${sim}/streams.test.js`,
   },
   {
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -72,35 +72,38 @@
   expect(fleet.find(fleet.leader!)!.control!.raft!.metadata.get(key)).toEqual(undefined);
 });
 
-test("a transaction that a control node passed on is not passed on again when another proposes; a revocation is", async () => {
-  const { fleet } = await startTestFleet(9102);
-  const old = fleet.leader!;
-  const passed: string[] = [];
-  fleet.wires.mutate = (from, _to, bytes) => {
-    const body = Wire.decode(bytes)?.body;
-    const calls = body?.case === "storeBatch" ? body.value.calls : [];
-    for (const { call, isForwarded } of calls) if (isForwarded) passed.push(call.case!);
-    return body?.case === "storeBatchReply" && from === fleet.addressOf(old) ? [] : undefined;
-  };
-  const other = fleet.withRole("lathe").find((name) => name !== old)!;
-  const { rpc } = fleet.find("vise-1")!.node;
-  const outcomes: string[] = [];
-  const ask = (call: StoreChange): void => {
-    const onReply = (body: Body | undefined): void =>
-      void outcomes.push(`${call.case} ${body?.case === "storeReply" ? body.value.outcome : "silent"}`);
-    void rpc.call(other, { case: "storeCall", value: { call } }, 3000).then(onReply);
-  };
-  await fleet.run(20);
-  passed.length = 0;
-  ask({ case: "txn", value: { puts: [{ key: "more/k" }] } });
-  ask({ case: "revoke", value: { lease: "none" } });
-  await fleet.run(20);
-  fleet.find(old)!.control!.raft!.resign();
-  expect(await fleet.until(() => outcomes.length === 2, 3000)).toEqual(true);
-  expect(outcomes.sort()).toEqual(["revoke lost", "txn unsure"]);
-  const count = (kind: string): number => passed.filter((one) => one === kind).length;
-  expect([count("txn"), count("revoke") >= 1]).toEqual([1, true]);
-});
+test(
+  "a transaction that a control node passed on is not passed on again when another proposes; " + "a revocation is",
+  async () => {
+    const { fleet } = await startTestFleet(9102);
+    const old = fleet.leader!;
+    const passed: string[] = [];
+    fleet.wires.mutate = (from, _to, bytes) => {
+      const body = Wire.decode(bytes)?.body;
+      const calls = body?.case === "storeBatch" ? body.value.calls : [];
+      for (const { call, isForwarded } of calls) if (isForwarded) passed.push(call.case!);
+      return body?.case === "storeBatchReply" && from === fleet.addressOf(old) ? [] : undefined;
+    };
+    const other = fleet.withRole("lathe").find((name) => name !== old)!;
+    const { rpc } = fleet.find("vise-1")!.node;
+    const outcomes: string[] = [];
+    const ask = (call: StoreChange): void => {
+      const onReply = (body: Body | undefined): void =>
+        void outcomes.push(`${call.case} ${body?.case === "storeReply" ? body.value.outcome : "silent"}`);
+      void rpc.call(other, { case: "storeCall", value: { call } }, 3000).then(onReply);
+    };
+    await fleet.run(20);
+    passed.length = 0;
+    ask({ case: "txn", value: { puts: [{ key: "more/k" }] } });
+    ask({ case: "revoke", value: { lease: "none" } });
+    await fleet.run(20);
+    fleet.find(old)!.control!.raft!.resign();
+    expect(await fleet.until(() => outcomes.length === 2, 3000)).toEqual(true);
+    expect(outcomes.sort()).toEqual(["revoke lost", "txn unsure"]);
+    const count = (kind: string): number => passed.filter((one) => one === kind).length;
+    expect([count("txn"), count("revoke") >= 1]).toEqual([1, true]);
+  },
+);
 
 test("a session pulled again after its state was forgotten is not taken for whole", async () => {
   const { fleet, publish } = await startTestFleet(9103);
--- a/packages/testkit/src/sim/founding.test.ts
+++ b/packages/testkit/src/sim/founding.test.ts
@@ -188,24 +188,27 @@
     expect(await written(fleet, "later")).toEqual("done");
   });
 
-test("control nodes that store serve publishes with no other storage machine, and go on without one of them", async () => {
-  const { fleet, publish } = await startTestFleet(
-    76,
-    withControlNodes(
-      Array.from({ length: 3 }, () => ({ stores: true })),
-      2,
-    ),
-  );
-  new TestClient(fleet, "vise-1", "s1", { subscriptions: [{ topic: "notes/t1" }] });
-  await fleet.run(1000);
-  expect((await publish("s1", 1))["status"]).toEqual(200);
-  const leaders = fleet
-    .find("vise-1")!
-    .node.shards.all()
-    .map(([, route]) => route.leader);
-  expect(leaders.every((leaderName) => leaderName.startsWith("lathe-"))).toEqual(true);
-  const lost = fleet.leaderName!;
-  fleet.kill(lost);
-  await fleet.run(4000);
-  expect((await publish("s1", 2))["status"]).toEqual(200);
-});
+test(
+  "control nodes that store serve publishes with no other storage machine, and go on " + "without one of them",
+  async () => {
+    const { fleet, publish } = await startTestFleet(
+      76,
+      withControlNodes(
+        Array.from({ length: 3 }, () => ({ stores: true })),
+        2,
+      ),
+    );
+    new TestClient(fleet, "vise-1", "s1", { subscriptions: [{ topic: "notes/t1" }] });
+    await fleet.run(1000);
+    expect((await publish("s1", 1))["status"]).toEqual(200);
+    const leaders = fleet
+      .find("vise-1")!
+      .node.shards.all()
+      .map(([, route]) => route.leader);
+    expect(leaders.every((leaderName) => leaderName.startsWith("lathe-"))).toEqual(true);
+    const lost = fleet.leaderName!;
+    fleet.kill(lost);
+    await fleet.run(4000);
+    expect((await publish("s1", 2))["status"]).toEqual(200);
+  },
+);
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -40,32 +40,35 @@
   await fleet.run(1000);
 }
 
-test("a connection has as many topics as the configuration says, over either interface; one left makes room", async () => {
-  const place = await startTestFleet(95);
-  const { fleet, ask } = place;
-  await change(place, {}, { subscriptions: 2 });
-  const connection = await open(fleet);
-  const subscribe = async (topic: string): Promise<string> =>
-    (await resultOf(fleet, connection.subscribe(`notes/${topic}`))).outcome;
-  expect([await subscribe("t1"), await subscribe("t2"), await subscribe("t3")]).toEqual([
-    "confirmed",
-    "confirmed",
-    "too-many",
-  ]);
-  await resultOf(fleet, connection.unsubscribe("notes/t1"));
-  expect(await subscribe("t3")).toEqual("confirmed");
+test(
+  "a connection has as many topics as the configuration says, over either interface; " + "one left makes room",
+  async () => {
+    const place = await startTestFleet(95);
+    const { fleet, ask } = place;
+    await change(place, {}, { subscriptions: 2 });
+    const connection = await open(fleet);
+    const subscribe = async (topic: string): Promise<string> =>
+      (await resultOf(fleet, connection.subscribe(`notes/${topic}`))).outcome;
+    expect([await subscribe("t1"), await subscribe("t2"), await subscribe("t3")]).toEqual([
+      "confirmed",
+      "confirmed",
+      "too-many",
+    ]);
+    await resultOf(fleet, connection.unsubscribe("notes/t1"));
+    expect(await subscribe("t3")).toEqual("confirmed");
 
-  const topics = ["notes/t1", "notes/t2", "notes/t3"];
-  const client = new TestClient(fleet, "vise-2", "other", { subscriptions: topics.map((topic) => ({ topic })) });
-  await fleet.run(1500);
-  expect(client.of("confirmed").map(({ topic }) => topic)).toEqual(topics.slice(0, 2));
-  expect(client.of("fault").map(({ topic, code }) => [topic, code])).toEqual([["notes/t3", "too-many"]]);
-  const one = (): Promise<Record<string, unknown>> =>
-    ask("vise-2", "POST", "/v1/sessions/other/subscriptions", JSON.stringify({ topic: "notes/t3" }));
-  expect((await one())["status"]).toEqual(409);
-  await change(place, {}, { subscriptions: 3 });
-  expect([(await one())["status"], await subscribe("t1")]).toEqual([200, "confirmed"]);
-});
+    const topics = ["notes/t1", "notes/t2", "notes/t3"];
+    const client = new TestClient(fleet, "vise-2", "other", { subscriptions: topics.map((topic) => ({ topic })) });
+    await fleet.run(1500);
+    expect(client.of("confirmed").map(({ topic }) => topic)).toEqual(topics.slice(0, 2));
+    expect(client.of("fault").map(({ topic, code }) => [topic, code])).toEqual([["notes/t3", "too-many"]]);
+    const one = (): Promise<Record<string, unknown>> =>
+      ask("vise-2", "POST", "/v1/sessions/other/subscriptions", JSON.stringify({ topic: "notes/t3" }));
+    expect((await one())["status"]).toEqual(409);
+    await change(place, {}, { subscriptions: 3 });
+    expect([(await one())["status"], await subscribe("t1")]).toEqual([200, "confirmed"]);
+  },
+);
 
 test("a payload above the configuration's limit is refused, also where a contract allows more", async () => {
   const place = await startTestFleet(96);
--- a/packages/testkit/src/sim/sessions.test.ts
+++ b/packages/testkit/src/sim/sessions.test.ts
@@ -172,33 +172,36 @@
   },
 );
 
-test("places: malformed, unknown and of another incarnation each get a definite answer for that topic alone", async () => {
-  const { fleet, publish } = await startTestFleet(16);
-  const client = new TestClient(fleet, "vise-1", "desk", {
-    subscriptions: [
-      { topic: "notes/t1", after: "nonsense" },
-      { topic: "notes/t2", after: "1-00000000ff.7" },
-      { topic: "notes/t3" },
-      { topic: "nowhere/t4" },
-    ],
-  });
-  expect(await fleet.until(() => client.of("confirmed").length === 2 && client.of("fault").length === 2, 5000)).toEqual(
-    true,
-  );
-  expect(client.of("fault").map((line) => [line["topic"], line["code"]])).toEqual([
-    ["notes/t1", "malformed-place"],
-    ["nowhere/t4", "unknown-topic"],
-  ]);
-  expect(client.of("expired").map((line) => line["topic"])).toEqual(["notes/t2"]);
-  expect(client.isClosed).toEqual(false);
-  const place = String(client.of("confirmed").find((line) => line["topic"] === "notes/t3")!["place"]).split(".")[0];
-  const ahead = new TestClient(fleet, "vise-2", "other", {
-    subscriptions: [{ topic: "notes/t3", after: `${place}.99` }],
-  });
-  expect(await fleet.until(() => ahead.of("fault").length === 1, 3000)).toEqual(true);
-  expect(ahead.of("fault")[0]?.["code"]).toEqual("unknown-place");
-  expect((await publish("desk", 1))["receipt"]).toEqual("accepted");
-});
+test(
+  "places: malformed, unknown and of another incarnation each get a definite answer " + "for that topic alone",
+  async () => {
+    const { fleet, publish } = await startTestFleet(16);
+    const client = new TestClient(fleet, "vise-1", "desk", {
+      subscriptions: [
+        { topic: "notes/t1", after: "nonsense" },
+        { topic: "notes/t2", after: "1-00000000ff.7" },
+        { topic: "notes/t3" },
+        { topic: "nowhere/t4" },
+      ],
+    });
+    expect(
+      await fleet.until(() => client.of("confirmed").length === 2 && client.of("fault").length === 2, 5000),
+    ).toEqual(true);
+    expect(client.of("fault").map((line) => [line["topic"], line["code"]])).toEqual([
+      ["notes/t1", "malformed-place"],
+      ["nowhere/t4", "unknown-topic"],
+    ]);
+    expect(client.of("expired").map((line) => line["topic"])).toEqual(["notes/t2"]);
+    expect(client.isClosed).toEqual(false);
+    const place = String(client.of("confirmed").find((line) => line["topic"] === "notes/t3")!["place"]).split(".")[0];
+    const ahead = new TestClient(fleet, "vise-2", "other", {
+      subscriptions: [{ topic: "notes/t3", after: `${place}.99` }],
+    });
+    expect(await fleet.until(() => ahead.of("fault").length === 1, 3000)).toEqual(true);
+    expect(ahead.of("fault")[0]?.["code"]).toEqual("unknown-place");
+    expect((await publish("desk", 1))["receipt"]).toEqual("accepted");
+  },
+);
 
 test("numbers: a known one keeps its reply, one that goes backwards is refused for good", async () => {
   const { fleet, publish } = await startTestFleet(17);
--- a/packages/testkit/src/sim/store.test.ts
+++ b/packages/testkit/src/sim/store.test.ts
@@ -297,63 +297,71 @@
   expect(fleet.leader === old).toEqual(false);
 });
 
-test("a control node that proposes itself carries on what it had passed on before; no other keeps it waiting", async () => {
-  const { fleet } = await founded(63);
-  const old = fleet.leader!;
-  fleet.wires.mutate = (from, _to, bytes) =>
-    from === fleet.addressOf(old) && Wire.decode(bytes)?.body.case === "storeBatchReply" ? [] : undefined;
-  const others = controlNodes(fleet).filter((name) => name !== old);
-  const answered = new Map<string, string | undefined>();
-  for (const name of others)
-    void fleet
-      .find("vise-1")!
-      .node.rpc.call(name, { case: "storeCall", value: { call: { case: "renew", value: { lease: "none" } } } }, 2000)
-      .then((body) => answered.set(name, body?.case === "storeReply" ? body.value.outcome : undefined));
-  await fleet.run(50);
-  fleet.find(old)!.control!.raft!.resign();
-  expect(await fleet.until(() => fleet.leader !== undefined, 400)).toEqual(true);
-  await fleet.run(100);
-  expect(answered.get(fleet.leader!)).toEqual("lost");
-  // Those that heard of the new leader before its first entry was committed send their callers round again.
-  expect(others.filter((name) => answered.get(name) === undefined)).toEqual([]);
-});
+test(
+  "a control node that proposes itself carries on what it had passed on before; no other " + "keeps it waiting",
+  async () => {
+    const { fleet } = await founded(63);
+    const old = fleet.leader!;
+    fleet.wires.mutate = (from, _to, bytes) =>
+      from === fleet.addressOf(old) && Wire.decode(bytes)?.body.case === "storeBatchReply" ? [] : undefined;
+    const others = controlNodes(fleet).filter((name) => name !== old);
+    const answered = new Map<string, string | undefined>();
+    for (const name of others)
+      void fleet
+        .find("vise-1")!
+        .node.rpc.call(name, { case: "storeCall", value: { call: { case: "renew", value: { lease: "none" } } } }, 2000)
+        .then((body) => answered.set(name, body?.case === "storeReply" ? body.value.outcome : undefined));
+    await fleet.run(50);
+    fleet.find(old)!.control!.raft!.resign();
+    expect(await fleet.until(() => fleet.leader !== undefined, 400)).toEqual(true);
+    await fleet.run(100);
+    expect(answered.get(fleet.leader!)).toEqual("lost");
+    // Those that heard of the new leader before its first entry was committed send their callers round again.
+    expect(others.filter((name) => answered.get(name) === undefined)).toEqual([]);
+  },
+);
 
-test("the operators' document goes with its configuration, and a stale version leaves both; versions may leap", async () => {
-  const { fleet } = await founded(41);
-  const body = (version: number, spaces?: readonly string[]): Uint8Array =>
-    Buffer.from(documentTextOf(SimLoad.configuration(version, spaces)));
-  const put = async (name: string, configuration: Uint8Array, document?: Uint8Array): Promise<number> =>
-    (await resultOf(fleet, proposeConfiguration(fleet.find(name)!.node, configuration, document))).status;
-  const read = async (name = "lathe-3"): Promise<string> => {
-    const got = await resultOf(fleet, readDocument(fleet.find(name)!.node));
-    return got.outcome === "done" ? Buffer.from(got.document).toString("latin1") : got.outcome;
-  };
-  const versionOf = async (): Promise<number> => {
-    const { body: got } = await resultOf(fleet, fleet.port.call("lathe-2", "GET", "/v1/plan", undefined));
-    return (JSON.parse(String(got["raw"])) as { mark: number }).mark;
-  };
-  expect(await read()).toEqual("none");
-  const document = Uint8Array.from({ length: 300 }, (_, i) => i % 256);
-  expect(await put("lathe-1", body(4000), document)).toEqual(200);
-  expect(await read()).toEqual(Buffer.from(document).toString("latin1"));
-  expect(await put("lathe-2", body(4000), document)).toEqual(200);
-  expect(await put("lathe-2", body(4000), Buffer.from("other"))).toEqual(409);
-  expect(await put("lathe-2", body(3999))).toEqual(409);
-  expect(await put("lathe-2", body(3999), Buffer.from("older"))).toEqual(200);
-  expect(await put("lathe-1", body(3999), Buffer.from("older, but other"))).toEqual(409);
-  expect(await put("lathe-2", Buffer.from('{"mark":5000}'), Buffer.from("broken"))).toEqual(422);
-  expect([await versionOf(), await read()]).toEqual([4000, Buffer.from(document).toString("latin1")]);
-  // Two operators with one configuration and different documents: one wins with its own.
-  const rivals = ["lathe-4", "lathe-5"];
-  const statuses = await resultOf(
-    fleet,
-    Promise.all(rivals.map((name) => proposeConfiguration(fleet.find(name)!.node, body(9_000_000), Buffer.from(name)))),
-  );
-  expect(statuses.map(({ status }) => status).sort()).toEqual([200, 409]);
-  expect(await read()).toEqual(rivals[statuses.findIndex(({ status }) => status === 200)]!);
-  // No node is pushed a document, and a configuration without one leaves none.
-  const keys = fleet.names.flatMap((name) => fleet.find(name)!.node.journal.recent.map((change) => change.key));
-  expect(keys.filter((key) => key.startsWith("documents/"))).toEqual([]);
-  expect(await put("lathe-1", body(9_000_001))).toEqual(200);
-  expect([await versionOf(), await read()]).toEqual([9_000_001, "none"]);
-});
+test(
+  "the operators' document goes with its configuration, and a stale version leaves both; " + "versions may leap",
+  async () => {
+    const { fleet } = await founded(41);
+    const body = (version: number, spaces?: readonly string[]): Uint8Array =>
+      Buffer.from(documentTextOf(SimLoad.configuration(version, spaces)));
+    const put = async (name: string, configuration: Uint8Array, document?: Uint8Array): Promise<number> =>
+      (await resultOf(fleet, proposeConfiguration(fleet.find(name)!.node, configuration, document))).status;
+    const read = async (name = "lathe-3"): Promise<string> => {
+      const got = await resultOf(fleet, readDocument(fleet.find(name)!.node));
+      return got.outcome === "done" ? Buffer.from(got.document).toString("latin1") : got.outcome;
+    };
+    const versionOf = async (): Promise<number> => {
+      const { body: got } = await resultOf(fleet, fleet.port.call("lathe-2", "GET", "/v1/plan", undefined));
+      return (JSON.parse(String(got["raw"])) as { mark: number }).mark;
+    };
+    expect(await read()).toEqual("none");
+    const document = Uint8Array.from({ length: 300 }, (_, i) => i % 256);
+    expect(await put("lathe-1", body(4000), document)).toEqual(200);
+    expect(await read()).toEqual(Buffer.from(document).toString("latin1"));
+    expect(await put("lathe-2", body(4000), document)).toEqual(200);
+    expect(await put("lathe-2", body(4000), Buffer.from("other"))).toEqual(409);
+    expect(await put("lathe-2", body(3999))).toEqual(409);
+    expect(await put("lathe-2", body(3999), Buffer.from("older"))).toEqual(200);
+    expect(await put("lathe-1", body(3999), Buffer.from("older, but other"))).toEqual(409);
+    expect(await put("lathe-2", Buffer.from('{"mark":5000}'), Buffer.from("broken"))).toEqual(422);
+    expect([await versionOf(), await read()]).toEqual([4000, Buffer.from(document).toString("latin1")]);
+    // Two operators with one configuration and different documents: one wins with its own.
+    const rivals = ["lathe-4", "lathe-5"];
+    const statuses = await resultOf(
+      fleet,
+      Promise.all(
+        rivals.map((name) => proposeConfiguration(fleet.find(name)!.node, body(9_000_000), Buffer.from(name))),
+      ),
+    );
+    expect(statuses.map(({ status }) => status).sort()).toEqual([200, 409]);
+    expect(await read()).toEqual(rivals[statuses.findIndex(({ status }) => status === 200)]!);
+    // No node is pushed a document, and a configuration without one leaves none.
+    const keys = fleet.names.flatMap((name) => fleet.find(name)!.node.journal.recent.map((change) => change.key));
+    expect(keys.filter((key) => key.startsWith("documents/"))).toEqual([]);
+    expect(await put("lathe-1", body(9_000_001))).toEqual(200);
+    expect([await versionOf(), await read()]).toEqual([9_000_001, "none"]);
+  },
+);
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -46,28 +46,31 @@
   expect(Checker.check(load.history.seen, fleet.world.now).map((breach) => breach.rule)).toEqual([]);
 });
 
-test("a connection that resumes with several places in a stream reads from the lowest and skips what each had", async () => {
-  const all = await startTestFleet(52);
-  const { fleet, publish } = all;
-  const reader = await connectSession(all, "vise-1", "desk", ["notices/t0", "notices/t1"]);
-  await connectSession(all, "vise-2", "sender-1", []);
-  const say = async (number: number, topic: string): Promise<void> => {
-    expect((await publish("sender-1", number, "vise-2", topic))["receipt"]).toEqual("accepted");
-  };
-  await say(1, "notices/t0");
-  await say(1, "notices/t1");
-  await say(2, "notices/t0");
-  expect(await fleet.until(() => reader.got().length === 3, 3000)).toEqual(true);
-  reader.close();
-  await say(3, "notices/t0");
-  await say(2, "notices/t1");
-  await say(4, "notices/t0");
-  const subscriptions = ["notices/t0", "notices/t1"].map((topic) => ({ topic, after: placeOf(reader, topic) }));
-  const again = new TestClient(fleet, "vise-3", "desk", { subscriptions });
-  expect(await fleet.until(() => again.got().length === 3, 4000)).toEqual(true);
-  await fleet.run(1000);
-  expect(again.got()).toEqual(["notices/t0 3", "notices/t1 2", "notices/t0 4"]);
-});
+test(
+  "a connection that resumes with several places in a stream reads from the lowest and " + "skips what each had",
+  async () => {
+    const all = await startTestFleet(52);
+    const { fleet, publish } = all;
+    const reader = await connectSession(all, "vise-1", "desk", ["notices/t0", "notices/t1"]);
+    await connectSession(all, "vise-2", "sender-1", []);
+    const say = async (number: number, topic: string): Promise<void> => {
+      expect((await publish("sender-1", number, "vise-2", topic))["receipt"]).toEqual("accepted");
+    };
+    await say(1, "notices/t0");
+    await say(1, "notices/t1");
+    await say(2, "notices/t0");
+    expect(await fleet.until(() => reader.got().length === 3, 3000)).toEqual(true);
+    reader.close();
+    await say(3, "notices/t0");
+    await say(2, "notices/t1");
+    await say(4, "notices/t0");
+    const subscriptions = ["notices/t0", "notices/t1"].map((topic) => ({ topic, after: placeOf(reader, topic) }));
+    const again = new TestClient(fleet, "vise-3", "desk", { subscriptions });
+    expect(await fleet.until(() => again.got().length === 3, 4000)).toEqual(true);
+    await fleet.run(1000);
+    expect(again.got()).toEqual(["notices/t0 3", "notices/t1 2", "notices/t0 4"]);
+  },
+);
 
 test("a quiet topic's place in a busy space outlives the trimming of the others; only theirs expires", async () => {
   const all = await startTestFleet(53);
