--- a/packages/cli/src/fleetChecks.ts
+++ b/packages/cli/src/fleetChecks.ts
@@ -1,5 +1,4 @@
 import type { Check, RunbookContext } from "./runbooks/runbook.js";
-import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
 interface MemberState {
   name: string;
@@ -65,7 +64,7 @@
   controlNodesUp: (async (context) => {
     const seen = await status(context);
     if (seen === undefined) return "no node answers";
-    const controlNodes = seen.members.filter((member) => member.role === nodeRole.control && member.state === "alive");
+    const controlNodes = seen.members.filter((member) => member.role === "lathe" && member.state === "alive");
     for (const controlNode of controlNodes) {
       const own = await context.client.call("GET", "/v1/status", undefined, [controlNode.http]);
       const raft = own.body["raft"] as { voters: string[]; learners: string[]; isLeader: boolean } | null | undefined;
--- a/packages/cli/src/runbooks/runbooks.ts
+++ b/packages/cli/src/runbooks/runbooks.ts
@@ -1,7 +1,6 @@
 import { FleetChecks } from "../fleetChecks.js";
 import { FleetClient } from "../fleetClient.js";
 import type { Check, Runbook, RunbookContext } from "./runbook.js";
-import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
 const whole = FleetChecks.all(FleetChecks.allAlive, FleetChecks.allHeld, FleetChecks.fullStrength);
 
@@ -110,18 +109,18 @@
       {
         title: "the lost lathe is down",
         before: FleetChecks.allHeld,
-        after: FleetChecks.isGone(nodeRole.control),
+        after: FleetChecks.isGone("lathe"),
         timeoutMs: 5000,
       },
       {
         title: "start it again with an empty data folder",
-        before: FleetChecks.isGone(nodeRole.control),
-        after: FleetChecks.isAlive(nodeRole.control),
+        before: FleetChecks.isGone("lathe"),
+        after: FleetChecks.isAlive("lathe"),
         timeoutMs: 300_000,
       },
       {
         title: "it is a voter again",
-        before: FleetChecks.isAlive(nodeRole.control),
+        before: FleetChecks.isAlive("lathe"),
         after: FleetChecks.controlNodesUp,
         timeoutMs: 60_000,
       },
