--- a/packages/core/src/replication/replicaLog.ts
+++ b/packages/core/src/replication/replicaLog.ts
@@ -1,5 +1,5 @@
 import { create, fromBinary, toBinary } from "@bufbuild/protobuf";
-import VError from "verror";
+import { DataFolderError, InvariantViolationError } from "../errors.js";
 import { EntrySchema, SnapshotSchema, type Entry } from "../gen/cranetrack_pb.js";
 import type { Disk, DiskChange } from "../storage/disk.js";
 
@@ -185,7 +185,7 @@
   #write(entries: readonly Entry[], changes: DiskChange[]): Promise<void> {
     for (const entry of entries) {
       if (entry.index !== this.lastIndex + 1)
-        throw new VError("broken invariant: %s got entry %d behind %d", this.group, entry.index, this.lastIndex);
+        throw new InvariantViolationError(`${this.group} got entry ${entry.index} behind ${this.lastIndex}`);
       this.#entries.push(entry);
       changes.push({ key: this.#key(entry.index), value: toBinary(EntrySchema, entry) });
     }
@@ -233,7 +233,7 @@
       else if (part === "p") this.#loadSnapshot(value);
       else if (part.startsWith("e/")) this.#entries.push(fromBinary(EntrySchema, value));
     } catch (cause) {
-      throw new VError({ name: "DataFolderFault", cause: cause as Error }, "the data folder is damaged at %s", key);
+      throw new DataFolderError(`the data folder is damaged at ${key}`, cause);
     }
   }
 
--- a/packages/core/src/storage/checksummedDisk.ts
+++ b/packages/core/src/storage/checksummedDisk.ts
@@ -1,4 +1,4 @@
-import VError from "verror";
+import { DataFolderError } from "../errors.js";
 import type { Disk, DiskChange } from "./disk.js";
 import { Checksum } from "../rpc/checksum.js";
 
@@ -13,7 +13,7 @@
   read(prefix: string): Array<{ key: string; value: Uint8Array }> {
     return this.#disk.read(prefix).map(({ key, value }) => {
       const opened = Checksum.verify(value);
-      if (opened === undefined) throw new VError({ name: "DataFolderFault" }, "the data folder is damaged at %s", key);
+      if (opened === undefined) throw new DataFolderError(`the data folder is damaged at ${key}`);
       return { key, value: opened };
     });
   }
--- a/packages/core/src/storage/journalDisk.ts
+++ b/packages/core/src/storage/journalDisk.ts
@@ -2,7 +2,7 @@
 import { readSync, renameSync, rmSync, writeSync } from "node:fs";
 import { open, rename, rm, type FileHandle } from "node:fs/promises";
 import { join } from "node:path";
-import VError from "verror";
+import { DataFolderError } from "../errors.js";
 import type { Disk, DiskChange } from "./disk.js";
 import { JournalRecord, type ReadRecord } from "./journalRecord.js";
 import { NewFolder } from "./newFolder.js";
@@ -81,7 +81,7 @@
       NewFolder.sync(folder);
       return disk;
     } catch (cause) {
-      throw new VError({ name: "DataFolderFault", cause: cause as Error }, "the data folder %s cannot be used", folder);
+      throw new DataFolderError(`the data folder ${folder} cannot be used`, cause);
     }
   }
 
--- a/packages/core/src/storage/lmdbDisk.ts
+++ b/packages/core/src/storage/lmdbDisk.ts
@@ -1,7 +1,7 @@
 import { closeSync, existsSync, openSync, readSync, statSync } from "node:fs";
 import { join } from "node:path";
 import { open, type RootDatabase } from "lmdb";
-import VError from "verror";
+import { DataFolderError } from "../errors.js";
 import type { Disk, DiskChange } from "./disk.js";
 import { NewFolder } from "./newFolder.js";
 
@@ -18,7 +18,7 @@
     try {
       this.#db = LmdbDisk.#open(folder);
     } catch (cause) {
-      throw new VError({ name: "DataFolderFault", cause: cause as Error }, "the data folder %s cannot be used", folder);
+      throw new DataFolderError(`the data folder ${folder} cannot be used`, cause);
     }
   }
 
