--- a/packages/core/src/configuration/configuration.test.ts
+++ b/packages/core/src/configuration/configuration.test.ts
@@ -59,7 +59,7 @@
   for (const value of [null, 7, "plan", [], {}]) expect(faultsOf(value).length > 0).toEqual(true);
 });
 
-test("a configuration that this node cannot read leaves the old one in force and is said; an older one changes nothing", () => {
+test("an unreadable configuration is reported and leaves the old one in force; an older one changes nothing", () => {
   const journal = new ChangeJournal<Change>();
   const view = new ConfigurationView(journal);
   const put = (value: { version: number; spaces: unknown[]; newer?: boolean }, revision: number): void => {
@@ -130,7 +130,7 @@
   expect(none.filter((topic) => Configurations.isTopic(topic))).toEqual([]);
 });
 
-test("what a configuration may say: prefixes, three orders, nothing kept, limits and deadlines; and what it may not", () => {
+test("what a configuration may have (prefixes, three orders, no retention, limits, deadlines) and may not", () => {
   const faultsOf = (...spaces: object[]): string[] => {
     const read = ConfigurationSchema.read(documentOf({ mark: 1, spaces }));
     return "faults" in read ? read.faults.map((fault) => fault.path) : [];
--- a/packages/core/src/configuration/streams.test.ts
+++ b/packages/core/src/configuration/streams.test.ts
@@ -93,7 +93,7 @@
   });
 });
 
-test("while some configuration has a topic its incarnation only rises, whatever configurations come; and it changes with its stream", () => {
+test("the incarnation of a topic only rises while configurations have it, and changes with its stream", () => {
   const prefixes = ["a", "a/", "a/b", "a/b/", "a/b/c", "constructor", "__proto__"];
   const topics = ["a/b/c/d", "a/b/x", "a/y", "constructor", "__proto__"];
   let state = 7;
--- a/packages/core/src/runtime/earlierNames.ts
+++ b/packages/core/src/runtime/earlierNames.ts
@@ -2,14 +2,14 @@
 import { roleNameOf } from "../membership/nodeRole.js";
 
 /** Each earlier key with the one that took its place. */
-export const earlierKeys = new Map([
+const earlierKeys = new Map([
   ["lathes", "controlNodes"],
   ["holderLeaseMs", "shardLeaseMs"],
   ["mostLinks", "maxConnections"],
 ]);
 
 /** Settings as they were given, in today's names. */
-export interface StandardNames {
+interface StandardNames {
   readonly values: Readonly<Record<string, unknown>>;
   /** The key that was given for each standard one that was given by its earlier name. */
   readonly givenAs: ReadonlyMap<string, string>;
--- a/packages/core/src/store/storeClient.test.ts
+++ b/packages/core/src/store/storeClient.test.ts
@@ -63,7 +63,7 @@
 const reply = (revision: number): ReturnType<typeof create<typeof StoreReplySchema>> =>
   create(StoreReplySchema, { outcome: "done", revision });
 
-test("calls of one turn go to a control node in the store in a frame for each kind, each with its own answer", async () => {
+test("calls of one turn go to a member of the store in a frame for each kind, each with its own answer", async () => {
   const { store, frames, turn, answer } = client();
   const reads = [1, 2, 3].map((i) => store.read([`k${i}`]));
   const written = store.txn({ deletes: ["k1"] });
@@ -107,7 +107,7 @@
   [["away", "away", "away"], 3, "away"],
 ];
 
-test("a call that may not be repeated is asked of another control node only after word that it was not done", async () => {
+test("a call that may not be repeated goes to another control node only after word that it was not done", async () => {
   for (const [says, count, outcome] of once) expect(await asked(txn, says)).toEqual({ asked: count, outcome });
 });
 
