--- a/packages/testkit/src/sabotage/membershipSabotages.ts
+++ b/packages/testkit/src/sabotage/membershipSabotages.ts
@@ -41,7 +41,7 @@
   },
   {
     name: "a drain looks at replicas only",
-    file: "control/dist/drain/drainMachine.js",
+    file: "control/dist/drain/drainStatus.js",
     find: "left.length === 0 && !isLeader && !isVoter",
     put: "left.length === 0",
     test: `${sim}/drains.test.js`,
@@ -49,7 +49,7 @@
   {
     name: "a drain that was taken is judged anew",
     file: "control/dist/drain/drainMachine.js",
-    find: "if (isRequested(status, name))",
+    find: "if (isDrainRequested(status, name))",
     put: "if (false)",
     test: `${sim}/drains.test.js`,
   },
