--- a/packages/control/src/membership/memberChanges.ts
+++ b/packages/control/src/membership/memberChanges.ts
@@ -93,7 +93,7 @@
   }
 
   #maintain(): void {
-    if (!this.#raft.isLeader || !this.#raft.hasSettledMembers) return;
+    if (!this.#raft.isLeader || !this.#raft.hasStableMembers) return;
     this.#forgetStaleRequests();
     const { voters, learners } = this.#raft.members;
     const next = VoterChoice.next(this.#voterInputs);
@@ -118,7 +118,7 @@
     const { learners } = this.#raft.members;
     for (const id of this.#rounds.keys()) if (!learners.some((member) => member.id === id)) this.#rounds.delete(id);
     for (const { id } of learners) {
-      const { match, behind } = this.#raft.matchOf(id);
+      const { match, behind } = this.#raft.progressOf(id);
       const round = this.#roundOf(id);
       if (round !== undefined && match < round.target) continue;
       const isCaughtUp = round !== undefined && this.#now - round.beganAt <= MemberChanges.catchUpMs;
@@ -138,7 +138,7 @@
 
   /** Enlists the one that asks, if it is among the best of those that ask for as many places as there are. */
   #admit(id: string): void {
-    if (!this.#raft.isLeader || !this.#raft.hasSettledMembers) return;
+    if (!this.#raft.isLeader || !this.#raft.hasStableMembers) return;
     const { voters, learners } = this.#raft.members;
     const members = [...voters, ...learners];
     const kept = voters.filter((member) => !this.#voterInputs.isLost(member) && !this.#isToLeave(member.name));
@@ -163,29 +163,31 @@
   }
 
   #hasLiveMajority(voters: readonly StoreMember[]): boolean {
-    const alive = voters.filter((member) => this.#raft.matchOf(member.id).heardAgo < 2 * MemberChanges.recentContactMs);
+    const alive = voters.filter(
+      (member) => this.#raft.progressOf(member.id).heardAgo < 2 * MemberChanges.recentContactMs,
+    );
     return alive.length * 2 > voters.length;
   }
 
   #isReady(member: StoreMember): boolean {
-    const { heardAgo } = this.#raft.matchOf(member.id);
+    const { heardAgo } = this.#raft.progressOf(member.id);
     const isCaughtUp = this.#roundOf(member.id)?.isCaughtUp === true;
     return isCaughtUp && heardAgo < MemberChanges.recentContactMs && !this.#isToLeave(member.name);
   }
 
   #isLost(member: StoreMember): boolean {
-    return this.#raft.matchOf(member.id).heardAgo > this.#node.parts.settings.replaceVoterMs;
+    return this.#raft.progressOf(member.id).heardAgo > this.#node.parts.settings.replaceVoterMs;
   }
 
   /** Its machine came back under its name with another disk, and the disk that it voted by is not heard from. */
   #isOnBlankDisk(member: StoreMember): boolean {
     const request = this.#joining.get(member.name);
     const isOther = request !== undefined && request.id !== member.id;
-    return isOther && this.#raft.matchOf(member.id).heardAgo > MemberChanges.recentContactMs;
+    return isOther && this.#raft.progressOf(member.id).heardAgo > MemberChanges.recentContactMs;
   }
 
   #isGoneLearner(member: StoreMember): boolean {
-    const { heardAgo } = this.#raft.matchOf(member.id);
+    const { heardAgo } = this.#raft.progressOf(member.id);
     const maxMs = Math.max(MemberChanges.learnerTimeoutMs, this.#node.parts.settings.replaceVoterMs);
     return heardAgo > maxMs || this.#isOnBlankDisk(member) || this.#isToLeave(member.name);
   }
--- a/packages/control/src/store/storeService.ts
+++ b/packages/control/src/store/storeService.ts
@@ -147,7 +147,7 @@
 
   /** The voters as a key of the store, which they are not: for reading only. */
   #members(): Kv[] {
-    const voting = this.#raft.memberExchange.voting(this.#raft.commit);
+    const voting = this.#raft.membershipChange.voting(this.#raft.commit);
     const voters = [...new Set(voting.map((member) => member.name))];
     return [create(KvSchema, { key: MembersKey.name, value: MembersKey.write({ voters }) })];
   }
--- a/packages/testkit/src/mutants/membershipMutants.ts
+++ b/packages/testkit/src/mutants/membershipMutants.ts
@@ -105,7 +105,7 @@
   {
     name: "a disk votes in another machine",
     file: "control/dist/controlNode.js",
-    find: " ?? this.founding.fault()",
+    find: " ?? this.founding.foreignDiskError()",
     put: "",
     test: `${sim}/disks.test.js`,
   },
