--- a/packages/control/src/consensus/judgeVote.test.ts
+++ b/packages/control/src/consensus/election.test.ts
@@ -4,7 +4,7 @@
 import { EntrySchema, VoteSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import type { Disk, DiskChange } from "@cranetrack/core/storage/disk.js";
-import { judgeVote } from "./judgeVote.js";
+import { judgeVote } from "./election.js";
 
 /** Keeps what it is told to, at once. */
 function keepingDisk(): Disk {
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -13,7 +13,7 @@
 import type { Disk } from "@cranetrack/core/storage/disk.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
-import { entryKind } from "./entryKind.js";
+import { entryKind } from "./storeLog.js";
 import { MembershipStatus } from "../membership/membershipStatus.js";
 
 interface Identity {
--- a/packages/control/src/consensus/memberLog.ts
+++ b/packages/control/src/consensus/memberLog.ts
@@ -1,7 +1,7 @@
 import { create, fromBinary } from "@bufbuild/protobuf";
 import { MembersSchema, type Members } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
-import { entryKind } from "./entryKind.js";
+import { entryKind } from "./storeLog.js";
 
 /**
  * Who the members of the replicated log are, as the log itself says.
--- a/packages/control/src/consensus/memberExchange.test.ts
+++ b/packages/control/src/consensus/membershipChange.test.ts
@@ -4,8 +4,8 @@
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 import { expect } from "earl";
-import { entryKind } from "./entryKind.js";
-import { MemberExchange } from "./memberExchange.js";
+import { entryKind } from "./storeLog.js";
+import { MemberExchange } from "./membershipChange.js";
 import { MemberLog } from "./memberLog.js";
 
 const list = (letters: string): StoreMember[] =>
--- a/packages/control/src/consensus/proposals.test.ts
+++ b/packages/control/src/consensus/proposals.test.ts
@@ -4,7 +4,7 @@
 import { LogReplicator } from "@cranetrack/core/replication/logReplicator.js";
 import type { DiskChange } from "@cranetrack/core/storage/disk.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
-import { entryKind } from "./entryKind.js";
+import { entryKind } from "./storeLog.js";
 import type { Applied } from "../store/metadata.js";
 import { Proposals } from "./proposals.js";
 
--- a/packages/control/src/consensus/proposals.ts
+++ b/packages/control/src/consensus/proposals.ts
@@ -3,7 +3,7 @@
 import type { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import type { LogReplicator } from "@cranetrack/core/replication/logReplicator.js";
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
-import { entryKind } from "./entryKind.js";
+import { entryKind } from "./storeLog.js";
 import type { Applied } from "../store/metadata.js";
 
 type Settle = (applied: Applied | undefined) => void;
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -11,18 +11,18 @@
 import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
-import { entryKind } from "./entryKind.js";
+import { entryKind } from "./storeLog.js";
 import { ownMessages } from "./ownMessages.js";
-import { MemberExchange } from "./memberExchange.js";
+import { MemberExchange } from "./membershipChange.js";
 import { MemberLog } from "./memberLog.js";
 import { VoterSets } from "./voterSets.js";
-import { judgeVote } from "./judgeVote.js";
+import { judgeVote } from "./election.js";
 import { LeaderContact } from "./leaderContact.js";
 import { Metadata, type Applied } from "../store/metadata.js";
 import type { RaftNodeParts } from "./raftNodeParts.js";
 import { Proposals } from "./proposals.js";
 import { storeCompaction } from "./storeCompaction.js";
-import { SlowMajorityWatch } from "./slowMajorityWatch.js";
+import { SlowMajorityWatch } from "./slowMajorityDetector.js";
 
 /** What a leader sends: its commit index, where the message tells of one. */
 interface LeaderMessage {
--- a/packages/control/src/consensus/slowMajorityWatch.test.ts
+++ b/packages/control/src/consensus/slowMajorityDetector.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { SlowMajorityWatch } from "./slowMajorityWatch.js";
+import { SlowMajorityWatch } from "./slowMajorityDetector.js";
 
 /** Looks every 75 ms; when it was said to be slow, if it was. */
 function slowAt(watch: SlowMajorityWatch, from: number, to: number, answerMs: number): number | undefined {
--- a/packages/testkit/src/explore/committedLog.ts
+++ b/packages/testkit/src/explore/committedLog.ts
@@ -1,6 +1,6 @@
 import { createHash } from "node:crypto";
 import { fromBinary } from "@bufbuild/protobuf";
-import { entryKind } from "@cranetrack/control/consensus/entryKind.js";
+import { entryKind } from "@cranetrack/control/consensus/storeLog.js";
 import { MembersSchema, type Entry, type Members } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import { Violation } from "./violation.js";
--- a/packages/testkit/src/explore/modelWorld.ts
+++ b/packages/testkit/src/explore/modelWorld.ts
@@ -1,6 +1,6 @@
 import { createHash } from "node:crypto";
 import { create, toBinary } from "@bufbuild/protobuf";
-import { entryKind } from "@cranetrack/control/consensus/entryKind.js";
+import { entryKind } from "@cranetrack/control/consensus/storeLog.js";
 import { EntrySchema, MembersSchema, type StoreMember } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import type { Action } from "./action.js";
--- a/packages/testkit/src/sabotage/exploreSabotages.ts
+++ b/packages/testkit/src/sabotage/exploreSabotages.ts
@@ -19,14 +19,14 @@
   },
   {
     name: "explorer: a log that is behind gets votes",
-    file: "control/dist/consensus/judgeVote.js",
+    file: "control/dist/consensus/election.js",
     find: "if (!isCurrent || isLed)",
     put: "if (isLed)",
     test,
   },
   {
     name: "explorer: two votes in a term",
-    file: "control/dist/consensus/judgeVote.js",
+    file: "control/dist/consensus/election.js",
     find: '(log.vote === "" || log.vote === vote.candidate)',
     put: "true",
     test,
@@ -54,7 +54,7 @@
   },
   {
     name: "explorer: an exchange of voters begins before the one before is over",
-    file: "control/dist/consensus/memberExchange.js",
+    file: "control/dist/consensus/membershipChange.js",
     find: "return this.#memberLog.index <= commit && !VoterSets.isJoint(this.#memberLog.members);",
     put: "return true;",
     test,
@@ -138,7 +138,7 @@
   },
   {
     name: "explorer: only voters of the newest members ask for votes",
-    file: "control/dist/consensus/memberExchange.js",
+    file: "control/dist/consensus/membershipChange.js",
     find: "[members, this.#memberLog.upTo(index - 1)]",
     put: "[members]",
     test: traces,
--- a/packages/testkit/src/sabotage/logSabotages.ts
+++ b/packages/testkit/src/sabotage/logSabotages.ts
@@ -130,24 +130,24 @@
   },
   {
     name: "a vote goes to any log",
-    file: "control/dist/consensus/judgeVote.js",
+    file: "control/dist/consensus/election.js",
     find: "if (!isCurrent || isLed)",
     put: "if (isLed)",
     test: "testkit/dist/sim/oldState.test.js",
   },
   {
     name: "a vote goes to the longer log, of whatever term",
-    file: "control/dist/consensus/judgeVote.js",
+    file: "control/dist/consensus/election.js",
     find: "vote.lastTerm > log.lastTerm || (vote.lastTerm === log.lastTerm && vote.lastIndex >= log.lastIndex)",
     put: "vote.lastIndex >= log.lastIndex",
-    test: "control/dist/consensus/judgeVote.test.js",
+    test: "control/dist/consensus/election.test.js",
   },
   {
     name: "a vote is forgotten at a start",
     file: "core/dist/replication/replicaLog.js",
     find: "({ term: this.term, vote: this.vote } = JSON.parse(",
     put: "({ term: this.term } = JSON.parse(",
-    test: "control/dist/consensus/judgeVote.test.js",
+    test: "control/dist/consensus/election.test.js",
   },
   {
     name: "a leader serves before its first entry is committed",
--- a/packages/testkit/src/sabotage/membershipSabotages.ts
+++ b/packages/testkit/src/sabotage/membershipSabotages.ts
@@ -20,7 +20,7 @@
   },
   {
     name: "a joint configuration is never left",
-    file: "control/dist/consensus/memberExchange.js",
+    file: "control/dist/consensus/membershipChange.js",
     find: "index <= commit && VoterSets.isJoint(members)",
     put: "false",
     test: `${sim}/memberChanges.test.js`,
@@ -76,17 +76,17 @@
   },
   {
     name: "a voter that goes no longer counts before that is committed",
-    file: "control/dist/consensus/memberExchange.js",
+    file: "control/dist/consensus/membershipChange.js",
     find: "index <= commit ? [members] : ",
     put: "index <= commit || true ? [members] : ",
-    test: "control/dist/consensus/memberExchange.test.js",
+    test: "control/dist/consensus/membershipChange.test.js",
   },
   {
     name: "changes of members overlap",
-    file: "control/dist/consensus/memberExchange.js",
+    file: "control/dist/consensus/membershipChange.js",
     find: "!this.isSettled(commit) || ",
     put: "",
-    test: "control/dist/consensus/memberExchange.test.js",
+    test: "control/dist/consensus/membershipChange.test.js",
   },
   {
     name: "an older copy of a disk counts",
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -293,10 +293,10 @@
   },
   {
     name: "who slept takes the others for slow",
-    file: "control/dist/consensus/slowMajorityWatch.js",
+    file: "control/dist/consensus/slowMajorityDetector.js",
     find: "if (isAsleep || ",
     put: "if (",
-    test: "control/dist/consensus/slowMajorityWatch.test.js",
+    test: "control/dist/consensus/slowMajorityDetector.test.js",
   },
   {
     name: "a mute member is never asked for a sign of life",
