--- /dev/null
+++ b/packages/control/src/consensus/applier.ts
@@ -0,0 +1,69 @@
+/** Commit index, application to the state machine, snapshots and compaction (Raft, sections 5.3 and 7). */
+import type { Entry } from "@cranetrack/core/gen/cranetrack_pb.js";
+import { LogCompaction, type CompactionBounds } from "@cranetrack/core/replication/logCompaction.js";
+import type { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
+import { Metadata, type Applied } from "../store/metadata.js";
+import type { MemberLog } from "./memberLog.js";
+import { entryKind } from "./storeLog.js";
+
+/**
+ * Applies committed entries to the state machine, in order and each once.
+ * Invariants: `applied` never passes `commit`, and neither goes back; both begin at the end of the log's snapshot.
+ */
+export class Applier {
+  readonly metadata = new Metadata();
+  readonly #log: ReplicaLog;
+  readonly #memberLog: MemberLog;
+  readonly #compaction: LogCompaction;
+  #commit: number;
+  #applied: number;
+
+  constructor(log: ReplicaLog, memberLog: MemberLog, bounds: CompactionBounds) {
+    this.#log = log;
+    this.#memberLog = memberLog;
+    this.#commit = this.#applied = log.snapshotIndex;
+    this.#compaction = new LogCompaction(log, bounds);
+    if (log.snapshotIndex > 0) memberLog.onSnapshotInstalled(this.metadata.install(log.snapshot));
+  }
+
+  /** The last entry known to be committed. */
+  get commit(): number {
+    return this.#commit;
+  }
+
+  /** The last entry applied. */
+  get applied(): number {
+    return this.#applied;
+  }
+
+  /** Moves the commit index up, as far as this log goes; a lower index changes nothing. */
+  advanceCommit(index: number): void {
+    this.#commit = Math.max(this.#commit, Math.min(index, this.#log.lastIndex));
+  }
+
+  /** The entry to apply next; only where `applied` is below `commit`. */
+  nextEntry(): Entry {
+    return this.#log.at(this.#applied + 1)!;
+  }
+
+  /** Applies the next entry. */
+  apply(entry: Entry): Applied {
+    this.#applied += 1;
+    this.#compaction.applied(entry);
+    if (entry.kind === entryKind.command) return this.metadata.apply(entry.index, entry.data);
+    this.metadata.revision = entry.index;
+    return { outcome: "done", revision: entry.index, kvs: [], changes: [] };
+  }
+
+  compactIfDue(): void {
+    if (!this.#compaction.isDue) return;
+    const members = this.#memberLog.membersForSnapshot(this.#applied);
+    void this.#compaction.compact(this.#applied, this.metadata.snapshot(members));
+  }
+
+  /** The leader's snapshot takes the place of the state machine; the log has been replaced already. */
+  install(index: number, state: Uint8Array): void {
+    this.#memberLog.onSnapshotInstalled(this.metadata.install(state));
+    this.#commit = this.#applied = index;
+  }
+}
--- a/packages/control/src/consensus/election.test.ts
+++ b/packages/control/src/consensus/election.test.ts
@@ -4,7 +4,7 @@
 import { EntrySchema, VoteSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import type { Disk, DiskChange } from "@cranetrack/core/storage/disk.js";
-import { judgeVote } from "./election.js";
+import { mayGrantVote } from "./election.js";
 
 /** Keeps what it is told to, at once. */
 function keepingDisk(): Disk {
@@ -38,7 +38,7 @@
   lastTerm: number,
   lastIndex: number,
   isPre = false,
-): Parameters<typeof judgeVote>[0] => create(VoteSchema, { term, candidate, lastTerm, lastIndex, isPre });
+): Parameters<typeof mayGrantVote>[0] => create(VoteSchema, { term, candidate, lastTerm, lastIndex, isPre });
 
 test("a vote goes to a log that is at least as new: by its last term first, then by its length", async () => {
   const log = await voter();
@@ -53,7 +53,7 @@
   ];
   for (const [lastTerm, lastIndex, isGranted] of cases)
     for (const isPre of [false, true])
-      expect(judgeVote(asked(6, "y", lastTerm, lastIndex, isPre), log, false)).toEqual(isGranted);
+      expect(mayGrantVote(asked(6, "y", lastTerm, lastIndex, isPre), log, false)).toEqual(isGranted);
 });
 
 test("a term has one vote, also after a restart, and a lower term none", async () => {
@@ -61,21 +61,21 @@
   await voter(disk);
   const again = new ReplicaLog(disk, "store");
   expect([again.term, again.vote]).toEqual([5, "x"]);
-  expect(judgeVote(asked(5, "y", 2, 4), again, false)).toEqual(false);
-  expect(judgeVote(asked(5, "x", 2, 4), again, false)).toEqual(true);
-  expect(judgeVote(asked(4, "x", 2, 4), again, false)).toEqual(false);
+  expect(mayGrantVote(asked(5, "y", 2, 4), again, false)).toEqual(false);
+  expect(mayGrantVote(asked(5, "x", 2, 4), again, false)).toEqual(true);
+  expect(mayGrantVote(asked(4, "x", 2, 4), again, false)).toEqual(false);
 });
 
-test("a log behind a snapshot is judged by the snapshot's last entry", async () => {
+test("a log behind a snapshot is compared by the snapshot's last entry", async () => {
   const disk = keepingDisk();
   await (await voter(disk)).compact(4, new Uint8Array([1]));
   const again = new ReplicaLog(disk, "store");
   expect([again.lastTerm, again.lastIndex]).toEqual([2, 4]);
-  expect(judgeVote(asked(6, "y", 2, 3), again, false)).toEqual(false);
-  expect(judgeVote(asked(6, "y", 2, 4), again, false)).toEqual(true);
+  expect(mayGrantVote(asked(6, "y", 2, 3), again, false)).toEqual(false);
+  expect(mayGrantVote(asked(6, "y", 2, 4), again, false)).toEqual(true);
 });
 
 test("nobody gets a vote while a leader is heard", async () => {
   const log = await voter();
-  expect(judgeVote(asked(9, "y", 9, 99), log, true)).toEqual(false);
+  expect(mayGrantVote(asked(9, "y", 9, 99), log, true)).toEqual(false);
 });
--- a/packages/control/src/consensus/leaderContact.test.ts
+++ b/packages/control/src/consensus/leaderContact.test.ts
@@ -13,9 +13,9 @@
 
 test("a member is current for 1.3 elections after it last had all that its leader had committed", () => {
   const { contact, clock } = contactAt(1000);
-  contact.heard();
+  contact.onMessage();
   expect(contact.isCurrent).toEqual(false);
-  contact.current();
+  contact.onCaughtUp();
   clock.ms += 75;
   contact.tick();
   expect([contact.isCurrent, contact.heardAgo]).toEqual([true, 75]);
@@ -23,18 +23,18 @@
   for (let i = 0; i < 5; i += 1) {
     clock.ms += 75;
     contact.tick();
-    contact.heard();
+    contact.onMessage();
   }
   expect([contact.isCurrent, contact.heardAgo]).toEqual([false, 0]);
 });
 
 test("what a process reads just after it stood still makes nobody current", () => {
   const { contact, clock } = contactAt(1000);
-  contact.current();
+  contact.onCaughtUp();
   clock.ms += 20_000;
   // Read before any timer came.
-  contact.heard();
-  contact.current();
+  contact.onMessage();
+  contact.onCaughtUp();
   expect(contact.isCurrent).toEqual(false);
   for (const [ms, isCurrent] of [
     [75, false],
@@ -43,7 +43,7 @@
   ] as const) {
     clock.ms += ms;
     contact.tick();
-    contact.current();
+    contact.onCaughtUp();
     expect([ms, contact.isCurrent]).toEqual([ms, isCurrent]);
   }
 });
--- a/packages/control/src/consensus/leaderContact.ts
+++ b/packages/control/src/consensus/leaderContact.ts
@@ -6,9 +6,10 @@
  * buffer for as long.
  */
 export class LeaderContact {
-  /** Of an election's time: out of touch after the first; and a process without a timer for the second stood still. */
-  static readonly limit = 1.3;
-  static readonly stopped = 2;
+  /** Out of touch after so many election timeouts. */
+  static readonly limitTimeouts = 1.3;
+  /** A process whose timers did not run for so many election timeouts stood still. */
+  static readonly stoppedTimeouts = 2;
 
   /** A leader without its majority, or a member that was not current, for longer than this is out of touch. */
   readonly limitMs: number;
@@ -16,14 +17,14 @@
   readonly #stoppedMs: number;
   #heardAt: number;
   #currentAt = -Infinity;
-  #heartbeatAt: number;
+  #tickAt: number;
   #resumedAt = -Infinity;
 
   constructor(clock: Clock, electionMs: number) {
     this.#clock = clock;
-    this.limitMs = electionMs * LeaderContact.limit;
-    this.#stoppedMs = electionMs * LeaderContact.stopped;
-    this.#heardAt = this.#heartbeatAt = clock.now();
+    this.limitMs = electionMs * LeaderContact.limitTimeouts;
+    this.#stoppedMs = electionMs * LeaderContact.stoppedTimeouts;
+    this.#heardAt = this.#tickAt = clock.now();
   }
 
   /** Milliseconds since the leader's last message, whatever came of it. */
@@ -31,32 +32,34 @@
     return this.#clock.now() - this.#heardAt;
   }
 
+  /** Whether this member had lately all that its leader had committed, and did not stand still since. */
   get isCurrent(): boolean {
     return !this.hasJustResumed && this.#clock.now() - this.#currentAt < this.limitMs;
   }
 
+  /** Whether the process stood still, and went on less than `limitMs` ago. */
   get hasJustResumed(): boolean {
-    this.#notice();
+    this.#detectPause();
     return this.#clock.now() - this.#resumedAt < this.limitMs;
   }
 
   /** To be called at every timer of the member. */
   tick(): void {
-    this.#notice();
-    this.#heartbeatAt = this.#clock.now();
+    this.#detectPause();
+    this.#tickAt = this.#clock.now();
   }
 
-  heard(): void {
+  /** A message of the leader is here, whatever it says. */
+  onMessage(): void {
     this.#heardAt = this.#clock.now();
   }
 
   /** Everything that the leader had committed when it sent its last message has been applied. */
-  current(): void {
+  onCaughtUp(): void {
     if (!this.hasJustResumed) this.#currentAt = this.#clock.now();
   }
 
-  #notice(): void {
-    if (this.#clock.now() - this.#heartbeatAt > this.#stoppedMs)
-      this.#resumedAt = this.#heartbeatAt = this.#clock.now();
+  #detectPause(): void {
+    if (this.#clock.now() - this.#tickAt > this.#stoppedMs) this.#resumedAt = this.#tickAt = this.#clock.now();
   }
 }
--- a/packages/control/src/consensus/memberLog.ts
+++ b/packages/control/src/consensus/memberLog.ts
@@ -9,7 +9,7 @@
  */
 export class MemberLog {
   readonly #log: ReplicaLog;
-  #ofSnapshot: Members | undefined;
+  #snapshotMembers: Members | undefined;
   #members: Members = create(MembersSchema, {});
   #index = 0;
   #term = -1;
@@ -18,6 +18,7 @@
     this.#log = log;
   }
 
+  /** The members in force, committed or not; none in a blank log. */
   get members(): Members {
     return this.#members;
   }
@@ -27,8 +28,8 @@
     return this.#index;
   }
 
-  /** Looks at the log again; true where the members changed. */
-  look(): boolean {
+  /** Reads the log again, after it changed; true where the members changed. */
+  refresh(): boolean {
     const found = this.#newest();
     const isChanged = found !== this.#members;
     this.#members = found;
@@ -36,18 +37,19 @@
   }
 
   /** The members that are in force once the log up to an index is. */
-  upTo(index: number): Members {
-    return this.#find(index)?.members ?? this.#ofSnapshot ?? create(MembersSchema, {});
+  membersAt(index: number): Members {
+    return this.#find(index)?.members ?? this.#snapshotMembers ?? create(MembersSchema, {});
   }
 
   /** The members named up to an index, to be kept in a snapshot that ends there. */
-  snapshot(last: number): Members {
-    this.#ofSnapshot = this.upTo(last);
-    return this.#ofSnapshot;
+  membersForSnapshot(last: number): Members {
+    this.#snapshotMembers = this.membersAt(last);
+    return this.#snapshotMembers;
   }
 
-  installed(members: Members | undefined): void {
-    this.#ofSnapshot = members;
+  /** A snapshot took the place of the log: its members are in force until an entry names others. */
+  onSnapshotInstalled(members: Members | undefined): void {
+    this.#snapshotMembers = members;
     this.#term = -1;
   }
 
@@ -57,7 +59,7 @@
     const found = this.#find(this.#log.lastIndex);
     this.#index = found?.index ?? this.#log.baseIndex;
     this.#term = found?.term ?? this.#log.baseTerm;
-    return found?.members ?? this.#ofSnapshot ?? create(MembersSchema, {});
+    return found?.members ?? this.#snapshotMembers ?? create(MembersSchema, {});
   }
 
   /** The last entry about members up to an index, and after another. */
--- a/packages/control/src/consensus/membershipChange.ts
+++ b/packages/control/src/consensus/membershipChange.ts
@@ -9,7 +9,7 @@
  * Invariants: a change begins only where the members in force are committed; other voters come by a joint
  * configuration, which any leader ends once it is committed; nobody is in a set twice.
  */
-export class MemberExchange {
+export class MembershipChange {
   readonly #memberLog: MemberLog;
   readonly #logBuffer: LogBuffer;
   readonly #propose: (data: Uint8Array) => void;
@@ -20,8 +20,8 @@
     this.#propose = propose;
   }
 
-  /** Whether the members in force are committed, and no exchange of voters is under way. */
-  isSettled(commit: number): boolean {
+  /** Whether the members in force are committed, and no change of voters is under way. */
+  isStable(commit: number): boolean {
     return this.#memberLog.index <= commit && !VoterSets.isJoint(this.#memberLog.members);
   }
 
@@ -32,25 +32,30 @@
    */
   voting(commit: number): StoreMember[] {
     const { members, index } = this.#memberLog;
-    const all = index <= commit ? [members] : [members, this.#memberLog.upTo(index - 1)];
-    return all.flatMap((one) => VoterSets.all(one));
+    const all = index <= commit ? [members] : [members, this.#memberLog.membersAt(index - 1)];
+    return all.flatMap((configuration) => VoterSets.all(configuration));
   }
 
+  /**
+   * Proposes other members, where none are under way and nobody is in a set twice: learners at once, other voters by
+   * way of a joint configuration. Otherwise it does nothing, and the caller asks again later.
+   */
   begin(commit: number, voters: StoreMember[], learners: StoreMember[]): void {
-    if (!this.isSettled(commit) || !VoterSets.isSound(voters)) return;
+    if (!this.isStable(commit) || !VoterSets.isSound(voters)) return;
     const before = this.#memberLog.members;
-    const isSame = voters.length === before.voters.length && voters.every((one) => VoterSets.isVoter(before, one.id));
+    const isSame =
+      voters.length === before.voters.length && voters.every((voter) => VoterSets.isVoter(before, voter.id));
     this.#write(voters, learners, isSame ? [] : before.voters);
   }
 
   /** Once a joint configuration is committed, its new set goes on alone. */
-  end(commit: number): void {
+  leaveJoint(commit: number): void {
     const { members, index } = this.#memberLog;
     if (index <= commit && VoterSets.isJoint(members)) this.#write(members.voters, members.learners, []);
   }
 
   #write(voters: StoreMember[], learners: StoreMember[], oldVoters: StoreMember[]): void {
-    const namesOf = (list: StoreMember[]): string => list.map((one) => one.name).join();
+    const namesOf = (list: StoreMember[]): string => list.map((member) => member.name).join();
     const note = { voters: namesOf(voters), learners: namesOf(learners), before: namesOf(oldVoters) };
     this.#logBuffer.note("members change", note);
     this.#propose(toBinary(MembersSchema, create(MembersSchema, { voters, learners, oldVoters })));
--- a/packages/control/src/consensus/proposals.test.ts
+++ b/packages/control/src/consensus/proposals.test.ts
@@ -9,7 +9,7 @@
 import { Proposals } from "./proposals.js";
 
 const applied: Applied = { outcome: "done", revision: 1, kvs: [], changes: [] };
-const settled = async <T>(asked: Promise<T>): Promise<T | "open"> =>
+const orOpen = async <T>(asked: Promise<T>): Promise<T | "open"> =>
   Promise.race([asked, new Promise<"open">((resolve) => setImmediate(() => resolve("open")))]);
 
 /** A leader of three whose turns end when told to, and everything that it writes and sends. */
@@ -26,7 +26,7 @@
   const turns: Array<() => void> = [];
   const clock = {
     now: () => 0,
-    once: (_ms: number, ring: () => void) => (turns.push(ring), { stop: () => undefined }),
+    once: (_ms: number, run: () => void) => (turns.push(run), { stop: () => undefined }),
     every: () => ({ stop: () => undefined }),
   };
   const disk = { read: () => [], write: (changes: DiskChange[]) => (writes.push(changes), Promise.resolve()) };
@@ -39,7 +39,7 @@
   replicator.enlist([["a", "b", "c"]], []);
   const proposals = new Proposals(log, clock);
   proposals.begin(replicator);
-  return { proposals, log, writes, sent, replicator, turn: () => turns.splice(0).forEach((ring) => ring()) };
+  return { proposals, log, writes, sent, replicator, turn: () => turns.splice(0).forEach((run) => run()) };
 }
 
 test("what is proposed and confirmed in one turn costs a sync, a message of entries and a heartbeat", async () => {
@@ -52,10 +52,10 @@
   // The heartbeat is answered without a disk.
   const toEach = (entries: number): typeof sent => ["b", "c"].map((id) => ({ id, entries, round: 1 }));
   expect(sent).toEqual([...toEach(0), ...toEach(50)]);
-  proposals.applied(log.at(7)!, applied);
+  proposals.onApplied(log.at(7)!, applied);
   expect(await proposed[6]).toEqual(applied);
-  expect(await settled(proposed[7]!)).toEqual("open");
-  expect(await settled(confirmed[0]!)).toEqual("open");
+  expect(await orOpen(proposed[7]!)).toEqual("open");
+  expect(await orOpen(confirmed[0]!)).toEqual("open");
 });
 
 test("a change of members does not wait for the turn, and stays behind what was asked before it", () => {
@@ -67,7 +67,7 @@
   expect(log.lastIndex).toEqual(2);
 });
 
-test("a term that ends before the turn does leaves nothing in the log, and everything asked is settled", async () => {
+test("a term that ends before the turn does leaves nothing in the log, and everything asked is answered", async () => {
   const { proposals, log, turn } = leader();
   const proposed = proposals.propose(new Uint8Array([1]), entryKind.command);
   const confirmed = proposals.confirm();
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -1,40 +1,80 @@
+/**
+ * One member of the metadata store's Raft group. This module wires: it serves the messages, and says in which order the
+ * log is synced, messages are sent and entries are applied. Who leads and who votes is decided in `election.ts`, what a
+ * leader knows of the others is in `leadership.ts`, commit and apply in `applier.ts`, the members in `memberLog.ts` and
+ * `membershipChange.ts`.
+ */
 import { EventEmitter } from "node:events";
 import type { StoreMember, Members, Vote, VoteReply, Yield } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { FollowerLog } from "@cranetrack/core/replication/followerLog.js";
-import { LogCompaction } from "@cranetrack/core/replication/logCompaction.js";
+import type { CompactionBounds } from "@cranetrack/core/replication/logCompaction.js";
 import type { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
-import { LogReplicator } from "@cranetrack/core/replication/logReplicator.js";
-import type { Group } from "@cranetrack/core/replication/logGroups.js";
+import type { Group, LogGroups } from "@cranetrack/core/replication/logGroups.js";
+import type { InvariantMonitor } from "@cranetrack/core/runtime/invariantMonitor.js";
 import type { RandomSource } from "@cranetrack/core/runtime/random.js";
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
 import type { RpcEndpoint } from "@cranetrack/core/rpc/rpcEndpoint.js";
 import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
-import { entryKind } from "./storeLog.js";
-import { ownMessages } from "./ownMessages.js";
-import { MemberExchange } from "./membershipChange.js";
-import { MemberLog } from "./memberLog.js";
-import { VoterSets } from "./voterSets.js";
-import { judgeVote } from "./election.js";
-import { LeaderContact } from "./leaderContact.js";
 import { Metadata, type Applied } from "../store/metadata.js";
-import type { RaftNodeParts } from "./raftNodeParts.js";
+import { Applier } from "./applier.js";
+import { Election, mayGrantVote } from "./election.js";
+import { LeaderContact } from "./leaderContact.js";
+import { Leadership, type MemberProgress } from "./leadership.js";
+import { MemberLog } from "./memberLog.js";
+import { MembershipChange } from "./membershipChange.js";
 import { Proposals } from "./proposals.js";
-import { storeCompaction } from "./storeCompaction.js";
-import { SlowMajorityWatch } from "./slowMajorityDetector.js";
+import { SlowMajorityDetector } from "./slowMajorityDetector.js";
+import { entryKind, storeCompaction } from "./storeLog.js";
+import { VoterSets } from "./voterSets.js";
+
+/** What a Raft node works with: its identity in the founded store, its log, and the seams. */
+export interface RaftNodeParts {
+  /** Of this member's disk. */
+  readonly id: string;
+  /** Of the store: votes of another founding are ignored. */
+  readonly founding: string;
+  readonly log: ReplicaLog;
+  readonly rpc: RpcEndpoint;
+  readonly groups: LogGroups;
+  /** The shortest election timeout. */
+  readonly electionMs: number;
+  readonly clock: Clock;
+  readonly random: RandomSource;
+  readonly logBuffer: LogBuffer;
+  /** Notified of entries that diverge from what is committed here; nobody is where left out. */
+  readonly invariants?: Pick<InvariantMonitor, "violated">;
+  /** False for a disk that is there twice or is an older copy: it neither votes nor counts. */
+  readonly isTrusted: (id: string) => boolean;
+  /** When the log is compacted; `storeCompaction` where left out. */
+  readonly compaction?: CompactionBounds;
+}
 
-/** What a leader sends: its commit index, where the message tells of one. */
+/** An append or a piece of a snapshot: both prove that their sender leads its term. */
 interface LeaderMessage {
   term: number;
   sender: string;
+  /** The leader's commit index, where the message has one. */
   commit?: number;
 }
 
+/** Why a leader stepped down, as its log line says. */
+type StepDownReason =
+  | "a higher term"
+  | "no majority answers"
+  | "a majority answers slowly"
+  | "it is no voter any more"
+  | "the process is stopping";
+
 /**
- * One control node's part in the replicated log, by Raft's rules. Which control node proposes changes with every
- * election and has no lasting meaning.
+ * One control node's part in the replicated log, by Raft's rules. Which control node leads changes with every election
+ * and has no lasting meaning.
  * Invariants: at most one vote a term, synced before it is answered; `applied` never passes the commit.
+ *
+ * Events: `applied` after each entry; `snapshotInstalled` where a leader's snapshot took the place of the state;
+ * `elected` once the first entry of the own term is committed; `deposed` when this node stops leading; `led` when it
+ * begins to follow another leader.
  */
 export class RaftNode extends EventEmitter<{
   applied: [applied: Applied];
@@ -44,39 +84,27 @@
   led: [];
 }> {
   static readonly heartbeatIntervalMs = 75;
-  static readonly electionTurnMs = 80;
 
-  readonly metadata = new Metadata();
+  /** The state machine, as far as this node has applied the log. */
+  readonly metadata: Metadata;
+  /** Of this member's disk. */
   readonly id: string;
   readonly founding: string;
+  readonly memberExchange: MembershipChange;
   readonly #log: ReplicaLog;
   readonly #rpc: RpcEndpoint;
   readonly #clock: Clock;
   readonly #electionMs: number;
-  readonly #contact: LeaderContact;
-  readonly #random: RandomSource;
   readonly #logBuffer: LogBuffer;
+  readonly #memberLog: MemberLog;
+  readonly #applier: Applier;
   readonly #followerLog: FollowerLog;
   readonly #proposals: Proposals;
-  readonly #memberLog: MemberLog;
-  readonly #compaction: LogCompaction;
-  readonly memberExchange: MemberExchange;
-  #replicator: LogReplicator | undefined;
-  #commit: number;
-  #applied: number;
-  #leader = "";
-  #electionAt = 0;
-  #votes = new Set<string>();
-  /** 0 when not asking, else the term asked for. */
-  #asking = 0;
-  #isPre = false;
-  #noopIndex = 0;
-  #isResigned = false;
-  /** Taken out of the members: asks for no votes until a leader speaks to it again. */
-  #isStandingBy = false;
-  readonly #slowWatch = new SlowMajorityWatch();
-  /** The last term whose leader gave up: whatever comes of it now was sent before. */
-  #yieldedTerm = 0;
+  readonly #election: Election;
+  readonly #contact: LeaderContact;
+  readonly #slowMajority = new SlowMajorityDetector();
+  /** Only while this node leads. */
+  #leadership: Leadership | undefined;
 
   constructor(parts: RaftNodeParts) {
     super();
@@ -87,16 +115,15 @@
     this.#rpc = parts.rpc;
     this.#clock = parts.clock;
     this.#electionMs = parts.electionMs;
-    this.#contact = new LeaderContact(parts.clock, parts.electionMs);
-    this.#random = parts.random;
     this.#logBuffer = parts.logBuffer;
-    this.#commit = this.#applied = this.#log.snapshotIndex;
-    this.#compaction = new LogCompaction(this.#log, parts.compaction ?? storeCompaction);
-    this.#proposals = new Proposals(this.#log, this.#clock);
+    this.#contact = new LeaderContact(parts.clock, parts.electionMs);
+    this.#election = new Election(parts.id, parts.clock, parts.random, parts.electionMs);
     this.#memberLog = new MemberLog(this.#log);
+    this.#applier = new Applier(this.#log, this.#memberLog, parts.compaction ?? storeCompaction);
+    this.metadata = this.#applier.metadata;
+    this.#proposals = new Proposals(this.#log, this.#clock);
     const propose = (data: Uint8Array): void => void this.propose(data, entryKind.members);
-    this.memberExchange = new MemberExchange(this.#memberLog, parts.logBuffer, propose);
-    if (this.#log.snapshotIndex > 0) this.#memberLog.installed(this.metadata.install(this.#log.snapshot));
+    this.memberExchange = new MembershipChange(this.#memberLog, parts.logBuffer, propose);
     this.#followerLog = new FollowerLog(
       this.#log,
       this.id,
@@ -105,160 +132,158 @@
       (state) => Metadata.isReadable(state),
       (at) => parts.invariants?.violated("committedLog", { group: this.#log.group, index: at }),
     );
-    this.#findMembers();
-    this.#rpc.serve("vote", (vote, frame) =>
-      parts.isTrusted(vote.candidate) ? this.#vote(vote, frame.from) : undefined,
-    );
-    this.#rpc.serve("voteReply", (got) => (parts.isTrusted(got.voter) ? this.#count(got) : undefined));
-    this.#rpc.serve("yield", (yielded) => this.#succeed(yielded));
-    const group: Group = {
-      append: (append, from) => this.#take(append, from, () => this.#followerLog.take(append, this.#commit)),
-      snapshot: (snapshot, from) =>
-        this.#take(snapshot, from, () => this.#followerLog.takeSnapshot(snapshot, this.#commit)),
-      onReply: (reply) => this.#replicator?.take(reply),
-    };
-    parts.groups.enlist(this.#log.group, ownMessages(this.id, parts.isTrusted, group));
-    this.#rearm();
+    this.#refreshMembers();
+    this.#serve(parts);
+    this.#election.resetTimer();
     this.#clock.every(RaftNode.heartbeatIntervalMs, () => this.#tick());
   }
 
+  /** Whether this node leads and may serve: an entry of its own term is committed (Raft, section 8). */
   get isLeader(): boolean {
-    return this.#replicator !== undefined && this.#commit >= this.#noopIndex;
+    return this.#leadership !== undefined && this.#applier.commit >= this.#leadership.noopIndex;
   }
 
+  /** The leader's machine, also before it may serve; empty while no leader is known. */
   get leaderName(): string {
-    return this.#replicator !== undefined
-      ? this.#rpc.name
-      : (VoterSets.all(this.members).find((one) => one.id === this.#leader)?.name ?? "");
+    if (this.#leadership !== undefined) return this.#rpc.name;
+    const { leaderId } = this.#election;
+    return VoterSets.all(this.members).find((member) => member.id === leaderId)?.name ?? "";
   }
 
+  /** The members in force: the newest in the log, committed or not. */
   get members(): Members {
     return this.#memberLog.members;
   }
 
+  /** The last entry that is known to be committed. */
   get commit(): number {
-    return this.#commit;
+    return this.#applier.commit;
   }
 
+  /** The newest term that this node has heard of. */
   get term(): number {
     return this.#log.term;
   }
 
-  /** Whether a majority stands behind what this control node tells its feeds, and it has all that was committed. */
+  /** Whether a majority stands behind what this control node sends to its feeds, and it has all that was committed. */
   get isInTouch(): boolean {
-    if (this.#replicator === undefined) return this.#leader !== "" && this.#contact.isCurrent;
-    return this.isLeader && !this.#contact.hasJustResumed && this.#replicator.majorityAgo() < this.#contact.limitMs;
+    const leadership = this.#leadership;
+    if (leadership === undefined) return this.#election.leaderId !== "" && this.#contact.isCurrent;
+    return (
+      this.isLeader && !this.#contact.hasJustResumed && leadership.replicator.majorityAgo() < this.#contact.limitMs
+    );
   }
 
   /** Undefined: not the leader any more; the command may or may not be carried out. */
   propose(data: Uint8Array, kind: number = entryKind.command): Promise<Applied | undefined> {
-    const settled = this.#proposals.propose(data, kind);
-    if (kind === entryKind.members) this.#findMembers();
-    return settled;
+    const applied = this.#proposals.propose(data, kind);
+    if (kind === entryKind.members) this.#refreshMembers();
+    return applied;
   }
 
-  /** True once this control node is known to have proposed after the call began, and has applied all before it. */
+  /**
+   * A confirmed read (read index: thesis, section 6.4): true once this node is known to have led after the call began,
+   * and has applied all that was committed before it.
+   */
   async confirm(): Promise<boolean> {
     if (!this.isLeader) return false;
     return (await this.#proposals.confirm()) && this.isLeader;
   }
 
-  matchOf(id: string): { match: number; behind: number; heardAgo: number } {
-    if (this.#replicator === undefined) return { match: 0, behind: Infinity, heardAgo: Infinity };
-    const match = this.#replicator.matchOf(id);
-    return { match, behind: this.#log.lastIndex - match, heardAgo: this.#replicator.heardAgo(id) };
+  /** How far a member has come, for the leader; others know nothing. */
+  matchOf(id: string): MemberProgress {
+    return this.#leadership?.progressOf(id) ?? Leadership.unknownProgress;
   }
 
-  /** Whether the members in force are committed, and no exchange of voters is under way. */
+  /** Whether the members in force are committed, and no change of voters is under way. */
   get hasSettledMembers(): boolean {
-    return this.memberExchange.isSettled(this.#commit);
+    return this.memberExchange.isStable(this.#applier.commit);
   }
 
   /** Begins a change of members, where none is under way; other voters come by joint consensus. */
   changeMembers(voters: StoreMember[], learners: StoreMember[]): void {
-    if (this.isLeader) this.memberExchange.begin(this.#commit, voters, learners);
+    if (this.isLeader) this.memberExchange.begin(this.#applier.commit, voters, learners);
   }
 
-  async #take(message: LeaderMessage, from: string, take: () => Promise<BodyInit>): Promise<undefined> {
-    const isLed = message.term >= this.#log.term && message.term > this.#yieldedTerm;
-    if (message.term >= this.#log.term) {
-      this.#isStandingBy = false;
-      if (message.term > this.#log.term) this.#stepDown("a higher term");
-      if (isLed) this.#heed(message.sender);
-    }
-    const taken = take();
-    if (isLed && this.#applied >= (message.commit ?? Infinity)) this.#contact.current();
-    // In force from when they are in the log, not only once the disk has them (thesis, 4.1).
-    this.#findMembers();
-    this.#rpc.send(from, await taken);
-    return undefined;
+  /** This node was removed from the members: it does not campaign until a leader sends to it again. */
+  standBy(): void {
+    this.#election.standBy();
   }
 
-  #heed(sender: string): void {
-    this.#contact.heard();
-    this.#asking = 0;
-    this.#rearm();
-    if (this.#leader === sender) return;
-    this.#leader = sender;
-    this.emit("led");
+  /** Gives the term up before the process stops, so that the others need not wait for an election timeout. */
+  resign(): void {
+    this.#election.resign();
+    this.#stepDown("the process is stopping");
+  }
+
+  #serve({ rpc, groups, isTrusted }: RaftNodeParts): void {
+    rpc.serve("vote", (vote, frame) =>
+      isTrusted(vote.candidate) ? this.#handleVoteRequest(vote, frame.from) : undefined,
+    );
+    rpc.serve("voteReply", (reply) => (isTrusted(reply.voter) ? this.#handleVoteReply(reply) : undefined));
+    rpc.serve("yield", (yielded) => this.#handleYield(yielded));
+    const group: Group = {
+      append: (append, from) =>
+        this.#handleLeaderMessage(append, from, () => this.#followerLog.take(append, this.#applier.commit)),
+      snapshot: (snapshot, from) =>
+        this.#handleLeaderMessage(snapshot, from, () => this.#followerLog.takeSnapshot(snapshot, this.#applier.commit)),
+      onReply: (reply) => this.#leadership?.replicator.take(reply),
+    };
+    groups.enlist(this.#log.group, messagesForDisk(this.id, isTrusted, group));
   }
 
   #tick(): void {
     const now = this.#clock.now();
     this.#contact.tick();
-    if (this.#replicator !== undefined) {
-      if (this.#replicator.majorityAgo() > this.#contact.limitMs) return this.#stepDown("no majority answers");
-      if (this.#slowWatch.isSlow(now, this.#replicator.answerMs)) return this.#giveWay(now);
-      this.#replicator.askWaiting();
-      return this.#replicator.sendHeartbeats();
+    if (this.#leadership !== undefined) return this.#tickLeader(this.#leadership, now);
+    // A voter that leaves campaigns too, until its removal is committed (thesis, section 4.2.2).
+    const mayLead = this.memberExchange.voting(this.#applier.commit).some((member) => member.id === this.id);
+    if (mayLead && this.#election.isTimedOut(now)) this.#campaign(true);
+    // After a start of all, the first request may have reached nobody yet.
+    else if (this.#election.isCampaigning && this.#election.isPreVote) this.#requestVotes();
+  }
+
+  #tickLeader({ replicator }: Leadership, now: number): void {
+    if (replicator.majorityAgo() > this.#contact.limitMs) return this.#stepDown("no majority answers");
+    if (this.#slowMajority.isSlow(now, replicator.answerMs)) {
+      this.#stepDown("a majority answers slowly", true);
+      return this.#election.backOff(now);
     }
-    const mayLead = this.memberExchange.voting(this.#commit).some((one) => one.id === this.id);
-    if (mayLead && now >= this.#electionAt && !this.#isResigned && !this.#isStandingBy) this.#ask(true);
-    // After a start of all, the first question may have reached nobody yet.
-    else if (this.#asking !== 0 && this.#isPre) this.#sendVote();
-  }
-
-  /** Lets somebody else propose, and asks again itself only if nobody does. */
-  #giveWay(now: number): void {
-    this.#stepDown("a majority answers slowly", true);
-    this.#electionAt = now + this.#electionMs * 4;
-  }
-
-  #rearm(): void {
-    this.#electionAt = this.#clock.now() + this.#electionMs * (1 + this.#random.draw() * 0.8);
+    replicator.askWaiting();
+    replicator.sendHeartbeats();
   }
 
-  #ask(isPre: boolean): void {
-    this.#rearm();
-    this.#isPre = isPre;
-    this.#leader = "";
-    this.#asking = this.#log.term + 1;
-    this.#votes = new Set([this.id]);
-    const asking = this.#asking;
-    if (isPre) return this.#sendVote();
-    void this.#log
-      .promise(asking, this.id)
-      .then(() => void (this.#asking === asking && !this.#isPre && this.#sendVote()));
+  /** Requests pre-votes, which bind nobody, or, once a majority would vote for it, votes of the next term. */
+  #campaign(isPreVote: boolean): void {
+    const term = this.#log.term + 1;
+    this.#election.startCampaign(term, isPreVote);
+    if (isPreVote) return this.#requestVotes();
+    // The own vote counts once it is synced.
+    void this.#log.promise(term, this.id).then(() => void (this.#election.isCandidate(term) && this.#requestVotes()));
   }
 
-  #sendVote(): void {
+  #requestVotes(): void {
     const { lastIndex, lastTerm } = this.#log;
-    const vote = { term: this.#asking, candidate: this.id, lastIndex, lastTerm };
-    this.#tellVoters({ case: "vote", value: { ...vote, isPre: this.#isPre, founding: this.founding } });
-    this.#tally();
+    const vote = { term: this.#election.campaignTerm, candidate: this.id, lastIndex, lastTerm };
+    this.#sendToVoters({
+      case: "vote",
+      value: { ...vote, isPre: this.#election.isPreVote, founding: this.founding },
+    });
+    this.#countVotes();
   }
 
-  async #vote(vote: Vote, from: string): Promise<undefined> {
+  async #handleVoteRequest(vote: Vote, from: string): Promise<undefined> {
     if (vote.founding !== this.founding || !Number.isSafeInteger(vote.term)) return undefined;
-    const isLed = this.#replicator !== undefined || (this.#leader !== "" && this.#contact.heardAgo < this.#electionMs);
-    const isGranted = judgeVote(vote, this.#log, isLed);
-    if (!vote.isPre && !isLed && (vote.term > this.#log.term || isGranted)) {
-      // What it asked for itself was a vote in an earlier term.
-      this.#asking = 0;
+    const isLeaderHeard = this.#election.leaderId !== "" && this.#contact.heardAgo < this.#electionMs;
+    const hasLeader = this.#leadership !== undefined || isLeaderHeard;
+    const isGranted = mayGrantVote(vote, this.#log, hasLeader);
+    if (!vote.isPre && !hasLeader && (vote.term > this.#log.term || isGranted)) {
+      // What it campaigned for itself was an earlier term.
+      this.#election.endCampaign();
       await this.#log.promise(vote.term, isGranted ? vote.candidate : "");
-      this.#rearm();
+      this.#election.resetTimer();
     }
-    // Whoever lacks the entry that names the candidate answers it too: the candidate knows whose word counts.
+    // Whoever lacks the entry that names the candidate answers it too: the candidate knows whose vote counts.
     await this.#log.termSynced();
     this.#rpc.send(from, {
       case: "voteReply",
@@ -267,135 +292,142 @@
     return undefined;
   }
 
-  #count(reply: VoteReply): undefined {
+  #handleVoteReply(reply: VoteReply): undefined {
     if (!Number.isSafeInteger(reply.term) || !VoterSets.isVoter(this.members, reply.voter)) return undefined;
-    if (!reply.isGranted && reply.term > this.#log.term && this.#replicator === undefined) {
+    if (!reply.isGranted && reply.term > this.#log.term && this.#leadership === undefined) {
       void this.#log.promise(reply.term, "");
-      // Nobody grants a term that is over: the next one is asked for at once.
-      if (this.#asking !== 0) this.#ask(true);
-    }
-    if (reply.isGranted && this.#asking === reply.term && reply.isPre === this.#isPre) {
-      this.#votes.add(reply.voter);
-      this.#tally();
+      // Nobody grants a term that is over: votes of the next one are requested at once.
+      if (this.#election.isCampaigning) this.#campaign(true);
     }
+    if (this.#election.recordVote(reply)) this.#countVotes();
     return undefined;
   }
 
-  #tally(): void {
-    if (this.#asking === 0 || !VoterSets.isMajority(this.members, this.#votes)) return;
-    if (this.#isPre) return this.#ask(false);
-    if (this.#log.term !== this.#asking || this.#log.vote !== this.id) return;
-    this.#propose();
+  #countVotes(): void {
+    if (!this.#election.hasMajority(this.members)) return;
+    if (this.#election.isPreVote) return this.#campaign(false);
+    if (this.#log.term !== this.#election.campaignTerm || this.#log.vote !== this.id) return;
+    this.#becomeLeader();
   }
 
-  #propose(): void {
-    this.#asking = 0;
-    this.#leader = this.id;
-    const names = (): Map<string, string> =>
-      new Map([...VoterSets.all(this.members), ...this.members.learners].map((one) => [one.id, one.name]));
-    const replicator = new LogReplicator({
+  #becomeLeader(): void {
+    this.#election.onElected();
+    const leadership = new Leadership({
+      selfId: this.id,
       log: this.#log,
       clock: this.#clock,
-      self: this.id,
-      term: this.#log.term,
-      commit: this.#commit,
-      send: (id, body) => this.#rpc.send(names().get(id) ?? "", body),
+      rpc: this.#rpc,
+      commit: this.#applier.commit,
+      members: () => this.members,
     });
-    this.#replicator = replicator;
+    const { replicator } = leadership;
+    this.#leadership = leadership;
     this.#proposals.begin(replicator);
-    this.#slowWatch.begin(this.#clock.now());
+    this.#slowMajority.begin(this.#clock.now());
     replicator.on("committed", (index) => this.#advance(index));
     replicator.on("deposed", (term) => {
       this.#stepDown("a higher term");
       void this.#log.promise(term, "");
     });
     this.#logBuffer.note("proposes", { term: this.#log.term });
-    this.#enlist();
-    this.#noopIndex = this.#log.lastIndex + 1;
+    leadership.setMembers(this.members);
     void this.propose(new Uint8Array(), entryKind.noop);
     replicator.sendHeartbeats();
   }
 
-  standBy(): void {
-    this.#isStandingBy = true;
-  }
-
-  /** Gives the term up before the process stops, so that the others need not wait for silence. */
-  resign(): void {
-    this.#isResigned = true;
-    this.#stepDown("the process is stopping");
+  #stepDown(why: StepDownReason, isSlow = false): void {
+    if (this.#leadership === undefined) return;
+    this.#sendToVoters({ case: "yield", value: { term: this.#log.term, sender: this.id, isSlow } });
+    this.#logBuffer.note("no longer proposes", { why, term: this.#log.term });
+    this.#leadership.replicator.stop();
+    this.#leadership = undefined;
+    this.#election.onSteppedDown();
+    this.#proposals.end();
+    this.emit("deposed");
   }
 
-  /** The leader gave up: the others pass it on, for its word may be slow, and ask in turn, to split no votes. */
-  #succeed({ term, sender, isSlow }: Yield): undefined {
-    if (isSlow && term >= this.#log.term) this.#slowWatch.otherGaveWay(this.#clock.now());
-    if (term !== this.#log.term || sender !== this.#leader || this.#replicator !== undefined) return undefined;
-    this.#leader = "";
-    this.#yieldedTerm = term;
-    this.#tellVoters({ case: "yield", value: { term, sender, isSlow } }, sender);
-    const ids = VoterSets.ids(this.members).filter((id) => id !== sender);
-    const rank = Rendezvous.rank(RendezvousKeys.electionAfter(term), ids).indexOf(this.id);
-    this.#electionAt = this.#clock.now() + rank * RaftNode.electionTurnMs;
+  /** The leader gave its term up. The others forward that, for its message may be late, and campaign in turn. */
+  #handleYield({ term, sender, isSlow }: Yield): undefined {
+    if (isSlow && term >= this.#log.term) this.#slowMajority.onOtherYielded(this.#clock.now());
+    const isOfLeader = term === this.#log.term && sender === this.#election.leaderId;
+    if (!isOfLeader || this.#leadership !== undefined) return undefined;
+    this.#election.onLeaderYielded(term);
+    this.#sendToVoters({ case: "yield", value: { term, sender, isSlow } }, sender);
+    const others = VoterSets.ids(this.members).filter((id) => id !== sender);
+    const rank = Rendezvous.rank(RendezvousKeys.electionAfter(term), others).indexOf(this.id);
+    this.#election.waitForTurn(rank);
     return undefined;
   }
 
-  #stepDown(why: string, isSlow = false): void {
-    if (this.#replicator === undefined) return;
-    this.#tellVoters({ case: "yield", value: { term: this.#log.term, sender: this.id, isSlow } });
-    this.#logBuffer.note("no longer proposes", { why, term: this.#log.term });
-    this.#replicator.stop();
-    this.#replicator = undefined;
-    this.#leader = "";
-    this.#rearm();
-    this.#proposals.end();
-    this.emit("deposed");
+  /** `receive` writes the message to the log, and gives the reply once that is synced. */
+  async #handleLeaderMessage(
+    message: LeaderMessage,
+    from: string,
+    receive: () => Promise<BodyInit>,
+  ): Promise<undefined> {
+    const isLed = message.term >= this.#log.term && !this.#election.hasYielded(message.term);
+    if (message.term >= this.#log.term) {
+      this.#election.endStandby();
+      if (message.term > this.#log.term) this.#stepDown("a higher term");
+      if (isLed) this.#follow(message.sender);
+    }
+    const reply = receive();
+    if (isLed && this.#applier.applied >= (message.commit ?? Infinity)) this.#contact.onCaughtUp();
+    // In force from when they are in the log, not only once the disk has them (thesis, section 4.1).
+    this.#refreshMembers();
+    this.#rpc.send(from, await reply);
+    return undefined;
   }
 
-  #tellVoters(body: BodyInit, except = ""): void {
-    for (const { id, name } of VoterSets.all(this.members))
-      if (id !== this.id && id !== except) this.#rpc.send(name, body);
+  #follow(leaderId: string): void {
+    this.#contact.onMessage();
+    if (this.#election.onLeaderHeard(leaderId)) this.emit("led");
   }
 
   #advance(index: number): void {
     const wasLeader = this.isLeader;
-    this.#commit = Math.max(this.#commit, Math.min(index, this.#log.lastIndex));
-    while (this.#applied < this.#commit) {
-      const entry = this.#log.at(this.#applied + 1)!;
-      this.#applied += 1;
-      this.#compaction.applied(entry);
-      const isCommand = entry.kind === entryKind.command;
-      const applied: Applied = isCommand
-        ? this.metadata.apply(entry.index, entry.data)
-        : { outcome: "done", revision: entry.index, kvs: [], changes: [] };
-      if (!isCommand) this.metadata.revision = entry.index;
-      this.#proposals.applied(entry, applied);
+    const applier = this.#applier;
+    applier.advanceCommit(index);
+    while (applier.applied < applier.commit) {
+      const entry = applier.nextEntry();
+      const applied = applier.apply(entry);
+      this.#proposals.onApplied(entry, applied);
       this.emit("applied", applied);
     }
     if (!wasLeader && this.isLeader) this.emit("elected");
-    if (this.isLeader) this.memberExchange.end(this.#commit);
+    if (this.isLeader) this.memberExchange.leaveJoint(applier.commit);
     // Its removal is committed: the others elect at once.
     if (this.isLeader && this.hasSettledMembers && !VoterSets.isVoter(this.members, this.id))
       this.#stepDown("it is no voter any more");
-    if (this.#compaction.isDue) this.#compact();
-  }
-
-  #compact(): void {
-    const members = this.#memberLog.snapshot(this.#applied);
-    void this.#compaction.compact(this.#applied, this.metadata.snapshot(members));
+    applier.compactIfDue();
   }
 
   #install(index: number, state: Uint8Array): void {
-    this.#memberLog.installed(this.metadata.install(state));
-    this.#commit = this.#applied = index;
-    this.#findMembers();
+    this.#applier.install(index, state);
+    this.#refreshMembers();
     this.emit("snapshotInstalled");
   }
 
-  #findMembers(): void {
-    if (this.#memberLog.look()) this.#enlist();
+  #refreshMembers(): void {
+    if (this.#memberLog.refresh()) this.#leadership?.setMembers(this.members);
   }
 
-  #enlist(): void {
-    this.#replicator?.enlist(VoterSets.idSets(this.members), VoterSets.learnerIds(this.members));
+  #sendToVoters(body: BodyInit, exceptId = ""): void {
+    for (const { id, name } of VoterSets.all(this.members))
+      if (id !== this.id && id !== exceptId) this.#rpc.send(name, body);
   }
 }
+
+/**
+ * The messages of a replicated log that are meant for this disk. One to another disk of this machine, an earlier one
+ * say, is dropped, and so is the acknowledgement of a disk that may not count.
+ */
+function messagesForDisk(id: string, isTrusted: (id: string) => boolean, group: Group): Group {
+  return {
+    append: (append, from) => (append.receiver === id ? group.append(append, from) : undefined),
+    snapshot: (snapshot, from) => (snapshot.receiver === id ? group.snapshot(snapshot, from) : undefined),
+    onReply: (reply, from) => {
+      if (reply.receiver === id && isTrusted(reply.sender)) group.onReply(reply, from);
+    },
+  };
+}
--- a/packages/control/src/consensus/slowMajorityDetector.ts
+++ b/packages/control/src/consensus/slowMajorityDetector.ts
@@ -1,38 +1,43 @@
 /**
- * Tells when a leader that others answer slowly should give way: it may be the slow one, and leases would
- * suffer from it.
- * Invariants: says so at most once in a while, and not soon after another leader gave way for it, since the slowness
- * of all of them must not keep them electing; who did not look for a while, because it slept itself, says nothing of
- * the others' slowness.
+ * Tells when a leader that others answer slowly should yield: it may be the slow one, and leases would suffer from it.
+ * Invariants: it says so at most once in `coolDownMs`, and not soon after another leader yielded for that reason, since
+ * slowness of all of them must not keep them electing; a process that stood still itself says nothing of the others.
  */
-export class SlowMajorityWatch {
+export class SlowMajorityDetector {
+  /** An answer of a majority that takes longer is slow. */
   static readonly slowMs = 150;
-  static readonly forMs = 300;
-  static readonly restMs = 20_000;
-  /** Looks further apart than this are none. */
-  static readonly gapMs = 200;
+  /** How long answers must be slow without a break. */
+  static readonly minDurationMs = 300;
+  /** How long after one leader yielded no other does for slowness. */
+  static readonly coolDownMs = 20_000;
+  /** Checks further apart than this mean that this process stood still. */
+  static readonly maxCheckGapMs = 200;
 
-  #lookedAt = -Infinity;
-  #quickAt = -Infinity;
-  #gaveWayAt = -Infinity;
+  #checkedAt = -Infinity;
+  #fastAt = -Infinity;
+  #yieldedAt = -Infinity;
 
   /** A term begins. */
   begin(now: number): void {
-    this.#quickAt = this.#lookedAt = now;
+    this.#fastAt = this.#checkedAt = now;
   }
 
-  /** Another leader has given way: if this one is answered as slowly, it was not that one's fault. */
-  otherGaveWay(now: number): void {
-    this.#gaveWayAt = now;
+  /** Another leader yielded for slowness: if this one is answered as slowly, it was not that one's fault. */
+  onOtherYielded(now: number): void {
+    this.#yieldedAt = now;
   }
 
+  /** To be called at every tick of a leader, with how long a majority takes to answer; true: yield now. */
   isSlow(now: number, answerMs: number): boolean {
-    const isAsleep = now - this.#lookedAt > SlowMajorityWatch.gapMs;
-    this.#lookedAt = now;
-    if (isAsleep || answerMs <= SlowMajorityWatch.slowMs) this.#quickAt = now;
-    if (now - this.#quickAt <= SlowMajorityWatch.forMs || now - this.#gaveWayAt <= SlowMajorityWatch.restMs)
+    const hasPaused = now - this.#checkedAt > SlowMajorityDetector.maxCheckGapMs;
+    this.#checkedAt = now;
+    if (hasPaused || answerMs <= SlowMajorityDetector.slowMs) this.#fastAt = now;
+    if (
+      now - this.#fastAt <= SlowMajorityDetector.minDurationMs ||
+      now - this.#yieldedAt <= SlowMajorityDetector.coolDownMs
+    )
       return false;
-    this.#gaveWayAt = now;
+    this.#yieldedAt = now;
     return true;
   }
 }
--- a/packages/testkit/src/golden/diskAdapter.ts
+++ b/packages/testkit/src/golden/diskAdapter.ts
@@ -3,7 +3,7 @@
  * and their helpers use the names exported here, so that they stay as they are when the product's names change.
  */
 import { fileURLToPath } from "node:url";
-import { storeCompaction } from "@cranetrack/control/consensus/storeCompaction.js";
+import { storeCompaction } from "@cranetrack/control/consensus/storeLog.js";
 import { Replica } from "@cranetrack/log-storage/replication/replica.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import { Seal } from "@cranetrack/core/rpc/seal.js";
--- a/packages/testkit/src/sabotage/cutOffSabotages.ts
+++ b/packages/testkit/src/sabotage/cutOffSabotages.ts
@@ -7,7 +7,7 @@
   {
     name: "whoever hears the leader counts as current",
     file: "control/dist/consensus/raftNode.js",
-    find: "this.#applied >= (message.commit ?? Infinity)",
+    find: "this.#applier.applied >= (message.commit ?? Infinity)",
     put: "true",
     test,
   },
@@ -42,8 +42,8 @@
   {
     name: "a member that stood still believes its buffers",
     file: "control/dist/consensus/leaderContact.js",
-    find: "this.#resumedAt = this.#heartbeatAt = this.#clock.now();",
-    put: "this.#heartbeatAt = this.#clock.now();",
+    find: "this.#resumedAt = this.#tickAt = this.#clock.now();",
+    put: "this.#tickAt = this.#clock.now();",
     test: "control/dist/consensus/leaderContact.test.js",
   },
   {
--- a/packages/testkit/src/sabotage/electionSabotages.ts
+++ b/packages/testkit/src/sabotage/electionSabotages.ts
@@ -8,15 +8,15 @@
   {
     name: "who has voted goes on asking for votes itself",
     file,
-    find: "this.#asking = 0;\n            await this.#log.promise(",
+    find: "this.#election.endCampaign();\n            await this.#log.promise(",
     put: "await this.#log.promise(",
     test,
   },
   {
     name: "votes are asked for in a term that is over",
     file,
-    find: "this.#ask(true);\n        }\n        if (reply.isGranted",
-    put: "void 0;\n        }\n        if (reply.isGranted",
+    find: "this.#campaign(true);\n        }\n        if (this.#election.recordVote(reply))",
+    put: "void 0;\n        }\n        if (this.#election.recordVote(reply))",
     test,
   },
 ];
--- a/packages/testkit/src/sabotage/exploreSabotages.ts
+++ b/packages/testkit/src/sabotage/exploreSabotages.ts
@@ -20,8 +20,8 @@
   {
     name: "explorer: a log that is behind gets votes",
     file: "control/dist/consensus/election.js",
-    find: "if (!isCurrent || isLed)",
-    put: "if (isLed)",
+    find: "if (!isUpToDate || hasLeader)",
+    put: "if (hasLeader)",
     test,
   },
   {
@@ -61,9 +61,9 @@
   },
   {
     name: "explorer: a learner counts",
-    file: raftNode,
-    find: "VoterSets.idSets(this.members), VoterSets.learnerIds(this.members)",
-    put: "VoterSets.idSets(this.members).map((set) => [...set, ...VoterSets.learnerIds(this.members)]), []",
+    file: "control/dist/consensus/leadership.js",
+    find: "VoterSets.idSets(members), VoterSets.learnerIds(members)",
+    put: "VoterSets.idSets(members).map((set) => [...set, ...VoterSets.learnerIds(members)]), []",
     test,
   },
   {
@@ -76,8 +76,8 @@
   {
     name: "explorer: a read is answered before an entry of the term is committed",
     file: raftNode,
-    find: "return this.#replicator !== undefined && this.#commit >= this.#noopIndex;",
-    put: "return this.#replicator !== undefined;",
+    find: "return this.#leadership !== undefined && this.#applier.commit >= this.#leadership.noopIndex;",
+    put: "return this.#leadership !== undefined;",
     test,
   },
   {
@@ -111,7 +111,7 @@
   {
     name: "explorer: who lacks what its leader committed is in touch",
     file: raftNode,
-    find: "if (isLed && this.#applied >= (message.commit ?? Infinity))",
+    find: "if (isLed && this.#applier.applied >= (message.commit ?? Infinity))",
     put: "if (isLed)",
     test,
   },
@@ -132,14 +132,14 @@
   {
     name: "explorer: members are looked for only after the disk has them",
     file: raftNode,
-    find: "const taken = take();",
-    put: "const taken = take(); await taken;",
+    find: "const reply = receive();",
+    put: "const reply = receive(); await reply;",
     test: traces,
   },
   {
     name: "explorer: only voters of the newest members ask for votes",
     file: "control/dist/consensus/membershipChange.js",
-    find: "[members, this.#memberLog.upTo(index - 1)]",
+    find: "[members, this.#memberLog.membersAt(index - 1)]",
     put: "[members]",
     test: traces,
   },
--- a/packages/testkit/src/sabotage/logSabotages.ts
+++ b/packages/testkit/src/sabotage/logSabotages.ts
@@ -123,7 +123,7 @@
   },
   {
     name: "the store's log grows until 4,000 changes are in it",
-    file: "control/dist/consensus/storeCompaction.js",
+    file: "control/dist/consensus/storeLog.js",
     find: "bytes: 8 * 1024 * 1024",
     put: "bytes: Infinity",
     test: "testkit/dist/sim/catchUp.test.js",
@@ -131,8 +131,8 @@
   {
     name: "a vote goes to any log",
     file: "control/dist/consensus/election.js",
-    find: "if (!isCurrent || isLed)",
-    put: "if (isLed)",
+    find: "if (!isUpToDate || hasLeader)",
+    put: "if (hasLeader)",
     test: "testkit/dist/sim/oldState.test.js",
   },
   {
@@ -152,8 +152,8 @@
   {
     name: "a leader serves before its first entry is committed",
     file: "control/dist/consensus/raftNode.js",
-    find: "this.#replicator !== undefined && this.#commit >= this.#noopIndex",
-    put: "this.#replicator !== undefined",
+    find: "this.#leadership !== undefined && this.#applier.commit >= this.#leadership.noopIndex",
+    put: "this.#leadership !== undefined",
     test: "testkit/dist/sim/oldState.test.js",
   },
   {
--- a/packages/testkit/src/sabotage/membershipSabotages.ts
+++ b/packages/testkit/src/sabotage/membershipSabotages.ts
@@ -13,9 +13,9 @@
   },
   {
     name: "commits in a joint configuration count the new set only",
-    file: "control/dist/consensus/raftNode.js",
-    find: "VoterSets.idSets(this.members)",
-    put: "[this.members.voters.map((one) => one.id)]",
+    file: "control/dist/consensus/leadership.js",
+    find: "VoterSets.idSets(members)",
+    put: "[members.voters.map((one) => one.id)]",
     test: `${sim}/memberChanges.test.js`,
   },
   {
@@ -84,7 +84,7 @@
   {
     name: "changes of members overlap",
     file: "control/dist/consensus/membershipChange.js",
-    find: "!this.isSettled(commit) || ",
+    find: "!this.isStable(commit) || ",
     put: "",
     test: "control/dist/consensus/membershipChange.test.js",
   },
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -259,14 +259,14 @@
   {
     name: "nobody passes on that a proposer gave up",
     file: "control/dist/consensus/raftNode.js",
-    find: 'this.#tellVoters({ case: "yield", value: { term, sender, isSlow } }, sender);',
+    find: 'this.#sendToVoters({ case: "yield", value: { term, sender, isSlow } }, sender);',
     put: "",
     test: `${sim}/store.test.js`,
   },
   {
     name: "what a proposer sent before it gave up brings it back",
     file: "control/dist/consensus/raftNode.js",
-    find: " && message.term > this.#yieldedTerm",
+    find: " && !this.#election.hasYielded(message.term)",
     put: "",
     test: `${sim}/store.test.js`,
   },
@@ -294,7 +294,7 @@
   {
     name: "who slept takes the others for slow",
     file: "control/dist/consensus/slowMajorityDetector.js",
-    find: "if (isAsleep || ",
+    find: "if (hasPaused || ",
     put: "if (",
     test: "control/dist/consensus/slowMajorityDetector.test.js",
   },
@@ -308,7 +308,7 @@
   {
     name: "a slow proposer stays",
     file: "control/dist/consensus/raftNode.js",
-    find: "if (this.#slowWatch.isSlow(now, this.#replicator.answerMs))",
+    find: "if (this.#slowMajority.isSlow(now, replicator.answerMs))",
     put: "if (false)",
     test: `${sim}/store.test.js`,
   },
--- a/packages/testkit/src/sim/catchUp.test.ts
+++ b/packages/testkit/src/sim/catchUp.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
 import { SnapshotSender } from "@cranetrack/core/replication/snapshotSender.js";
-import { storeCompaction } from "@cranetrack/control/consensus/storeCompaction.js";
+import { storeCompaction } from "@cranetrack/control/consensus/storeLog.js";
 import { expect } from "earl";
 import { CatchUp, type Comeback } from "./catchUp.js";
 
