--- a/packages/control/src/consensus/applier.ts
+++ b/packages/control/src/consensus/applier.ts
@@ -55,6 +55,7 @@
     return { outcome: "done", revision: entry.index, kvs: [], changes: [] };
   }
 
+  /** Puts a snapshot in place of applied entries, once the log has outgrown its bounds; the disk follows later. */
   compactIfDue(): void {
     if (!this.#compaction.isDue) return;
     const members = this.#memberLog.membersForSnapshot(this.#applied);
--- a/packages/control/src/consensus/election.ts
+++ b/packages/control/src/consensus/election.ts
@@ -95,6 +95,7 @@
     this.#votes = new Set([this.#selfId]);
   }
 
+  /** Votes that are still on their way count no more: this member has promised its vote to another. */
   endCampaign(): void {
     this.#campaignTerm = 0;
   }
@@ -143,6 +144,7 @@
     this.#yieldedTerm = term;
   }
 
+  /** Whether the leader of a term is followed no more, since it or a later one gave up. */
   hasYielded(term: number): boolean {
     return term <= this.#yieldedTerm;
   }
@@ -157,6 +159,7 @@
     this.#isStandby = true;
   }
 
+  /** A leader sends to this member: it belongs to the members again. */
   endStandby(): void {
     this.#isStandby = false;
   }
--- a/packages/control/src/consensus/leadership.ts
+++ b/packages/control/src/consensus/leadership.ts
@@ -59,6 +59,7 @@
     this.replicator.enlist(VoterSets.idSets(members), VoterSets.learnerIds(members));
   }
 
+  /** What the leader knows of one member, for whoever decides when it is a voter. */
   progressOf(id: string): MemberProgress {
     const match = this.replicator.matchOf(id);
     return { match, behind: this.#log.lastIndex - match, heardAgo: this.replicator.heardAgo(id) };
--- a/packages/control/src/consensus/membershipChange.test.ts
+++ b/packages/control/src/consensus/membershipChange.test.ts
@@ -54,7 +54,7 @@
 
 test("who votes before, meanwhile or after a change counts until the change is committed", async () => {
   const { change } = await leader();
-  const voting = (commit: number): string => [...new Set(letters(change.voting(commit)))].sort().join("");
+  const voting = (commit: number): string => [...new Set(letters(change.electorate(commit)))].sort().join("");
   change.begin(1, list("abn"), []);
   expect([voting(1), voting(2)]).toEqual(["abnx", "abnx"]);
   change.leaveJoint(2);
--- a/packages/control/src/consensus/membershipChange.ts
+++ b/packages/control/src/consensus/membershipChange.ts
@@ -5,7 +5,7 @@
 import { VoterSets } from "./voterSets.js";
 
 /**
- * Changes of the store's members by the leader's proposals (Raft, section 6).
+ * Changes of the metadata store's members by its leader's proposals, by joint consensus (Raft, section 6; thesis, 4.3).
  * Invariants: a change begins only where the members in force are committed; other voters come by a joint
  * configuration, which any leader ends once it is committed; nobody is in a set twice.
  */
@@ -30,7 +30,7 @@
    * before. Each of them may ask for votes: one that leaves, too, as only its log may have the newest configuration
    * (Ongaro's thesis, section 4.2.2). It doesn't count itself then.
    */
-  voting(commit: number): StoreMember[] {
+  electorate(commit: number): StoreMember[] {
     const { members, index } = this.#memberLog;
     const all = index <= commit ? [members] : [members, this.#memberLog.membersAt(index - 1)];
     return all.flatMap((configuration) => VoterSets.all(configuration));
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -90,7 +90,7 @@
   /** Of this member's disk. */
   readonly id: string;
   readonly founding: string;
-  readonly memberExchange: MembershipChange;
+  readonly membershipChange: MembershipChange;
   readonly #log: ReplicaLog;
   readonly #rpc: RpcEndpoint;
   readonly #clock: Clock;
@@ -123,7 +123,7 @@
     this.metadata = this.#applier.metadata;
     this.#proposals = new Proposals(this.#log, this.#clock);
     const propose = (data: Uint8Array): void => void this.propose(data, entryKind.members);
-    this.memberExchange = new MembershipChange(this.#memberLog, parts.logBuffer, propose);
+    this.membershipChange = new MembershipChange(this.#memberLog, parts.logBuffer, propose);
     this.#followerLog = new FollowerLog(
       this.#log,
       this.id,
@@ -191,18 +191,18 @@
   }
 
   /** How far a member has come, for the leader; others know nothing. */
-  matchOf(id: string): MemberProgress {
+  progressOf(id: string): MemberProgress {
     return this.#leadership?.progressOf(id) ?? Leadership.unknownProgress;
   }
 
   /** Whether the members in force are committed, and no change of voters is under way. */
-  get hasSettledMembers(): boolean {
-    return this.memberExchange.isStable(this.#applier.commit);
+  get hasStableMembers(): boolean {
+    return this.membershipChange.isStable(this.#applier.commit);
   }
 
   /** Begins a change of members, where none is under way; other voters come by joint consensus. */
   changeMembers(voters: StoreMember[], learners: StoreMember[]): void {
-    if (this.isLeader) this.memberExchange.begin(this.#applier.commit, voters, learners);
+    if (this.isLeader) this.membershipChange.begin(this.#applier.commit, voters, learners);
   }
 
   /** This node was removed from the members: it does not campaign until a leader sends to it again. */
@@ -237,7 +237,7 @@
     this.#contact.tick();
     if (this.#leadership !== undefined) return this.#tickLeader(this.#leadership, now);
     // A voter that leaves campaigns too, until its removal is committed (thesis, section 4.2.2).
-    const mayLead = this.memberExchange.voting(this.#applier.commit).some((member) => member.id === this.id);
+    const mayLead = this.membershipChange.electorate(this.#applier.commit).some((member) => member.id === this.id);
     if (mayLead && this.#election.isTimedOut(now)) this.#campaign(true);
     // After a start of all, the first request may have reached nobody yet.
     else if (this.#election.isCampaigning && this.#election.isPreVote) this.#requestVotes();
@@ -395,9 +395,9 @@
       this.emit("applied", applied);
     }
     if (!wasLeader && this.isLeader) this.emit("elected");
-    if (this.isLeader) this.memberExchange.leaveJoint(applier.commit);
+    if (this.isLeader) this.membershipChange.leaveJoint(applier.commit);
     // Its removal is committed: the others elect at once.
-    if (this.isLeader && this.hasSettledMembers && !VoterSets.isVoter(this.members, this.id))
+    if (this.isLeader && this.hasStableMembers && !VoterSets.isVoter(this.members, this.id))
       this.#stepDown("it is no voter any more");
     applier.compactIfDue();
   }
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -53,7 +53,7 @@
 
   /** Says what is wrong with the data folder, if anything is. */
   load(): string | undefined {
-    return new ReplicaLog(this.#disk, logGroupNames.store).fault() ?? this.founding.fault() ?? this.storage.load();
+    return new ReplicaLog(this.#disk, logGroupNames.store).fault() ?? this.founding.diskFault() ?? this.storage.load();
   }
 
   async start(): Promise<void> {
@@ -73,7 +73,7 @@
 
   /** Not a member of the store, which has enough: kept in mind for a loss, and ready for all else. */
   get isStandingBy(): boolean {
-    return this.#raft === undefined ? this.founding.isStandingBy : !this.node.membership.self.isInStore;
+    return this.#raft === undefined ? this.founding.isStandby : !this.node.membership.self.isInStore;
   }
 
   get isReady(): boolean {
@@ -85,7 +85,7 @@
     const raft = this.#raft;
     const members = raft?.members;
     return {
-      founding: { id: this.founding.id, founded: this.founding.founding, missing: this.founding.missing },
+      founding: { id: this.founding.id, founded: this.founding.founding, missing: this.founding.waitingFor },
       raft:
         raft === undefined
           ? null
--- a/packages/control/src/membership/memberChanges.ts
+++ b/packages/control/src/membership/memberChanges.ts
@@ -93,7 +93,7 @@
   }
 
   #tend(): void {
-    if (!this.#raft.isLeader || !this.#raft.hasSettledMembers) return;
+    if (!this.#raft.isLeader || !this.#raft.hasStableMembers) return;
     this.#forget();
     const { voters, learners } = this.#raft.members;
     const next = VoterPlan.next(this.#facts);
@@ -116,7 +116,7 @@
     const { learners } = this.#raft.members;
     for (const id of this.#rounds.keys()) if (!learners.some((one) => one.id === id)) this.#rounds.delete(id);
     for (const { id } of learners) {
-      const { match, behind } = this.#raft.matchOf(id);
+      const { match, behind } = this.#raft.progressOf(id);
       const round = this.#roundOf(id);
       if (round !== undefined && match < round.target) continue;
       const isCaughtUp = round !== undefined && this.#now - round.beganAt <= MemberChanges.catchUpMs;
@@ -135,7 +135,7 @@
 
   /** Enlists the one that asks, if it is among the best of those that ask for as many places as there are. */
   #takeIn(id: string): void {
-    if (!this.#raft.isLeader || !this.#raft.hasSettledMembers) return;
+    if (!this.#raft.isLeader || !this.#raft.hasStableMembers) return;
     const { voters, learners } = this.#raft.members;
     const members = [...voters, ...learners];
     const kept = voters.filter((one) => !this.#facts.isLost(one) && !this.#isToLeave(one.name));
@@ -160,29 +160,29 @@
   }
 
   #hasLiveMajority(voters: readonly StoreMember[]): boolean {
-    const alive = voters.filter((one) => this.#raft.matchOf(one.id).heardAgo < 2 * MemberChanges.answeredMs);
+    const alive = voters.filter((one) => this.#raft.progressOf(one.id).heardAgo < 2 * MemberChanges.answeredMs);
     return alive.length * 2 > voters.length;
   }
 
   #isReady(one: StoreMember): boolean {
-    const { heardAgo } = this.#raft.matchOf(one.id);
+    const { heardAgo } = this.#raft.progressOf(one.id);
     const isCaughtUp = this.#roundOf(one.id)?.isCaughtUp === true;
     return isCaughtUp && heardAgo < MemberChanges.answeredMs && !this.#isToLeave(one.name);
   }
 
   #isLost(one: StoreMember): boolean {
-    return this.#raft.matchOf(one.id).heardAgo > this.#node.parts.settings.replaceVoterMs;
+    return this.#raft.progressOf(one.id).heardAgo > this.#node.parts.settings.replaceVoterMs;
   }
 
   /** Its machine came back under its name with another disk, and the disk that it voted by is not heard from. */
   #isBlank(one: StoreMember): boolean {
     const asked = this.#joining.get(one.name);
     const isOther = asked !== undefined && asked.id !== one.id;
-    return isOther && this.#raft.matchOf(one.id).heardAgo > MemberChanges.answeredMs;
+    return isOther && this.#raft.progressOf(one.id).heardAgo > MemberChanges.answeredMs;
   }
 
   #isGoneLearner(one: StoreMember): boolean {
-    const { heardAgo } = this.#raft.matchOf(one.id);
+    const { heardAgo } = this.#raft.progressOf(one.id);
     const maxMs = Math.max(MemberChanges.learnerMs, this.#node.parts.settings.replaceVoterMs);
     return heardAgo > maxMs || this.#isBlank(one) || this.#isToLeave(one.name);
   }
--- a/packages/control/src/store/storeService.ts
+++ b/packages/control/src/store/storeService.ts
@@ -144,7 +144,7 @@
   }
 
   #members(): Kv[] {
-    const voting = this.#raft.memberExchange.voting(this.#raft.commit);
+    const voting = this.#raft.membershipChange.electorate(this.#raft.commit);
     const voters = [...new Set(voting.map((one) => one.name))];
     return [create(KvSchema, { key: MembersKey.name, value: MembersKey.write({ voters }) })];
   }
--- a/packages/testkit/src/sabotage/membershipSabotages.ts
+++ b/packages/testkit/src/sabotage/membershipSabotages.ts
@@ -105,7 +105,7 @@
   {
     name: "a disk votes in another machine",
     file: "control/dist/controlNode.js",
-    find: " ?? this.founding.fault()",
+    find: " ?? this.founding.diskFault()",
     put: "",
     test: `${sim}/disks.test.js`,
   },
--- a/packages/testkit/src/sim/founding.test.ts
+++ b/packages/testkit/src/sim/founding.test.ts
@@ -25,8 +25,8 @@
   for (const name of ["lathe-1", "lathe-2", "lathe-4", "vise-1"]) fleet.start(name);
   await fleet.run(6000);
   expect(fleet.withRole("lathe").filter((name) => isFounded(fleet, name))).toEqual([]);
-  expect(fleet.find("lathe-1")!.control!.founding.missing).toEqual(expect.includes("2 of 3 blank lathes"));
-  expect(fleet.find("lathe-4")!.control!.founding.missing).toEqual(expect.includes("founds none itself"));
+  expect(fleet.find("lathe-1")!.control!.founding.waitingFor).toEqual(expect.includes("2 of 3 blank lathes"));
+  expect(fleet.find("lathe-4")!.control!.founding.waitingFor).toEqual(expect.includes("founds none itself"));
   fleet.start("lathe-3");
   expect(await fleet.until(() => voters(fleet).length >= 3, 4000)).toEqual(true);
   expect(voters(fleet)).toEqual(["lathe-1", "lathe-2", "lathe-3"]);
--- a/packages/testkit/src/sim/memberChanges.test.ts
+++ b/packages/testkit/src/sim/memberChanges.test.ts
@@ -22,7 +22,7 @@
   fleet.leader === undefined ? undefined : fleet.find(fleet.leader)!.control!.raft!.members;
 const voters = (fleet: SimFleet): string[] => (members(fleet)?.voters ?? []).map((one) => one.name).sort();
 const isVoting = (fleet: SimFleet, ...names: string[]): boolean =>
-  voters(fleet).join() === [...names].sort().join() && fleet.find(fleet.leader!)!.control!.raft!.hasSettledMembers;
+  voters(fleet).join() === [...names].sort().join() && fleet.find(fleet.leader!)!.control!.raft!.hasStableMembers;
 
 async function founded(
   seed: number,
--- a/packages/testkit/src/sim/store.test.ts
+++ b/packages/testkit/src/sim/store.test.ts
@@ -38,7 +38,7 @@
     for (const name of fleet.names.filter((one) => one !== "lathe-4")) fleet.start(name);
     await fleet.run(8000);
     expect(controlNodes(fleet).some((name) => fleet.find(name)?.control?.raft !== undefined)).toEqual(false);
-    expect(fleet.find("lathe-1")!.control!.founding.missing).toEqual(expect.includes("4 of 5 blank lathes"));
+    expect(fleet.find("lathe-1")!.control!.founding.waitingFor).toEqual(expect.includes("4 of 5 blank lathes"));
     fleet.start("lathe-4");
     expect(await fleet.until(() => leader(fleet) !== undefined, 8000)).toEqual(true);
     expect(new Set(controlNodes(fleet).map((name) => fleet.find(name)!.control!.founding.founding)).size).toEqual(1);
@@ -70,7 +70,7 @@
   for (const name of ["lathe-1", "lathe-2", "lathe-3", "lathe-4"]) fleet.start(name);
   await fleet.run(15_000);
   expect(controlNodes(fleet).filter((name) => fleet.find(name)!.control!.raft !== undefined)).toEqual(["lathe-5"]);
-  expect(fleet.find("lathe-1")!.control!.founding.missing).toEqual(expect.includes("lathe-5"));
+  expect(fleet.find("lathe-1")!.control!.founding.waitingFor).toEqual(expect.includes("lathe-5"));
   expect(leader(fleet)).toEqual(undefined);
 });
 
