--- a/packages/control/src/consensus/applier.ts
+++ b/packages/control/src/consensus/applier.ts
@@ -56,7 +56,7 @@
   }
 
   /** Puts a snapshot in place of applied entries, once the log has outgrown its bounds; the disk follows later. */
-  compactIfDue(): void {
+  compactIfNeeded(): void {
     if (!this.#compaction.isDue) return;
     const members = this.#memberLog.membersForSnapshot(this.#applied);
     void this.#compaction.compact(this.#applied, this.metadata.snapshot(members));
--- a/packages/control/src/consensus/election.test.ts
+++ b/packages/control/src/consensus/election.test.ts
@@ -1,10 +1,11 @@
 import { test } from "node:test";
 import { create } from "@bufbuild/protobuf";
 import { expect } from "earl";
-import { EntrySchema, VoteSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
+import { EntrySchema, MembersSchema, VoteReplySchema, VoteSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
+import type { Clock } from "@cranetrack/core/runtime/clock.js";
 import type { Disk, DiskChange } from "@cranetrack/core/storage/disk.js";
-import { mayGrantVote } from "./election.js";
+import { Election, mayGrantVote } from "./election.js";
 
 /** Keeps what it is told to, at once. */
 function keepingDisk(): Disk {
@@ -79,3 +80,64 @@
   const log = await voter();
   expect(mayGrantVote(asked(9, "y", 9, 99), log, true)).toEqual(false);
 });
+
+const electionMs = 300;
+const members = create(MembersSchema, { voters: ["a", "b", "c"].map((id) => ({ id, name: `machine-${id}` })) });
+const granted = (voter: string, term: number, isPre: boolean) =>
+  create(VoteReplySchema, { voter, term, isPre, isGranted: true });
+
+/** The election state of member `a`, whose timeouts are always the shortest, at a clock that is set. */
+function electionOfA(): { election: Election; clock: { ms: number } } {
+  const clock = { ms: 0 };
+  const seam: Pick<Clock, "now"> = { now: () => clock.ms };
+  return { election: new Election("a", seam as Clock, { draw: () => 0, identity: () => "" }, electionMs), clock };
+}
+
+test("only granted votes of the campaign's term and phase count, and each voter once", () => {
+  const { election } = electionOfA();
+  election.startCampaign(4, false);
+  const refused = create(VoteReplySchema, { voter: "b", term: 4, isGranted: false });
+  for (const reply of [granted("b", 3, false), granted("b", 4, true), refused])
+    expect([election.recordVote(reply), election.hasMajority(members)]).toEqual([false, false]);
+  expect([election.recordVote(granted("a", 4, false)), election.hasMajority(members)]).toEqual([true, false]);
+  expect([election.recordVote(granted("b", 4, false)), election.hasMajority(members)]).toEqual([true, true]);
+});
+
+test("a campaign that has ended, by a vote for another or a leader that is heard, wins no more", () => {
+  for (const end of [
+    (election: Election) => election.endCampaign(),
+    (election: Election) => election.onLeaderHeard("c"),
+  ]) {
+    const { election } = electionOfA();
+    election.startCampaign(4, false);
+    end(election);
+    election.recordVote(granted("b", 4, false));
+    expect([election.isCandidate(4), election.hasMajority(members)]).toEqual([false, false]);
+  }
+});
+
+test("a member campaigns once its timeout is over, unless it hears a leader, stands by or has resigned", () => {
+  const { election, clock } = electionOfA();
+  election.resetTimer();
+  expect([election.isTimedOut(electionMs - 1), election.isTimedOut(electionMs)]).toEqual([false, true]);
+  clock.ms = 200;
+  expect([election.onLeaderHeard("b"), election.onLeaderHeard("b"), election.leaderId]).toEqual([true, false, "b"]);
+  expect([election.isTimedOut(499), election.isTimedOut(500)]).toEqual([false, true]);
+  election.standBy();
+  expect(election.isTimedOut(500)).toEqual(false);
+  election.endStandby();
+  expect(election.isTimedOut(500)).toEqual(true);
+  election.resign();
+  expect(election.isTimedOut(500)).toEqual(false);
+});
+
+test("after a yield members campaign in turn, and the leader's term is followed no more", () => {
+  const { election, clock } = electionOfA();
+  election.onLeaderHeard("b");
+  clock.ms = 100;
+  election.onLeaderYielded(4);
+  election.waitForTurn(1);
+  expect([election.leaderId, election.hasYielded(4), election.hasYielded(5)]).toEqual(["", true, false]);
+  const turn = 100 + Election.turnMs;
+  expect([election.isTimedOut(turn - 1), election.isTimedOut(turn)]).toEqual([false, true]);
+});
--- a/packages/control/src/consensus/leaderContact.ts
+++ b/packages/control/src/consensus/leaderContact.ts
@@ -11,7 +11,7 @@
   /** A process whose timers did not run for so many election timeouts stood still. */
   static readonly stoppedTimeouts = 2;
 
-  /** A leader without its majority, or a member that was not current, for longer than this is out of touch. */
+  /** A leader without its majority, or a member that was not current, for so many milliseconds is out of touch. */
   readonly limitMs: number;
   readonly #clock: Clock;
   readonly #stoppedMs: number;
--- a/packages/control/src/consensus/memberLog.ts
+++ b/packages/control/src/consensus/memberLog.ts
@@ -4,7 +4,7 @@
 import { entryKind } from "./storeLog.js";
 
 /**
- * Who the members of the replicated log are, as the log itself says.
+ * Who the members of the Raft group are, as the log itself says (Raft, section 6; thesis, section 4.1).
  * Invariant: the members in force are the newest in the log, committed or not; without any, the snapshot's.
  */
 export class MemberLog {
@@ -23,7 +23,7 @@
     return this.#members;
   }
 
-  /** Where the members in force stand in the log. */
+  /** Index of the entry that names the members in force. */
   get index(): number {
     return this.#index;
   }
--- a/packages/control/src/consensus/proposals.ts
+++ b/packages/control/src/consensus/proposals.ts
@@ -9,8 +9,9 @@
 type Resolve = (applied: Applied | undefined) => void;
 
 /**
- * What this control node proposes while it is the leader, until the log says what became of it. What is asked in one
- * turn of the event loop goes into the log with one sync, and to the others in one message and one round.
+ * What this control node proposes while it is the leader, until the log says what became of it, and its confirmed reads
+ * (read index: thesis, section 6.4). What is asked in one turn of the event loop goes into the log with one sync, and
+ * to the others in one message and one round.
  * Invariant: whatever was asked is answered; with `undefined` or false once the term is over.
  */
 export class Proposals {
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -399,7 +399,7 @@
     // Its removal is committed: the others elect at once.
     if (this.isLeader && this.hasStableMembers && !VoterSets.isVoter(this.members, this.id))
       this.#stepDown("it is no voter any more");
-    applier.compactIfDue();
+    applier.compactIfNeeded();
   }
 
   #install(index: number, state: Uint8Array): void {
