--- a/packages/control/src/consensus/applier.ts
+++ b/packages/control/src/consensus/applier.ts
@@ -57,7 +57,7 @@
 
   /** Puts a snapshot in place of applied entries, once the log has outgrown its bounds; the disk follows later. */
   compactIfNeeded(): void {
-    if (!this.#compaction.isDue) return;
+    if (!this.#compaction.shouldCompact) return;
     const members = this.#memberLog.membersForSnapshot(this.#applied);
     void this.#compaction.compact(this.#applied, this.metadata.snapshot(members));
   }
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -57,7 +57,7 @@
     super();
     this.#node = node;
     this.#disk = disk;
-    const { founders, lathes: controlCount, mayFound } = node.parts.settings;
+    const { founders, controlNodes: controlCount, mayFound } = node.parts.settings;
     this.#founders = founders;
     this.#expected = founders?.length ?? controlCount;
     const kept = disk.read("identity")[0];
@@ -215,7 +215,7 @@
       return this.#writeFirstEntry(founded.founding, this.#identity.members);
     const { clock } = this.#node.parts;
     if (clock.now() < this.#nextJoinAt) return;
-    const outcome = await MembershipStatus.ask(this.#node, founded.name, this.id);
+    const outcome = await MembershipStatus.requestJoin(this.#node, founded.name, this.id);
     if (outcome === "done") return this.#completeFounding(founded.founding);
     this.isStandby = outcome === "standby" || (outcome === "away" && this.isStandby);
     if (!this.isStandby) return;
--- a/packages/control/src/consensus/leadership.ts
+++ b/packages/control/src/consensus/leadership.ts
@@ -56,12 +56,12 @@
 
   /** Replicates to these members from now on; commits need a majority of each set of voters. */
   setMembers(members: Members): void {
-    this.replicator.enlist(VoterSets.idSets(members), VoterSets.learnerIds(members));
+    this.replicator.setMembers(VoterSets.idSets(members), VoterSets.learnerIds(members));
   }
 
   /** What the leader knows of one member, for whoever decides when it is a voter. */
   progressOf(id: string): MemberProgress {
     const match = this.replicator.matchOf(id);
-    return { match, behind: this.#log.lastIndex - match, heardAgo: this.replicator.heardAgo(id) };
+    return { match, behind: this.#log.lastIndex - match, heardAgo: this.replicator.sinceContactMs(id) };
   }
 }
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -170,7 +170,9 @@
     const leadership = this.#leadership;
     if (leadership === undefined) return this.#election.leaderId !== "" && this.#contact.isCurrent;
     return (
-      this.isLeader && !this.#contact.hasJustResumed && leadership.replicator.majorityAgo() < this.#contact.limitMs
+      this.isLeader &&
+      !this.#contact.hasJustResumed &&
+      leadership.replicator.sinceMajorityContactMs() < this.#contact.limitMs
     );
   }
 
@@ -227,7 +229,7 @@
         this.#handleLeaderMessage(append, from, () => this.#followerLog.take(append, this.#applier.commit)),
       snapshot: (snapshot, from) =>
         this.#handleLeaderMessage(snapshot, from, () => this.#followerLog.takeSnapshot(snapshot, this.#applier.commit)),
-      onReply: (reply) => this.#leadership?.replicator.take(reply),
+      onReply: (reply) => this.#leadership?.replicator.handleReply(reply),
     };
     groups.enlist(this.#log.group, messagesForDisk(this.id, isTrusted, group));
   }
@@ -244,12 +246,12 @@
   }
 
   #tickLeader({ replicator }: Leadership, now: number): void {
-    if (replicator.majorityAgo() > this.#contact.limitMs) return this.#stepDown("no majority answers");
+    if (replicator.sinceMajorityContactMs() > this.#contact.limitMs) return this.#stepDown("no majority answers");
     if (this.#slowMajority.isSlow(now, replicator.answerMs)) {
       this.#stepDown("a majority answers slowly", true);
       return this.#election.backOff(now);
     }
-    replicator.askWaiting();
+    replicator.heartbeatWaiting();
     replicator.sendHeartbeats();
   }
 
--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -199,7 +199,7 @@
   }
 
   #heardAgo(member: Place): number {
-    return this.#leader.replicator?.heardAgo(member.id) ?? 0;
+    return this.#leader.replicator?.sinceContactMs(member.id) ?? 0;
   }
 
   #locate({ name, zone }: Place): Location {
--- a/packages/log-storage/src/repair/replicaRepair.ts
+++ b/packages/log-storage/src/repair/replicaRepair.ts
@@ -116,7 +116,7 @@
 
   #isLost({ change, startedAt }: Move): boolean {
     const isSilent =
-      change.in !== undefined && this.#leader.replicator!.heardAgo(change.in.id) > ReplicaRepair.newcomerLostMs;
+      change.in !== undefined && this.#leader.replicator!.sinceContactMs(change.in.id) > ReplicaRepair.newcomerLostMs;
     return isSilent || this.#node.parts.clock.now() - startedAt > ReplicaRepair.giveUpMs;
   }
 
--- a/packages/log-storage/src/repair/setChange.test.ts
+++ b/packages/log-storage/src/repair/setChange.test.ts
@@ -12,7 +12,7 @@
     {
       commit,
       matchOf: (id) => progress[id]?.[0] ?? 0,
-      heardAgo: (id) => progress[id]?.[1] ?? 0,
+      sinceContactMs: (id) => progress[id]?.[1] ?? 0,
     },
   );
 }
--- a/packages/log-storage/src/repair/setChange.ts
+++ b/packages/log-storage/src/repair/setChange.ts
@@ -19,11 +19,11 @@
  */
 export function isSafeToDecide(
   { set, newcomer, joinedAt }: JoinedSet,
-  progress: Pick<LogReplicator, "commit" | "matchOf" | "heardAgo">,
+  progress: Pick<LogReplicator, "commit" | "matchOf" | "sinceContactMs">,
 ): boolean {
   if (progress.commit < joinedAt) return false;
   if (newcomer !== undefined && progress.matchOf(newcomer) < joinedAt) return false;
-  const isAnswering = (id: string): boolean => progress.heardAgo(id) < answeringMs;
+  const isAnswering = (id: string): boolean => progress.sinceContactMs(id) < answeringMs;
   const having = set.members.filter(({ id }) => isAnswering(id) && progress.matchOf(id) >= joinedAt);
   return having.length >= Placement.majorityOf(set.members.length);
 }
--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -39,7 +39,7 @@
     this.#isSpare = isSpare;
     this.#turn = new PushTurn(node);
     const { settings, clock, random } = node.parts;
-    this.#lease = new LeaseKeepAlive(`${settings.name}-shards`, settings.holderLeaseMs, node.store, clock, random);
+    this.#lease = new LeaseKeepAlive(`${settings.name}-shards`, settings.shardLeaseMs, node.store, clock, random);
   }
 
   get claims(): ShardLeadership | undefined {
