--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -13,14 +13,19 @@
 import type { Disk } from "@cranetrack/core/storage/disk.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
-import { entryKind } from "./entryKind.js";
+import { entryKind } from "./storeLog.js";
 import { MembershipStatus } from "../membership/membershipStatus.js";
 import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
+/** The record `identity` on the disk, as JSON: its field names rest there and never change. */
 interface Identity {
+  /** Drawn when the disk was blank. */
   id: string;
+  /** The founding that this disk belongs to; empty before. */
   founding: string;
+  /** The founding that it agreed to last; empty before. */
   agreed: string;
+  /** Who agreed to that founding, or were asked to. */
   members: Array<{ id: string; name: string }>;
   /** What the settings said when this disk was blank. */
   mayFound: boolean;
@@ -31,8 +36,7 @@
 
 /**
  * How a store comes to be: the control nodes at the founders' addresses, or the expected number of blank control nodes
- * where no
- * founders are named, agree, all of them, each synced. Any other blank control node joins.
+ * where no founders are named, agree, all of them, each synced. Any other blank control node joins.
  * Invariants: an identity is synced before it is used; a control node accepts only the founding it agreed to
  * last; a founded control node never agrees again; a disk that was blank at a start that may not found never founds.
  */
@@ -45,7 +49,7 @@
   #isTicking = false;
   #isReady = false;
   #nextJoinAt = 0;
-  /** A store is there, and has members enough. */
+  /** A store is there, and has enough members without this node. */
   isStandby = false;
   /** What the founding waits for, for status; empty once founded. */
   waitingFor = "";
@@ -66,10 +70,12 @@
     node.rpc.serve("founded", (founded) => this.#handleFounded(founded));
   }
 
+  /** Of this disk, for as long as it is not wiped. */
   get id(): string {
     return this.#identity.id;
   }
 
+  /** Of the store that this disk belongs to; empty until it is founded or joined. */
   get founding(): string {
     return this.#identity.founding;
   }
@@ -80,12 +86,16 @@
   }
 
   /** Why the disk is not this machine's: it would be in the place of another member. */
-  foreignDiskError(): string | undefined {
+  diskFault(): string | undefined {
     const { name } = this.#node.parts.settings;
     const owner = this.#identity.name ?? name;
     return owner === name ? undefined : `the data folder is that of ${owner}, and this is ${name}`;
   }
 
+  /**
+   * Counts this start on the disk, and from then on agrees to foundings. Emits `founded` at once on a disk that belongs
+   * to a store, otherwise when it does.
+   */
   async start(): Promise<void> {
     const { incarnation, settings } = this.#node.parts;
     this.#identity = { ...this.#identity, name: settings.name, starts: (this.#identity.starts ?? 0) + 1 };
@@ -126,10 +136,12 @@
     return this.#founders === undefined || (address !== undefined && this.#founders.includes(address));
   }
 
+  /** One of them proposes: the one whose disk has the lowest id. */
   #isFirst(controlNodes: Member[]): boolean {
     return controlNodes.every((member) => member.disk >= this.id);
   }
 
+  /** Asks all blank control nodes to agree, and founds where every one did; asked again under the same token. */
   async #proposeFounding(controlNodes: Member[]): Promise<void> {
     const members = controlNodes.map((member) => ({ id: member.disk, name: member.name }));
     const founding =
@@ -149,6 +161,7 @@
     for (const member of others) this.#node.rpc.send(member.name, { case: "founded", value: { founding, members } });
   }
 
+  /** Agrees to a founding that is as the settings say; the agreement is synced before it is sent. */
   async #handleFoundingRequest(request: FoundingRequest): Promise<BodyInit> {
     if (this.founding !== "") return { case: "foundingReply", value: { isAgreed: false, veto: this.founding } };
     const mayAgree =
@@ -196,7 +209,7 @@
     this.emit("founded");
   }
 
-  /** A blank control node beside a founded store: the founder's word again, or a new member's start. */
+  /** A blank control node beside a founded store: one of its founders, whose notice was lost, or a new member. */
   async #join(founded: Member): Promise<void> {
     if (!this.isStandby) this.waitingFor = `asks ${founded.name} to join the founded store`;
     if (this.#identity.agreed === founded.founding)
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -53,9 +53,7 @@
 
   /** Says what is wrong with the data folder, if anything is. */
   load(): string | undefined {
-    return (
-      new ReplicaLog(this.#disk, logGroupNames.store).fault() ?? this.founding.foreignDiskError() ?? this.storage.load()
-    );
+    return new ReplicaLog(this.#disk, logGroupNames.store).fault() ?? this.founding.diskFault() ?? this.storage.load();
   }
 
   async start(): Promise<void> {
--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -265,14 +265,14 @@
   {
     name: "nobody passes on that a proposer gave up",
     file: "control/dist/consensus/raftNode.js",
-    find: 'this.#tellVoters({ case: "yield", value: { term, sender, isSlow } }, sender);',
+    find: 'this.#sendToVoters({ case: "yield", value: { term, sender, isSlow } }, sender);',
     put: "",
     test: `${sim}/store.test.js`,
   },
   {
     name: "what a proposer sent before it gave up brings it back",
     file: "control/dist/consensus/raftNode.js",
-    find: " && message.term > this.#yieldedTerm",
+    find: " && !this.#election.hasYielded(message.term)",
     put: "",
     test: `${sim}/store.test.js`,
   },
@@ -299,10 +299,10 @@
   },
   {
     name: "who slept takes the others for slow",
-    file: "control/dist/consensus/slowMajorityWatch.js",
-    find: "if (isAsleep || ",
+    file: "control/dist/consensus/slowMajorityDetector.js",
+    find: "if (hasPaused || ",
     put: "if (",
-    test: "control/dist/consensus/slowMajorityWatch.test.js",
+    test: "control/dist/consensus/slowMajorityDetector.test.js",
   },
   {
     name: "a mute member is never asked for a sign of life",
@@ -314,7 +314,7 @@
   {
     name: "a slow proposer stays",
     file: "control/dist/consensus/raftNode.js",
-    find: "if (this.#slowWatch.isSlow(now, this.#replicator.answerMs))",
+    find: "if (this.#slowMajority.isSlow(now, replicator.answerMs))",
     put: "if (false)",
     test: `${sim}/store.test.js`,
   },
