--- a/packages/control/src/configuration/configurationArchive.ts
+++ b/packages/control/src/configuration/configurationArchive.ts
@@ -9,8 +9,8 @@
 /**
  * Accepted configurations as commits in a Git object store beside the control node's data. Only a copy: it follows what
  * the
- * metadata store accepted, is never on the way of an acceptance, and what is lost is made again from there.
- * Its size is bounded: a full archive becomes the earlier one, beside it, in place of the one before.
+ * metadata store accepted, no acceptance waits for it, and what is lost is made again from the store.
+ * Its size is bounded: a full archive is rotated out and replaces the earlier one.
  * Invariant: commits are made one at a time, in the order of the versions.
  */
 export class ConfigurationArchive {
@@ -18,9 +18,9 @@
   static readonly file = "plan.json";
   /** Bytes on the disk from which on an archive is full; there are at most two of that size. */
   static readonly maxBytes = 8 * 1024 * 1024;
-  /** The size is looked at each so many commits: that reads the whole folder. */
+  /** The size is checked every so many commits, as that reads the whole folder. */
   static readonly commitsPerSizeCheck = 25;
-  /** Configurations that may wait to be committed; of more the oldest are left out. */
+  /** Configurations that may wait to be committed; beyond that the oldest are dropped. */
   static readonly maxPending = 8;
 
   readonly #folder: string;
@@ -29,7 +29,6 @@
   #committedVersion = 0;
   readonly #pending: Array<{ version: number; text: string }> = [];
   readonly #maxBytes: number;
-  /** Commits since the archive's size was looked at. */
   #commitsSinceSizeCheck = 0;
 
   constructor(
@@ -49,7 +48,7 @@
     return this.#committedVersion;
   }
 
-  /** Resolves when all that was handed over is committed. */
+  /** Resolves when every configuration that was enqueued is committed or has failed. */
   whenIdle(): Promise<void> {
     return this.#queue.onIdle();
   }
@@ -61,7 +60,7 @@
     return commits.map(({ commit }) => Number(/^mark (\d+)/.exec(commit.message)?.[1] ?? 0));
   }
 
-  /** Where the archive is that was full. */
+  /** Where the archive that was rotated out is. */
   get earlierFolder(): string {
     return `${this.#folder}.earlier`;
   }
--- a/packages/control/src/configuration/configurationCapacity.ts
+++ b/packages/control/src/configuration/configurationCapacity.ts
@@ -1,10 +1,10 @@
 import type { Configuration, ConfigurationFault } from "@cranetrack/core/configuration/configuration.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
-/** What the capacity is judged by. */
+/** What the capacity is computed from. */
 export type CapacityParts = Pick<ClusterNode, "membership" | "machines" | "shards" | "configuration" | "parts">;
 
-/** What the fleet could not keep, said rather than promised more weakly. */
+/** A fault for each promise of the configuration that the fleet's machines and settings can't keep. Pure. */
 export function checkConfigurationCapacity(node: CapacityParts, configuration: Configuration): ConfigurationFault[] {
   const disks = diskZones(node);
   const zones = new Set(disks.values()).size;
@@ -37,7 +37,7 @@
 
 /**
  * The fleet's machines with a disk for topic logs, by name, each with its zone. One that is down belongs to it as
- * long as a member knows it or a replica set names it; one that was emptied and has left does not.
+ * long as a member knows it or a replica set names it; one that was drained and has left does not.
  */
 function diskZones({ membership, machines, shards }: CapacityParts): Map<string, string> {
   const disks = new Map<string, string>();
--- a/packages/control/src/configuration/decideConfigurationChange.ts
+++ b/packages/control/src/configuration/decideConfigurationChange.ts
@@ -1,10 +1,21 @@
 import type { Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { contentDigest, contentKind } from "@cranetrack/core/configuration/contentDigest.js";
+import {
+  Configurations,
+  type Configuration,
+  type ConfigurationFault,
+} from "@cranetrack/core/configuration/configuration.js";
 import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 
-/** A whole configuration under a version, as an operator sent it. */
+/**
+ * What becomes of a configuration change: pure decisions from what was sent and what was read.
+ *
+ * Once a version is acknowledged it never stands for other content, through crashes, retries and other control nodes.
+ */
+
+/** A complete configuration under a version, as an operator sent it. */
 export interface ConfigurationChange {
   version: number;
   body: Uint8Array;
@@ -21,21 +32,22 @@
   floor: number;
 }
 
+/** What a change is to the store. */
 export type ConfigurationChangeDecision =
   /** Acknowledged before with this very content. */
-  | { kind: "taken"; revision: number }
-  /** Acknowledged before, or held, with another content: this one never will be. */
-  | { kind: "taken-by-other"; versionInForce: number }
-  /** Below what is in force; which content it had, if any, may be forgotten. */
+  | { kind: "acknowledged"; revision: number }
+  /** Acknowledged or in force with other content: this one never will be. */
+  | { kind: "other-content"; versionInForce: number }
+  /** Below the version in force, and which content was acknowledged under it, if any, may be forgotten. */
   | { kind: "forgotten"; versionInForce: number }
-  /** Below what is in force and never acknowledged. */
+  /** Below the version in force and never acknowledged. */
   | { kind: "superseded"; versionInForce: number }
-  /** Above what is in force. */
+  /** Above the version in force. */
   | { kind: "newer" };
 
 /**
- * What an order is to the store: a question about what the operator sent and what was committed, and nothing else.
- * Neither settings nor the fleet's state come into it, so every node has the same answer.
+ * Depends on what the operator sent and what was committed alone, not on settings or the fleet's state: every node
+ * decides the same.
  */
 export function decideConfigurationChange(
   change: ConfigurationChange,
@@ -44,43 +56,57 @@
   const versionInForce =
     inputs.configuration === undefined ? 0 : ConfigurationKey.versionOf(inputs.configuration.value);
   const isInForce = inputs.configuration !== undefined && versionInForce === change.version;
-  if (isInForce && isContentInForce(change, inputs)) return { kind: "taken", revision: inputs.configuration!.revision };
+  if (isInForce && isContentInForce(change, inputs))
+    return { kind: "acknowledged", revision: inputs.configuration!.revision };
   if (inputs.record !== undefined)
     return isEqual(inputs.record.value, contentDigestOf(change))
-      ? { kind: "taken", revision: inputs.record.revision }
-      : { kind: "taken-by-other", versionInForce };
-  if (isInForce) return { kind: "taken-by-other", versionInForce };
+      ? { kind: "acknowledged", revision: inputs.record.revision }
+      : { kind: "other-content", versionInForce };
+  if (isInForce) return { kind: "other-content", versionInForce };
   if (change.version > versionInForce) return { kind: "newer" };
   return { kind: change.version <= inputs.floor ? "forgotten" : "superseded", versionInForce };
 }
 
+/** What is recorded beside an acknowledged version: of the document where there is one, else of the body. */
 export function contentDigestOf({ body, document }: ConfigurationChange): Uint8Array {
   return document === undefined
     ? contentDigest(contentKind.configuration, body)
     : contentDigest(contentKind.document, document);
 }
 
-/** What the store is asked for; the document comes on top where there is no record. */
-export const ConfigurationChangeKeys = {
-  of(version: number): string[] {
-    return [ConfigurationKey.name, AcceptedOrderKey.of(version), AcceptedOrderKey.floor];
-  },
+/** The keys to read before a change is decided; the document comes on top where the version has no record. */
+export function inputKeys(version: number): string[] {
+  return [ConfigurationKey.name, AcceptedOrderKey.of(version), AcceptedOrderKey.floor];
+}
 
-  read(version: number, kvs: readonly Kv[]): ConfigurationChangeInputs {
-    const find = (key: string): Kv | undefined => kvs.find((kv) => kv.key === key);
-    return {
-      configuration: find(ConfigurationKey.name),
-      document: find(DocumentKey.name),
-      record: find(AcceptedOrderKey.of(version)),
-      floor: AcceptedOrderKey.readFloor(find(AcceptedOrderKey.floor)?.value),
-    };
-  },
-};
+/** The inputs from what was read under these keys. */
+export function inputsOf(version: number, kvs: readonly Kv[]): ConfigurationChangeInputs {
+  const find = (key: string): Kv | undefined => kvs.find((kv) => kv.key === key);
+  return {
+    configuration: find(ConfigurationKey.name),
+    document: find(DocumentKey.name),
+    record: find(AcceptedOrderKey.of(version)),
+    floor: AcceptedOrderKey.readFloor(find(AcceptedOrderKey.floor)?.value),
+  };
+}
 
 /**
- * The content in force tells by itself; a configuration sent alone asks for the configuration, whatever document came
- * with it.
+ * Faults of spaces whose order of messages would change. A space is one stream, or one stream a topic, for its whole
+ * life: where its messages are stored follows from that.
  */
+export function messageOrderFaults(inForce: Uint8Array, configuration: Configuration): ConfigurationFault[] {
+  const before = new Map(ConfigurationKey.outline(inForce)?.spaces.map((space) => [space.prefix, space]));
+  return configuration.spaces.flatMap((space, i) => {
+    const earlier = before.get(Configurations.prefixOf(space));
+    const isWhole = space.program[0]!.contract.order === "space";
+    if (earlier === undefined || earlier.isWhole === isWhole) return [];
+    const order = earlier.isWhole ? "space" : "sender or topic";
+    const problem = `space ${space.name} keeps order ${order} while it lives; remove the space and make it again`;
+    return [{ path: `spaces.${i}.program.0.owe.order`, problem }];
+  });
+}
+
+/** A configuration that was sent alone is compared with the one in force, whatever document came with that. */
 function isContentInForce({ body, document }: ConfigurationChange, inputs: ConfigurationChangeInputs): boolean {
   if (document === undefined)
     return isEqual(
--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -15,24 +15,28 @@
 import {
   contentDigestOf,
   decideConfigurationChange,
-  ConfigurationChangeKeys,
+  inputKeys,
+  inputsOf,
+  messageOrderFaults,
   type ConfigurationChange,
   type ConfigurationChangeInputs,
 } from "./decideConfigurationChange.js";
 import { checkConfigurationCapacity } from "./configurationCapacity.js";
 
-/** Of an order that loses a race again and again, each time to another one that was taken. */
+/** Of a change that loses a race again and again, each time to another one that was accepted. */
 const maxAttempts = 8;
 
 /**
- * A whole configuration under a rising version, with the operators' own document about it: accepted once a majority of
- * the
- * control nodes has both on disk, with a record of its content. A configuration without a document leaves none.
+ * Puts a complete configuration in force under a rising version, with the operators' own document about it. Accepted
+ * once a majority of the control nodes has both on disk, with a record of the content. Idempotent. A configuration
+ * without a document leaves none.
  *
- * First comes the question whether it was taken already, by its content as it was sent; only what is new is held
+ * First it is decided whether it was acknowledged before, by its content as it was sent; only a new one is validated
  * against the fleet and the configuration in force. With a document, a version below the one in force is acknowledged
- * without
- * effect, once its content is recorded; without one it is refused as stale.
+ * without effect, once its content is recorded; without one it is rejected as stale.
+ *
+ * Replies: 409 `stale-mark`, 413 `too-large`, 422 `invalid-plan`, 503 `no-capacity`, unavailable (not done and never
+ * will be) or unknown (may have been done).
  */
 export async function proposeConfiguration(
   node: ClusterNode,
@@ -67,9 +71,9 @@
     return noMajority();
   const decision = decideConfigurationChange(change, inputs);
   switch (decision.kind) {
-    case "taken":
+    case "acknowledged":
       return accepted(version, decision.revision);
-    case "taken-by-other":
+    case "other-content":
       return stale(version, decision.versionInForce, "was taken with other content");
     case "forgotten":
       return ApiReplies.unavailable(`mark ${version} is so old that its content is forgotten`);
@@ -88,16 +92,16 @@
 ): Promise<ConfigurationChangeInputs | undefined> {
   const read = async (keys: string[]): Promise<ConfigurationChangeInputs | undefined> => {
     const present = await node.store.read(keys);
-    return present.outcome === "done" ? ConfigurationChangeKeys.read(version, present.kvs ?? []) : undefined;
+    return present.outcome === "done" ? inputsOf(version, present.kvs ?? []) : undefined;
   };
-  const inputs = await read(ConfigurationChangeKeys.of(version));
+  const inputs = await read(inputKeys(version));
   const isUnrecorded = inputs?.configuration !== undefined && inputs.record === undefined;
   if (document === undefined || !isUnrecorded || ConfigurationKey.versionOf(inputs.configuration!.value) !== version)
     return inputs;
-  return read([...ConfigurationChangeKeys.of(version), DocumentKey.name]);
+  return read([...inputKeys(version), DocumentKey.name]);
 }
 
-/** Above all versions so far: put in force, and recorded, in one step, if nothing else was put meanwhile. */
+/** A version above all so far: put in force and recorded in one transaction, if no other was put meanwhile. */
 async function putInForce(
   node: ClusterNode,
   change: ConfigurationChange,
@@ -124,8 +128,8 @@
 }
 
 /**
- * Below the version in force and never acknowledged so far. It changes nothing; but its content is committed before it
- * is acknowledged, so that no other content under its version can be.
+ * A version below the one in force, never acknowledged so far, changes nothing; but its content is committed before it
+ * is acknowledged, so that no other content under that version can be.
  */
 async function recordSuperseded(
   node: ClusterNode,
@@ -156,19 +160,7 @@
   }
 }
 
-/** A space is one stream, or a stream a topic, for its whole life: where its messages go follows from it. */
-function messageOrderFaults(inForce: Uint8Array, configuration: Configuration): ConfigurationFault[] {
-  const before = new Map(ConfigurationKey.outline(inForce)?.spaces.map((space) => [space.prefix, space]));
-  return configuration.spaces.flatMap((space, i) => {
-    const earlier = before.get(Configurations.prefixOf(space));
-    const isWhole = space.program[0]!.contract.order === "space";
-    if (earlier === undefined || earlier.isWhole === isWhole) return [];
-    const order = earlier.isWhole ? "space" : "sender or topic";
-    const problem = `space ${space.name} keeps order ${order} while it lives; remove the space and make it again`;
-    return [{ path: `spaces.${i}.program.0.owe.order`, problem }];
-  });
-}
-
+/** The fields are those of the HTTP API v1; `mark` is the version. */
 function accepted(version: number, revision: number | undefined): ApiReply {
   return ApiReplies.done({ receipt: "accepted", mark: version, revision });
 }
@@ -182,7 +174,7 @@
   return ApiReplies.fault(422, "invalid-plan", message, { problems });
 }
 
-/** What this node sees of the fleet may be incomplete, and may change: never a refusal for good. */
+/** What this node sees of the fleet may be incomplete, and may change: never a final rejection. */
 function noCapacity(problems: ConfigurationFault[]): ApiReply {
   const message = "machines are missing for what the plan promises, as this node sees the fleet; nothing was changed";
   return ApiReplies.fault(503, "no-capacity", message, { problems, retryAfterSeconds: 1 });
--- a/packages/control/src/configuration/readDocument.ts
+++ b/packages/control/src/configuration/readDocument.ts
@@ -2,6 +2,7 @@
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
+/** `away`: not known, as no majority confirmed the read or the value is older than what was seen before. */
 export type DocumentRead = { outcome: "done"; document: Uint8Array } | { outcome: "none" } | { outcome: "away" };
 
 /**
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -16,7 +16,10 @@
 import { MembershipStatus } from "./membership/membershipStatus.js";
 import { StoreService } from "./store/storeService.js";
 
-/** A control node: the metadata store, and a place for topic logs, in full (`stores`) or as a spare. */
+/**
+ * A control node: a member or standby of the metadata store, the operators' HTTP API, and storage for topic logs, in
+ * full (`stores`) or as a spare.
+ */
 export class ControlNode {
   readonly node: ClusterNode;
   readonly founding: Founding;
@@ -47,20 +50,23 @@
     router.on("GET", /^\/v1\/plan\/rollout$/, () => getRollout(node));
   }
 
+  /** Undefined until the store is founded or this node has joined it. */
   get raft(): RaftNode | undefined {
     return this.#raft;
   }
 
-  /** Says what is wrong with the data folder, if anything is. */
+  /** What is wrong with the data folder; undefined where nothing is. */
   load(): string | undefined {
     return new ReplicaLog(this.#disk, logGroupNames.store).fault() ?? this.founding.fault() ?? this.storage.load();
   }
 
+  /** Starts the storage, then founds the store or joins it. */
   async start(): Promise<void> {
     await this.storage.start();
     await this.founding.start();
   }
 
+  /** Shuts down gracefully: closes the storage, resigns as leader, and transfers its vote. */
   async stop(): Promise<void> {
     const { membership } = this.node;
     membership.self.isLeaving = true;
@@ -71,16 +77,18 @@
     this.#storeService?.closeFeeds("the process is stopping");
   }
 
-  /** Not a member of the store, which has enough: kept in mind for a loss, and ready for all else. */
+  /** Not a member of the store, which has enough: it takes over after a loss, and is ready for all else. */
   get isStandby(): boolean {
     return this.#raft === undefined ? this.founding.isStandingBy : !this.node.membership.self.isInStore;
   }
 
+  /** Whether it serves: in contact with the store's leader, or a standby, and with a fresh feed. */
   get isReady(): boolean {
     const isInStoreOrStandby = this.#raft?.isInTouch === true || this.isStandby;
     return isInStoreOrStandby && this.node.feed.isFresh;
   }
 
+  /** What the program's status shows of it. */
   status(): object {
     const raft = this.#raft;
     const members = raft?.members;
--- a/packages/control/src/drain/drainCapacity.ts
+++ b/packages/control/src/drain/drainCapacity.ts
@@ -2,7 +2,7 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 
-/** What rests on the machines, as a confirmed read of the store has it. */
+/** What is drained and in use, from a confirmed read of the store. */
 export interface DrainInputs {
   /** Machines whose drain is recorded. */
   draining: ReadonlySet<string>;
@@ -10,7 +10,10 @@
   inUse: ReadonlySet<string>;
 }
 
-/** Why a machine can't be drained with all budgets kept; undefined where it can. */
+/**
+ * Why a machine can't be drained with all fault budgets kept, as this node sees the fleet; undefined where it can.
+ * 404 `unknown-machine`, 409 `contract-at-risk`. Without I/O.
+ */
 export function drainRefusal(node: ClusterNode, name: string, inputs: DrainInputs): ApiReply | undefined {
   const member = node.membership.find(name);
   if (!inputs.inUse.has(name) && (member === undefined || member.logDisk === ""))
--- a/packages/control/src/membership/diskWatch.ts
+++ b/packages/control/src/membership/diskWatch.ts
@@ -1,6 +1,6 @@
 import type { Member } from "@cranetrack/core/gen/cranetrack_pb.js";
 
-/** What it needs of the membership. */
+/** What the watch reads of the membership. */
 export interface DiskRecords {
   all(): readonly Member[];
   isAlive(name: string): boolean;
@@ -10,18 +10,18 @@
 interface SeenDisk {
   starts: number;
   processIncarnation: string;
-  /** Two lives were said to be the same start of the disk. */
+  /** Two process incarnations claim the same start of the disk. */
   isDuplicate: boolean;
 }
 
 /**
  * Which disks may count in the store. A process counts its starts on its disk, synced before it says so, and says which
  * incarnation it began as. A copy of a disk shows itself by a start that was seen already: an older one, or one of
- * another life. Until the disk is started more often than any was seen, neither copy counts.
- * What this node was never told, or was told before its own start, it can't compare with.
+ * another process incarnation. Until the disk is started more often than any was seen, neither copy counts.
+ * What this node was never notified of, or only before its own start, it can't compare with.
  */
 export class DiskWatch {
-  /** Disks that are kept in mind; the ones heard of first are dropped. */
+  /** Disks that are remembered; beyond that the ones seen first are forgotten. */
   static readonly maxDisks = 1024;
 
   readonly #membership: DiskRecords;
@@ -32,6 +32,7 @@
     membership.on("changed", () => this.#onMembershipChanged());
   }
 
+  /** Whether the disk with this id may vote and count; true for one that was never seen. */
   isTrusted(id: string): boolean {
     const seen = this.#seen.get(id);
     if (seen === undefined) return true;
--- a/packages/control/src/membership/memberChanges.ts
+++ b/packages/control/src/membership/memberChanges.ts
@@ -1,11 +1,10 @@
 import type { Join, StoreMember } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { DrainKey } from "@cranetrack/core/keys/drainKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { Outcome } from "@cranetrack/core/store/storeClient.js";
 import type { RaftNode } from "../consensus/raftNode.js";
 import { VoterSets } from "../consensus/voterSets.js";
-import { VoterChoice, type VoterInputs } from "./voterChoice.js";
+import { chooseVoters, rankCandidates, unfitVoters, type VoterInputs } from "./voterChoice.js";
 
 interface CatchUpRound {
   /** What an earlier leadership of this node saw says nothing of the learner now. */
@@ -18,10 +17,10 @@
 }
 
 /**
- * Who is taken into the store and who is taken out, as long as this control node leads it.
+ * Admits control nodes to the store and removes them, while this control node leads it.
  * Invariants: one change at a time; a joining replica learns before it votes, and votes only once it has caught up; no
  * change of voters is begun whose new set has no majority that answers just now; a machine that is
- * to leave is never taken in.
+ * to leave is never admitted.
  */
 export class MemberChanges {
   static readonly tickIntervalMs = 150;
@@ -30,9 +29,9 @@
    * can be sent while the others commit without it. In place of a voter that is lost it takes nothing from them.
    */
   static readonly catchUpMs = 1000;
-  /** A control node that asked to join longer ago than this may be gone. */
+  /** A request to join counts for this long; who asked longer ago may be gone. */
   static readonly joinRequestTtlMs = 1500;
-  /** Who has answered within this is there. */
+  /** A member that has answered within this counts as up. */
   static readonly recentContactMs = 500;
   /** A joining replica starts its part of the store first, so it gets longer than a voter to be heard from. */
   static readonly learnerTimeoutMs = 3000;
@@ -51,9 +50,8 @@
   }
 
   /**
-   * Done: it is a member. Standby: there are enough, and it is kept in mind for a loss. A joining replica is enlisted
-   * in
-   * answer to its own call, so that it is known to listen by the time it is sent anything.
+   * Done: it is a member. Standby: there are enough, and it is remembered for a loss. A joining replica is admitted
+   * in answer to its own call, so that it is known to listen by the time it is sent anything.
    */
   join({ id, name }: Join): Outcome {
     this.#joining.set(name, { id, at: this.#now });
@@ -83,12 +81,12 @@
     };
   }
 
-  /** How many learners are wanted beyond those that there are. */
+  /** How many more learners are wanted; negative where there are too many. */
   get #learnersWanted(): number {
     const inputs = this.#voterInputs;
     const missing = Math.max(0, inputs.wanted - inputs.voters.length);
     const surplus = Math.max(0, inputs.voters.length - inputs.wanted);
-    const unfit = Math.max(0, VoterChoice.unfit(inputs).length - surplus);
+    const unfit = Math.max(0, unfitVoters(inputs).length - surplus);
     return unfit + missing - this.#raft.members.learners.length;
   }
 
@@ -96,7 +94,7 @@
     if (!this.#raft.isLeader || !this.#raft.hasSettledMembers) return;
     this.#forgetStaleRequests();
     const { voters, learners } = this.#raft.members;
-    const next = VoterChoice.next(this.#voterInputs);
+    const next = chooseVoters(this.#voterInputs);
     const isOther = next.length !== voters.length || next.some((member) => !voters.includes(member));
     if (isOther && this.#hasLiveMajority(next)) {
       const rest = learners.filter((member) => !next.includes(member));
@@ -136,7 +134,7 @@
       if (this.#now - at > MemberChanges.joinRequestTtlMs) this.#joining.delete(name);
   }
 
-  /** Enlists the one that asks, if it is among the best of those that ask for as many places as there are. */
+  /** Admits who asks, if it is among the best candidates for as many learners as are wanted. */
   #admit(id: string): void {
     if (!this.#raft.isLeader || !this.#raft.hasSettledMembers) return;
     const { voters, learners } = this.#raft.members;
@@ -146,17 +144,15 @@
     const free = [...this.#joining.entries()]
       .filter(([name, request]) => this.#isFree(name, request.id, members))
       .map(([name]) => name);
-    const ranked = Rendezvous.rank(RendezvousKeys.storeVoter, free);
-    const first = [
-      ...ranked.filter((name) => !zones.has(this.#zoneOf(name))),
-      ...ranked.filter((name) => zones.has(this.#zoneOf(name))),
-    ];
-    const chosen = first.slice(0, Math.max(0, this.#learnersWanted)).find((name) => this.#joining.get(name)!.id === id);
+    const candidates = rankCandidates(free, zones, (name) => this.#zoneOf(name));
+    const chosen = candidates
+      .slice(0, Math.max(0, this.#learnersWanted))
+      .find((name) => this.#joining.get(name)!.id === id);
     if (chosen === undefined) return;
     this.#raft.changeMembers(voters, [...learners, { id, name: chosen } as StoreMember]);
   }
 
-  /** Whether a control node that asks may be enlisted: not the same machine as a member that is there. */
+  /** Whether a control node that asks may be admitted: not the same machine as a member that is there. */
   #isFree(name: string, id: string, members: readonly StoreMember[]): boolean {
     if (this.#isToLeave(name) || members.some((member) => member.id === id)) return false;
     return members.every((member) => member.name !== name || this.#isOnBlankDisk(member));
--- a/packages/control/src/membership/membershipStatus.ts
+++ b/packages/control/src/membership/membershipStatus.ts
@@ -2,14 +2,14 @@
 import type { RaftNode } from "../consensus/raftNode.js";
 
 /**
- * Whether this control node, which has a log of the store, is a member of it. One that was taken out, perhaps while it
- * was
- * away, hears of it from the others, stands by, and is in the store again once a leader speaks to it.
+ * Whether this control node, which has a log of the store, is a member of it. One that was removed, perhaps while it
+ * was down, learns so from the others, becomes a standby, and is in the store again once a leader contacts it.
  */
 export class MembershipStatus {
-  /** How often a control node that stands by asks again: it has to be known when a voter is lost. */
+  /** How often a standby asks again: the leader has to know of it when a voter is lost. */
   static readonly tickIntervalMs = 500;
-  static readonly maxSilenceMs = 1500;
+  /** Without contact to a leader for this long it asks whether it is still a member. */
+  static readonly contactTimeoutMs = 1500;
 
   readonly #node: ClusterNode;
   readonly #raft: RaftNode;
@@ -24,7 +24,7 @@
     node.parts.clock.every(MembershipStatus.tickIntervalMs, () => void this.#tick());
   }
 
-  /** Asks to be taken in, or kept in mind; returns what the store says. */
+  /** Asks the store to admit this control node, or to remember it as a standby; returns the store's outcome. */
   static async requestJoin(node: ClusterNode, controlNode: string, id: string): Promise<string> {
     const join = { id, name: node.parts.settings.name };
     const call = { case: "join" as const, value: join };
@@ -38,7 +38,7 @@
       this.#lastContactAt = clock.now();
       return this.#setInStore(true);
     }
-    if (this.#isRequesting || clock.now() - this.#lastContactAt < MembershipStatus.maxSilenceMs) return;
+    if (this.#isRequesting || clock.now() - this.#lastContactAt < MembershipStatus.contactTimeoutMs) return;
     const { rpc, membership } = this.#node;
     const other = membership
       .alive("lathe")
--- a/packages/control/src/membership/transferVote.ts
+++ b/packages/control/src/membership/transferVote.ts
@@ -8,13 +8,13 @@
 
 /**
  * Lets a control node that stands by vote in place of this one before its process ends: a machine that goes for good
- * is then no loss, and the next one may come at once. Where nobody stands by it does not wait. One that is started
- * again stands by in its turn.
+ * is then no loss, and the next one may come at once. Without a standby it does not wait. A
+ * process that is started again is a standby in its turn.
  */
 export async function transferVote(node: ClusterNode): Promise<void> {
   const { clock } = node.parts;
   const end = clock.now() + maxMs;
-  // One that is taken in says so before it votes.
+  // A standby that was admitted says so before it votes.
   const standbys = node.membership.alive("lathe").filter((member) => !member.isInStore && isStaying(node, member.name));
   while (clock.now() < end && standbys.some((member) => isStaying(node, member.name))) {
     const read = await node.store.read([MembersKey.name], [], readMs);
--- a/packages/control/src/membership/voterChoice.test.ts
+++ b/packages/control/src/membership/voterChoice.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import type { StoreMember } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { expect } from "earl";
-import { VoterChoice } from "./voterChoice.js";
+import { chooseVoters } from "./voterChoice.js";
 
 /** Members by letter; a capital letter is the same machine with another disk. */
 const list = (letters: string): StoreMember[] =>
@@ -40,7 +40,7 @@
 
 for (const { voters, ready = "", wanted = 3, lost = "", draining = "", zones = "", next } of cases)
   test(`${voters}, ready ${ready}, lost ${lost}, draining ${draining}: ${next}`, () => {
-    const planned = VoterChoice.next({
+    const chosen = chooseVoters({
       voters: list(voters),
       ready: list(ready),
       wanted,
@@ -49,5 +49,5 @@
       isToLeave: (member) => draining.includes(member.id),
       zoneOf: (member) => (zones.includes(member.id) ? "shared" : member.name),
     });
-    expect(planned.map((member) => member.id).join("")).toEqual(next);
+    expect(chosen.map((member) => member.id).join("")).toEqual(next);
   });
--- a/packages/control/src/membership/voterChoice.ts
+++ b/packages/control/src/membership/voterChoice.ts
@@ -1,6 +1,7 @@
 import type { StoreMember } from "@cranetrack/core/gen/cranetrack_pb.js";
+import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 
-/** What is known of the members when it is decided who votes. */
+/** What the choice of voters is made from. */
 export interface VoterInputs {
   readonly voters: readonly StoreMember[];
   /** Learners that have caught up and answered just now. */
@@ -16,33 +17,47 @@
 /**
  * The voters that there should be, from those that there are. Pure.
  *
- * A voter that is lost or is to leave is exchanged for a caught-up learner in one joint change, {A,B,X} to {A,B,N}.
+ * A voter that is lost or is to leave is replaced by a caught-up learner in one joint change, {A,B,X} to {A,B,N}.
  * Two single changes need more machines in between: with the joining replica first, {A,B,X,N} has X dead and needs all
- * three
- * others, so that the loss of N stops the store; with the removal first, {A,B} needs both. The joint change needs A and
- * B, just what {A,B,X} needed, and once it is over any one of {A,B,N} may be lost.
+ * three others, so that the loss of N stops the store; with the removal first, {A,B} needs both. The joint change
+ * needs A and B, just what {A,B,X} needed, and once it is over any one of {A,B,N} may be lost.
  */
-export const VoterChoice = {
-  next(inputs: VoterInputs): StoreMember[] {
-    const { voters, ready, wanted } = inputs;
-    const leaving = votersToReplace(inputs);
-    const missing = Math.max(0, wanted - voters.length);
-    const next = [...voters.filter((member) => !leaving.includes(member)), ...ready.slice(0, leaving.length + missing)];
-    while (next.length > Math.max(1, wanted)) next.splice(next.indexOf(surplus(inputs, next)), 1);
-    return next;
-  },
+export function chooseVoters(inputs: VoterInputs): StoreMember[] {
+  const { voters, ready, wanted } = inputs;
+  const leaving = votersToReplace(inputs);
+  const missing = Math.max(0, wanted - voters.length);
+  const next = [...voters.filter((member) => !leaving.includes(member)), ...ready.slice(0, leaving.length + missing)];
+  while (next.length > Math.max(1, wanted)) next.splice(next.indexOf(surplus(inputs, next)), 1);
+  return next;
+}
+
+/** Voters to be replaced: first those whose disk or machine is gone, then those that are to leave. */
+export function unfitVoters({
+  voters,
+  isLost,
+  isToLeave,
+}: Pick<VoterInputs, "voters" | "isLost" | "isToLeave">): StoreMember[] {
+  const lost = voters.filter((member) => isLost(member));
+  return [...lost, ...voters.filter((member) => !lost.includes(member) && isToLeave(member))];
+}
 
-  /** Voters that another should take the place of: first whose disk or machine is gone, then who is to leave. */
-  unfit({ voters, isLost, isToLeave }: Pick<VoterInputs, "voters" | "isLost" | "isToLeave">): StoreMember[] {
-    const lost = voters.filter((member) => isLost(member));
-    return [...lost, ...voters.filter((member) => !lost.includes(member) && isToLeave(member))];
-  },
-};
+/**
+ * Control nodes that ask to join, in the order in which they are admitted: zones without a member first, then by
+ * rendezvous rank, so that each leader has the same order.
+ */
+export function rankCandidates(
+  names: readonly string[],
+  zones: ReadonlySet<string>,
+  zoneOf: (name: string) => string,
+): string[] {
+  const ranked = Rendezvous.rank(RendezvousKeys.storeVoter, names);
+  return [...ranked.filter((name) => !zones.has(zoneOf(name))), ...ranked.filter((name) => zones.has(zoneOf(name)))];
+}
 
 /** Whoever has a ready learner on its own machine first: no machine votes twice. */
 function votersToReplace(inputs: VoterInputs): StoreMember[] {
   const { ready } = inputs;
-  const unfit = VoterChoice.unfit(inputs);
+  const unfit = unfitVoters(inputs);
   const hasReadyLearner = (member: StoreMember): boolean => ready.some((learner) => learner.name === member.name);
   return [...unfit.filter(hasReadyLearner), ...unfit.filter((member) => !hasReadyLearner(member))].slice(
     0,
@@ -56,6 +71,6 @@
   const sharesZone = (member: StoreMember): boolean =>
     zones.filter((zone) => zone === inputs.zoneOf(member)).length > 1;
   const others = next.filter((member) => member.id !== inputs.self).reverse();
-  const unfit = VoterChoice.unfit({ ...inputs, voters: next });
+  const unfit = unfitVoters({ ...inputs, voters: next });
   return unfit[0] ?? others.find(sharesZone) ?? others[0]!;
 }
--- a/packages/control/src/store/acceptedConfigurations.ts
+++ b/packages/control/src/store/acceptedConfigurations.ts
@@ -11,14 +11,15 @@
 }
 
 /**
- * The state machine's part in the records of acknowledged versions.
- * Invariants: at most `mostRecords` are kept, the highest ones. Whatever has no record and was acknowledged once is
- * at or below the floor, and there no record is made any more: a version has one content in its whole life, or none.
+ * The state machine's part in the records of acknowledged versions. Deterministic: it depends on the keys alone.
+ * Invariants: at most `AcceptedOrderKey.maxRecords` are kept, the highest ones. Whatever has no record and was
+ * acknowledged once is at or below the floor, and there no record is made any more: a version has one content for
+ * good, or none.
  */
 export const AcceptedConfigurations = {
   /**
-   * The version up to which it is not known which content was acknowledged: what was dropped, and what stands
-   * at or below a configuration without a record, which an earlier release put.
+   * The version up to which it is not known which content was acknowledged: what was dropped, and what is
+   * at or below a configuration without a record, as earlier releases wrote.
    */
   floor(keys: KeyReader): number {
     const kept = AcceptedOrderKey.readFloor(keys.get(AcceptedOrderKey.floor)?.value);
--- a/packages/control/src/store/feed.ts
+++ b/packages/control/src/store/feed.ts
@@ -46,6 +46,7 @@
     this.lastContactAt = this.openedAt = now;
   }
 
+  /** Whether a push is in flight. */
   get isUnacknowledged(): boolean {
     return this.number !== this.ackedNumber;
   }
--- a/packages/control/src/store/leases.ts
+++ b/packages/control/src/store/leases.ts
@@ -2,8 +2,8 @@
 import type { RaftNode } from "../consensus/raftNode.js";
 
 /**
- * When each lease ends, as the present leader counts it. Expiry itself is a log entry.
- * Invariant: a lease's due is never earlier than its full length after the last renewal confirmed by a
+ * When each lease ends by the clock of the present leader, in milliseconds. Expiry itself is a log entry.
+ * Invariant: a lease's deadline is never earlier than its full length after the last renewal confirmed by a
  * majority, or after the present leader was elected.
  */
 export class Leases {
--- a/packages/control/src/store/metadata.ts
+++ b/packages/control/src/store/metadata.ts
@@ -15,8 +15,12 @@
 
 const BTree = BTreeModule.default;
 
+/** What applying one log entry did. */
 export interface Applied {
-  /** `rebase`: a difference whose base is not the key's value; nothing was done. */
+  /**
+   * But for `done` nothing was done. `conflict`: a check failed, or a version's record is too old; `lost`: the lease is
+   * gone; `rebase`: a difference whose base is not the key's value.
+   */
   outcome: "done" | "conflict" | "lost" | "rebase";
   revision: number;
   kvs: Kv[];
@@ -31,22 +35,27 @@
 export class Metadata {
   readonly #keys = new BTree<string, Kv>();
   readonly #leases = new Map<string, { length: number; keys: Set<string> }>();
+  /** Index of the entry that was applied last. */
   revision = 0;
 
+  /** Every lease, with its length in milliseconds. */
   get leases(): ReadonlyMap<string, { length: number }> {
     return this.#leases;
   }
 
+  /** The key's value, whole; undefined where it has none. */
   get(key: string): Kv | undefined {
     return this.#keys.get(key);
   }
 
+  /** All keys with this prefix, ascending. */
   range(prefix: string): Kv[] {
     const found: Kv[] = [];
     this.#keys.forRange(prefix, `${prefix}\u{10ffff}`, true, (_key, kv) => void found.push(kv));
     return found;
   }
 
+  /** Carries out the committed log entry of this index; `changes` are what feeds are to be sent. */
   apply(index: number, data: Uint8Array): Applied {
     const { command } = fromBinary(StoreCommandSchema, data);
     const changes: Kv[] = [];
@@ -66,6 +75,7 @@
     return { outcome: "done", revision: index, kvs: [], changes };
   }
 
+  /** The whole state as bytes, with the members that the caller hands it. */
   snapshot(members: Members | undefined): Uint8Array {
     const leases = [...this.#leases].map(([lease, { length }]) => ({ lease, length }));
     return toBinary(
@@ -74,6 +84,7 @@
     );
   }
 
+  /** Whether the bytes are a snapshot. */
   static isReadable(snapshot: Uint8Array): boolean {
     try {
       return fromBinary(StoreSnapshotSchema, snapshot).revision >= 0;
@@ -82,7 +93,7 @@
     }
   }
 
-  /** Takes a snapshot in place of everything and returns the members it names. */
+  /** Replaces the whole state by a snapshot and returns the members it names. */
   install(snapshot: Uint8Array): Members | undefined {
     const read = fromBinary(StoreSnapshotSchema, snapshot);
     this.#keys.clear();
--- a/packages/control/src/store/valueHistory.test.ts
+++ b/packages/control/src/store/valueHistory.test.ts
@@ -13,26 +13,26 @@
   more: { isGone?: boolean; lease?: string } = {},
 ): Kv => create(KvSchema, { key: "plan", value, revision, ...more });
 
-/** How the newest version is told to someone, and whether it unpacks with the version that they have. */
-function told(packed: Kv, has: Kv | undefined, newest: Kv): [packing: number, base: number, isSame: boolean] {
+/** How the newest version is sent to someone, and whether it unpacks with the version that they have. */
+function sent(packed: Kv, has: Kv | undefined, newest: Kv): [packing: number, base: number, isSame: boolean] {
   const value = PackedValue.unpack(packed, has);
   return [packed.packing, packed.baseRevision, value !== undefined && Buffer.compare(value, newest.value) === 0];
 }
 
-test("the newest version is told as a difference from the version that the receiver has, else whole", () => {
+test("the newest version is sent as a difference from the version that the receiver has, else whole", () => {
   const history = new ValueHistory();
   const [first, second, third] = [kvOf(10), kvOf(20), kvOf(30)] as const;
   history.reset([first]);
   history.keep([second]);
   history.keep([third]);
-  expect(told(history.packSince(third, 29), second, third)).toEqual([packing.difference, 20, true]);
-  expect(told(history.packSince(third, 19), first, third)).toEqual([packing.difference, 10, true]);
-  expect(told(history.packSince(third, 9), undefined, third)).toEqual([packing.deflated, 0, true]);
-  expect(told(history.packFrom(third, 20), second, third)).toEqual([packing.difference, 20, true]);
-  expect(told(history.packFrom(third, 15), undefined, third)).toEqual([packing.deflated, 0, true]);
-  expect(told(history.packFrom(third, 30), third, third)).toEqual([packing.omitted, 30, true]);
+  expect(sent(history.packSince(third, 29), second, third)).toEqual([packing.difference, 20, true]);
+  expect(sent(history.packSince(third, 19), first, third)).toEqual([packing.difference, 10, true]);
+  expect(sent(history.packSince(third, 9), undefined, third)).toEqual([packing.deflated, 0, true]);
+  expect(sent(history.packFrom(third, 20), second, third)).toEqual([packing.difference, 20, true]);
+  expect(sent(history.packFrom(third, 15), undefined, third)).toEqual([packing.deflated, 0, true]);
+  expect(sent(history.packFrom(third, 30), third, third)).toEqual([packing.omitted, 30, true]);
   history.reset([third]);
-  expect(told(history.packSince(third, 25), undefined, third)).toEqual([packing.deflated, 0, true]);
+  expect(sent(history.packSince(third, 25), undefined, third)).toEqual([packing.deflated, 0, true]);
 });
 
 test("versions before a removal, or before a value that is small or under a lease, are no bases", () => {
@@ -46,7 +46,7 @@
     history.keep([between]);
     const newest = kvOf(30);
     history.keep([newest]);
-    expect(told(history.packSince(newest, 25), between, newest)).toEqual([packing.deflated, 0, true]);
+    expect(sent(history.packSince(newest, 25), between, newest)).toEqual([packing.deflated, 0, true]);
     expect(history.packSince(between, 15)).toEqual(between);
   }
 });
@@ -65,5 +65,5 @@
   const last = kvOf(12, valueOf(12));
   const first = kvOf(1, valueOf(1));
   expect(first.value.length * 12 > ValueHistory.maxBytes * 3).toEqual(true);
-  expect(told(large.packSince(last, 1), first, last)).toEqual([packing.difference, 1, true]);
+  expect(sent(large.packSince(last, 1), first, last)).toEqual([packing.difference, 1, true]);
 });
--- a/packages/control/src/store/valueHistory.ts
+++ b/packages/control/src/store/valueHistory.ts
@@ -3,7 +3,7 @@
 import { packing, PackedValue, type Packed, type ValueVersion } from "@cranetrack/core/store/packedValue.js";
 
 /**
- * The last versions of large values, so that whoever has one of them is told the newest as a difference.
+ * The last versions of large values, so that a receiver that has one of them is sent the newest as a difference.
  * Invariant: a key's versions are contiguous, oldest first, and the last is the key's value.
  */
 export class ValueHistory {
@@ -12,7 +12,7 @@
   static readonly maxBytes = 2 * 1024 * 1024;
 
   readonly #versions = new Map<string, KeptVersion[]>();
-  /** Forms of the newest version that were made, by the revision of their base. */
+  /** Packed forms of the newest version, by the revision of their base. */
   readonly #forms = new Map<string, Map<number, Packed>>();
 
   /** Begins afresh with these values. */
@@ -22,6 +22,7 @@
     this.keep(kvs);
   }
 
+  /** Adds the new versions of large values; of a value that is no longer large nothing is kept. */
   keep(changes: readonly Kv[]): void {
     for (const kv of changes) {
       this.#forms.delete(kv.key);
@@ -35,7 +36,7 @@
     return !kv.isGone && kv.lease === "" && PackedValue.isLarge(kv.value);
   }
 
-  /** For a receiver that has all that the store had at a revision. */
+  /** Packs for a receiver that has all that the store had at a revision. */
   packSince(kv: Kv, revision: number): Kv {
     return this.#pack(
       kv,
@@ -43,12 +44,12 @@
     );
   }
 
-  /** For a receiver that has the key's value of exactly this revision. */
+  /** Packs for a receiver that has the key's value of exactly this revision. */
   packFrom(kv: Kv, revision: number): Kv {
     return this.#pack(kv, this.#find(kv.key, revision));
   }
 
-  /** The value of a difference from any version kept here. */
+  /** The value of a difference from any version kept here; undefined where its base is not. */
   unpack(kv: Kv): Uint8Array | undefined {
     return PackedValue.unpack(kv, ValueHistory.#whole(this.#find(kv.key, kv.baseRevision)));
   }
