--- a/packages/control/src/configuration/configurationArchive.ts
+++ b/packages/control/src/configuration/configurationArchive.ts
@@ -80,7 +80,7 @@
       this.#committedVersion = version;
       await this.#rotateWhenFull();
     } catch (cause) {
-      this.#log.warn("a plan could not be archived", { version, why: (cause as Error).message });
+      this.#log.warn("a configuration could not be archived", { version, why: (cause as Error).message });
     }
   }
 
--- a/packages/control/src/configuration/decideConfigurationChange.ts
+++ b/packages/control/src/configuration/decideConfigurationChange.ts
@@ -101,7 +101,7 @@
     const isWhole = space.program[0]!.contract.order === "space";
     if (earlier === undefined || earlier.isWhole === isWhole) return [];
     const order = earlier.isWhole ? "space" : "sender or topic";
-    const problem = `space ${space.name} keeps order ${order} while it lives; remove the space and make it again`;
+    const problem = `space ${space.name} keeps order ${order} while it exists; remove the space and create it again`;
     return [{ path: `spaces.${i}.program.0.owe.order`, problem }];
   });
 }
--- a/packages/control/src/configuration/getRollout.ts
+++ b/packages/control/src/configuration/getRollout.ts
@@ -9,9 +9,9 @@
 /** How far the configuration in force has got: the acknowledgements of all control nodes' feeds, counted by node. */
 export async function getRollout(node: ClusterNode): Promise<ApiReply> {
   const present = await node.store.read([ConfigurationKey.name]);
-  if (present.outcome !== "done") return ApiReplies.unavailable("no majority of the lathes answers");
+  if (present.outcome !== "done") return ApiReplies.unavailable("no majority of the control nodes answers");
   const inForce = present.kvs![0];
-  if (inForce === undefined) return ApiReplies.fault(404, "no-plan", "no plan was ever accepted");
+  if (inForce === undefined) return ApiReplies.fault(404, "no-plan", "no configuration was ever accepted");
   const version = ConfigurationKey.versionOf(inForce.value);
   const controlNodes = node.membership
     .alive("lathe")
--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -44,7 +44,11 @@
   document?: Uint8Array,
 ): Promise<ApiReply> {
   if (Math.max(body.length, document?.length ?? 0) > Configurations.maxBytes)
-    return ApiReplies.fault(413, "too-large", `a plan and its document may have ${Configurations.maxBytes} bytes each`);
+    return ApiReplies.fault(
+      413,
+      "too-large",
+      `a configuration and its document may have ${Configurations.maxBytes} bytes each`,
+    );
   const json = JsonBody.read(body);
   if ("reply" in json) return json.reply;
   const read = ConfigurationSchema.read(json.value);
@@ -56,7 +60,7 @@
     const reply = await attemptChange(node, change, read);
     if (reply !== "conflict") return reply;
   }
-  return ApiReplies.unknown("other plans came between; the same plan again settles it");
+  return ApiReplies.unknown("other configurations came between; the same configuration again resolves it");
 }
 
 async function attemptChange(
@@ -74,9 +78,9 @@
     case "acknowledged":
       return accepted(version, decision.revision);
     case "other-content":
-      return stale(version, decision.versionInForce, "was taken with other content");
+      return stale(version, decision.versionInForce, "was accepted with other content");
     case "forgotten":
-      return ApiReplies.unavailable(`mark ${version} is so old that its content is forgotten`);
+      return ApiReplies.unavailable(`version ${version} is so old that its content is forgotten`);
     case "superseded":
       if (document === undefined) return stale(version, decision.versionInForce, "is not above the one in force");
       return "faults" in read ? invalid(read.faults) : recordSuperseded(node, change, inputs);
@@ -154,7 +158,7 @@
     case "conflict":
       return "conflict";
     case "unsure":
-      return ApiReplies.unknown("the lathes did not answer in time; the same plan again settles it");
+      return ApiReplies.unknown("the control nodes did not answer in time; the same configuration again resolves it");
     default:
       return noMajority();
   }
@@ -166,21 +170,22 @@
 }
 
 function noMajority(): ApiReply {
-  return ApiReplies.unavailable("no majority of the lathes answers");
+  return ApiReplies.unavailable("no majority of the control nodes answers");
 }
 
 function invalid(problems: ConfigurationFault[]): ApiReply {
-  const message = `the plan has ${problems.length} problem(s); nothing was changed`;
+  const message = `the configuration has ${problems.length} problem(s); nothing was changed`;
   return ApiReplies.fault(422, "invalid-plan", message, { problems });
 }
 
 /** What this node sees of the fleet may be incomplete, and may change: never a final rejection. */
 function noCapacity(problems: ConfigurationFault[]): ApiReply {
-  const message = "machines are missing for what the plan promises, as this node sees the fleet; nothing was changed";
+  const message =
+    "machines are missing for what the configuration promises, as this node sees the fleet; nothing was changed";
   return ApiReplies.fault(503, "no-capacity", message, { problems, retryAfterSeconds: 1 });
 }
 
 function stale(version: number, versionInForce: number, why: string): ApiReply {
-  const message = `mark ${version} ${why}; mark ${versionInForce} is in force`;
+  const message = `version ${version} ${why}; version ${versionInForce} is in force`;
   return ApiReplies.fault(409, "stale-mark", message, { details: { markInForce: versionInForce } });
 }
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -40,8 +40,8 @@
     router.on("GET", /^\/v1\/plan$/, async () => {
       const read = await readConfiguration(node);
       if (read.outcome === "done") return ApiReplies.done(read.document);
-      if (read.outcome === "none") return ApiReplies.fault(404, "no-plan", "no plan was ever accepted");
-      return ApiReplies.unavailable("no majority of the lathes answers");
+      if (read.outcome === "none") return ApiReplies.fault(404, "no-plan", "no configuration was ever accepted");
+      return ApiReplies.unavailable("no majority of the control nodes answers");
     });
     const emptying = /^\/v1\/machines\/([^/]+)\/emptying$/;
     router.on("PUT", emptying, (call) => DrainMachine.ask(node, call.params[0]!));
@@ -106,7 +106,7 @@
               voters: members!.voters.map((member) => member.name),
               learners: members!.learners.map((member) => member.name),
             },
-      anvil: this.storage.status(),
+      storage: this.storage.status(),
     };
   }
 
--- a/packages/control/src/cranetrack-control.ts
+++ b/packages/control/src/cranetrack-control.ts
@@ -16,6 +16,6 @@
     start: () => control.start(),
     stop: () => control.stop(),
     isReady: () => control.isReady,
-    status: () => ({ ...control.status(), archivedMark: archive.version }),
+    status: () => ({ ...control.status(), archivedVersion: archive.version }),
   };
 }).run(process.argv);
--- a/packages/control/src/drain/drainMachine.ts
+++ b/packages/control/src/drain/drainMachine.ts
@@ -96,5 +96,5 @@
 }
 
 function unknown(): ApiReply {
-  return ApiReplies.unknown("the control nodes did not answer in time; the same request again settles it");
+  return ApiReplies.unknown("the control nodes did not answer in time; the same request again resolves it");
 }
--- a/packages/control/src/store/leaderForwarding.ts
+++ b/packages/control/src/store/leaderForwarding.ts
@@ -29,7 +29,7 @@
     const all = (outcome: Outcome): Outcome[] => calls.map(() => outcome);
     const leader = this.#raft.leaderName;
     if (calls.some((call) => call.isForwarded) || leader === "" || leader === this.#node.rpc.name)
-      return all({ outcome: "away", retryAfterSeconds: 1, reason: "no proposer is known" });
+      return all({ outcome: "away", retryAfterSeconds: 1, reason: "no leader is known" });
     const kinds = new Set(calls.map((call) => call.call.case));
     const isRepeatable = calls.every((call) => mayRepeatStoreCall(call.call.case));
     const forwarded = this.#node.rpc.call(
--- a/packages/testkit/src/sabotage/orderSabotages.ts
+++ b/packages/testkit/src/sabotage/orderSabotages.ts
@@ -105,8 +105,8 @@
   {
     name: "histories: a lost answer of the store is a refusal",
     file: "control/dist/configuration/proposeConfiguration.js",
-    find: 'return ApiReplies.unknown("the lathes did not answer',
-    put: 'return stale(change.version, 0, "the lathes did not answer',
+    find: 'return ApiReplies.unknown("the control nodes did not answer',
+    put: 'return stale(change.version, 0, "the control nodes did not answer',
     test: `${sim}/orderHistories.test.js`,
   },
   {
