--- a/packages/control/src/cranetrack-control.ts
+++ b/packages/control/src/cranetrack-control.ts
@@ -17,6 +17,6 @@
     start: () => control.start(),
     stop: () => control.stop(),
     isReady: () => control.isReady,
-    status: () => ({ ...control.status(), archivedMark: archive.version }),
+    status: () => ({ ...control.status(), archivedVersion: archive.version }),
   };
 }).run(process.argv);
