--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -5,8 +5,9 @@
 import type { Clock } from "../runtime/clock.js";
 import type { RpcEndpoint } from "../rpc/rpcEndpoint.js";
 import { FailureDetector } from "./failureDetector.js";
+import { GossipPeers } from "./gossipPeers.js";
 import { MemberTable } from "./memberTable.js";
-import { Rendezvous, RendezvousKeys } from "./rendezvous.js";
+import { Rendezvous } from "./rendezvous.js";
 import { MembershipUpdates } from "./membershipUpdates.js";
 
 /**
@@ -45,10 +46,7 @@
   readonly #table = new MemberTable();
   readonly #updates = new MembershipUpdates();
   readonly #detector: FailureDetector;
-  #peersOf: readonly Member[] | undefined;
-  #peers: Member[] = [];
-  #ownWatchers: Member[] = [];
-  #ownPartners: Member[] = [];
+  readonly #peers: GossipPeers;
   #ticks = 0;
   #ownText = "";
   #lastContactAt: number;
@@ -75,6 +73,14 @@
     this.#rpc = rpc;
     this.#clock = clock;
     this.#random = random;
+    this.#peers = new GossipPeers({
+      self: self.name,
+      table: this.#table,
+      random,
+      watchers: Membership.watchers,
+      partners: Membership.partners,
+      isUnresponsive: (name) => rpc.isUnresponsive(name),
+    });
     this.#lastContactAt = this.#heartbeatAt = clock.now();
     this.#compareAt = clock.now() + Membership.compareMs * random.draw();
     this.#table.put(this.self, clock.now());
@@ -131,8 +137,8 @@
   leave(): void {
     this.self.state = "left";
     this.#changeSelf();
-    const recipients = new Set(this.#watchers());
-    for (const member of this.#draw(MembershipUpdates.maxPerFrame)) recipients.add(member);
+    const recipients = new Set(this.#peers.watchers());
+    for (const member of this.#peers.draw(MembershipUpdates.maxPerFrame)) recipients.add(member);
     for (const member of recipients) this.#sendGossip(member.address, member.name);
   }
 
@@ -151,14 +157,15 @@
     this.#detector.evaluate();
     this.#forget();
     this.#ticks += 1;
-    if (this.#ticks % 2 === 0) for (const member of this.#watchers()) this.#sendGossip(member.address, member.name);
+    if (this.#ticks % 2 === 0)
+      for (const member of this.#peers.watchers()) this.#sendGossip(member.address, member.name);
     else this.#askPartner();
     this.#introduce();
     if (now >= this.#compareAt) this.#compare();
   }
 
   #askPartner(): void {
-    const partners = this.#partners();
+    const partners = this.#peers.partners();
     const drawn = partners[Math.floor(this.#random.draw() * partners.length)];
     if (drawn === undefined) return;
     this.#detector.expect(drawn.name);
@@ -167,15 +174,15 @@
 
   /** Asks seeds for everybody, until some table came; later only those seeds that no member is at. */
   #introduce(): void {
-    if (this.#upPeers().length === 0) {
+    if (this.#peers.up().length === 0) {
       for (const address of this.#firstAsked())
         this.#sendGossip(address, "", { isAsking: true, wantsAll: true, members: [this.self] });
       return;
     }
     const seed = this.#seeds[Math.floor(this.#random.draw() * this.#seeds.length)];
     if (seed === undefined || seed === this.self.address) return;
-    const isStranger = !this.#upPeers().some((member) => member.address === seed);
-    const isNew = !this.#isIntroduced || this.#upPeers().length < 3;
+    const isStranger = !this.#peers.up().some((member) => member.address === seed);
+    const isNew = !this.#isIntroduced || this.#peers.up().length < 3;
     if (isNew) this.#sendGossip(seed, "", { isAsking: true, wantsAll: true, members: [this.self] });
     else if (isStranger && this.#random.draw() < 0.2)
       this.#sendGossip(seed, "", { isAsking: true, digests: this.#table.digests, members: [this.self] });
@@ -190,7 +197,7 @@
 
   #compare(): void {
     this.#compareAt = this.#clock.now() + Membership.compareMs;
-    const [drawn] = this.#draw(1);
+    const [drawn] = this.#peers.draw(1);
     if (drawn !== undefined)
       this.#sendGossip(drawn.address, drawn.name, { isAsking: true, digests: this.#table.digests });
   }
@@ -199,7 +206,7 @@
     const updates = this.#updates.nextBatch((one) => this.find(one));
     const members = new Set([...((more.members ?? []) as Member[]), ...updates]);
     const { incarnation, version } = this.self;
-    const isWatched = name !== "" && this.#watchers().some((member) => member.name === name);
+    const isWatched = name !== "" && this.#peers.watchers().some((member) => member.name === name);
     const value = { ...more, members: [...members], incarnation, version, isWatched };
     this.#rpc.sendInBackground(address, { case: "gossip", value }, name);
   }
@@ -288,7 +295,7 @@
     this.#clock.once(Membership.changeDelayMs, () => {
       this.#isChangeScheduled = false;
       if (this.#updates.isEmpty) return;
-      for (const member of this.#draw(Membership.helpers, "", this.#partners()))
+      for (const member of this.#peers.draw(Membership.helpers, "", this.#peers.partners()))
         this.#sendGossip(member.address, member.name);
     });
   }
@@ -318,7 +325,7 @@
       clock: this.#clock,
       times: { probeMs, suspectMs, pingMs: pingTimeoutMs, helpMs: helpTimeoutMs, helpers },
       find: (name) => this.find(name),
-      draw: (count, except) => this.#draw(count, except),
+      draw: (count, except) => this.#peers.draw(count, except),
       ask: ({ address, name }) => this.#sendGossip(address, name, { isAsking: true }),
       suspect: (member) => this.#suspect(member),
     });
@@ -337,40 +344,4 @@
         this.emit("changed");
       }
   }
-
-  /** The others that are up; the same array until the table changes. */
-  #upPeers(): Member[] {
-    const all = this.all();
-    if (this.#peersOf !== all) {
-      this.#peersOf = all;
-      this.#peers = all.filter((member) => member.name !== this.self.name && MemberTable.isUp(member));
-      const { name } = this.self;
-      const chosen = (key: string, among: readonly Member[], count: number): Member[] =>
-        Rendezvous.choose(key, among, count).map((one) => this.find(one)!);
-      this.#ownWatchers = chosen(name, this.#peers, Membership.watchers);
-      const others = this.#peers.filter((member) => !this.#ownWatchers.includes(member));
-      this.#ownPartners = chosen(RendezvousKeys.gossipPartners(name), others, Membership.partners);
-    }
-    return this.#peers;
-  }
-
-  #partners(): Member[] {
-    this.#upPeers();
-    return this.#ownPartners;
-  }
-
-  #watchers(): Member[] {
-    this.#upPeers();
-    return this.#ownWatchers;
-  }
-
-  /** Some of the others that are up and answer, at random. */
-  #draw(count: number, except = "", peers: readonly Member[] = this.#upPeers()): Member[] {
-    const drawn = new Set<Member>();
-    for (let i = 0; i < 3 * count && drawn.size < Math.min(count, peers.length); i += 1) {
-      const peer = peers[Math.floor(this.#random.draw() * peers.length)]!;
-      if (peer.name !== except && !this.#rpc.isUnresponsive(peer.name)) drawn.add(peer);
-    }
-    return [...drawn];
-  }
 }
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -302,7 +302,7 @@
     name: "a mute member is never asked for a sign of life",
     file: "core/dist/membership/membership.js",
     find: "const drawn = partners[Math.floor(this.#random.draw() * partners.length)];",
-    put: 'const [drawn] = this.#draw(1, "", partners);',
+    put: 'const [drawn] = this.#peers.draw(1, "", partners);',
     test: `${sim}/membership.test.js`,
   },
   {
