--- a/packages/testkit/src/clients/httpPort.ts
+++ b/packages/testkit/src/clients/httpPort.ts
@@ -1,5 +1,5 @@
 import { Agent, request } from "undici";
-import type { ClientPort, PortConnection, PortReply } from "./clientPort.js";
+import type { ClientPort, ConnectionHandlers, PortConnection, PortReply } from "./clientPort.js";
 
 /** Calls over HTTP/1.1, as a caller of the service makes them. */
 export class HttpPort implements ClientPort {
@@ -14,7 +14,7 @@
     node: string,
     session: string,
     body: object,
-    handlers: { line(line: Record<string, unknown>): void; closed(): void },
+    handlers: ConnectionHandlers,
   ): Promise<PortConnection | PortReply> {
     const giveUp = new AbortController();
     try {
--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -76,41 +76,35 @@
     return { machines, prepare, ...later, ...(isQuick ? { syncMs: Scenario.syncMs } : {}) };
   },
 
-  async run(seed: number, options: ScenarioOptions = {}): Promise<ScenarioReport> {
-    const fleet = new SimFleet(seed, options.machines ?? Scenario.machines());
-    const load = new SimLoad(fleet);
-    options.prepare?.(fleet);
-    const faults = new Faults(fleet, load, options.faults ?? Faults.all);
-    const { history } = load;
-    const breaches: Breach[] = [];
-    const breach = (rule: string, text: string): void => void breaches.push({ rule, at: fleet.world.now, text });
-    const report = (backMs: number): ScenarioReport => {
-      const causes = faults.spans.map(({ what, from, to }) => ({ what, from, to: to + Scenario.backMs }));
-      const late = [...Lateness.byCause(Lateness.deliveries(history.seen), causes)];
-      const unexcused = late.find(([cause]) => cause === "nothing")?.[1];
-      if (unexcused !== undefined)
-        breach(
-          "late",
-          `${unexcused.count} receipts above ${Lateness.maxMs} ms without a fault, up to ${unexcused.worst} ms`,
-        );
-      return {
-        seed,
-        faults: faults.spans.map(
-          ({ what, name, from, to }) => `${Math.round(from)} ${what} ${name} ${Math.round(to - from)}`,
-        ),
-        closing: faults.closing,
-        breaches,
-        backMs,
-        late: late.map(([cause, { count, worst }]) => ({ cause, count, worst })),
-        events: fleet.world.events,
-        trace: fleet.world.trace(),
-        accepted: history.seen.filter((one) => one.kind === "accepted").length,
-        received: history.seen.filter((one) => one.kind === "received").length,
-      };
-    };
+  run(seed: number, options: ScenarioOptions = {}): Promise<ScenarioReport> {
+    return new ScenarioRun(seed, options).run();
+  },
+};
+
+/** One run's fleet, clients, faults, and what was found broken. */
+class ScenarioRun {
+  readonly #seed: number;
+  readonly #options: ScenarioOptions;
+  readonly #fleet: SimFleet;
+  readonly #load: SimLoad;
+  readonly #faults: Faults;
+  readonly #breaches: Breach[] = [];
+
+  constructor(seed: number, options: ScenarioOptions) {
+    this.#seed = seed;
+    this.#options = options;
+    this.#fleet = new SimFleet(seed, options.machines ?? Scenario.machines());
+    this.#load = new SimLoad(this.#fleet);
+    options.prepare?.(this.#fleet);
+    this.#faults = new Faults(this.#fleet, this.#load, options.faults ?? Faults.all);
+  }
+
+  async run(): Promise<ScenarioReport> {
+    const options = this.#options;
+    const [fleet, load, faults] = [this.#fleet, this.#load, this.#faults];
     if (!(await load.begin(options.clients ?? 10, 6, options.later))) {
-      breach("service-back", "the fleet never came to serve");
-      return report(Infinity);
+      this.#breach("service-back", "the fleet never came to serve");
+      return this.#report(Infinity);
     }
     if (options.syncMs !== undefined) fleet.budget = new LossBudget(fleet, options.syncMs);
     const ephemeralClients = load.ephemeralClients();
@@ -120,6 +114,19 @@
     await faults.rage(options.faultMs ?? 25_000, options.isDealt);
     await faults.heal();
     const healedAt = fleet.world.now;
+    const probe = await this.#untilBack();
+    await fleet.run(healedAt + Scenario.backMs - fleet.world.now);
+    await fleet.run(Scenario.fairMs);
+    ephemeralClients.end();
+    this.#breaches.push(...ephemeralClients.check());
+    if (!(await load.finishPublishes())) this.#breach("service-back", `callers are not settled: ${load.unsettled}`);
+    await this.#checkHistory();
+    return this.#report((probe?.doneAt ?? Infinity) - healedAt);
+  }
+
+  /** Waits until everybody's message reached its readers, or the time is over; returns the probe if one was sent. */
+  async #untilBack(): Promise<Probe | undefined> {
+    const load = this.#load;
     let probe: Probe | undefined;
     let isRestored = false;
     void load.restore().then(() => (isRestored = true));
@@ -128,25 +135,55 @@
       if (isRestored && load.clients.every((client) => client.isFullySubscribed)) probe ??= load.probe();
       return probe?.isBack === true;
     };
-    if (!(await fleet.until(isBack, Scenario.backMs)))
-      breach(
+    if (!(await this.#fleet.until(isBack, Scenario.backMs)))
+      this.#breach(
         "service-back",
         `not everybody is served ${Scenario.backMs} ms after the return: ${probe?.missing ?? load.unsettled}`,
       );
-    await fleet.run(healedAt + Scenario.backMs - fleet.world.now);
-    await fleet.run(Scenario.fairMs);
-    ephemeralClients.end();
-    breaches.push(...ephemeralClients.check());
-    if (!(await load.finishPublishes())) breach("service-back", `callers are not settled: ${load.unsettled}`);
-    breaches.push(...Checker.check(history.seen, fleet.world.now));
+    return probe;
+  }
+
+  /** What clients saw is checked; then, after a last fault, what operators are given back. */
+  async #checkHistory(): Promise<void> {
+    const { history } = this.#load;
+    this.#breaches.push(...Checker.check(history.seen, this.#fleet.world.now));
     const checkedCount = history.seen.length;
-    await faults.finish();
-    await load.readConfiguration();
+    await this.#faults.finish();
+    await this.#load.readConfiguration();
     const configurations = history.seen.filter(
       (one, i) => one.kind.startsWith("plan") && (i >= checkedCount || one.kind !== "planRead"),
     );
-    breaches.push(...Checker.check(configurations, fleet.world.now), ...checkOrders(history.seen));
-    for (const violation of fleet.violations) breach("invariant", violation);
-    return report((probe?.doneAt ?? Infinity) - healedAt);
-  },
-};
+    this.#breaches.push(...Checker.check(configurations, this.#fleet.world.now), ...checkOrders(history.seen));
+    for (const violation of this.#fleet.violations) this.#breach("invariant", violation);
+  }
+
+  #breach(rule: string, text: string): void {
+    this.#breaches.push({ rule, at: this.#fleet.world.now, text });
+  }
+
+  #report(backMs: number): ScenarioReport {
+    const { history } = this.#load;
+    const { spans, closing } = this.#faults;
+    const { world } = this.#fleet;
+    const causes = spans.map(({ what, from, to }) => ({ what, from, to: to + Scenario.backMs }));
+    const late = [...Lateness.byCause(Lateness.deliveries(history.seen), causes)];
+    const unexcused = late.find(([cause]) => cause === "nothing")?.[1];
+    if (unexcused !== undefined)
+      this.#breach(
+        "late",
+        `${unexcused.count} receipts above ${Lateness.maxMs} ms without a fault, up to ${unexcused.worst} ms`,
+      );
+    return {
+      seed: this.#seed,
+      faults: spans.map(({ what, name, from, to }) => `${Math.round(from)} ${what} ${name} ${Math.round(to - from)}`),
+      closing,
+      breaches: this.#breaches,
+      backMs,
+      late: late.map(([cause, { count, worst }]) => ({ cause, count, worst })),
+      events: world.events,
+      trace: world.trace(),
+      accepted: history.seen.filter((one) => one.kind === "accepted").length,
+      received: history.seen.filter((one) => one.kind === "received").length,
+    };
+  }
+}
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -1,5 +1,5 @@
-import type { ClientConnection } from "@cranetrack/edge/connections/clientConnection.js";
-import type { ClientPort, PortConnection, PortReply } from "../clients/clientPort.js";
+import type { ClientPort, ConnectionHandlers, PortConnection, PortReply } from "../clients/clientPort.js";
+import { SimConnection } from "./simConnection.js";
 import type { SimNode } from "./simNode.js";
 import type { SimWorld } from "./simWorld.js";
 import { Router } from "@cranetrack/core/http/router.js";
@@ -44,62 +44,31 @@
     name: string,
     session: string,
     body: object,
-    handlers: { line(line: Record<string, unknown>): void; closed(): void },
+    handlers: ConnectionHandlers,
   ): Promise<PortConnection | PortReply> {
     const simNode = this.#nodes.find(name);
     if (simNode?.edge === undefined) return this.#later(unreachable);
-    const state = { isOpen: false, isClientGone: false, isServerGone: false, whenClosed: (): void => undefined };
-    let forget = (): void => undefined;
-    const closeClient = (): void => {
-      forget();
-      if (state.isClientGone) return;
-      state.isServerGone = true;
-      this.#afterWire(() => {
-        if (!state.isClientGone) handlers.closed();
-      });
-    };
-    let waitingBytes = 0;
-    const { stalled } = this;
-    const connection: ClientConnection = {
-      get waitingBytes() {
-        return waitingBytes;
-      },
-      get isClosed() {
-        return state.isServerGone;
-      },
-      send: (line) => {
-        if (state.isServerGone || simNode.body.isDead) return;
-        const text = JSON.stringify(line);
-        if (stalled.has(session)) return void (waitingBytes += text.length);
-        this.#afterWire(() => {
-          if (!state.isClientGone) handlers.line(JSON.parse(text) as Record<string, unknown>);
-        });
-      },
-      close: () => closeClient(),
-      onClose: (whenClosed) => void (state.whenClosed = whenClosed),
-    };
-    const close = (): void => {
-      state.isClientGone = true;
-      forget();
-      this.#onNode(simNode, () => {
-        if (state.isServerGone) return;
-        state.isServerGone = true;
-        state.whenClosed();
-      });
-    };
+    const connection = new SimConnection({
+      simNode,
+      session,
+      stalled: this.stalled,
+      handlers,
+      afterWire: (run) => this.#afterWire(run),
+      onNode: (run) => this.#onNode(simNode, run),
+    });
+    const close = (): void => connection.closeByClient();
     return this.#ask<PortConnection | PortReply>(
       simNode,
       (resolveCall) => {
-        forget = simNode.onFall(closeClient);
+        connection.watchNode();
         void simNode
           .edgeCalls!.connection(session, Buffer.from(JSON.stringify(body)), () => {
-            state.isOpen = true;
             resolveCall({ close });
             return connection;
           })
           .then((reply) => {
             if (reply === undefined) return;
-            forget();
+            connection.forgetNode();
             resolveCall(SimPort.#read(reply));
           });
       },
