--- a/packages/testkit/src/slopes/storeSlopes.ts
+++ b/packages/testkit/src/slopes/storeSlopes.ts
@@ -3,10 +3,12 @@
 import {
   FeedStateSchema,
   StoreCommandSchema,
+  type FeedAck,
   type FeedOpen,
   type FeedStateSchema as FeedStateType,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
+import type { Clock } from "@cranetrack/core/runtime/clock.js";
 import { HostClock } from "@cranetrack/core/runtime/hostClock.js";
 import { Wire, type BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { Feeds } from "@cranetrack/control/store/feeds.js";
@@ -40,64 +42,79 @@
   return metadata;
 }
 
-/** A control node's feeds without a network: what is told is encoded as a frame and counted. */
-function feedsOf(count: number): {
-  feeds: Feeds;
-  change: () => void;
-  pushed: { frames: number; bytes: number };
-  acknowledge: (number: number) => void;
-} {
-  const pushed = { frames: 0, bytes: 0 };
-  const metadata = withLeases(1);
-  const raft = Object.assign(new EventEmitter(), { metadata, isInTouch: true });
-  const serve = new Map<string, (body: unknown) => unknown>();
-  let numbers = 0;
-  const turns: Array<() => void> = [];
-  const node = {
-    rpc: {
-      serve: (kind: string, answer: (body: unknown) => unknown) => void serve.set(kind, answer),
-      send: (to: string, body: BodyInit) => {
-        pushed.frames += 1;
-        pushed.bytes += Wire.encode({ id: 1, from: "lathe-1", to, fromAddress: "10.0.0.1:7000", body }).length;
-      },
-    },
-    parts: {
-      clock: {
-        now: () => performance.now(),
-        every: () => ({ stop: () => undefined }),
-        once: (_ms: number, callback: () => void) => void turns.push(callback),
-      },
+/** A node without a network under a control node's feeds: what is sent is encoded as a frame and counted. */
+class CountingNode {
+  readonly pushed = { frames: 0, bytes: 0 };
+  readonly handlers = new Map<string, (body: unknown) => unknown>();
+  readonly #timers: Array<() => void> = [];
+
+  // The names are held to those of the real node: casts alone hid that two of them had been renamed.
+  readonly rpc = {
+    serve: (kind: string, answer: (body: unknown) => unknown) => void this.handlers.set(kind, answer),
+    send: (to: string, body: BodyInit) => {
+      this.pushed.frames += 1;
+      this.pushed.bytes += Wire.encode({ id: 1, from: "lathe-1", to, fromAddress: "10.0.0.1:7000", body }).length;
     },
+  } satisfies Partial<Record<keyof ClusterNode["rpc"], unknown>>;
+
+  readonly parts = {
+    clock: {
+      now: () => performance.now(),
+      every: () => ({ stop: () => undefined }),
+      once: (_ms: number, callback: () => void) => void this.#timers.push(callback),
+    } satisfies Partial<Record<keyof Clock, unknown>>,
   };
-  const feeds = new Feeds(node as object as ClusterNode, raft as object as RaftNode, new ValueHistory(), () =>
-    Promise.resolve(1),
-  );
-  for (let i = 0; i < count; i += 1) {
-    const open = { feed: `vise-${i}/01234567`, name: `vise-${i}`, prefixes: ["plan", "shards/"], revision: 1 };
-    void serve.get("feedOpen")!(open as object as FeedOpen);
+
+  runTimers(): void {
+    this.#timers.splice(0).forEach((callback) => callback());
   }
-  const acknowledge = (number: number): void => {
-    const { revision } = metadata;
-    for (let i = 0; i < count; i += 1)
-      serve.get("feedAck")!({ feed: `vise-${i}/01234567`, number, revision, planMark: 1, fault: "" });
-  };
-  const change = (): void => {
-    numbers += 1;
-    const key = `shards/${numbers % 64}/holder`;
+}
+
+/** A control node's feeds, so many of them open; one change at a time goes out to all and is acknowledged by all. */
+class MeasuredFeeds {
+  readonly feeds: Feeds;
+  readonly #node = new CountingNode();
+  readonly #metadata = withLeases(1);
+  readonly #raft = Object.assign(new EventEmitter(), { metadata: this.#metadata, isInTouch: true });
+  readonly #count: number;
+  #changes = 0;
+
+  constructor(count: number) {
+    this.#count = count;
+    const node = this.#node as object as ClusterNode;
+    this.feeds = new Feeds(node, this.#raft as object as RaftNode, new ValueHistory(), () => Promise.resolve(1));
+    for (let i = 0; i < count; i += 1) {
+      const prefixes = ["plan", "shards/"];
+      const open = { feed: `vise-${i}/01234567`, name: `vise-${i}`, prefixes, revision: 1 } satisfies Partial<FeedOpen>;
+      void this.#node.handlers.get("feedOpen")!(open);
+    }
+  }
+
+  get pushedBytes(): number {
+    return this.#node.pushed.bytes;
+  }
+
+  acknowledge(number: number): void {
+    const { revision } = this.#metadata;
+    for (let i = 0; i < this.#count; i += 1) {
+      const feed = `vise-${i}/01234567`;
+      const ack = { feed, number, revision, configurationVersion: 1, fault: "" } satisfies Partial<FeedAck>;
+      this.#node.handlers.get("feedAck")!(ack);
+    }
+  }
+
+  change(): void {
+    this.#changes += 1;
+    const key = `shards/${this.#changes % 64}/holder`;
     const value = OwnerKey.write({ node: "anvil-1", lease: leaseOf(0) });
-    const applied = metadata.apply(
-      metadata.revision + 1,
-      commandOf({
-        command: { case: "txn", value: { puts: [{ key, value }] } },
-      }),
-    );
-    raft.emit("applied", applied);
-    turns.splice(0).forEach((callback) => callback());
-    acknowledge(numbers + 1);
-  };
-  return { feeds, change, pushed, acknowledge };
+    const command = commandOf({ command: { case: "txn", value: { puts: [{ key, value }] } } });
+    this.#raft.emit("applied", this.#metadata.apply(this.#metadata.revision + 1, command));
+    this.#node.runTimers();
+    this.acknowledge(this.#changes + 1);
+  }
 }
 
+/** What the metadata store, its leases and its feeds cost by their number. Run by `cranetrack-lab slope`. */
 export const StoreSlopes = {
   ownerKeyBytes: (count: number): number => Meter.heldBy(() => withOwners(count)),
   ownerKeyProcessor: (count: number): Promise<number> => Meter.processor(() => withOwners(count)),
@@ -123,32 +140,32 @@
 
   async feedBytes(count: number): Promise<number> {
     let kept: unknown;
-    const held = Meter.heldBy(() => (kept = feedsOf(count).feeds));
+    const held = Meter.heldBy(() => (kept = new MeasuredFeeds(count).feeds));
     await Promise.resolve(kept);
     return held;
   },
 
   /** One change, told to so many feeds and acknowledged by them. */
   async pushProcessor(count: number): Promise<number> {
-    const { change, acknowledge } = feedsOf(count);
+    const feeds = new MeasuredFeeds(count);
     await new Promise((resolve) => setImmediate(resolve));
-    acknowledge(1);
-    for (let i = 0; i < 5; i += 1) change();
+    feeds.acknowledge(1);
+    for (let i = 0; i < 5; i += 1) feeds.change();
     const rounds = 20;
     const used = await Meter.processor(() => {
-      for (let i = 0; i < rounds; i += 1) change();
+      for (let i = 0; i < rounds; i += 1) feeds.change();
     });
     return used / rounds;
   },
 
   async pushBytes(count: number): Promise<number> {
-    const { change, pushed, acknowledge } = feedsOf(count);
+    const feeds = new MeasuredFeeds(count);
     await new Promise((resolve) => setImmediate(resolve));
-    acknowledge(1);
-    change();
-    const before = pushed.bytes;
-    change();
-    return pushed.bytes - before;
+    feeds.acknowledge(1);
+    feeds.change();
+    const before = feeds.pushedBytes;
+    feeds.change();
+    return feeds.pushedBytes - before;
   },
 
   /** What an operator's question for all nodes' feeds is answered with. */
