--- a/packages/testkit/src/checker/checker.ts
+++ b/packages/testkit/src/checker/checker.ts
@@ -1,38 +1,22 @@
+/**
+ * The checker's way in. It knows a history alone (`history.ts`), the same from the simulator and from real
+ * processes, and reports each broken rule by name. Lateness, one version one document (`orderRules`), configuration
+ * reads and topics that keep nothing have modules of their own.
+ */
+
 import { Configurations, type TopicContract } from "@cranetrack/core/configuration/configuration.js";
 import type { Seen } from "./history.js";
+import { Readers, type Reader } from "./readers.js";
+import { keyOf, SentMessages, type SentMessage } from "./sentMessages.js";
 import { OrderGraph } from "./orderGraph.js";
 import { ConfigurationHistory } from "./configurationHistory.js";
 
+/** A broken rule: its name, what was seen, and when on the clock of the run. */
 export interface Breach {
   rule: string;
   text: string;
   at: number;
 }
-interface Message {
-  sender: string;
-  topic: string;
-  number: number;
-  payload: string;
-  firstAt: number;
-  tries: number[];
-  acceptedAt: number | undefined;
-  isUnknown: boolean;
-  isRefused: boolean;
-}
-interface Reader {
-  confirmedAt: number;
-  asked: boolean;
-  got: Map<string, number>;
-  last: Map<string, number>;
-  resetAt: number;
-  /** When it last had the topic. */
-  seenAt: number;
-  /** Could not have the topic on a connection that it had; and until when it caught up after that. */
-  isLagging: boolean;
-  lagsUntil: number;
-}
-
-const keyOf = (sender: string, number: number): string => `${sender}#${number}`;
 const isSmall = (contract: TopicContract, payload: string): boolean =>
   Buffer.byteLength(payload) <= (contract.maxBytes ?? 65_536);
 
@@ -47,8 +31,8 @@
   readonly #seen: readonly Seen[];
   readonly #endAt: number;
   readonly #breaches: Breach[] = [];
-  readonly #messages = new Map<string, Map<string, Message>>();
-  readonly #readers = new Map<string, Reader>();
+  readonly #messages: SentMessages;
+  readonly #readers = new Readers();
   readonly #configurations: ConfigurationHistory;
   /** By stream of one order and subscriber: what came, in its order. */
   readonly #orders = new Map<string, Map<string, string[]>>();
@@ -57,17 +41,16 @@
   constructor(seen: readonly Seen[], endAt: number) {
     this.#seen = seen;
     this.#endAt = endAt;
+    this.#messages = new SentMessages(seen);
     this.#configurations = new ConfigurationHistory(seen);
   }
 
+  /** All broken rules of a history that ended at `endAt`; empty where it is good. */
   static check(seen: readonly Seen[], endAt: number): Breach[] {
     return new Checker(seen, endAt).#check();
   }
 
   #check(): Breach[] {
-    for (const one of this.#seen)
-      if (one.kind === "tried" || one.kind === "accepted" || one.kind === "refused" || one.kind === "unsure")
-        this.#note(one);
     for (const one of this.#seen) this.#step(one);
     this.#missing();
     this.#checkOrders();
@@ -78,69 +61,23 @@
     this.#breaches.push({ rule, at, text });
   }
 
-  #note(one: Extract<Seen, { kind: "tried" | "accepted" | "refused" | "unsure" }>): void {
-    let topic = this.#messages.get(one.topic);
-    if (topic === undefined) this.#messages.set(one.topic, (topic = new Map()));
-    const key = keyOf(one.sender, one.number);
-    const message = topic.get(key);
-    if (one.kind === "tried") {
-      if (message === undefined)
-        topic.set(key, {
-          sender: one.sender,
-          topic: one.topic,
-          number: one.number,
-          payload: one.payload,
-          firstAt: one.at,
-          tries: [one.at],
-          acceptedAt: undefined,
-          isUnknown: false,
-          isRefused: false,
-        });
-      else message.tries.push(one.at);
-    } else if (message !== undefined) {
-      if (one.kind === "accepted") message.acceptedAt ??= one.at;
-      else if (one.kind === "unsure") message.isUnknown = true;
-      else message.isRefused = true;
-    }
-  }
-
-  #reader(subscriber: string, topic: string): Reader {
-    const key = `${subscriber} ${topic}`;
-    let reader = this.#readers.get(key);
-    if (reader === undefined)
-      this.#readers.set(
-        key,
-        (reader = {
-          confirmedAt: Infinity,
-          asked: false,
-          got: new Map(),
-          last: new Map(),
-          resetAt: -Infinity,
-          seenAt: -Infinity,
-          isLagging: false,
-          lagsUntil: -Infinity,
-        }),
-      );
-    return reader;
-  }
-
   #step(one: Seen): void {
     switch (one.kind) {
       case "asked":
-        this.#reader(one.subscriber, one.topic).asked = true;
+        this.#readers.find(one.subscriber, one.topic).asked = true;
         return;
       case "left":
       case "ended":
-        Object.assign(this.#reader(one.subscriber, one.topic), {
+        Object.assign(this.#readers.find(one.subscriber, one.topic), {
           confirmedAt: Infinity,
           ...(one.kind === "left" ? { asked: false } : {}),
         });
         return;
       case "faulted":
-        this.#reader(one.subscriber, one.topic).isLagging = true;
+        this.#readers.find(one.subscriber, one.topic).isLagging = true;
         return;
       case "confirmed": {
-        const reader = this.#reader(one.subscriber, one.topic);
+        const reader = this.#readers.find(one.subscriber, one.topic);
         reader.confirmedAt = Math.min(reader.confirmedAt, one.at);
         reader.seenAt = one.at;
         if (reader.isLagging) reader.lagsUntil = one.at;
@@ -166,10 +103,10 @@
   }
 
   #received(one: Extract<Seen, { kind: "received" }>): void {
-    const reader = this.#reader(one.subscriber, one.topic);
+    const reader = this.#readers.find(one.subscriber, one.topic);
     const key = keyOf(one.sender, one.number);
     const what = `${one.subscriber} on ${one.topic}: ${key}`;
-    const message = this.#messages.get(one.topic)?.get(key);
+    const message = this.#messages.find(one.topic, key);
     if (!reader.asked) this.#breach("not-asked", one.at, `${what} on a topic that was not asked for`);
     if (message === undefined || message.firstAt > one.at)
       this.#breach("nobody-sent", one.at, `${what} was never sent`);
@@ -198,7 +135,7 @@
    * had for a while, on a connection that went on with others, catches up afterwards; what it missed has no place in
    * it.
    */
-  #keepOrder(one: Extract<Seen, { kind: "received" }>, message: Message | undefined, reader: Reader): void {
+  #keepOrder(one: Extract<Seen, { kind: "received" }>, message: SentMessage | undefined, reader: Reader): void {
     const stream = this.#configurations.oneOrderOf(one.topic);
     if (stream === undefined || message === undefined || message.firstAt < reader.lagsUntil) return;
     const streams = this.#orders.get(stream) ?? new Map<string, string[]>();
@@ -209,7 +146,7 @@
   }
 
   /** New messages of a space that no configuration in force for more than 3 s has. */
-  #afterRemoval(one: Extract<Seen, { kind: "received" }>, message: Message): void {
+  #afterRemoval(one: Extract<Seen, { kind: "received" }>, message: SentMessage): void {
     const contracts = this.#configurations.contractsBetween(one.topic, message.firstAt, one.at);
     if (contracts === undefined || contracts.some((contract) => contract !== undefined)) return;
     const what = `${one.topic}: ${keyOf(one.sender, one.number)}`;
@@ -220,7 +157,7 @@
    * A rule in force for more than 3 s must be known to whoever is asked: what all configurations allow is not refused.
    */
   #refused(one: Extract<Seen, { kind: "refused" }>): void {
-    const message = this.#messages.get(one.topic)?.get(keyOf(one.sender, one.number));
+    const message = this.#messages.find(one.topic, keyOf(one.sender, one.number));
     const contracts = this.#configurations.contractsBetween(
       one.topic,
       message?.tries.findLast((at) => at <= one.at) ?? one.at,
@@ -240,7 +177,7 @@
 
   /** And what none of them allows is not accepted. */
   #accepted(one: Extract<Seen, { kind: "accepted" }>): void {
-    const message = this.#messages.get(one.topic)?.get(keyOf(one.sender, one.number));
+    const message = this.#messages.find(one.topic, keyOf(one.sender, one.number));
     if (message === undefined) return;
     // An earlier try may have been taken under an earlier configuration.
     const contracts = this.#configurations.contractsBetween(one.topic, message.firstAt, one.at);
@@ -262,7 +199,7 @@
   }
 
   #expired(one: Extract<Seen, { kind: "expired" }>): void {
-    const reader = this.#reader(one.subscriber, one.topic);
+    const reader = this.#readers.find(one.subscriber, one.topic);
     reader.resetAt = one.at;
     const { seenAt } = reader;
     reader.seenAt = one.at;
@@ -273,13 +210,15 @@
       Math.min(...keeps.map((contract) => (contract?.keep ?? 0) * 1000)) * 0.98,
     );
     const minMs = keeps.length === 0 ? Checker.minRetentionMs : retentionMs;
-    const missed = [...(this.#messages.get(one.topic)?.values() ?? [])].filter(
-      (message) =>
-        message.acceptedAt !== undefined &&
-        message.firstAt >= reader.confirmedAt &&
-        message.acceptedAt < one.at &&
-        !reader.got.has(keyOf(message.sender, message.number)),
-    );
+    const missed = this.#messages
+      .ofTopic(one.topic)
+      .filter(
+        (message) =>
+          message.acceptedAt !== undefined &&
+          message.firstAt >= reader.confirmedAt &&
+          message.acceptedAt < one.at &&
+          !reader.got.has(keyOf(message.sender, message.number)),
+      );
     if (missed.every((message) => one.at - message.acceptedAt! < minMs))
       this.#breach(
         "expired-early",
@@ -297,10 +236,10 @@
 
   /** Everything accepted after a confirmation must have come, unless the topic or the place was lost to a rule. */
   #missing(): void {
-    for (const [key, reader] of this.#readers) {
+    for (const [key, reader] of this.#readers.all) {
       if (reader.confirmedAt === Infinity) continue;
       const [subscriber, topic] = key.split(" ") as [string, string];
-      for (const message of this.#messages.get(topic)?.values() ?? []) {
+      for (const message of this.#messages.ofTopic(topic)) {
         const id = keyOf(message.sender, message.number);
         if (
           message.acceptedAt === undefined ||
