--- a/packages/testkit/src/checker/orderGraph.ts
+++ b/packages/testkit/src/checker/orderGraph.ts
@@ -9,6 +9,7 @@
     });
   }
 
+  /** True where two orders contradict each other. */
   hasCycle(): boolean {
     const waits = new Map<string, number>([...this.#after.keys()].map((one) => [one, 0]));
     for (const next of this.#after.values()) for (const one of next) waits.set(one, waits.get(one)! + 1);
--- a/packages/testkit/src/checker/versionedRegister.ts
+++ b/packages/testkit/src/checker/versionedRegister.ts
@@ -13,6 +13,7 @@
   /** The version and content in force; version 0 where there is none. */
   | { kind: "content"; version: number; content: string };
 
+/** The register's sequential state. */
 export interface RegisterState {
   version: number;
   content: string;
--- a/packages/testkit/src/clients/client.ts
+++ b/packages/testkit/src/clients/client.ts
@@ -46,10 +46,12 @@
     this.#parts = parts;
   }
 
+  /** The long connection is open. */
   get isConnected(): boolean {
     return this.#isOpen;
   }
 
+  /** The node of the present connection, or of the last. */
   get node(): string {
     return this.#node;
   }
@@ -61,6 +63,7 @@
 
   readonly #confirmed = new Set<string>();
 
+  /** Connects, and keeps connected with these topics until `stop`. */
   start(topics: readonly string[]): void {
     for (const topic of topics) {
       this.#cursors.set(topic, undefined);
@@ -80,6 +83,7 @@
     this.#reconnectAfter(ms);
   }
 
+  /** Closes the connection for good. */
   stop(): void {
     this.#isWanted = false;
     this.#reconnectTimer?.stop();
--- a/packages/testkit/src/explore/action.ts
+++ b/packages/testkit/src/explore/action.ts
@@ -33,6 +33,7 @@
   "undrain",
 ] as const;
 
+/** What can happen in the model; names rest in printed traces. */
 export type ActionKind = (typeof actionKinds)[number];
 
 export interface Action {
@@ -42,6 +43,7 @@
   readonly nth: number;
 }
 
+/** An action as printed traces write it. */
 export function step(kind: ActionKind, member: number, other = 0, nth = 0): Action {
   return { kind, member, other, nth };
 }
--- a/packages/testkit/src/explore/exhaustiveSearch.ts
+++ b/packages/testkit/src/explore/exhaustiveSearch.ts
@@ -19,6 +19,7 @@
   readonly shrinkMs: number;
 }
 
+/** How far a search came, and the shortest violation it found. */
 export interface SearchReport {
   readonly states: number;
   readonly transitions: number;
--- a/packages/testkit/src/explore/exploreCommand.ts
+++ b/packages/testkit/src/explore/exploreCommand.ts
@@ -1,3 +1,9 @@
+/**
+ * The model checker of the replicated log's way in. Consensus code of production runs over a model of clock, network
+ * and disk (`ModelWorld`), where each step is an action that a walk or a search chooses; `Observer` and
+ * `ModelClients` check properties after each. A violation is printed as a test and as a line for `--replay`.
+ */
+
 import { readFileSync } from "node:fs";
 import type { Action } from "./action.js";
 import { ExhaustiveSearch } from "./exhaustiveSearch.js";
--- a/packages/testkit/src/explore/randomWalk.ts
+++ b/packages/testkit/src/explore/randomWalk.ts
@@ -20,6 +20,7 @@
   readonly shrinkMs: number;
 }
 
+/** What the walks covered, and a violation shrunk to few actions. */
 export interface WalkReport {
   readonly walks: number;
   readonly states: number;
--- a/packages/testkit/src/explore/trace.ts
+++ b/packages/testkit/src/explore/trace.ts
@@ -4,6 +4,7 @@
 import { Recovery } from "./recovery.js";
 import { Violation } from "./violation.js";
 
+/** Actions, and the property that they break. */
 export interface FoundTrace {
   readonly violation: Violation;
   readonly trace: readonly Action[];
--- a/packages/testkit/src/fleet/chaosDrill.ts
+++ b/packages/testkit/src/fleet/chaosDrill.ts
@@ -4,6 +4,7 @@
 import type { Load } from "./load.js";
 import type { Probe } from "./probe.js";
 
+/** One fault that was caused. Times are milliseconds of the load's clock. */
 export interface ChaosDrillStep {
   what: string;
   /** When it was caused, and when service was back. */
@@ -13,6 +14,7 @@
   /** From the machines' return until a message of every caller had reached its readers. */
   backMs: number;
 }
+/** Deliveries while a step lasted, in milliseconds from the first attempt to the reader. */
 export interface StepDelays {
   what: string;
   backMs: number;
@@ -128,6 +130,7 @@
     });
   }
 
+  /** SIGKILL and an empty data folder: the replica must be repaired from others. */
   wipe(name: string, what: string): Promise<void> {
     return this.#cause(`disk of ${what} lost`, async () => {
       await this.#fleet.end(name, "SIGKILL");
--- a/packages/testkit/src/fleet/deployments.ts
+++ b/packages/testkit/src/fleet/deployments.ts
@@ -2,6 +2,7 @@
 import type { Settings } from "@cranetrack/core/runtime/settings.js";
 import type { Configuration } from "@cranetrack/core/configuration/configuration.js";
 
+/** One machine of a fleet. Its name decides placement. */
 export interface Machine {
   name: string;
   role: "lathe" | "anvil" | "vise";
@@ -9,6 +10,7 @@
   /** Settings of its own. */
   settings?: Partial<Settings>;
 }
+/** A fleet and its load, modelled on one of the users' deployments. */
 export interface Deployment {
   name: string;
   zones: string[];
--- a/packages/testkit/src/fleet/fleet.ts
+++ b/packages/testkit/src/fleet/fleet.ts
@@ -1,3 +1,8 @@
+/**
+ * Real processes of one deployment on this machine, each with settings, data and log of its own in one folder. Where
+ * a test wants cuts or delays, a machine is reached through a `TcpRelay`.
+ */
+
 import { spawn, type ChildProcess } from "node:child_process";
 import { once } from "node:events";
 import { existsSync, mkdirSync, openSync, readFileSync, rmSync, writeFileSync } from "node:fs";
@@ -68,6 +73,7 @@
     return this.#members.get(name)!.settings;
   }
 
+  /** Writes a settings file for each machine, starts all processes and waits until all are ready. */
   async start(): Promise<void> {
     const machines = Deployments.machines(this.deployment);
     const ports = await Fleet.#freePorts(machines.length * 3);
@@ -116,6 +122,7 @@
     return join(this.#folder, `${name}.data`);
   }
 
+  /** Starts a machine's process again; does not wait until it is ready. */
   launch(name: string): void {
     const member = this.#members.get(name)!;
     const { role } = member.machine;
@@ -166,10 +173,12 @@
     return performance.now() - startedAt < 5900;
   }
 
+  /** The relay through which others reach a machine; only machines named as relayed have one. */
   wire(name: string): TcpRelay {
     return this.#members.get(name)!.relay!;
   }
 
+  /** Deletes a machine's data folder, as if its disk had been replaced. Its process must have ended. */
   wipe(name: string): void {
     rmSync(this.dataOf(name), { recursive: true, force: true });
   }
--- a/packages/testkit/src/fleet/load.ts
+++ b/packages/testkit/src/fleet/load.ts
@@ -1,3 +1,8 @@
+/**
+ * The load generator: a deployment's clients against real processes, at its rates, with a history that the checker
+ * reads at the end.
+ */
+
 import { HostRandom } from "@cranetrack/core/runtime/hostRandom.js";
 import { HostClock } from "@cranetrack/core/runtime/hostClock.js";
 import { Checker, type Breach } from "../checker/checker.js";
@@ -9,6 +14,7 @@
 import type { Fleet } from "./fleet.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
+/** What clients saw in all; delays in milliseconds. */
 export interface LoadReport {
   sent: number;
   accepted: number;
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -13,6 +13,7 @@
 
 /** Any troubles, or disks lost one after the other as soon as the users may. */
 export type SoakProfile = "any" | "disks";
+/** What one seed's soak saw; printed as JSON without the lists. */
 export interface SoakReport {
   seed: number;
   breaches: Breach[];
@@ -50,6 +51,7 @@
     this.#random = new SimRandom(seed);
   }
 
+  /** Faults for so many seconds, then recovery, then every check. */
   async run(seconds: number, profile: SoakProfile = "any"): Promise<SoakReport> {
     const startedAt = this.#clock.now();
     const now = (): number => this.#clock.now() - startedAt;
@@ -97,6 +99,7 @@
     };
   }
 
+  /** Stops the load where a run failed midway. */
   halt(): void {
     this.#load.halt();
   }
--- a/packages/testkit/src/fleet/soakFaultInjector.ts
+++ b/packages/testkit/src/fleet/soakFaultInjector.ts
@@ -8,6 +8,7 @@
   readonly from: number;
   readonly to: number;
 }
+/** Kinds in the order that the seed draws from. */
 export const soakFaultKinds = ["kill", "pause", "cut", "lostAnswers", "slow", "reset", "restart", "wipe"] as const;
 export type SoakFaultKind = (typeof soakFaultKinds)[number];
 
--- a/packages/testkit/src/mutants/mutantRunner.ts
+++ b/packages/testkit/src/mutants/mutantRunner.ts
@@ -1,3 +1,8 @@
+/**
+ * Mutation testing. A mutant names a built file, a text in it, what to put in its place, and the test that must fail
+ * then. Mutants not caught mean that a test is too weak; a test holds that each still applies.
+ */
+
 import { spawn } from "node:child_process";
 import { cpSync, mkdirSync, mkdtempSync, readdirSync, readFileSync, rmSync, symlinkSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -5,6 +10,7 @@
 import PQueue from "p-queue";
 import type { Mutant } from "./mutant.js";
 
+/** What came of one mutant. "cannot be done": its text is no longer in the built file, so the list is out of date. */
 export interface MutantReport {
   name: string;
   outcome: "caught" | "not caught" | "cannot be done";
@@ -19,6 +25,7 @@
     this.#root = root;
   }
 
+  /** Runs all, so many at once; `say` is told of each as it ends. */
   async run(mutants: readonly Mutant[], atOnce: number, say: (report: MutantReport) => void): Promise<MutantReport[]> {
     const queue = new PQueue({ concurrency: atOnce });
     return queue.addAll(
--- a/packages/testkit/src/sim/faults.ts
+++ b/packages/testkit/src/sim/faults.ts
@@ -81,6 +81,7 @@
   "drainReturned",
 ] as const;
 
+/** A fault as `--faults` and reports name it. */
 export type FaultName = (typeof names)[number];
 /** How a run ends: right after one more change was acknowledged, or without one. */
 export type Closing = "kill" | "wipe" | "all" | "ackKillAll" | "ackCrashAll" | "ackWipe" | "ackWipeAll";
--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -1,3 +1,9 @@
+/**
+ * The simulator's way in. A whole fleet runs in one process under virtual time: `SimWorld` orders events,
+ * `SimTransport` carries frames, `SimDisk` loses what no sync covered, `SimPort` joins clients. `Faults` draws what
+ * breaks. A seed that fails is run again by `cranetrack-lab sim --from SEED --seeds 1`.
+ */
+
 import { Checker, type Breach } from "../checker/checker.js";
 import { checkOrders } from "../checker/orderRules.js";
 import type { Machine } from "../fleet/deployments.js";
@@ -8,6 +14,7 @@
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
 
+/** What came of one seed. Times are virtual milliseconds; `trace` is the digest of all events. */
 export interface ScenarioReport {
   seed: number;
   faults: string[];
@@ -22,6 +29,7 @@
   events: number;
   trace: string;
 }
+/** How a run differs from the standard one. */
 export interface ScenarioOptions {
   faults?: readonly FaultName[];
   faultMs?: number;
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -244,6 +244,7 @@
     this.wires.detach(slot.settings.address);
   }
 
+  /** Loses the process and the disk of a machine. */
   wipe(name: string): void {
     this.kill(name);
     this.diskOf(name).wipe();
@@ -260,6 +261,7 @@
     this.world.at(this.world.now + 6000, end);
   }
 
+  /** Freezes the process: nothing runs or arrives until it goes on. */
   pause(name: string, ms: number): void {
     const running = this.find(name);
     if (running !== undefined) running.body.pausedUntil = Math.max(running.body.pausedUntil, this.world.now + ms);
@@ -274,6 +276,7 @@
     }
   }
 
+  /** Lets virtual time pass. */
   run(ms: number): Promise<void> {
     return this.world.run(this.world.now + ms);
   }
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -79,6 +79,7 @@
     );
   }
 
+  /** One request and its reply; of operators' changes a share of replies is lost where a fault says so. */
   call(name: string, method: string, path: string, body: string | undefined): Promise<PortReply> {
     const answered = this.run(name, async (simNode) => {
       const reply = await simNode.router.run(method, path, Buffer.from(body ?? ""));
--- a/packages/testkit/src/sim/simWorld.ts
+++ b/packages/testkit/src/sim/simWorld.ts
@@ -29,6 +29,7 @@
     this.random = new SimRandom(seed);
   }
 
+  /** Runs at that virtual time, or now where it is past. */
   at(time: number, run: () => void): Event {
     const event: Event = { at: Math.max(time, this.now), order: (this.#order += 1), run, isOff: false };
     this.#push(event);
@@ -40,6 +41,7 @@
     this.#trace.update(text);
   }
 
+  /** Digest of all events so far: equal for equal seeds. */
   trace(): string {
     return this.#trace.copy().update(String(this.now)).digest("hex");
   }
--- a/packages/testkit/src/sim/sweep.ts
+++ b/packages/testkit/src/sim/sweep.ts
@@ -4,6 +4,7 @@
 import { Scenario, type ScenarioReport } from "./scenario.js";
 import { Faults, type FaultName } from "./faults.js";
 
+/** Which seeds, with what faults; `ms` is virtual time under faults. */
 export interface SweepOptions {
   from: number;
   seeds: number;
@@ -45,6 +46,7 @@
     await queue.onIdle();
   }
 
+  /** Counts one seed's report, and hands it on. */
   take(report: ScenarioReport): void {
     if (report.breaches.length === 0) this.passed += 1;
     else this.failed += 1;
--- a/packages/testkit/src/sim/testClient.ts
+++ b/packages/testkit/src/sim/testClient.ts
@@ -5,6 +5,7 @@
 import { SimConfigurations } from "./simConfigurations.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
+/** A line of JSON as a client reads it. */
 export type Line = Record<string, unknown>;
 
 /** A client by hand: one connection and the lines it gave. */
@@ -34,6 +35,7 @@
   }
 }
 
+/** A simulated fleet in service, and calls that are awaited under virtual time. */
 export interface TestFleet {
   fleet: SimFleet;
   load: SimLoad;
--- a/packages/testkit/src/slopes/slopeRuns.ts
+++ b/packages/testkit/src/slopes/slopeRuns.ts
@@ -2,6 +2,7 @@
 import { NodeSlopes } from "./nodeSlopes.js";
 import { StoreSlopes } from "./storeSlopes.js";
 
+/** How one slope is measured: a cost at several sizes. */
 export interface SlopeRun {
   what: string;
   unit: string;
