--- a/packages/control/src/configuration/decideConfigurationChange.ts
+++ b/packages/control/src/configuration/decideConfigurationChange.ts
@@ -5,7 +5,7 @@
   type Configuration,
   type ConfigurationFault,
 } from "@cranetrack/core/configuration/configuration.js";
-import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedChangeKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 
--- a/packages/control/src/membership/transferVote.ts
+++ b/packages/control/src/membership/transferVote.ts
@@ -16,7 +16,9 @@
   const { clock } = node.parts;
   const end = clock.now() + maxMs;
   // A standby that was admitted says so before it votes.
-  const standbys = node.membership.alive(nodeRole.control).filter((member) => !member.isInStore && isStaying(node, member.name));
+  const standbys = node.membership
+    .alive(nodeRole.control)
+    .filter((member) => !member.isInStore && isStaying(node, member.name));
   while (clock.now() < end && standbys.some((member) => isStaying(node, member.name))) {
     const read = await node.store.read([MembersKey.name], [], readMs);
     const kv = read.kvs?.find(({ key }) => key === MembersKey.name);
--- a/packages/testkit/src/fleet/programOf.ts
+++ b/packages/testkit/src/fleet/programOf.ts
@@ -2,9 +2,9 @@
 
 /** Where the program of each role is built, and of the command line and this test kit. */
 const programs: Record<string, string> = {
-  controlNode: "control/cranetrack-control",
+  lathe: "control/cranetrack-control",
   anvil: "log-storage/cranetrack-storage",
-  edge: "edge/cranetrack-edge",
+  vise: "edge/cranetrack-edge",
   cranetrackctl: "cli/cranetrackctl",
   "cranetrack-lab": "testkit/cranetrack-lab",
 };
--- a/packages/testkit/src/golden/adapter.ts
+++ b/packages/testkit/src/golden/adapter.ts
@@ -3,7 +3,7 @@
  * This is the only file under `golden/` for the wire and the store that follows a rename; the fixtures and tests stay.
  */
 import { create, fromBinary, toBinary, type DescMessage, type Message } from "@bufbuild/protobuf";
-import { entryKind } from "@cranetrack/control/consensus/entryKind.js";
+import { entryKind } from "@cranetrack/control/consensus/storeLog.js";
 import { contentDigestOf } from "@cranetrack/control/configuration/decideConfigurationChange.js";
 import { ConfigurationArchive } from "@cranetrack/control/configuration/configurationArchive.js";
 import { contentDigest, contentKind } from "@cranetrack/core/configuration/contentDigest.js";
--- a/packages/testkit/src/sim/journalGrowth.ts
+++ b/packages/testkit/src/sim/journalGrowth.ts
@@ -7,7 +7,7 @@
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import { JournalDisk } from "@cranetrack/core/storage/journalDisk.js";
 import { ChecksummedDisk } from "@cranetrack/core/storage/checksummedDisk.js";
-import { storeCompaction } from "@cranetrack/control/consensus/storeCompaction.js";
+import { storeCompaction } from "@cranetrack/control/consensus/storeLog.js";
 
 export interface JournalGrowthReport {
   readonly changes: number;
