--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -251,7 +251,7 @@
   {
     name: "a push sends no more than one batch",
     file: "log-storage/dist/follows/follows.js",
-    find: "batch = this.#batch(following, stream))",
+    find: "batch = this.#nextBatch(follower, stream))",
     put: "batch = undefined)",
     test: `${sim}/streams.test.js`,
   },
@@ -286,8 +286,8 @@
   {
     name: "a holder refuses what it has seen removed",
     file: "log-storage/dist/shards/shardService.js",
-    find: 'if (route === undefined || standing !== "ours")',
-    put: 'if (standing === "behind" || standing === "older")',
+    find: 'if (route === undefined || status !== "ours")',
+    put: 'if (status === "behind" || status === "older")',
     test: `${sim}/streams.test.js`,
   },
   {
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -209,7 +209,7 @@
     const { leader } = this;
     if (leader === undefined) return false;
     const running = this.names.map((name) => this.find(name)).filter((running) => running !== undefined);
-    const shelves = new Set(running.flatMap(({ control, storage }) => (control?.storage ?? storage)?.id ?? []));
+    const shelves = new Set(running.flatMap(({ control, storage }) => (control?.storage ?? storage)?.diskId ?? []));
     const controlNodes = new Set(running.flatMap(({ control }) => control?.founding.id ?? []));
     const { node, control } = this.find(leader)!;
     const sets = node.shards.all().map(([, route]) => route.set?.members ?? []);
