--- a/packages/log-storage/src/shards/streamLog.ts
+++ b/packages/log-storage/src/shards/streamLog.ts
@@ -1,9 +1,10 @@
-import { create } from "@bufbuild/protobuf";
+import { create, type MessageInitShape } from "@bufbuild/protobuf";
 import {
   StreamMessageSchema,
   type Accept,
   type StreamMessage,
   type StreamSnapshot,
+  type StreamSnapshotSchema,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 
@@ -114,13 +115,14 @@
     }
   }
 
-  snapshot(): object {
+  /** Typed as the message's fields: an unknown field would be left out of the snapshot in silence. */
+  snapshot(): MessageInitShape<typeof StreamSnapshotSchema> {
     const { stream, incarnation, head, low, messages } = this;
     const trims = [...this.trims].map(([topic, seq]) => ({ topic, seq }));
     const dedups = [...this.#known].flatMap(([topic, sessions]) =>
       [...sessions].map(([session, record]) => ({ topic, session, ...record })),
     );
-    return { stream, birth: incarnation, head, low, messages, trims, dedups };
+    return { stream, incarnation, head, low, messages, trims, dedups };
   }
 
   static from(snapshot: StreamSnapshot): StreamLog {
