--- a/packages/log-storage/src/shards/shardState.ts
+++ b/packages/log-storage/src/shards/shardState.ts
@@ -50,8 +50,8 @@
   }
 
   /** Whether there is something to forget of before a shard time; for the trimming beat. */
-  hasOlder(at: number): boolean {
-    for (const log of this.streams.values()) if (log.hasOlder(at)) return true;
+  hasSessionsBefore(at: number): boolean {
+    for (const log of this.streams.values()) if (log.hasSessionsBefore(at)) return true;
     return false;
   }
 
@@ -86,7 +86,7 @@
       if (isRemoved) this.streams.delete(stream);
       else log.trim(low);
     }
-    for (const log of this.streams.values()) log.forget(trim.forgetBefore);
+    for (const log of this.streams.values()) log.forgetSessions(trim.forgetBefore);
     return undefined;
   }
 }
--- a/packages/log-storage/src/shards/streamLog.ts
+++ b/packages/log-storage/src/shards/streamLog.ts
@@ -8,7 +8,7 @@
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 
-interface Known {
+interface SessionRecord {
   at: number;
   ownerEpoch: number;
   numbers: number[];
@@ -25,15 +25,15 @@
  * was trimmed.
  */
 export class StreamLog {
-  static readonly window = 128;
+  static readonly maxKnownNumbers = 128;
   /** The code of a refusal of a number below the last one taken, which this log itself never took. */
-  static readonly wentBackwards = "number-went-backwards";
+  static readonly numberWentBackwards = "number-went-backwards";
 
   readonly stream: string;
   readonly incarnation: string;
   readonly trims = new Map<string, number>();
   /** By topic, then by session. */
-  readonly #known = new Map<string, Map<string, Known>>();
+  readonly #known = new Map<string, Map<string, SessionRecord>>();
   head = 0;
   low = 0;
   messages: StreamMessage[] = [];
@@ -61,7 +61,7 @@
     const seq = record.seqs[record.numbers.indexOf(number)];
     if (seq === undefined) {
       const reason = `number ${number} is below ${record.numbers.at(-1)} and was never taken`;
-      return { outcome: "refused", code: StreamLog.wentBackwards, reason };
+      return { outcome: "refused", code: StreamLog.numberWentBackwards, reason };
     }
     if (seq === 0)
       return { outcome: "refused", code: "refused-before", reason: `number ${number} was refused for good` };
@@ -84,7 +84,7 @@
     record.ownerEpoch = accept.ownerEpoch;
     record.numbers.push(number);
     record.seqs.push(seq);
-    if (record.numbers.length > StreamLog.window) {
+    if (record.numbers.length > StreamLog.maxKnownNumbers) {
       record.numbers.shift();
       record.seqs.shift();
     }
@@ -95,20 +95,20 @@
 
   trim(low: number): void {
     if (low <= this.low) return;
-    const cut = Math.min(low, this.head) - this.low;
-    for (const { topic, seq } of this.messages.slice(0, cut)) this.trims.set(topic, seq);
-    this.messages = this.messages.slice(cut);
-    this.low += cut;
+    const trimmedCount = Math.min(low, this.head) - this.low;
+    for (const { topic, seq } of this.messages.slice(0, trimmedCount)) this.trims.set(topic, seq);
+    this.messages = this.messages.slice(trimmedCount);
+    this.low += trimmedCount;
   }
 
   /** Known sessions last heard of before a shard time. */
-  hasOlder(at: number): boolean {
+  hasSessionsBefore(at: number): boolean {
     for (const sessions of this.#known.values())
       for (const record of sessions.values()) if (record.at < at) return true;
     return false;
   }
 
-  forget(before: number): void {
+  forgetSessions(before: number): void {
     for (const [topic, sessions] of this.#known) {
       for (const [session, record] of sessions) if (record.at < before) sessions.delete(session);
       if (sessions.size === 0) this.#known.delete(topic);
@@ -136,7 +136,7 @@
     return log;
   }
 
-  #sessions(topic: string): Map<string, Known> {
+  #sessions(topic: string): Map<string, SessionRecord> {
     let sessions = this.#known.get(topic);
     if (sessions === undefined) this.#known.set(topic, (sessions = new Map()));
     return sessions;
--- a/packages/testkit/src/sabotage/incidentSabotages.ts
+++ b/packages/testkit/src/sabotage/incidentSabotages.ts
@@ -22,7 +22,7 @@
   {
     name: "a young holder refuses what an earlier one may have taken",
     file: service,
-    find: "if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.at))",
+    find: "if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime))",
     put: "if (false)",
     test: `${sim}/memory.test.js`,
   },
--- a/packages/testkit/src/sabotage/logSabotages.ts
+++ b/packages/testkit/src/sabotage/logSabotages.ts
@@ -166,8 +166,8 @@
   {
     name: "an unanswered pull is not asked again",
     file: "log-storage/dist/shards/logPull.js",
-    find: "static tries = 3",
-    put: "static tries = 1",
+    find: "static maxAttempts = 3",
+    put: "static maxAttempts = 1",
     test: "log-storage/dist/replication/replica.test.js",
   },
   {
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -245,7 +245,7 @@
   {
     name: "a push sends no more than one batch",
     file: "log-storage/dist/follows/follows.js",
-    find: "batch = this.#batch(following, stream))",
+    find: "batch = this.#nextBatch(follower, stream))",
     put: "batch = undefined)",
     test: `${sim}/streams.test.js`,
   },
@@ -280,8 +280,8 @@
   {
     name: "a holder refuses what it has seen removed",
     file: "log-storage/dist/shards/shardService.js",
-    find: 'if (route === undefined || standing !== "ours")',
-    put: 'if (standing === "behind" || standing === "older")',
+    find: 'if (route === undefined || status !== "ours")',
+    put: 'if (status === "behind" || status === "older")',
     test: `${sim}/streams.test.js`,
   },
   {
--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -20,11 +20,11 @@
   }
   expect(log.knownCount).toEqual(3);
   const verdicts = Array.from({ length: 1000 }, (_, i) => log.known("notes/t1", `s${(i + 1) % 3}`, i + 1)?.outcome);
-  expect(verdicts.filter((outcome) => outcome === "accepted").length).toEqual(3 * StreamLog.window);
-  expect(verdicts.filter((outcome) => outcome === "refused").length).toEqual(1000 - 3 * StreamLog.window);
+  expect(verdicts.filter((outcome) => outcome === "accepted").length).toEqual(3 * StreamLog.maxKnownNumbers);
+  expect(verdicts.filter((outcome) => outcome === "refused").length).toEqual(1000 - 3 * StreamLog.maxKnownNumbers);
   log.trim(990);
   expect([log.messages.length, log.low, log.trims.get("notes/t1")]).toEqual([10, 990, 990]);
-  log.forget(1001);
+  log.forgetSessions(1001);
   expect(log.knownCount).toEqual(0);
 });
 
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -108,8 +108,8 @@
   expect((await all.play(4000)) <= 50).toEqual(true);
   expectWhole(all);
   expect([...counts.keys()]).toEqual([replica]);
-  expect(fleet.find(replica)!.storage!.reads[shard]!.count).toEqual(1);
-  const { service } = fleet.find(leaderName)!.storage!.claims!.find(shard)!;
+  expect(fleet.find(replica)!.storage!.followerReads[shard]!.count).toEqual(1);
+  const { service } = fleet.find(leaderName)!.storage!.leadership!.find(shard)!;
   const reply = service.count({ $typeName: "cranetrack.v1.CountRequest", shard, topics: [topic] });
   expect(reply.case === "countReply" && reply.value.counts?.map(({ count }) => count)).toEqual([1]);
 });
@@ -207,12 +207,12 @@
     const frame = Wire.decode(bytes);
     const { body } = frame!;
     if (body.case === "follow" && body.value.isAtReplica && body.value.isFull) follows += 1;
-    const isDeaf = fleet.world.now % 3000 < FollowerReads.heardMs + 800;
+    const isDeaf = fleet.world.now % 3000 < FollowerReads.maxLeaderSilenceMs + 800;
     return isDeaf && isOfLog(frame) ? [] : undefined;
   };
   await all.play(24_000);
   fleet.wires.mutate = undefined;
   expectWhole(all);
   expect(follows <= 8).toEqual(true);
-  expect(fleet.find(replica)!.storage!.reads[shard]!.isOpen).toEqual(true);
+  expect(fleet.find(replica)!.storage!.followerReads[shard]!.isOpen).toEqual(true);
 });
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -39,7 +39,7 @@
   const { node, edge } = fleet.find("vise-2")!;
   const shard = edge!.streams.shardOf(node.configuration.route(topic)!.stream);
   const name = node.shards.find(shard).leader;
-  const { leader, service } = fleet.find(name)!.storage!.claims!.find(shard)!;
+  const { leader, service } = fleet.find(name)!.storage!.leadership!.find(shard)!;
   return { name, shard, leader, service };
 }
 
@@ -221,13 +221,13 @@
   // Its leader gives the shard up; number 2 is at the next leader before number 1 comes again.
   fleet.wires.mutate = (from, _to, bytes) =>
     from === pen && Wire.decode(bytes)?.body.case === "publish" ? [{ bytes, delay: 100 }] : undefined;
-  void fleet.find(name)!.storage!.claims!.release(shard, "the test says so");
+  void fleet.find(name)!.storage!.leadership!.release(shard, "the test says so");
   const next = (): ShardService | undefined => {
     const { leader: leaderName } = fleet.find("vise-2")!.node.shards.find(shard);
-    const claim = fleet.find(leaderName)?.storage?.claims?.find(shard);
+    const claim = fleet.find(leaderName)?.storage?.leadership?.find(shard);
     return claim?.service.isOpen === true ? claim.service : undefined;
   };
-  const epoch = fleet.find(name)!.storage!.claims!.find(shard)?.leader.epoch;
+  const epoch = fleet.find(name)!.storage!.leadership!.find(shard)?.leader.epoch;
   expect(epoch).toEqual(undefined);
   for (let ms = 0; ms < 3000 && next() === undefined; ms += 1) await fleet.run(1);
   const { spaceIncarnation } = fleet.find("vise-2")!.node.configuration.route(topic)!;
--- a/packages/testkit/src/sim/replicaSets.test.ts
+++ b/packages/testkit/src/sim/replicaSets.test.ts
@@ -75,7 +75,7 @@
     .node.shards.all()
     .filter(([shard, { set }]) => {
       const committed = Math.max(...lives.map((storage) => storage.replicas[shard]!.applied));
-      const logs = (set?.members ?? []).map(({ id }) => lives.find((one) => one.id === id)!.replicas[shard]!.log);
+      const logs = (set?.members ?? []).map(({ id }) => lives.find((one) => one.diskId === id)!.replicas[shard]!.log);
       return logs.filter((log) => log.syncedIndex >= committed).length * 2 <= logs.length;
     })
     .map(([shard]) => shard);
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -144,7 +144,7 @@
 test("one machine's disk after the other is lost, each once the last is mended: no message is", async () => {
   const { fleet, load } = await loaded(34, withSpares(3));
   for (const name of ["anvil-1", "anvil-2", "anvil-3"]) {
-    const lost = fleet.find(name)!.storage!.id;
+    const lost = fleet.find(name)!.storage!.diskId;
     fleet.wipe(name);
     await fleet.run(1000);
     fleet.start(name);
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -209,7 +209,7 @@
     const { leader } = this;
     if (leader === undefined) return false;
     const lives = this.names.map((name) => this.find(name)).filter((life) => life !== undefined);
-    const shelves = new Set(lives.flatMap(({ control, storage }) => (control?.storage ?? storage)?.id ?? []));
+    const shelves = new Set(lives.flatMap(({ control, storage }) => (control?.storage ?? storage)?.diskId ?? []));
     const controlNodes = new Set(lives.flatMap(({ control }) => control?.founding.id ?? []));
     const { node, control } = this.find(leader)!;
     const sets = node.shards.all().map(([, route]) => route.set?.members ?? []);
