--- a/packages/log-storage/src/follows/fetchFrom.ts
+++ b/packages/log-storage/src/follows/fetchFrom.ts
@@ -1,7 +1,7 @@
 import type { Fetch } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import type { StreamLog } from "../shards/streamLog.js";
-import { StreamFollowers } from "./follows.js";
+import { StreamFollowers } from "./streamFollowers.js";
 
 /** Messages of a committed log after a place, or what was trimmed after it. */
 export function fetchFrom(log: StreamLog, fetch: Fetch): BodyInit {
--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -4,10 +4,10 @@
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import type { StreamLog } from "../shards/streamLog.js";
 import { fetchFrom } from "./fetchFrom.js";
-import { StreamFollowers } from "./follows.js";
-import type { PushBatcher } from "./pushTurn.js";
+import { StreamFollowers } from "./streamFollowers.js";
+import type { PushBatcher } from "./pushBatcher.js";
 import type { Replica } from "../replication/replica.js";
-import { StreamStatuses } from "../shards/streamStandings.js";
+import { StreamStatuses } from "../shards/streamStatuses.js";
 
 /**
  * Follower reads: a replica that does not hold its shard pushes what is committed to edges that are near it.
--- a/packages/log-storage/src/follows/follows.test.ts
+++ b/packages/log-storage/src/follows/streamFollowers.test.ts
@@ -4,8 +4,8 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { expect } from "earl";
 import { StreamLog } from "../shards/streamLog.js";
-import { StreamFollowers } from "./follows.js";
-import type { PushBatcher } from "./pushTurn.js";
+import { StreamFollowers } from "./streamFollowers.js";
+import type { PushBatcher } from "./pushBatcher.js";
 
 const stream = "6:notes/t1";
 const incarnation = "1-one";
--- a/packages/log-storage/src/follows/follows.ts
+++ b/packages/log-storage/src/follows/streamFollowers.ts
@@ -10,7 +10,7 @@
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { StreamLog } from "../shards/streamLog.js";
-import type { PushBatcher } from "./pushTurn.js";
+import type { PushBatcher } from "./pushBatcher.js";
 
 interface FollowedStream {
   incarnation: string;
--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -3,7 +3,7 @@
 import { RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { ShardLeader } from "../shards/shardLeader.js";
-import type { RecentJoins } from "./newcomers.js";
+import type { RecentJoins } from "./recentJoins.js";
 import { Placement, type Location } from "./placement.js";
 
 export type SetMember = ShardSet["members"][number];
--- a/packages/log-storage/src/repair/replicaRepair.ts
+++ b/packages/log-storage/src/repair/replicaRepair.ts
@@ -4,7 +4,7 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { ShardLeader } from "../shards/shardLeader.js";
 import type { Replica } from "../replication/replica.js";
-import type { RecentJoins } from "./newcomers.js";
+import type { RecentJoins } from "./recentJoins.js";
 import { ReplicaChoice, type ReplicaChange } from "./replicaChoice.js";
 import { isSafeToDecide } from "./setChange.js";
 
--- a/packages/log-storage/src/shards/heldBack.test.ts
+++ b/packages/log-storage/src/shards/awaitedRetries.test.ts
@@ -1,6 +1,6 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { AwaitedRetries } from "./heldBack.js";
+import { AwaitedRetries } from "./awaitedRetries.js";
 
 test("what came behind a number that was sent away waits for it, and no longer than a while", () => {
   const awaited = new AwaitedRetries();
--- a/packages/log-storage/src/shards/memoryStreams.test.ts
+++ b/packages/log-storage/src/shards/memoryStreams.test.ts
@@ -2,7 +2,7 @@
 import { create } from "@bufbuild/protobuf";
 import { AcceptSchema, TopicCursorSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { expect } from "earl";
-import { startInMemory } from "./startOf.js";
+import { startInMemory } from "./streamReads.js";
 import { MemoryStreams } from "./memoryStreams.js";
 
 const forgetMs = 600_000;
--- a/packages/log-storage/src/shards/shardLeadership.ts
+++ b/packages/log-storage/src/shards/shardLeadership.ts
@@ -6,10 +6,10 @@
 import type { LeaseKeepAlive } from "@cranetrack/core/store/leaseKeepAlive.js";
 import { ShardService } from "./shardService.js";
 import { ShardLeader } from "./shardLeader.js";
-import { RecentJoins } from "../repair/newcomers.js";
+import { RecentJoins } from "../repair/recentJoins.js";
 import { ReplicaRepair } from "../repair/replicaRepair.js";
 import { CommitNotices } from "../replication/commitNotices.js";
-import type { PushBatcher } from "../follows/pushTurn.js";
+import type { PushBatcher } from "../follows/pushBatcher.js";
 import type { Replica } from "../replication/replica.js";
 
 interface LedShard {
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -21,17 +21,17 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
-import { AwaitedRetries } from "./heldBack.js";
-import { PublishOutcomes, type PublishOutcome } from "./publishOutcomes.js";
-import { startInMemory, startInLog } from "./startOf.js";
+import { AwaitedRetries } from "./awaitedRetries.js";
+import { PublishOutcomes, type PublishOutcome } from "./publishReplies.js";
+import { startInMemory, startInLog } from "./streamReads.js";
 import { StreamLog, type Verdict } from "./streamLog.js";
 import { fetchFrom } from "../follows/fetchFrom.js";
-import { StreamFollowers } from "../follows/follows.js";
+import { StreamFollowers } from "../follows/streamFollowers.js";
 import type { ShardLeader } from "./shardLeader.js";
 import { MemoryStreams } from "./memoryStreams.js";
-import type { PushBatcher } from "../follows/pushTurn.js";
+import type { PushBatcher } from "../follows/pushBatcher.js";
 import type { Replica } from "../replication/replica.js";
-import { StreamStatuses } from "./streamStandings.js";
+import { StreamStatuses } from "./streamStatuses.js";
 
 /**
  * What a shard's leader does for edges: judges publishes against the configuration, incarnations streams, answers
--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -9,7 +9,7 @@
 import { ShardLeadership } from "./shards/shardLeadership.js";
 import { Placement } from "./repair/placement.js";
 import { FollowerReads } from "./follows/followerReads.js";
-import { PushBatcher } from "./follows/pushTurn.js";
+import { PushBatcher } from "./follows/pushBatcher.js";
 import { Replica } from "./replication/replica.js";
 
 /** The topic logs on one machine's disk. Runs on storage machines, also as a part of control nodes. */
--- a/packages/testkit/src/sabotage/repairSabotages.ts
+++ b/packages/testkit/src/sabotage/repairSabotages.ts
@@ -27,14 +27,14 @@
   },
   {
     name: "a successor is not told from any free machine",
-    file: "log-storage/dist/repair/newcomers.js",
+    file: "log-storage/dist/repair/recentJoins.js",
     find: "joinedAt !== undefined && joinedAt >",
     put: "false && joinedAt >",
     test: `${sim}/replicaSets.test.js`,
   },
   {
     name: "any free machine is taken for a successor",
-    file: "log-storage/dist/repair/newcomers.js",
+    file: "log-storage/dist/repair/recentJoins.js",
     find: "joinedAt !== undefined && joinedAt >",
     put: "true || joinedAt >",
     test: `${sim}/replicaSets.test.js`,
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -188,7 +188,7 @@
   },
   {
     name: "a place is expired with the stream, not with its topic",
-    file: "log-storage/dist/shards/startOf.js",
+    file: "log-storage/dist/shards/streamReads.js",
     find: "(log.trims.get(topic) ?? 0) > seq",
     put: "log.low > seq",
     test: `${sim}/streams.test.js`,
@@ -244,7 +244,7 @@
   },
   {
     name: "a push sends no more than one batch",
-    file: "log-storage/dist/follows/follows.js",
+    file: "log-storage/dist/follows/streamFollowers.js",
     find: "batch = this.#nextBatch(follower, stream))",
     put: "batch = undefined)",
     test: `${sim}/streams.test.js`,
