--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -3,7 +3,7 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import type { StreamLog } from "../shards/streamLog.js";
-import { fetchFrom } from "./fetchFrom.js";
+import { fetchMessages } from "../shards/streamReads.js";
 import { StreamFollowers } from "./streamFollowers.js";
 import type { PushBatcher } from "./pushBatcher.js";
 import type { Replica } from "../replication/replica.js";
@@ -93,7 +93,7 @@
   fetch(fetch: Fetch): BodyInit {
     const log = this.#find(fetch.stream);
     if (!this.isOpen || log === undefined) return { case: "fetchReply", value: { outcome: "away" } };
-    return fetchFrom(log, fetch);
+    return fetchMessages(log, fetch);
   }
 
   tick(): void {
@@ -109,7 +109,7 @@
   #find(stream: string): StreamLog | undefined {
     const log = this.#replica.state.streams.get(stream);
     if (log === undefined || this.#statuses.isInMemory(stream)) return undefined;
-    return this.#statuses.ofStream(stream, log.spaceIncarnation) === "ours" ? log : undefined;
+    return this.#statuses.ofStream(stream, log.spaceIncarnation) === "current" ? log : undefined;
   }
 
   #isServedHere({ stream, incarnation, spaceIncarnation }: StreamAt): boolean {
--- a/packages/log-storage/src/follows/streamFollowers.ts
+++ b/packages/log-storage/src/follows/streamFollowers.ts
@@ -6,10 +6,10 @@
   type StreamAt,
   type StreamBatch,
   type StreamHead,
-  type StreamMessage,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { StreamLog } from "../shards/streamLog.js";
+import { sliceMessages } from "../shards/streamReads.js";
 import type { PushBatcher } from "./pushBatcher.js";
 
 interface FollowedStream {
@@ -188,21 +188,6 @@
       if (now - follower.lastContactAt > StreamFollowers.unresponsiveMs) this.#drop(follower);
   }
 
-  /** Messages after a place, as many as fit one reply. */
-  static slice(messages: readonly StreamMessage[], low: number, after: number, maxCount: number): StreamMessage[] {
-    const found: StreamMessage[] = [];
-    let size = 0;
-    for (
-      let i = Math.max(0, after - low);
-      i < messages.length && found.length < maxCount && size < 1024 * 1024;
-      i += 1
-    ) {
-      found.push(messages[i]!);
-      size += messages[i]!.payload.length + 64;
-    }
-    return found;
-  }
-
   #now(): number {
     return this.#parts.node.parts.clock.now();
   }
@@ -234,7 +219,7 @@
       followed.sent >= log.head
     )
       return undefined;
-    const messages = StreamFollowers.slice(log.messages, log.low, followed.sent, StreamFollowers.maxMessages);
+    const messages = sliceMessages(log.messages, log.low, followed.sent, StreamFollowers.maxMessages);
     const prev = (messages[0]?.seq ?? log.head + 1) - 1;
     followed.sent = messages.at(-1)?.seq ?? log.head;
     return create(StreamBatchSchema, { stream, incarnation: log.incarnation, prev, messages });
--- /dev/null
+++ b/packages/log-storage/src/shards/followHandler.ts
@@ -0,0 +1,93 @@
+import { create } from "@bufbuild/protobuf";
+import {
+  StreamHeadSchema,
+  TopicCountSchema,
+  type CountRequest,
+  type Follow,
+} from "@cranetrack/core/gen/cranetrack_pb.js";
+import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
+import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
+import type { LeaderAuthority } from "./leaderAuthority.js";
+import type { ServedStreams } from "./servedStreams.js";
+import type { ShardLeader } from "./shardLeader.js";
+import type { StreamFollowers } from "../follows/streamFollowers.js";
+
+interface FollowHandlerParts {
+  node: ClusterNode;
+  leader: ShardLeader;
+  authority: LeaderAuthority;
+  streams: ServedStreams;
+  followers: StreamFollowers;
+}
+
+/** Answers the edges that follow streams at a shard's leader: follows, their heartbeats, and counts of subscribers. */
+export class FollowHandler {
+  /** A new leader counts no subscribers until the edges have had this long to tell it of theirs. */
+  static readonly countDelayMs = 700;
+
+  readonly #node: ClusterNode;
+  readonly #leader: ShardLeader;
+  readonly #authority: LeaderAuthority;
+  readonly #streams: ServedStreams;
+  readonly #followers: StreamFollowers;
+  #servesSince = Infinity;
+
+  constructor({ node, leader, authority, streams, followers }: FollowHandlerParts) {
+    this.#node = node;
+    this.#leader = leader;
+    this.#authority = authority;
+    this.#streams = streams;
+    this.#followers = followers;
+    leader.on("serving", () => (this.#servesSince = node.parts.clock.now()));
+  }
+
+  /** Heartbeat of one edge for this shard; the outcome travels to the edge. */
+  onHeartbeat(follow: Follow): string {
+    if (!this.#authority.isOpen) return "away";
+    return this.#followers.onHeartbeat(follow) ? "done" : "resync";
+  }
+
+  /** How many subscribers each topic has at the edges that are alive. */
+  count({ topics }: CountRequest): BodyInit {
+    const isEarly = this.#node.parts.clock.now() - this.#servesSince < FollowHandler.countDelayMs;
+    if (!this.#authority.isOpen || isEarly) return { case: "countReply", value: { outcome: "away" } };
+    const counts = topics.map((topic) => {
+      const route = this.#node.configuration.route(topic);
+      if (route === undefined) return create(TopicCountSchema, { topic, fault: "behind" });
+      return create(TopicCountSchema, { topic, count: this.#followers.countOf(route.stream, topic) });
+    });
+    return { case: "countReply", value: { outcome: "done", counts } };
+  }
+
+  /** Adds streams to an edge's follow, or begins it anew, and pushes what the edge lacks once it has the reply. */
+  async follow(follow: Follow, edge: string): Promise<BodyInit> {
+    if (!this.#authority.isOpen) return { case: "followReply", value: { outcome: "away" } };
+    if (follow.streams.length === 0 && !follow.isFull)
+      return { case: "followReply", value: { outcome: this.onHeartbeat(follow), epoch: this.#leader.epoch } };
+    const statuses = follow.streams.map(({ stream, spaceIncarnation }) =>
+      this.#streams.statuses.ofStream(stream, spaceIncarnation),
+    );
+    const followed = follow.streams.filter((_, i) => statuses[i] === "current");
+    await Promise.all(
+      followed.map(({ stream, spaceIncarnation }) => this.#streams.incarnationOf(stream, spaceIncarnation)),
+    );
+    // A head may become somebody's start only if nobody has taken over meanwhile.
+    if (!this.#authority.isOpen || !(await this.#leader.confirm()) || !this.#authority.isOpen)
+      return { case: "followReply", value: { outcome: "away" } };
+    if (this.#followers.isStale(follow)) return { case: "followReply", value: { outcome: "resync" } };
+    const { heads, number } = this.#followers.admit(follow, followed, edge);
+    const found = new Set(heads.map((head) => head.stream));
+    const missing = follow.streams.flatMap(({ stream }, i) =>
+      found.has(stream)
+        ? []
+        : [create(StreamHeadSchema, { stream, fault: statuses[i] === "removed" ? "unknown-topic" : "behind" })],
+    );
+    this.#node.parts.clock.once(0, () => {
+      if (this.#authority.isOpen) this.#followers.push(found);
+    });
+    return {
+      case: "followReply",
+      value: { outcome: "done", heads: [...heads, ...missing], epoch: this.#leader.epoch, number },
+    };
+  }
+}
--- /dev/null
+++ b/packages/log-storage/src/shards/publishHandler.ts
@@ -0,0 +1,143 @@
+import { create } from "@bufbuild/protobuf";
+import { Configurations, type TopicContract } from "@cranetrack/core/configuration/configuration.js";
+import { AcceptSchema, type Accept, type Publish } from "@cranetrack/core/gen/cranetrack_pb.js";
+import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
+import { AwaitedRetries } from "./awaitedRetries.js";
+import type { LeaderAuthority } from "./leaderAuthority.js";
+import type { MemoryStreams } from "./memoryStreams.js";
+import { overloadedReply, refusedReply, replyOf, unavailableReply, unknownReply } from "./publishReplies.js";
+import type { PublishReply } from "./publishReplies.js";
+import { findContractViolation, type ContractViolation } from "./publishValidation.js";
+import type { ServedStreams } from "./servedStreams.js";
+import type { ShardLeader } from "./shardLeader.js";
+import { StreamLog, type Verdict } from "./streamLog.js";
+import type { StreamPusher } from "./streamPusher.js";
+
+interface PublishHandlerParts {
+  node: ClusterNode;
+  shard: number;
+  leader: ShardLeader;
+  authority: LeaderAuthority;
+  streams: ServedStreams;
+  pusher: StreamPusher;
+}
+
+/**
+ * Takes publishes for a shard's leader: checks them against the configuration in force and sequences them, in the
+ * replicated log or in memory. A refusal is for good; whatever may still be done, or was, is not refused.
+ */
+export class PublishHandler {
+  /** Entries that may wait for their commit; above this, publishes are turned down as overloaded. */
+  static readonly maxPending = 2000;
+
+  readonly #node: ClusterNode;
+  readonly #shard: number;
+  readonly #leader: ShardLeader;
+  readonly #authority: LeaderAuthority;
+  readonly #streams: ServedStreams;
+  readonly #memory: MemoryStreams;
+  readonly #pusher: StreamPusher;
+  readonly #awaitedRetries = new AwaitedRetries();
+
+  constructor({ node, shard, leader, authority, streams, pusher }: PublishHandlerParts) {
+    this.#node = node;
+    this.#shard = shard;
+    this.#leader = leader;
+    this.#authority = authority;
+    this.#streams = streams;
+    this.#memory = streams.memory;
+    this.#pusher = pusher;
+  }
+
+  /** Numbers of one sender in one topic keep the order in which they come, whatever each waits for. */
+  async publish(publish: Publish): Promise<PublishReply> {
+    const { topic, session, number } = publish;
+    const now = this.#node.parts.clock.now();
+    if (this.#awaitedRetries.isBehindAwaitedRetry(topic, session, number, now))
+      return this.#unavailable("an earlier number is to be sent again", 0.2);
+    const reply = await this.#validateAndSequence(publish);
+    const isUnavailable = reply.value.outcome === "away" || reply.value.outcome === "busy";
+    this.#awaitedRetries.recordOutcome(topic, session, number, isUnavailable, now);
+    return reply;
+  }
+
+  async #validateAndSequence(publish: Publish): Promise<PublishReply> {
+    if (!this.#authority.isOpen) return this.#unavailable();
+    const { topic, number, spaceIncarnation } = publish;
+    const { configuration } = this.#node.configuration;
+    const route = this.#node.configuration.route(topic);
+    const status = this.#streams.statuses.ofIncarnation(route?.spaceIncarnation, spaceIncarnation);
+    // One of the two has not heard of the newest configuration yet; a space that this node has seen removed may be
+    // back.
+    if (route === undefined || status !== "current") return this.#unavailable("the topic's space is changing", 0.2);
+    const contract = Configurations.contractFor(configuration, topic);
+    if (contract === undefined) return refusedReply("unknown-topic", `the plan in force has no rule for ${topic}`);
+    const { stream } = route;
+    if (!this.#streams.isOwn(stream) || !Number.isSafeInteger(number) || number < 1)
+      return refusedReply("malformed", "the topic is another shard's, or the number is none");
+    const known = this.#streams.knownVerdict(stream, spaceIncarnation, publish);
+    if (known !== undefined)
+      return this.#streams.statuses.isInMemory(stream) ? this.#replyFromMemory(stream, known) : replyOf(known);
+    if (this.#leader.pendingCount > PublishHandler.maxPending) return overloadedReply();
+    const violation = findContractViolation(configuration, contract, publish);
+    const incarnation = await this.#streams.incarnationOf(stream, spaceIncarnation);
+    if (incarnation === undefined || !this.#authority.isOpen) return this.#unavailable();
+    const accept = this.#acceptCommand(publish, stream, incarnation, violation !== undefined);
+    if (this.#streams.statuses.isInMemory(stream)) {
+      if (publish.mayBeRepeat && this.#wouldReorder(stream, contract))
+        return unknownReply("an earlier holder may have accepted this number, in another order");
+      return this.#acceptInMemory(accept, violation);
+    }
+    const verdict = await this.#leader.propose({ case: "accept", value: accept });
+    if (verdict === undefined) return unknownReply("the holder lost its claim before the message was committed");
+    if (verdict.outcome === "refused" && violation !== undefined) return refusedReply(violation.code, violation.reason);
+    return replyOf(verdict);
+  }
+
+  /** A void one uses up its number and delivers nothing. */
+  #acceptCommand(publish: Publish, stream: string, incarnation: string, isVoid: boolean): Accept {
+    const { topic, session, number, ownerEpoch } = publish;
+    return create(AcceptSchema, {
+      topic,
+      stream,
+      incarnation,
+      session,
+      number,
+      ownerEpoch,
+      payload: isVoid ? new Uint8Array() : publish.payload,
+      at: this.#leader.shardTime,
+      isVoid,
+    });
+  }
+
+  /**
+   * Whether what an earlier leader may have pushed to some edges could come to others in another order than it had
+   * there: one order for all is promised, and the earlier one died with its leader.
+   */
+  #wouldReorder(stream: string, { order }: TopicContract): boolean {
+    return order !== "sender" && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime);
+  }
+
+  #acceptInMemory(accept: Accept, violation: ContractViolation | undefined): Promise<PublishReply> {
+    const verdict = this.#memory.accept(accept);
+    if (verdict.outcome === "accepted" || violation === undefined) return this.#replyFromMemory(accept.stream, verdict);
+    return Promise.resolve(refusedReply(violation.code, violation.reason));
+  }
+
+  /**
+   * What is accepted has been pushed: nothing else remembers it. What an earlier leader may have accepted and pushed
+   * is not refused: a refusal promises that it never was and never will be delivered.
+   */
+  async #replyFromMemory(stream: string, verdict: Verdict): Promise<PublishReply> {
+    const isUntaken = verdict.outcome === "refused" && verdict.code === StreamLog.numberWentBackwards;
+    if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime))
+      return unknownReply("an earlier holder may have accepted this number");
+    if (verdict.outcome === "accepted" && !(await this.#pusher.push(stream)))
+      return unknownReply("the holder lost its claim before the message was pushed");
+    return replyOf(verdict);
+  }
+
+  #unavailable(reason = "", retryAfterSeconds = 0.5): PublishReply {
+    return unavailableReply(this.#node.shards.find(this.#shard).leader, reason, retryAfterSeconds);
+  }
+}
--- a/packages/log-storage/src/shards/streamStatuses.ts
+++ b/packages/log-storage/src/shards/streamStatuses.ts
@@ -3,7 +3,13 @@
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
-/** What the configuration that this node has taken up says of streams and of incarnations of their spaces. */
+/**
+ * What the configuration in force at this node says of an incarnation of a space or stream: it is in force, was
+ * removed, or is newer than all that this node has heard of.
+ */
+export type StreamStatus = "current" | "newer" | "removed";
+
+/** What the configuration in force at this node says of streams and of incarnations of their spaces. */
 export class StreamStatuses {
   readonly #node: ClusterNode;
 
@@ -18,25 +24,24 @@
 
   /**
    * What this node's configuration, in which a topic's space has the incarnation `present`, says of another incarnation
-   * of it: whether
-   * it is in force, was removed, is older than the one in force, or newer than all that this node has heard of.
+   * of it; also whether it is older than the one in force.
    */
-  ofIncarnation(present: number | undefined, spaceIncarnation: number): "ours" | "behind" | "older" | "gone" {
-    if (this.#node.configuration.version < spaceIncarnation) return "behind";
-    if (present === spaceIncarnation) return "ours";
-    if (present === undefined) return "gone";
-    return spaceIncarnation < present ? "older" : "behind";
+  ofIncarnation(present: number | undefined, spaceIncarnation: number): StreamStatus | "older" {
+    if (this.#node.configuration.version < spaceIncarnation) return "newer";
+    if (present === spaceIncarnation) return "current";
+    if (present === undefined) return "removed";
+    return spaceIncarnation < present ? "older" : "newer";
   }
 
-  /** The same for a stream, which is gone too where no rule owes its topic, or another space or order has it. */
-  ofStream(stream: string, spaceIncarnation: number): "ours" | "behind" | "gone" {
+  /** A stream's status: it is removed as well where no contract covers its topic, or another space or order has it. */
+  ofStream(stream: string, spaceIncarnation: number): StreamStatus {
     const { configuration } = this.#node.configuration;
     const status = this.ofIncarnation(this.#node.configuration.spaceIncarnationOf(stream), spaceIncarnation);
-    if (status === "older") return "gone";
-    if (status !== "ours") return status;
+    if (status === "older") return "removed";
+    if (status !== "current") return status;
     const isSpaceOrdered = Configurations.orderOf(configuration, Streams.spaceOf(stream)) === "space";
     return isSpaceOrdered || Configurations.contractFor(configuration, Streams.topicOf(stream)) !== undefined
-      ? "ours"
-      : "gone";
+      ? "current"
+      : "removed";
   }
 }
--- /dev/null
+++ b/packages/log-storage/src/shards/streamTrimmer.ts
@@ -0,0 +1,97 @@
+import type { MessageInitShape } from "@bufbuild/protobuf";
+import { Configurations } from "@cranetrack/core/configuration/configuration.js";
+import type { TrimStreamSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
+import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
+import type { LeaderAuthority } from "./leaderAuthority.js";
+import type { ServedStreams } from "./servedStreams.js";
+import type { ShardLeader } from "./shardLeader.js";
+import type { StreamLog } from "./streamLog.js";
+import type { Replica } from "../replication/replica.js";
+
+type StreamTrim = MessageInitShape<typeof TrimStreamSchema>;
+
+interface StreamTrimmerParts {
+  node: ClusterNode;
+  replica: Replica;
+  leader: ShardLeader;
+  authority: LeaderAuthority;
+  streams: ServedStreams;
+  /** Streams in memory that somebody follows stay, though nobody publishes. */
+  isFollowed: (stream: string) => boolean;
+}
+
+/**
+ * Removes what no contract keeps any more: from memory once a second, from the replicated log by a command every 5 s
+ * and at once where a space was removed.
+ * Invariant: at most one trim command of this leader is under way.
+ */
+export class StreamTrimmer {
+  /** Messages stay for at least this long, whatever the contract says. */
+  static readonly minRetentionMs = 45_000;
+  /** Numbers sent before are known for this long after their session's last one in the topic. */
+  static readonly sessionRetentionMs = 600_000;
+  static readonly memoryIntervalMs = 1000;
+  static readonly logIntervalMs = 5000;
+
+  readonly #node: ClusterNode;
+  readonly #replica: Replica;
+  readonly #leader: ShardLeader;
+  readonly #authority: LeaderAuthority;
+  readonly #streams: ServedStreams;
+  readonly #isFollowed: (stream: string) => boolean;
+  #memoryTrimmedAt = 0;
+  #logTrimmedAt = 0;
+  #isTrimming = false;
+
+  constructor({ node, replica, leader, authority, streams, isFollowed }: StreamTrimmerParts) {
+    this.#node = node;
+    this.#replica = replica;
+    this.#leader = leader;
+    this.#authority = authority;
+    this.#streams = streams;
+    this.#isFollowed = isFollowed;
+  }
+
+  /** Trims what is due. */
+  tick(): void {
+    const now = this.#node.parts.clock.now();
+    if (now - this.#memoryTrimmedAt >= StreamTrimmer.memoryIntervalMs) {
+      this.#memoryTrimmedAt = now;
+      this.#streams.memory.expire(this.#leader.shardTime, StreamTrimmer.sessionRetentionMs, this.#isFollowed);
+    }
+    if (now - this.#logTrimmedAt < StreamTrimmer.logIntervalMs) return;
+    this.#logTrimmedAt = now;
+    void this.trimLog();
+  }
+
+  /** Proposes one command for all that is to go from the log; does nothing while one is under way. */
+  async trimLog(): Promise<void> {
+    if (!this.#authority.isOpen || this.#isTrimming) return;
+    const { state } = this.#replica;
+    const at = this.#leader.shardTime;
+    const streams = [...state.streams.values()].flatMap((log) => this.#trimOf(log, at) ?? []);
+    const forgetBefore = Math.max(0, at - StreamTrimmer.sessionRetentionMs);
+    if (streams.length === 0 && !state.hasSessionsBefore(forgetBefore)) return;
+    this.#isTrimming = true;
+    await this.#leader.propose({ case: "trim", value: { streams, at, forgetBefore } });
+    this.#isTrimming = false;
+  }
+
+  /** What is to go of one stream; undefined where nothing is. */
+  #trimOf(log: StreamLog, at: number): StreamTrim | undefined {
+    const { stream, incarnation } = log;
+    const status = this.#streams.statuses.ofStream(stream, log.spaceIncarnation);
+    if (status === "removed") return { stream, incarnation, isRemoved: true };
+    if (status !== "current") return undefined;
+    // No contract keeps any of it; should one do so again, that is another incarnation.
+    if (this.#streams.statuses.isInMemory(stream)) return { stream, incarnation, isRemoved: true };
+    const kept = log.messages.findIndex((message) => message.at >= at - this.#retentionMs(message.topic));
+    const low = kept === -1 ? log.head : log.messages[kept]!.seq - 1;
+    return low > log.low ? { stream, incarnation, low } : undefined;
+  }
+
+  #retentionMs(topic: string): number {
+    const contract = Configurations.contractFor(this.#node.configuration.configuration, topic);
+    return Math.max((contract?.keep ?? 0) * 1000, StreamTrimmer.minRetentionMs);
+  }
+}
--- a/packages/testkit/src/sabotage/incidentSabotages.ts
+++ b/packages/testkit/src/sabotage/incidentSabotages.ts
@@ -1,7 +1,7 @@
 import type { Sabotage } from "./sabotage.js";
 
 const sim = "testkit/dist/sim";
-const service = "log-storage/dist/shards/shardService.js";
+const publishHandler = "log-storage/dist/shards/publishHandler.js";
 
 /** Guards that came of the incident "Order and configuration", and the invariants that watch them. */
 export const incidentSabotages: readonly Sabotage[] = [
@@ -21,14 +21,14 @@
   },
   {
     name: "a young holder refuses what an earlier one may have taken",
-    file: service,
+    file: publishHandler,
     find: "if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime))",
     put: "if (false)",
     test: `${sim}/memory.test.js`,
   },
   {
     name: "a young holder sequences repeats where one order is promised",
-    file: service,
+    file: publishHandler,
     find: "if (publish.mayBeRepeat && this.#wouldReorder(stream, contract))",
     put: "if (false)",
     test: `${sim}/memory.test.js`,
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -97,7 +97,7 @@
   },
   {
     name: "a holder acts on a plan it cannot hear about",
-    file: "log-storage/dist/shards/shardService.js",
+    file: "log-storage/dist/shards/leaderAuthority.js",
     find: " && this.#node.feed.isFresh",
     put: "",
     test: `${sim}/freshness.test.js`,
@@ -279,9 +279,9 @@
   },
   {
     name: "a holder refuses what it has seen removed",
-    file: "log-storage/dist/shards/shardService.js",
-    find: 'if (route === undefined || status !== "ours")',
-    put: 'if (status === "behind" || status === "older")',
+    file: "log-storage/dist/shards/publishHandler.js",
+    find: 'if (route === undefined || status !== "current")',
+    put: 'if (status === "newer" || status === "older")',
     test: `${sim}/streams.test.js`,
   },
   {
