--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -16,7 +16,7 @@
  * here: a stream that is not here in the incarnation that the edge has from the leader is left to the leader.
  */
 export class FollowerReads {
-  static readonly maxLeaderSilenceMs = 700;
+  static readonly leaderTimeoutMs = 700;
   static readonly maxLagMs = 300;
 
   readonly #node: ClusterNode;
@@ -45,7 +45,7 @@
     replica.on("applied", ({ verdict }) => {
       if (this.#followers.count === 0) return;
       if (verdict === undefined) return this.#onStreamChanged("");
-      if (verdict.outcome === "accepted" && verdict.isFresh) this.#onStreamChanged(verdict.stream);
+      if (verdict.kind === "accepted" && verdict.isFresh) this.#onStreamChanged(verdict.stream);
     });
     replica.on("installed", () => this.#onStreamChanged(""));
     node.configuration.on("changed", () => this.#onStreamChanged(""));
@@ -61,7 +61,7 @@
       leader !== "" &&
       leaderId !== id &&
       set?.members.some((member) => member.id === id) === true &&
-      this.#replica.leaderSilenceMs(epoch) < FollowerReads.maxLeaderSilenceMs &&
+      this.#replica.sinceLeaderContactMs(epoch) < FollowerReads.leaderTimeoutMs &&
       this.#replica.lagMs < FollowerReads.maxLagMs &&
       this.#node.feed.isFresh
     );
--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -38,7 +38,7 @@
  */
 export class ReplicaChoice {
   /** A member that has left the membership or is suspected there is silent once it answered nothing for this long. */
-  static readonly minSilenceMs = 300;
+  static readonly minUnresponsiveMs = 300;
   /** Every member answered within this time: the set is well, and may be changed for the better. */
   static readonly healthyMs = 1000;
 
@@ -195,7 +195,7 @@
   #unresponsiveMs(member: SetMember): number {
     const { membership } = this.#node;
     const sinceContactMs = this.#msSinceContact(member);
-    if (membership.isAlive(member.name) || sinceContactMs < ReplicaChoice.minSilenceMs) return sinceContactMs;
+    if (membership.isAlive(member.name) || sinceContactMs < ReplicaChoice.minUnresponsiveMs) return sinceContactMs;
     return Math.max(sinceContactMs, membership.ageOf(member.name));
   }
 
--- a/packages/log-storage/src/repair/setChange.ts
+++ b/packages/log-storage/src/repair/setChange.ts
@@ -10,7 +10,7 @@
 }
 
 /** Whoever has not answered for so long is not counted on when a set is put in force. */
-export const maxSilenceMs = 700;
+export const responseTimeoutMs = 700;
 
 /**
  * Whether the new set may be put in force by itself. What was committed before it counted may stand on a majority of
@@ -23,7 +23,7 @@
 ): boolean {
   if (progress.commit < joinedAt) return false;
   if (joiningReplica !== undefined && progress.matchOf(joiningReplica) < joinedAt) return false;
-  const isResponsive = (id: string): boolean => progress.heardAgo(id) < maxSilenceMs;
+  const isResponsive = (id: string): boolean => progress.heardAgo(id) < responseTimeoutMs;
   const upToDate = set.members.filter(({ id }) => isResponsive(id) && progress.matchOf(id) >= joinedAt);
   return upToDate.length >= Placement.majorityOf(set.members.length);
 }
--- a/packages/log-storage/src/replication/replica.ts
+++ b/packages/log-storage/src/replication/replica.ts
@@ -121,7 +121,7 @@
   }
 
   /** Milliseconds since the leader of an epoch was last heard. */
-  leaderSilenceMs(epoch: number): number {
+  sinceLeaderContactMs(epoch: number): number {
     return this.#lastLeaderContact.term === epoch
       ? this.#node.parts.clock.now() - this.#lastLeaderContact.at
       : Infinity;
--- a/packages/log-storage/src/shards/memoryStreams.test.ts
+++ b/packages/log-storage/src/shards/memoryStreams.test.ts
@@ -13,7 +13,7 @@
 function say(streams: MemoryStreams, number: number, at = 0, bytes = 1): string {
   const log = streams.findOrCreate(stream, 1, at)!;
   const accept = { topic: stream, stream, incarnation: log.incarnation, session: "pen", number, at };
-  return streams.accept(create(AcceptSchema, { ...accept, payload: new Uint8Array(bytes) })).outcome;
+  return streams.accept(create(AcceptSchema, { ...accept, payload: new Uint8Array(bytes) })).kind;
 }
 
 test("a stream is one incarnation as long as its space is, and never one of an earlier incarnation", () => {
--- a/packages/log-storage/src/shards/publishHandler.ts
+++ b/packages/log-storage/src/shards/publishHandler.ts
@@ -90,7 +90,7 @@
     }
     const verdict = await this.#leader.propose({ case: "accept", value: accept });
     if (verdict === undefined) return unknownReply("the holder lost its claim before the message was committed");
-    if (verdict.outcome === "refused" && violation !== undefined) return refusedReply(violation.code, violation.reason);
+    if (verdict.kind === "refused" && violation !== undefined) return refusedReply(violation.code, violation.reason);
     return replyOf(verdict);
   }
 
@@ -120,7 +120,7 @@
 
   #acceptInMemory(accept: Accept, violation: ContractViolation | undefined): Promise<PublishReply> {
     const verdict = this.#memory.accept(accept);
-    if (verdict.outcome === "accepted" || violation === undefined) return this.#replyFromMemory(accept.stream, verdict);
+    if (verdict.kind === "accepted" || violation === undefined) return this.#replyFromMemory(accept.stream, verdict);
     return Promise.resolve(refusedReply(violation.code, violation.reason));
   }
 
@@ -129,10 +129,10 @@
    * is not refused: a refusal promises that it never was and never will be delivered.
    */
   async #replyFromMemory(stream: string, verdict: Verdict): Promise<PublishReply> {
-    const isUntaken = verdict.outcome === "refused" && verdict.code === StreamLog.numberWentBackwards;
-    if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime))
+    const isNeverAccepted = verdict.kind === "refused" && verdict.code === StreamLog.numberWentBackwards;
+    if (isNeverAccepted && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime))
       return unknownReply("an earlier holder may have accepted this number");
-    if (verdict.outcome === "accepted" && !(await this.#pusher.push(stream)))
+    if (verdict.kind === "accepted" && !(await this.#pusher.push(stream)))
       return unknownReply("the holder lost its claim before the message was pushed");
     return replyOf(verdict);
   }
--- a/packages/log-storage/src/shards/publishReplies.ts
+++ b/packages/log-storage/src/shards/publishReplies.ts
@@ -35,6 +35,6 @@
 
 /** The reply that a stream's verdict gives, for the first and for every later copy of the number. */
 export function replyOf(verdict: Verdict): PublishReply {
-  if (verdict.outcome === "refused") return refusedReply(verdict.code, verdict.reason);
+  if (verdict.kind === "refused") return refusedReply(verdict.code, verdict.reason);
   return { case: "publishReply", value: { outcome: "accepted", incarnation: verdict.incarnation, seq: verdict.seq } };
 }
--- a/packages/log-storage/src/shards/shardLeader.ts
+++ b/packages/log-storage/src/shards/shardLeader.ts
@@ -23,7 +23,7 @@
  * Invariant: once over, it never serves again; the next claim makes another leader.
  */
 export class ShardLeader extends EventEmitter<ShardLeaderEvents> implements CommitSource {
-  static readonly maxMajoritySilenceMs = 700;
+  static readonly majorityTimeoutMs = 700;
   /** Replicas that have heard everything are told so this often, and their answers show that they are there. */
   static readonly idleHeartbeatMs = 250;
   /** How long a question for a part of a better log may take. */
@@ -120,7 +120,7 @@
 
   tick(): void {
     if (this.#replicator === undefined) return;
-    if (this.#replicator.majorityAgo() > ShardLeader.maxMajoritySilenceMs)
+    if (this.#replicator.majorityAgo() > ShardLeader.majorityTimeoutMs)
       return this.stop("no majority of the replicas answers");
     this.#replicator.sendHeartbeats(ShardLeader.idleHeartbeatMs);
   }
--- a/packages/log-storage/src/shards/shardLeadership.ts
+++ b/packages/log-storage/src/shards/shardLeadership.ts
@@ -1,9 +1,9 @@
-import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { ShardLeaderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import type { ShardSet } from "@cranetrack/core/feeds/shardSet.js";
 import type { LeaseKeepAlive } from "@cranetrack/core/store/leaseKeepAlive.js";
+import { decideLeadershipStep, electionRank } from "./leadershipStep.js";
 import { ShardService } from "./shardService.js";
 import { ShardLeader } from "./shardLeader.js";
 import { RecentJoins } from "../repair/recentJoins.js";
@@ -25,7 +25,6 @@
  * Invariant: a leader here acts only while the lease that its key is under is held.
  */
 export class ShardLeadership {
-  static readonly electionDelayMs = 100;
   /** How often each held shard's replica set is looked at, and a change of it taken one step further. */
   static readonly repairIntervalMs = 100;
   /** Changes that only make sets better, at a time, so that copying does not starve what is served. */
@@ -38,11 +37,14 @@
   readonly #led = new Map<number, LedShard>();
   readonly #freeSince = new Map<number, number>();
   readonly #inTransition = new Set<number>();
-  /** Shards whose set is being swapped: their key's new epoch may be heard of before the swap's own reply. */
+  /** Shards whose set is being swapped: the feed may bring their key's new epoch before the swap's own reply. */
   readonly #changingReplicas = new Set<number>();
   readonly #pushBatcher: PushBatcher;
   readonly #commits: CommitNotices;
   readonly #recentJoins: RecentJoins;
+  readonly #isResponsiveMember = (name: string): boolean =>
+    this.#node.membership.isAlive(name) && !this.#node.rpc.isUnresponsive(name);
+  /** Set once the process stops: it claims no shard any more. */
   isDraining = false;
 
   constructor(
@@ -70,10 +72,12 @@
     node.parts.clock.every(ShardLeadership.repairIntervalMs, () => this.#repairAll());
   }
 
+  /** What this process runs for a shard that it leads, or is about to lead. */
   find(shard: number): LedShard | undefined {
     return this.#led.get(shard);
   }
 
+  /** By shard number, in the order in which they were claimed. */
   all(): Array<[number, LedShard]> {
     return [...this.#led];
   }
@@ -83,6 +87,7 @@
     await Promise.all([...this.#led.keys()].map((shard) => this.release(shard, "the process is stopping")));
   }
 
+  /** Stops leading a shard and deletes its leader key; `why` goes into the log line. */
   async release(shard: number, why: string): Promise<void> {
     this.#led.get(shard)?.leader.stop(why);
   }
@@ -121,32 +126,24 @@
 
   #reconcileLeader(replica: Replica): void {
     const { shard } = replica;
-    const route = this.#node.shards.find(shard);
-    // A leader of this name that is not this process was one before it: nobody needs to wait for its lease.
-    const isStaleOwnKey = route.leader === this.#node.rpc.name && this.#led.get(shard)?.leader.epoch !== route.epoch;
     if (this.#inTransition.has(shard) || this.#changingReplicas.has(shard)) return;
-    if (isStaleOwnKey) return void this.#inOneTransition(shard, () => this.#deleteLeaderKey(shard, route.epoch));
-    const rank = this.#electionRank(shard);
-    if (route.leader !== "" || rank === -1 || this.isDraining || this.#node.machines.isDraining(this.#node.rpc.name))
-      return void this.#freeSince.delete(shard);
+    const route = this.#node.shards.find(shard);
+    const { name } = this.#node.rpc;
     const now = this.#node.parts.clock.now();
-    const since = this.#freeSince.get(shard) ?? now;
-    this.#freeSince.set(shard, since);
-    if (now - since >= rank * ShardLeadership.electionDelayMs)
-      void this.#inOneTransition(shard, () => this.#claimShard(replica));
-  }
-
-  /** This disk's turn among the set's live members; -1 where it is no member. */
-  #electionRank(shard: number): number {
-    const members = this.#node.shards.find(shard).set?.members ?? [];
-    const alive = members
-      .filter((member) => member.id === this.#diskId || this.#isResponsive(member.name))
-      .map((member) => member.id);
-    return Rendezvous.rank(RendezvousKeys.shardLeader(shard), alive).indexOf(this.#diskId);
-  }
-
-  #isResponsive(name: string): boolean {
-    return this.#node.membership.isAlive(name) && !this.#node.rpc.isUnresponsive(name);
+    const freeSince = this.#freeSince.get(shard) ?? now;
+    const step = decideLeadershipStep({
+      route,
+      ownName: name,
+      ledEpoch: this.#led.get(shard)?.leader.epoch,
+      rank: electionRank(shard, route.set?.members ?? [], this.#diskId, this.#isResponsiveMember),
+      isDraining: this.isDraining || this.#node.machines.isDraining(name),
+      freeForMs: now - freeSince,
+    });
+    if (step === "delete-stale-key")
+      return void this.#inOneTransition(shard, () => this.#deleteLeaderKey(shard, route.epoch));
+    if (step === "not-eligible") return void this.#freeSince.delete(shard);
+    this.#freeSince.set(shard, freeSince);
+    if (step === "claim") void this.#inOneTransition(shard, () => this.#claimShard(replica));
   }
 
   async #inOneTransition(shard: number, transition: () => Promise<void>): Promise<void> {
@@ -173,7 +170,7 @@
     await this.#lead(replica, set, reply.revision!, lease);
   }
 
-  /** The store names this disk the leader under an epoch: serves once a majority has pledged it. */
+  /** The store names this disk the leader under an epoch: serves once a majority has promised it. */
   async #lead(replica: Replica, set: ShardSet, epoch: number, lease: string): Promise<void> {
     const { shard } = replica;
     const leader = new ShardLeader(replica, set, epoch, this.#node, this.#commits);
@@ -194,7 +191,7 @@
     this.#led.set(shard, led);
     leader.on("over", (why) => void this.#onLeaderStopped(shard, led, why));
     leader.on("serving", () => led.service.configurationChanged());
-    if (!(await leader.takeOver())) leader.stop("no majority of the replicas pledged");
+    if (!(await leader.takeOver())) leader.stop("no majority of the replicas promised");
   }
 
   async #onLeaderStopped(shard: number, led: LedShard, why: string): Promise<void> {
@@ -216,8 +213,8 @@
     const route = this.#node.shards.find(shard);
     const isOwnSwap = this.#changingReplicas.has(shard) && route.leaderId === this.#diskId;
     if (led !== undefined && route.epoch > led.leader.epoch && !isOwnSwap)
-      led.leader.stop("the store names another holder");
-    // Freed just now: whose turn it is need not wait for a beat.
+      led.leader.stop("the store names another leader");
+    // Freed just now: whose turn it is need not wait for a tick.
     if (route.leader === "" && this.#lease.isHeld && this.#node.feed.isFresh)
       this.#reconcileLeader(this.#replicas[shard]!);
   }
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -62,7 +62,7 @@
       isFollowed: (stream) => followers.isFollowed(stream),
     });
     leader.on("applied", ({ verdict }) => {
-      if (verdict?.outcome === "accepted" && verdict.isFresh) void pusher.push(verdict.stream);
+      if (verdict?.kind === "accepted" && verdict.isFresh) void pusher.push(verdict.stream);
     });
   }
 
--- a/packages/log-storage/src/shards/shardState.test.ts
+++ b/packages/log-storage/src/shards/shardState.test.ts
@@ -43,7 +43,7 @@
       [4, 4],
     ]);
     const verdict = log.known(stream, "pen", 4);
-    expect(verdict).toEqual({ outcome: "accepted", stream, incarnation, seq: 4, isFresh: false });
+    expect(verdict).toEqual({ kind: "accepted", stream, incarnation, seq: 4, isFresh: false });
     expect([restored.at, restored.snapshot()]).toEqual([state.at, state.snapshot()]);
   });
 });
--- a/packages/log-storage/src/shards/shardState.ts
+++ b/packages/log-storage/src/shards/shardState.ts
@@ -74,7 +74,7 @@
     this.at = Math.max(this.at, accept.at);
     const log = this.streams.get(accept.stream);
     if (log === undefined || log.incarnation !== accept.incarnation)
-      return { outcome: "refused", code: "topic-gone", reason: "the topic was removed meanwhile" };
+      return { kind: "refused", code: "topic-gone", reason: "the topic was removed meanwhile" };
     return log.accept(accept);
   }
 
--- a/packages/log-storage/src/shards/streamLog.ts
+++ b/packages/log-storage/src/shards/streamLog.ts
@@ -15,8 +15,8 @@
   seqs: number[];
 }
 export type Verdict =
-  | { outcome: "accepted"; stream: string; incarnation: string; seq: number; isFresh: boolean }
-  | { outcome: "refused"; code: string; reason: string };
+  | { kind: "accepted"; stream: string; incarnation: string; seq: number; isFresh: boolean }
+  | { kind: "refused"; code: string; reason: string };
 
 /**
  * One stream's part of a shard's log: its messages in their order, and what was sent before.
@@ -61,11 +61,10 @@
     const seq = record.seqs[record.numbers.indexOf(number)];
     if (seq === undefined) {
       const reason = `number ${number} is below ${record.numbers.at(-1)} and was never taken`;
-      return { outcome: "refused", code: StreamLog.numberWentBackwards, reason };
+      return { kind: "refused", code: StreamLog.numberWentBackwards, reason };
     }
-    if (seq === 0)
-      return { outcome: "refused", code: "refused-before", reason: `number ${number} was refused for good` };
-    return { outcome: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: false };
+    if (seq === 0) return { kind: "refused", code: "refused-before", reason: `number ${number} was refused for good` };
+    return { kind: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: false };
   }
 
   accept(accept: Accept): Verdict {
@@ -74,7 +73,7 @@
     if (known !== undefined) return known;
     const record = this.#sessions(topic).get(session) ?? { at: 0, ownerEpoch: 0, numbers: [], seqs: [] };
     if (accept.ownerEpoch < record.ownerEpoch)
-      return { outcome: "refused", code: "stale-owner", reason: "the session has moved to another node" };
+      return { kind: "refused", code: "stale-owner", reason: "the session has moved to another node" };
     const seq = accept.isVoid ? 0 : this.head + 1;
     if (!accept.isVoid) {
       this.head = seq;
@@ -89,8 +88,8 @@
       record.seqs.shift();
     }
     this.#sessions(topic).set(session, record);
-    if (accept.isVoid) return { outcome: "refused", code: "refused", reason: "refused for good" };
-    return { outcome: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: true };
+    if (accept.isVoid) return { kind: "refused", code: "refused", reason: "refused for good" };
+    return { kind: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: true };
   }
 
   trim(low: number): void {
--- a/packages/testkit/src/sabotage/incidentSabotages.ts
+++ b/packages/testkit/src/sabotage/incidentSabotages.ts
@@ -22,7 +22,7 @@
   {
     name: "a young holder refuses what an earlier one may have taken",
     file: publishHandler,
-    find: "if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime))",
+    find: "if (isNeverAccepted && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime))",
     put: "if (false)",
     test: `${sim}/memory.test.js`,
   },
--- a/packages/testkit/src/sabotage/repairSabotages.ts
+++ b/packages/testkit/src/sabotage/repairSabotages.ts
@@ -21,7 +21,7 @@
   {
     name: "a replica that may have lost its disk is counted on",
     file: "log-storage/dist/repair/setChange.js",
-    find: "progress.heardAgo(id) < maxSilenceMs",
+    find: "progress.heardAgo(id) < responseTimeoutMs",
     put: "true",
     test: "log-storage/dist/repair/setChange.test.js",
   },
--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -16,10 +16,10 @@
   const log = new StreamLog("notes/t1", incarnation);
   for (let number = 1; number <= 1000; number += 1) {
     const accept = { topic: "notes/t1", session: `s${number % 3}`, number, ownerEpoch: 1, at: number };
-    expect(log.accept(create(AcceptSchema, accept)).outcome).toEqual("accepted");
+    expect(log.accept(create(AcceptSchema, accept)).kind).toEqual("accepted");
   }
   expect(log.knownCount).toEqual(3);
-  const verdicts = Array.from({ length: 1000 }, (_, i) => log.known("notes/t1", `s${(i + 1) % 3}`, i + 1)?.outcome);
+  const verdicts = Array.from({ length: 1000 }, (_, i) => log.known("notes/t1", `s${(i + 1) % 3}`, i + 1)?.kind);
   expect(verdicts.filter((outcome) => outcome === "accepted").length).toEqual(3 * StreamLog.maxKnownNumbers);
   expect(verdicts.filter((outcome) => outcome === "refused").length).toEqual(1000 - 3 * StreamLog.maxKnownNumbers);
   log.trim(990);
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -207,7 +207,7 @@
     const frame = Wire.decode(bytes);
     const { body } = frame!;
     if (body.case === "follow" && body.value.isAtReplica && body.value.isFull) follows += 1;
-    const isDeaf = fleet.world.now % 3000 < FollowerReads.maxLeaderSilenceMs + 800;
+    const isDeaf = fleet.world.now % 3000 < FollowerReads.leaderTimeoutMs + 800;
     return isDeaf && isOfLog(frame) ? [] : undefined;
   };
   await all.play(24_000);
