--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -10,10 +10,11 @@
 import { StreamStatuses } from "../shards/streamStatuses.js";
 
 /**
- * Follower reads: a replica that does not hold its shard pushes what is committed to edges that are near it.
- * Invariants: only entries up to the commit index that the shard's present leader told are served, and only while
- * that leader was heard lately, nothing told has stayed unapplied for long, and the feed is fresh; nothing is judged
- * here: a stream that is not here in the incarnation that the edge has from the leader is left to the leader.
+ * Follower reads: a replica that does not lead its shard pushes what is committed to edges that are near it.
+ * Invariants: only entries up to the commit index that the shard's present leader sent are served, and only while
+ * that leader's last message is recent, nothing committed has stayed unapplied for long, and the feed is fresh;
+ * nothing is decided here: a stream that is not here in the incarnation that the edge has from the leader is left to
+ * the leader.
  */
 export class FollowerReads {
   static readonly leaderTimeoutMs = 700;
@@ -54,6 +55,7 @@
     });
   }
 
+  /** Whether this replica may serve reads now; see the invariants. */
   get isOpen(): boolean {
     const { leader, leaderId, epoch, set } = this.#node.shards.find(this.#replica.shard);
     const { id } = this.#replica;
@@ -67,6 +69,7 @@
     );
   }
 
+  /** Edges that follow here. */
   get count(): number {
     return this.#followers.count;
   }
@@ -85,17 +88,20 @@
     return { case: "followReply", value: { outcome: "done", heads: [...heads, ...missing], number } };
   }
 
+  /** Heartbeat of one edge for this shard; the outcome travels to the edge. */
   onHeartbeat(follow: Follow): string {
     if (!this.isOpen) return "away";
     return this.#followers.onHeartbeat(follow) ? "done" : "resync";
   }
 
+  /** Messages after an offset, as far as they are committed and applied here. */
   fetch(fetch: Fetch): BodyInit {
     const log = this.#find(fetch.stream);
     if (!this.isOpen || log === undefined) return { case: "fetchReply", value: { outcome: "away" } };
     return fetchMessages(log, fetch);
   }
 
+  /** Forgets unresponsive edges; sends the others back to the leader where reads may not be served any more. */
   tick(): void {
     if (this.#followers.count === 0) return;
     this.#followers.dropUnresponsive();
@@ -117,7 +123,7 @@
     return log !== undefined && log.incarnation === incarnation && log.spaceIncarnation === spaceIncarnation;
   }
 
-  /** A stream has news; or any may have, or be there no more in the incarnation that is followed, where it is none. */
+  /** A stream has messages to push. Empty for any: it may have, or be gone in the incarnation that is followed. */
   #onStreamChanged(stream: string): void {
     if (this.#followers.count === 0) return;
     if (stream === "") this.#mayAllHaveChanged = true;
--- a/packages/log-storage/src/follows/pushBatcher.ts
+++ b/packages/log-storage/src/follows/pushBatcher.ts
@@ -5,7 +5,7 @@
 type PushInit = MessageInitShape<typeof PushSchema>;
 
 /**
- * What all shards held here push in one event-loop turn: one frame to each edge.
+ * What all shards of this node push in one event-loop turn: one frame to each edge.
  * Invariant: pushes of one follow leave in their order.
  */
 export class PushBatcher {
@@ -18,12 +18,13 @@
     this.#node = node;
   }
 
-  /** Runs at the end of this turn, with all others' acts. */
+  /** Runs at the end of this turn, with the tasks of all shards. */
   runAtTurnEnd(task: () => void): void {
     if (this.#tasks.length === 0) this.#node.parts.clock.once(0, () => this.#runTurn());
     this.#tasks.push(task);
   }
 
+  /** Gathered with others for the same edge while tasks run; sent at once otherwise. */
   send(edge: string, push: PushInit): void {
     if (!this.#isRunning) return this.#node.rpc.send(edge, { case: "push", value: push });
     const pushes = this.#byEdge.get(edge);
--- a/packages/log-storage/src/follows/streamFollowers.test.ts
+++ b/packages/log-storage/src/follows/streamFollowers.test.ts
@@ -50,7 +50,7 @@
   expect(pushed[2]!.batches[0]!.messages.map(({ seq }) => seq)).toEqual([3, 4]);
 });
 
-test("a beat that was delayed or doubled on its way undoes nothing that was said after it", () => {
+test("a heartbeat that was delayed or doubled on its way undoes nothing that was said after it", () => {
   const { table, pushed, add } = follows();
   expect(table.onHeartbeat(say({ serial: 3, seen: 0 }))).toEqual(true);
   expect(table.onHeartbeat(say({ serial: 2, seen: 0, quiet: [{ stream, incarnation }] }))).toEqual(false);
--- a/packages/log-storage/src/follows/streamFollowers.ts
+++ b/packages/log-storage/src/follows/streamFollowers.ts
@@ -34,14 +34,14 @@
   shard: number;
   epoch: number;
   pushBatcher: PushBatcher;
-  /** The stream as it is owed now, in the log or in memory. */
+  /** The stream as its contract keeps it now, in the log or in memory. */
   find: (stream: string) => StreamLog | undefined;
   /** Streams in memory, of which an edge that knew an earlier incarnation is pushed all there is. */
   isInMemory: (stream: string) => boolean;
 }
 
 /**
- * Which edges follow which streams of one held shard, and with how many subscribers. Pushes are numbered a
+ * Which edges follow which streams of one shard, and with how many subscribers. Pushes are numbered a
  * follow; what an edge misses it sees by the numbers and asks for.
  * Invariant: only committed messages are pushed, each stream's in order.
  */
@@ -59,20 +59,23 @@
     this.#parts = parts;
   }
 
+  /** Edges that follow here. */
   get count(): number {
     return this.#followers.size;
   }
 
+  /** Whether any edge follows the stream. */
   isFollowed(stream: string): boolean {
     return this.#byStream.has(stream);
   }
 
-  /** Said before something that was heard already; or an addition to a follow that is not here. */
+  /** Sent before something that was received already; or an addition to a follow that is not here. */
   isStale({ follow, serial, isFull }: Follow): boolean {
     const follower = this.#followers.get(follow);
     return follower === undefined ? !isFull : serial <= follower.serial;
   }
 
+  /** All streams that any edge follows. */
   streams(): string[] {
     return [...this.#byStream.keys()];
   }
@@ -113,7 +116,7 @@
     return follower.number === follow.seen;
   }
 
-  /** Enrols streams and returns their heads and the number the next push follows on. */
+  /** Admits streams and returns their heads and the number the next push follows on. */
   admit(follow: Follow, followed: readonly StreamAt[], edge: string): { heads: StreamHead[]; number: number } {
     let follower = this.#followers.get(follow.follow);
     if (follow.isFull || follower === undefined) {
@@ -163,7 +166,7 @@
     for (const [follower, pending] of batches) this.#send(follower, pending);
   }
 
-  /** Tells the followers of streams that no configuration owes any more. */
+  /** Notifies the followers of streams that no contract covers any more. */
   end(streams: Iterable<string>): void {
     this.#endStreams(streams, "topic-gone");
   }
@@ -173,7 +176,7 @@
     this.#endStreams(streams, "");
   }
 
-  /** Tells all followers that nothing is pushed to them from here any more. */
+  /** Notifies all followers that nothing is pushed to them from here any more. */
   endAll(): void {
     for (const follower of [...this.#followers.values()]) {
       this.#drop(follower);
@@ -182,6 +185,7 @@
     }
   }
 
+  /** Ends the follows of edges whose heartbeats have stopped. */
   dropUnresponsive(): void {
     const now = this.#now();
     for (const follower of [...this.#followers.values()])
--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -6,6 +6,7 @@
 import type { RecentJoins } from "./recentJoins.js";
 import { Placement, type Location } from "./placement.js";
 
+/** A replica of a set: the identity of its disk, and the name and zone of its machine. */
 export type SetMember = ShardSet["members"][number];
 
 /** One member less, one more, or one for another. */
@@ -34,7 +35,7 @@
 /**
  * Decides which change a replica set needs next, from what its leader knows. Losses come first, then what operators
  * ask for, then what is only better.
- * Invariant: it only proposes; whether a change is safe to complete is judged by `ReplicaRepair`.
+ * Invariant: it only proposes; whether a change is safe to complete is decided by `ReplicaRepair`.
  */
 export class ReplicaChoice {
   /** A member that has left the membership or is suspected there is silent once it answered nothing for this long. */
@@ -92,7 +93,7 @@
     for (const out of members.filter((member) => this.#node.machines.isDraining(member.name)))
       yield {
         out,
-        why: "the machine is being emptied",
+        why: "the machine is being drained",
         isUrgent: true,
         isVoluntary: true,
         candidates: this.#freeCandidates(out),
@@ -112,10 +113,10 @@
       return this.#fill({ ...better, out: undefined, why: "the set is too small", isVoluntary: false }, members);
     const spare = members.find((member) => this.#node.membership.find(member.name)?.isStorage === false);
     if (spare !== undefined)
-      return this.#fill({ ...better, out: spare, why: "a storage machine is there for a spare" }, members);
+      return this.#fill({ ...better, out: spare, why: "a storage machine can replace a spare" }, members);
     const set = members.map((member) => this.#locate(member));
     for (const out of members) {
-      const change = this.#fill({ ...better, out, why: "the set is spread better so" }, members);
+      const change = this.#fill({ ...better, out, why: "the change distributes the set better" }, members);
       if (change !== undefined && Placement.isBetterDistributed(this.#after(change, members), set)) return change;
     }
     return undefined;
@@ -191,7 +192,7 @@
     );
   }
 
-  /** A leader of a new epoch has heard nobody for long: then the membership tells how long the silence is. */
+  /** A leader of a new epoch has no contacts yet: then the membership tells for how long the member is unresponsive. */
   #unresponsiveMs(member: SetMember): number {
     const { membership } = this.#node;
     const sinceContactMs = this.#msSinceContact(member);
--- a/packages/log-storage/src/repair/replicaRepair.ts
+++ b/packages/log-storage/src/repair/replicaRepair.ts
@@ -24,8 +24,7 @@
 
 /**
  * Keeps one held shard's replica set whole, by one change at a time: a joining replica copies, then commits count the
- * old
- * set and the new one, then one transaction of the store swaps the set and moves the epoch.
+ * old set and the new one, then one transaction of the store swaps the set and moves the epoch.
  * Invariants: a joining replica has everything before it counts; from the moment the new set may be in force until that
  * is
  * decided, commits need a majority of both; the store is asked to take a set only while a majority of it, members that
@@ -94,7 +93,7 @@
     };
     this.#leader.setQuorums([this.#leader.set], change.in === undefined ? [] : [change.in.id]);
     this.#leader.replicator?.sendHeartbeats(Number.POSITIVE_INFINITY);
-    this.#node.parts.log.note("changes a replica set", {
+    this.#node.parts.log.note("replica set change started", {
       shard: this.#replica.shard,
       out: change.out?.name ?? "",
       in: change.in?.name ?? "",
@@ -148,7 +147,7 @@
     );
     this.#isWriting = false;
     if (written.outcome === "done") return { set: move.set, epoch: isOut ? 0 : written.revision! };
-    if (written.outcome === "conflict") this.#leader.stop("the store names another holder or set");
+    if (written.outcome === "conflict") this.#leader.stop("the store names another leader or set");
     return undefined;
   }
 }
--- a/packages/log-storage/src/replication/commitNotices.ts
+++ b/packages/log-storage/src/replication/commitNotices.ts
@@ -4,7 +4,7 @@
 
 type Commit = MessageInitShape<typeof CommitSchema>;
 
-/** A replica that has all that is committed and was not told so. */
+/** A replica that has all that is committed and was not notified of it. */
 export interface UnnotifiedReplica {
   /** Its disk's identity, and the name of its machine. */
   readonly id: string;
@@ -12,16 +12,16 @@
   readonly commit: Commit;
 }
 
-/** A shard's log whose replicas are told of commits. */
+/** A shard's log whose replicas are notified of commits. */
 export interface CommitSource {
-  /** Each replica is listed once a commit: it counts as told from then on. */
+  /** Each replica is listed once a commit: it counts as notified from then on. */
   unnotified(): readonly UnnotifiedReplica[];
 }
 
 /**
- * Tells replicas what was committed, without waiting for the next entry: all shards held here, one frame to each
- * replica's machine at the end of an event-loop turn. Whoever was told meanwhile by an append is sent nothing.
- * A notice is not answered and not repeated: the next append, or the idle beat, says the same.
+ * Notifies replicas of commits, without waiting for the next entry: all shards led here, one frame to each
+ * replica's machine at the end of an event-loop turn. Whoever was notified meanwhile by an append is sent nothing.
+ * A notice is not answered and not repeated: the next append, or the idle heartbeat, says the same.
  */
 export class CommitNotices {
   readonly #node: ClusterNode;
@@ -31,6 +31,7 @@
     this.#node = node;
   }
 
+  /** Something of this log was committed: its replicas are notified at the end of the turn. */
   add(source: CommitSource): void {
     if (this.#sources.size === 0) this.#node.parts.clock.once(0, () => this.#sendAll());
     this.#sources.add(source);
--- a/packages/log-storage/src/replication/replica.ts
+++ b/packages/log-storage/src/replication/replica.ts
@@ -21,6 +21,7 @@
   readonly parts: { readonly clock: Clock };
 };
 
+/** An entry of the committed log, and what the state says of it; undefined where it is no accept command. */
 export interface AppliedEntry {
   entry: Entry;
   verdict: Verdict | undefined;
@@ -55,13 +56,13 @@
   readonly #compaction: LogCompaction;
   readonly #node: ReplicaNode;
   applied = 0;
-  /** When a leader was last heard, of which epoch, and how far it said the log is committed. */
+  /** Last message of a leader: its epoch, when it came, and up to where it said the log is committed. */
   #lastLeaderContact = { term: 0, at: -Infinity, commit: 0 };
   /** Since when something is committed that is not applied here; 0 while all is. */
   #laggingSince = 0;
   /** The snapshot that was last asked for in pieces. */
   #pulledSnapshot: { snapshot: Uint8Array; checksum: number } | undefined;
-  /** Set while this replica spreads its own log. */
+  /** Set while this replica is the leader's, and replicates its own log. */
   replicator: LogReplicator | undefined;
 
   constructor(shard: number, id: string, disk: Disk, node: ReplicaNode) {
@@ -120,7 +121,7 @@
     this.#recordLeaderContact(epoch, index);
   }
 
-  /** Milliseconds since the leader of an epoch was last heard. */
+  /** Milliseconds since the last message of an epoch's leader; infinite where none came. */
   sinceLeaderContactMs(epoch: number): number {
     return this.#lastLeaderContact.term === epoch
       ? this.#node.parts.clock.now() - this.#lastLeaderContact.at
@@ -132,7 +133,7 @@
     return this.#laggingSince === 0 ? 0 : this.#node.parts.clock.now() - this.#laggingSince;
   }
 
-  /** A claimant asks for the promise to refuse all lower epochs. */
+  /** Prepare of an epoch's leader, as in Paxos: promises to refuse all lower epochs, synced before the reply. */
   async prepare(prepare: Prepare): Promise<BodyInit> {
     if (prepare.epoch < this.log.term || !Number.isSafeInteger(prepare.epoch))
       return { case: "prepareReply", value: { isPromised: false, epoch: this.log.term } };
--- a/packages/log-storage/src/shards/awaitedRetries.ts
+++ b/packages/log-storage/src/shards/awaitedRetries.ts
@@ -4,8 +4,8 @@
 }
 
 /**
- * Numbers that were sent away for now, of clients that send several without waiting: what a client sent behind one
- * is sent away as well, for a while, or the one that comes again would be below it and refused for good.
+ * Numbers answered as unavailable, of clients that send several without waiting: what a client sent behind such a
+ * number is answered as unavailable as well, for a while, or the retry would be below it and refused for good.
  */
 export class AwaitedRetries {
   static readonly retryWindowMs = 1000;
@@ -19,6 +19,7 @@
     return awaited !== undefined && number > awaited.number && now < awaited.until;
   }
 
+  /** Notes how a number was answered: where it was unavailable, its retry is awaited from `now`, in ms. */
   recordOutcome(topic: string, session: string, number: number, isUnavailable: boolean, now: number): void {
     const key = AwaitedRetries.#key(topic, session);
     const awaited = this.#awaited.get(key);
--- a/packages/log-storage/src/shards/logPull.ts
+++ b/packages/log-storage/src/shards/logPull.ts
@@ -7,7 +7,7 @@
 export type RequestLog = (after: number, offset: number) => Promise<ShardPullReply | undefined>;
 
 /**
- * Brings a new leader's log up to that of the best replica that pledged: entries, behind a snapshot in pieces where
+ * Brings a new leader's log up to that of the best replica that promised: entries, behind a snapshot in pieces where
  * they do not reach back far enough. Nothing is replaced before all pieces are there and can be read.
  */
 export class LogPull {
--- a/packages/log-storage/src/shards/memoryStreams.ts
+++ b/packages/log-storage/src/shards/memoryStreams.ts
@@ -11,7 +11,7 @@
 }
 
 /**
- * The streams of one held shard whose spaces keep nothing: sequenced by the leader alone, on no disk.
+ * The streams of one led shard whose spaces keep nothing: sequenced by the leader alone, on no disk.
  * Invariants: an incarnation lives as long as this leader at most; messages are trimmed only by `trim`, so what one
  * event-loop turn accepted is still there to be pushed; a stream is never replaced by one of an earlier incarnation of
  * its space.
--- a/packages/log-storage/src/shards/shardLeader.ts
+++ b/packages/log-storage/src/shards/shardLeader.ts
@@ -18,13 +18,13 @@
 }
 
 /**
- * A shard's leader for one epoch. It serves only after a majority has pledged its epoch and an entry of
+ * A shard's leader for one epoch. It serves only after a majority has promised its epoch and an entry of
  * that epoch is committed, so everything committed before is in its log.
  * Invariant: once over, it never serves again; the next claim makes another leader.
  */
 export class ShardLeader extends EventEmitter<ShardLeaderEvents> implements CommitSource {
   static readonly majorityTimeoutMs = 700;
-  /** Replicas that have heard everything are told so this often, and their answers show that they are there. */
+  /** How often replicas that have everything are sent a heartbeat; their replies show that they are alive. */
   static readonly idleHeartbeatMs = 250;
   /** How long a question for a part of a better log may take. */
   static readonly pullTimeoutMs = 1500;
@@ -54,22 +54,27 @@
     this.#startedAt = node.parts.clock.now();
   }
 
+  /** Whether the epoch is promised by a majority, an entry of it committed, and this leader not stopped. */
   get isServing(): boolean {
     return this.#isServing && !this.#isStopped;
   }
 
+  /** Once true, it stays so. */
   get isStopped(): boolean {
     return this.#isStopped;
   }
 
+  /** Entries proposed here that wait for their commit. */
   get pendingCount(): number {
     return this.#pending.size;
   }
 
+  /** The replica set that this leader was chosen under. */
   get set(): ShardSet {
     return this.#set;
   }
 
+  /** Undefined until a majority has promised the epoch. */
   get replicator(): LogReplicator | undefined {
     return this.#replicator;
   }
@@ -110,7 +115,7 @@
     return true;
   }
 
-  /** Appends a command; settles with its verdict once committed, or undefined: it may yet be committed. */
+  /** Appends a command; resolves with its verdict once committed, or undefined: it may yet be committed. */
   propose(command: CommandInit): Promise<Verdict | undefined> {
     if (this.#isStopped) return Promise.resolve(undefined);
     const { log } = this.#replica;
@@ -118,6 +123,7 @@
     return this.#append(create(EntrySchema, { index: log.lastIndex + 1, term: this.epoch, kind: 0, data }));
   }
 
+  /** Stops where no majority answers any more; sends idle heartbeats. */
   tick(): void {
     if (this.#replicator === undefined) return;
     if (this.#replicator.majorityAgo() > ShardLeader.majorityTimeoutMs)
@@ -138,12 +144,13 @@
     return this.#replicator?.confirm() ?? Promise.resolve(false);
   }
 
-  /** Which replicas have all that is committed and were not told so; they count as told from now on. */
+  /** Which replicas have all that is committed and were not notified of it; they count as notified from now on. */
   unnotified(): UnnotifiedReplica[] {
     const commit = { shard: this.#replica.shard, term: this.epoch, index: this.#replicator?.commit ?? 0 };
     return (this.#replicator?.untold() ?? []).map((id) => ({ id, name: this.#nameOf(id), commit }));
   }
 
+  /** Proposals that wait get no verdict: they may yet be committed. Idempotent; `why` goes into the log line. */
   stop(why: string): void {
     if (this.#isStopped) return;
     this.#isStopped = true;
--- a/packages/log-storage/src/shards/shardLeadership.ts
+++ b/packages/log-storage/src/shards/shardLeadership.ts
@@ -12,6 +12,9 @@
 import type { PushBatcher } from "../follows/pushBatcher.js";
 import type { Replica } from "../replication/replica.js";
 
+/** Why a leader stops whose disk, or another, leads on under the new set's epoch: its key is not deleted. */
+const replicaSetSwapped = "the replica set was swapped";
+
 interface LedShard {
   replica: Replica;
   lease: string;
@@ -119,7 +122,7 @@
     this.#changingReplicas.delete(shard);
     if (swap === undefined) return this.#onRouteChanged(shard);
     if (this.#led.get(shard) === led) this.#led.delete(shard);
-    led.leader.stop("the replica set was swapped");
+    led.leader.stop(replicaSetSwapped);
     if (swap.epoch > 0)
       void this.#inOneTransition(shard, () => this.#lead(led.replica, swap.set, swap.epoch, led.lease));
   }
@@ -196,8 +199,8 @@
 
   async #onLeaderStopped(shard: number, led: LedShard, why: string): Promise<void> {
     if (this.#led.get(shard) === led) this.#led.delete(shard);
-    this.#node.parts.log.note("gave up a shard", { shard, epoch: led.leader.epoch, why });
-    if (why === "the replica set was swapped") return;
+    this.#node.parts.log.note("stopped leading a shard", { shard, epoch: led.leader.epoch, why });
+    if (why === replicaSetSwapped) return;
     this.#freeSince.set(shard, this.#node.parts.clock.now() + 500);
     await this.#deleteLeaderKey(shard, led.leader.epoch);
   }
--- a/packages/log-storage/src/shards/shardState.ts
+++ b/packages/log-storage/src/shards/shardState.ts
@@ -11,12 +11,12 @@
 import { StreamLog, type Verdict } from "./streamLog.js";
 
 /**
- * What a shard's committed log says. Deterministic, and the only judge of what was sent twice.
+ * What a shard's committed log says. Deterministic, and the only one to decide what was sent twice.
  * Invariant: a stream is never replaced by one of an earlier incarnation of its space.
  */
 export class ShardState {
   readonly streams = new Map<string, StreamLog>();
-  /** Shard time: rises with the entries, and stands still while nobody holds the shard. */
+  /** Shard time: rises with the entries, and stands still while nobody leads the shard. */
   at = 0;
 
   /** The verdict on a number that the committed log already knows. */
@@ -49,7 +49,7 @@
     for (const one of read.streams) this.streams.set(one.stream, StreamLog.from(one));
   }
 
-  /** Whether there is something to forget of before a shard time; for the trimming beat. */
+  /** Whether there is something to forget of before a shard time; asked before each trim. */
   hasSessionsBefore(at: number): boolean {
     for (const log of this.streams.values()) if (log.hasSessionsBefore(at)) return true;
     return false;
--- a/packages/log-storage/src/shards/streamLog.ts
+++ b/packages/log-storage/src/shards/streamLog.ts
@@ -14,6 +14,10 @@
   numbers: number[];
   seqs: number[];
 }
+/**
+ * What a stream says of a number: accepted at `seq`, where `isFresh` tells the first time from a repeat; or refused,
+ * with a code and reason that travel to the client.
+ */
 export type Verdict =
   | { kind: "accepted"; stream: string; incarnation: string; seq: number; isFresh: boolean }
   | { kind: "refused"; code: string; reason: string };
@@ -100,7 +104,7 @@
     this.low += trimmedCount;
   }
 
-  /** Known sessions last heard of before a shard time. */
+  /** Known sessions whose last accepted number is older than a shard time. */
   hasSessionsBefore(at: number): boolean {
     for (const sessions of this.#known.values())
       for (const record of sessions.values()) if (record.at < at) return true;
--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -12,6 +12,9 @@
 import { PushBatcher } from "./follows/pushBatcher.js";
 import { Replica } from "./replication/replica.js";
 
+/** Key of the disk's identity in a data folder; the old word rests on disks and stays. */
+const diskIdKey = "shelf";
+
 /** The topic logs on one machine's disk. Runs on storage machines, also as a part of control nodes. */
 export class StorageNode {
   /** Storage machines may come one after the other: the first sets are named once all were there for so long. */
@@ -42,6 +45,7 @@
     this.#lease = new LeaseKeepAlive(`${settings.name}-shards`, settings.holderLeaseMs, node.store, clock, random);
   }
 
+  /** Undefined before `start`. */
   get leadership(): ShardLeadership | undefined {
     return this.#leadership;
   }
@@ -51,17 +55,19 @@
     return this.#followerReads;
   }
 
+  /** One of each shard, by its number, whether or not this disk is in the shard's set. */
   get replicas(): readonly Replica[] {
     return this.#replicas;
   }
 
+  /** Identity of this disk; empty before `load`. */
   get diskId(): string {
     return this.#diskId;
   }
 
   /** Says what is wrong with the data folder, if anything is. */
   load(): string | undefined {
-    const kept = this.#disk.read("shelf")[0];
+    const kept = this.#disk.read(diskIdKey)[0];
     this.#diskId = kept === undefined ? this.#node.parts.random.identity() : Buffer.from(kept.value).toString();
     for (let shard = 0; shard < this.#node.parts.settings.shards; shard += 1)
       this.#replicas.push(new Replica(shard, this.#diskId, this.#disk, this.#node));
@@ -70,15 +76,59 @@
     return this.#replicas.map((replica) => replica.log.fault()).find((fault) => fault !== undefined);
   }
 
+  /** After `load`: syncs the disk's identity, then serves requests and claims shards. */
   async start(): Promise<void> {
-    await this.#disk.write([{ key: "shelf", value: Buffer.from(this.#diskId) }]);
+    await this.#disk.write([{ key: diskIdKey, value: Buffer.from(this.#diskId) }]);
     this.#node.membership.self.logDisk = this.#diskId;
+    this.#serveReplicas();
+    this.#serveEdges();
+    this.#leadership = new ShardLeadership(this.#node, this.#lease, this.#replicas, this.#diskId, this.#pushBatcher);
+    this.#lease.start();
+    this.#node.parts.clock.every(100, () => this.#followerReads.forEach((reads) => reads.tick()));
+    if (!this.#isSpare) this.#node.parts.clock.every(300, () => this.#createFirstSets());
+  }
+
+  /** Gives up all shards and ends the lease, so that others take over without waiting for its end. */
+  async stop(): Promise<void> {
+    if (this.#leadership !== undefined) this.#leadership.isDraining = true;
+    await this.#leadership?.releaseAll();
+    await this.#lease.end();
+  }
+
+  /** For the status page: the lease, the disk's identity, and each shard that is led here with its replicas' lag. */
+  status(): object {
+    const ledShards = (this.#leadership?.all() ?? []).map(([shard, { leader, repair }]) => ({
+      shard,
+      epoch: leader.epoch,
+      isServing: leader.isServing,
+      occupancy: leader.pendingCount,
+      move: repair.progress ?? null,
+      replicas: leader.set.members.map(({ id, name }) => ({
+        name,
+        behind: this.#replicas[shard]!.log.lastIndex - (leader.replicator?.matchOf(id) ?? 0),
+      })),
+    }));
+    return { hasLease: this.#lease.isHeld, leasesLost: this.#lease.losses, diskId: this.#diskId, ledShards };
+  }
+
+  /** Requests of other storage nodes. Those for another disk, which this machine had before, are not answered. */
+  #serveReplicas(): void {
     const { rpc } = this.#node;
     const find = (group: string): Replica | undefined => this.#replicas.find((replica) => replica.log.group === group);
     rpc.serve("prepare", (prepare) =>
       prepare.receiver === this.#diskId ? find(prepare.group)?.prepare(prepare) : undefined,
     );
     rpc.serve("shardPull", (pull) => (pull.receiver === this.#diskId ? find(pull.group)?.pull(pull) : undefined));
+    rpc.serve("commits", ({ receiver, commits }) => {
+      if (receiver === this.#diskId)
+        for (const { shard, term, index } of commits) this.#replicas[shard]?.onCommitNotice(term, index);
+      return undefined;
+    });
+  }
+
+  /** Requests of edges: to the shard's leader, or to a replica that pushes to edges near it. */
+  #serveEdges(): void {
+    const { rpc } = this.#node;
     rpc.serve(
       "publish",
       async (publish) =>
@@ -105,7 +155,8 @@
     );
     rpc.serve(
       "startRequest",
-      async (ask) => (await this.#service(ask.shard)?.start(ask)) ?? { case: "startReply", value: { outcome: "away" } },
+      async (request) =>
+        (await this.#service(request.shard)?.start(request)) ?? { case: "startReply", value: { outcome: "away" } },
     );
     rpc.serve("followHeartbeats", ({ heartbeats }) => ({
       case: "followHeartbeatsReply",
@@ -120,40 +171,10 @@
         applied: heartbeats.map((heartbeat) => this.#replicas[heartbeat.shard]?.applied ?? 0),
       },
     }));
-    rpc.serve("commits", ({ receiver, commits }) => {
-      if (receiver === this.#diskId)
-        for (const { shard, term, index } of commits) this.#replicas[shard]?.onCommitNotice(term, index);
-      return undefined;
-    });
     rpc.serve(
       "countRequest",
-      (ask) => this.#service(ask.shard)?.count(ask) ?? { case: "countReply", value: { outcome: "away" } },
+      (request) => this.#service(request.shard)?.count(request) ?? { case: "countReply", value: { outcome: "away" } },
     );
-    this.#leadership = new ShardLeadership(this.#node, this.#lease, this.#replicas, this.#diskId, this.#pushBatcher);
-    this.#lease.start();
-    this.#node.parts.clock.every(100, () => this.#followerReads.forEach((reads) => reads.tick()));
-    if (!this.#isSpare) this.#node.parts.clock.every(300, () => this.#createFirstSets());
-  }
-
-  async stop(): Promise<void> {
-    if (this.#leadership !== undefined) this.#leadership.isDraining = true;
-    await this.#leadership?.releaseAll();
-    await this.#lease.end();
-  }
-
-  status(): object {
-    const held = (this.#leadership?.all() ?? []).map(([shard, { leader, repair }]) => ({
-      shard,
-      epoch: leader.epoch,
-      isServing: leader.isServing,
-      occupancy: leader.pendingCount,
-      move: repair.progress ?? null,
-      replicas: leader.set.members.map(({ id, name }) => ({
-        name,
-        behind: this.#replicas[shard]!.log.lastIndex - (leader.replicator?.matchOf(id) ?? 0),
-      })),
-    }));
-    return { hasLease: this.#lease.isHeld, leasesLost: this.#lease.losses, shelf: this.#diskId, held };
   }
 
   #service(shard: number): ShardService | undefined {
