--- a/packages/log-storage/src/repair/replicaRepair.ts
+++ b/packages/log-storage/src/repair/replicaRepair.ts
@@ -54,6 +54,7 @@
     this.#choice = new ReplicaChoice(node, replica, leader, recentJoins);
   }
 
+  /** The change under way, for status: machines by name, empty where none leaves or joins. */
   get progress(): { out: string; in: string; step: string; why: string } | undefined {
     if (this.#move === undefined) return undefined;
     const { change, step } = this.#move;
--- a/packages/log-storage/src/shards/leaderAuthority.ts
+++ b/packages/log-storage/src/shards/leaderAuthority.ts
@@ -18,6 +18,7 @@
     this.#isLeaseHeld = isLeaseHeld;
   }
 
+  /** To be asked anew whenever something was waited for. */
   get isOpen(): boolean {
     return this.#leader.isServing && this.#isLeaseHeld() && this.#node.feed.isFresh;
   }
--- a/packages/log-storage/src/shards/memoryStreams.ts
+++ b/packages/log-storage/src/shards/memoryStreams.ts
@@ -35,6 +35,7 @@
     return this.#streams.size;
   }
 
+  /** Undefined where nobody has used the stream under this leader, or not for long. */
   find(stream: string): StreamLog | undefined {
     return this.#streams.get(stream)?.log;
   }
@@ -64,6 +65,7 @@
     return kept !== undefined && at - kept.createdAt < MemoryStreams.repeatMs;
   }
 
+  /** Sequences a message, or repeats the verdict on its number. */
   accept(accept: Accept): Verdict {
     const log = this.find(accept.stream);
     if (log === undefined || log.incarnation !== accept.incarnation)
@@ -90,6 +92,7 @@
     }
   }
 
+  /** Ends a stream whose space was removed, or that goes on in the log. */
   remove(stream: string): void {
     this.#streams.delete(stream);
   }
--- a/packages/log-storage/src/shards/shardState.ts
+++ b/packages/log-storage/src/shards/shardState.ts
@@ -24,16 +24,19 @@
     return this.streams.get(stream)?.known(topic, session, number);
   }
 
+  /** Applies the next committed command; gives the verdict where it was an accept. */
   apply(data: Uint8Array): Verdict | undefined {
     const { command } = fromBinary(ShardCommandSchema, data);
     return this.#apply(command);
   }
 
+  /** All of the state, for compaction and for replicas that lack too much. */
   snapshot(): Uint8Array {
     const streams = [...this.streams.values()].map((log) => log.snapshot());
     return toBinary(ShardSnapshotSchema, create(ShardSnapshotSchema, { streams, at: this.at }));
   }
 
+  /** Whether the bytes are a snapshot: asked before anything is replaced by it. */
   static isReadable(snapshot: Uint8Array): boolean {
     try {
       return fromBinary(ShardSnapshotSchema, snapshot).at >= 0;
@@ -42,6 +45,7 @@
     }
   }
 
+  /** Replaces all of the state; throws if the snapshot is unreadable, see `isReadable`. */
   install(snapshot: Uint8Array): void {
     const read = fromBinary(ShardSnapshotSchema, snapshot);
     this.streams.clear();
--- a/packages/log-storage/src/shards/streamLog.ts
+++ b/packages/log-storage/src/shards/streamLog.ts
@@ -47,6 +47,7 @@
     this.incarnation = incarnation;
   }
 
+  /** Of the stream's space: the first part of its own. */
   get spaceIncarnation(): number {
     return Streams.spaceIncarnationOf(this.incarnation);
   }
@@ -71,6 +72,7 @@
     return { kind: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: false };
   }
 
+  /** Sequences a message, or repeats the verdict on its number. A void one uses up its number alone. */
   accept(accept: Accept): Verdict {
     const { topic, session, number, payload, at } = accept;
     const known = this.known(topic, session, number);
@@ -96,6 +98,7 @@
     return { kind: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: true };
   }
 
+  /** Removes the messages up to the sequence number `low`; never beyond the head. */
   trim(low: number): void {
     if (low <= this.low) return;
     const trimmedCount = Math.min(low, this.head) - this.low;
@@ -111,6 +114,7 @@
     return false;
   }
 
+  /** Forgets the numbers of sessions that accepted nothing since a shard time: they are unknown from then on. */
   forgetSessions(before: number): void {
     for (const [topic, sessions] of this.#known) {
       for (const [session, record] of sessions) if (record.at < before) sessions.delete(session);
@@ -128,6 +132,7 @@
     return { stream, incarnation, head, low, messages, trims, dedups };
   }
 
+  /** The log that a snapshot was taken of. */
   static from(snapshot: StreamSnapshot): StreamLog {
     const log = new StreamLog(snapshot.stream, snapshot.incarnation);
     log.head = snapshot.head;
--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -1,4 +1,4 @@
-import type { Member } from "@cranetrack/core/gen/cranetrack_pb.js";
+import type { Follow, Member } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { Disk } from "@cranetrack/core/storage/disk.js";
@@ -158,25 +158,24 @@
       async (request) =>
         (await this.#service(request.shard)?.start(request)) ?? { case: "startReply", value: { outcome: "away" } },
     );
-    rpc.serve("followHeartbeats", ({ heartbeats }) => ({
-      case: "followHeartbeatsReply",
-      value: {
-        outcomes: heartbeats.map(
-          (heartbeat) =>
-            (heartbeat.isAtReplica
-              ? this.#followerReads[heartbeat.shard]
-              : this.#service(heartbeat.shard)
-            )?.onHeartbeat(heartbeat) ?? "away",
-        ),
-        applied: heartbeats.map((heartbeat) => this.#replicas[heartbeat.shard]?.applied ?? 0),
-      },
-    }));
+    rpc.serve("followHeartbeats", ({ heartbeats }) => this.#onFollowHeartbeats(heartbeats));
     rpc.serve(
       "countRequest",
       (request) => this.#service(request.shard)?.count(request) ?? { case: "countReply", value: { outcome: "away" } },
     );
   }
 
+  /** Answers an edge's heartbeats for several shards at once, each with its outcome and how far its log is applied. */
+  #onFollowHeartbeats(heartbeats: readonly Follow[]): BodyInit {
+    const outcomes = heartbeats.map((heartbeat) => {
+      const { shard, isAtReplica } = heartbeat;
+      const handler = isAtReplica ? this.#followerReads[shard] : this.#service(shard);
+      return handler?.onHeartbeat(heartbeat) ?? "away";
+    });
+    const applied = heartbeats.map(({ shard }) => this.#replicas[shard]?.applied ?? 0);
+    return { case: "followHeartbeatsReply", value: { outcomes, applied } };
+  }
+
   #service(shard: number): ShardService | undefined {
     return this.#leadership?.find(shard)?.service;
   }
