--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -201,7 +201,7 @@
   }
 
   #msSinceContact(member: SetMember): number {
-    return this.#leader.replicator?.heardAgo(member.id) ?? 0;
+    return this.#leader.replicator?.sinceContactMs(member.id) ?? 0;
   }
 
   #locate({ name, zone }: SetMember): Location {
--- a/packages/log-storage/src/repair/replicaRepair.ts
+++ b/packages/log-storage/src/repair/replicaRepair.ts
@@ -116,7 +116,7 @@
 
   #hasFailed({ change, startedAt }: Move): boolean {
     const isUnresponsive =
-      change.in !== undefined && this.#leader.replicator!.heardAgo(change.in.id) > ReplicaRepair.joiningLostMs;
+      change.in !== undefined && this.#leader.replicator!.sinceContactMs(change.in.id) > ReplicaRepair.joiningLostMs;
     return isUnresponsive || this.#node.parts.clock.now() - startedAt > ReplicaRepair.changeTimeoutMs;
   }
 
--- a/packages/log-storage/src/repair/setChange.test.ts
+++ b/packages/log-storage/src/repair/setChange.test.ts
@@ -12,7 +12,7 @@
     {
       commit,
       matchOf: (id) => progress[id]?.[0] ?? 0,
-      heardAgo: (id) => progress[id]?.[1] ?? 0,
+      sinceContactMs: (id) => progress[id]?.[1] ?? 0,
     },
   );
 }
--- a/packages/log-storage/src/repair/setChange.ts
+++ b/packages/log-storage/src/repair/setChange.ts
@@ -19,11 +19,11 @@
  */
 export function isSafeToDecide(
   { set, joiningReplica, joinedAt }: JoinedSet,
-  progress: Pick<LogReplicator, "commit" | "matchOf" | "heardAgo">,
+  progress: Pick<LogReplicator, "commit" | "matchOf" | "sinceContactMs">,
 ): boolean {
   if (progress.commit < joinedAt) return false;
   if (joiningReplica !== undefined && progress.matchOf(joiningReplica) < joinedAt) return false;
-  const isResponsive = (id: string): boolean => progress.heardAgo(id) < responseTimeoutMs;
+  const isResponsive = (id: string): boolean => progress.sinceContactMs(id) < responseTimeoutMs;
   const upToDate = set.members.filter(({ id }) => isResponsive(id) && progress.matchOf(id) >= joinedAt);
   return upToDate.length >= Placement.majorityOf(set.members.length);
 }
--- a/packages/log-storage/src/replication/replica.ts
+++ b/packages/log-storage/src/replication/replica.ts
@@ -96,7 +96,7 @@
             )
           : undefined,
       onReply: (reply) => {
-        if (reply.receiver === this.id) this.replicator?.take(reply);
+        if (reply.receiver === this.id) this.replicator?.handleReply(reply);
       },
     });
   }
@@ -111,7 +111,7 @@
       const verdict = entry.kind === 0 ? this.state.apply(entry.data) : undefined;
       this.emit("applied", { entry, verdict });
     }
-    if (this.#compaction.isDue) void this.#compaction.compact(this.applied, this.state.snapshot());
+    if (this.#compaction.shouldCompact) void this.#compaction.compact(this.applied, this.state.snapshot());
   }
 
   /** The leader of an epoch says how far the log is committed. */
--- a/packages/log-storage/src/shards/shardLeader.ts
+++ b/packages/log-storage/src/shards/shardLeader.ts
@@ -126,14 +126,14 @@
   /** Stops where no majority answers any more; sends idle heartbeats. */
   tick(): void {
     if (this.#replicator === undefined) return;
-    if (this.#replicator.majorityAgo() > ShardLeader.majorityTimeoutMs)
+    if (this.#replicator.sinceMajorityContactMs() > ShardLeader.majorityTimeoutMs)
       return this.stop("no majority of the replicas answers");
     this.#replicator.sendHeartbeats(ShardLeader.idleHeartbeatMs);
   }
 
   /** Whom entries must be synced on from now on: one set, or the old and the new one. */
   setQuorums(sets: ShardSet[], learners: string[]): void {
-    this.#replicator?.enlist(
+    this.#replicator?.setMembers(
       sets.map((set) => set.members.map((member) => member.id)),
       learners,
     );
@@ -147,7 +147,7 @@
   /** Which replicas have all that is committed and were not notified of it; they count as notified from now on. */
   unnotified(): UnnotifiedReplica[] {
     const commit = { shard: this.#replica.shard, term: this.epoch, index: this.#replicator?.commit ?? 0 };
-    return (this.#replicator?.untold() ?? []).map((id) => ({ id, name: this.#nameOf(id), commit }));
+    return (this.#replicator?.takeUnnotified() ?? []).map((id) => ({ id, name: this.#nameOf(id), commit }));
   }
 
   /** Proposals that wait get no verdict: they may yet be committed. Idempotent; `why` goes into the log line. */
@@ -182,7 +182,7 @@
       this.#commits.add(this);
     });
     replicator.on("deposed", () => this.stop("a higher epoch"));
-    replicator.enlist([this.#set.members.map((member) => member.id)], []);
+    replicator.setMembers([this.#set.members.map((member) => member.id)], []);
     void this.#append(create(EntrySchema, { index: replica.log.lastIndex + 1, term: this.epoch, kind: 1 })).then(() => {
       if (this.#isStopped) return;
       this.#timeBase = replica.state.at - (this.#node.parts.clock.now() - this.#startedAt);
@@ -202,8 +202,8 @@
 
   #append(entry: ReturnType<typeof create<typeof EntrySchema>>): Promise<Verdict | undefined> {
     const verdict = new Promise<Verdict | undefined>((resolve) => this.#pending.set(entry.index, resolve));
-    void this.#replica.log.append([entry]).then(() => this.#replicator?.kick());
-    this.#replicator?.kick();
+    void this.#replica.log.append([entry]).then(() => this.#replicator?.sendNew());
+    this.#replicator?.sendNew();
     return verdict;
   }
 
--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -42,7 +42,7 @@
     this.#isSpare = isSpare;
     this.#pushBatcher = new PushBatcher(node);
     const { settings, clock, random } = node.parts;
-    this.#lease = new LeaseKeepAlive(`${settings.name}-shards`, settings.holderLeaseMs, node.store, clock, random);
+    this.#lease = new LeaseKeepAlive(`${settings.name}-shards`, settings.shardLeaseMs, node.store, clock, random);
   }
 
   /** Undefined before `start`. */
--- a/packages/testkit/src/sabotage/incidentSabotages.ts
+++ b/packages/testkit/src/sabotage/incidentSabotages.ts
@@ -1,10 +1,10 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 const sim = "testkit/dist/sim";
 const publishHandler = "log-storage/dist/shards/publishHandler.js";
 
 /** Guards that came of the incident "Order and configuration", and the invariants that watch them. */
-export const incidentSabotages: readonly Sabotage[] = [
+export const incidentMutants: readonly Mutant[] = [
   {
     name: "what a subscription was handed on is not remembered over a change of holder",
     file: "edge/dist/subscriptions/streamCursor.js",
--- a/packages/testkit/src/sabotage/repairSabotages.ts
+++ b/packages/testkit/src/sabotage/repairSabotages.ts
@@ -1,9 +1,9 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 const sim = "testkit/dist/sim";
 
 /** Guards of replica sets: where they are placed, when they are changed, and when a change may be decided. */
-export const repairSabotages: readonly Sabotage[] = [
+export const repairMutants: readonly Mutant[] = [
   {
     name: "lost replicas are never replaced",
     file: "log-storage/dist/repair/replicaRepair.js",
@@ -21,7 +21,7 @@
   {
     name: "a replica that may have lost its disk is counted on",
     file: "log-storage/dist/repair/setChange.js",
-    find: "progress.heardAgo(id) < responseTimeoutMs",
+    find: "progress.sinceContactMs(id) < responseTimeoutMs",
     put: "true",
     test: "log-storage/dist/repair/setChange.test.js",
   },
--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -8,7 +8,7 @@
 import { StreamTail } from "@cranetrack/edge/fanout/streamTail.js";
 import { OwnerKey } from "@cranetrack/edge/sessions/ownerKey.js";
 import { expect } from "earl";
-import { Hand, served } from "./hand.js";
+import { TestClient, served } from "./hand.js";
 
 const incarnation = "1-0123456789";
 
@@ -51,14 +51,14 @@
 
 test("sessions without a connection are given back, and states that were shipped are forgotten", async () => {
   const { fleet } = await served(64);
-  const wish = { subscriptions: [{ topic: "notes/t1" }] };
-  const hands = Array.from({ length: 8 }, (_, i) => new Hand(fleet, "vise-1", `desk-${i}`, wish));
-  expect(await fleet.until(() => hands.every((hand) => hand.of("confirmed").length === 1), 6000)).toEqual(true);
-  const moved = hands.map((_, i) => new Hand(fleet, "vise-2", `desk-${i}`, wish));
-  expect(await fleet.until(() => moved.every((hand) => hand.of("confirmed").length === 1), 6000)).toEqual(true);
+  const request = { subscriptions: [{ topic: "notes/t1" }] };
+  const clients = Array.from({ length: 8 }, (_, i) => new TestClient(fleet, "vise-1", `desk-${i}`, request));
+  expect(await fleet.until(() => clients.every((client) => client.of("confirmed").length === 1), 6000)).toEqual(true);
+  const moved = clients.map((_, i) => new TestClient(fleet, "vise-2", `desk-${i}`, request));
+  expect(await fleet.until(() => moved.every((client) => client.of("confirmed").length === 1), 6000)).toEqual(true);
   const [old, young] = ["vise-1", "vise-2"].map((name) => fleet.find(name)!.edge!.sessions);
   expect([old!.table.size, old!.keptPulls, young!.table.size]).toEqual([0, 8, 8]);
-  for (const hand of moved) hand.close();
+  for (const client of moved) client.close();
   await fleet.run(Sessions.keepIdleMs + 2500);
   expect([old!.keptPulls, young!.table.size]).toEqual([0, 0]);
   await fleet.run(Sessions.keepShippedMs + 2500);
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -3,18 +3,18 @@
 import type { Frame } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { expect } from "earl";
-import { Hand, served, type Served } from "./hand.js";
+import { TestClient, served, type TestFleet } from "./hand.js";
 import type { SimFleet } from "./simFleet.js";
 
 const topic = "notes/t1";
 
-interface Scene extends Served {
+interface Scene extends TestFleet {
   shard: number;
   leaderName: string;
   /** The shard's replica in the reader's region, which is not the leader's. */
   replica: string;
   edge: string;
-  reader: Hand;
+  reader: TestClient;
   /** A message every 50 ms for a while, each sent until it is accepted; then the longest wait from a reply on. */
   play(ms: number): Promise<number>;
 }
@@ -37,8 +37,8 @@
   const edge = fleet.withRole("vise").find((name) => fleet.zoneOf(name) !== fleet.zoneOf(leaderName))!;
   const near = fleet.withRole("vise").find((name) => fleet.zoneOf(name) === fleet.zoneOf(leaderName))!;
   const replica = set!.members.find((member) => member.zone === fleet.zoneOf(edge))!.name;
-  const reader = new Hand(fleet, edge, "desk", { subscriptions: [{ topic }] });
-  const pen = new Hand(fleet, near, "pen", { subscriptions: [] });
+  const reader = new TestClient(fleet, edge, "desk", { subscriptions: [{ topic }] });
+  const pen = new TestClient(fleet, near, "pen", { subscriptions: [] });
   expect(await fleet.until(() => reader.of("confirmed").length === 1 && pen.of("open").length === 1, 5000)).toEqual(
     true,
   );
@@ -114,7 +114,7 @@
   expect(reply.case === "countReply" && reply.value.counts?.map(({ count }) => count)).toEqual([1]);
 });
 
-interface Trouble {
+interface FollowerFault {
   what: string;
   seed: number;
   /** From a reply to the reader, in ms. */
@@ -122,7 +122,7 @@
   begin: (scene: Scene) => void;
   end?: (scene: Scene) => void;
 }
-const troubles: Trouble[] = [
+const faults: FollowerFault[] = [
   {
     what: "the replica hears nothing from its holder any more",
     seed: 902,
@@ -176,7 +176,7 @@
   },
 ];
 
-for (const { what, seed, maxMs, begin, end } of troubles) {
+for (const { what, seed, maxMs, begin, end } of faults) {
   test(`${what}: nothing is lost, doubled or out of order, and deliveries go on within ${maxMs} ms`, async () => {
     const all = await scene(seed);
     const { fleet, leaderName } = all;
