--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -3,20 +3,21 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import type { StreamLog } from "../shards/streamLog.js";
-import { fetchFrom } from "./fetchFrom.js";
-import { StreamFollowers } from "./follows.js";
-import type { PushBatcher } from "./pushTurn.js";
+import { fetchMessages } from "../shards/streamReads.js";
+import { StreamFollowers } from "./streamFollowers.js";
+import type { PushBatcher } from "./pushBatcher.js";
 import type { Replica } from "../replication/replica.js";
-import { StreamStatuses } from "../shards/streamStandings.js";
+import { StreamStatuses } from "../shards/streamStatuses.js";
 
 /**
- * Follower reads: a replica that does not hold its shard pushes what is committed to edges that are near it.
- * Invariants: only entries up to the commit index that the shard's present leader told are served, and only while
- * that leader was heard lately, nothing told has stayed unapplied for long, and the feed is fresh; nothing is judged
- * here: a stream that is not here in the incarnation that the edge has from the leader is left to the leader.
+ * Follower reads: a replica that does not lead its shard pushes what is committed to edges that are near it.
+ * Invariants: only entries up to the commit index that the shard's present leader sent are served, and only while
+ * that leader's last message is recent, nothing committed has stayed unapplied for long, and the feed is fresh;
+ * nothing is decided here: a stream that is not here in the incarnation that the edge has from the leader is left to
+ * the leader.
  */
 export class FollowerReads {
-  static readonly maxLeaderSilenceMs = 700;
+  static readonly leaderTimeoutMs = 700;
   static readonly maxLagMs = 300;
 
   readonly #node: ClusterNode;
@@ -54,6 +55,7 @@
     });
   }
 
+  /** Whether this replica may serve reads now; see the invariants. */
   get isOpen(): boolean {
     const { leader, leaderId, epoch, set } = this.#node.shards.find(this.#replica.shard);
     const { id } = this.#replica;
@@ -61,12 +63,13 @@
       leader !== "" &&
       leaderId !== id &&
       set?.members.some((member) => member.id === id) === true &&
-      this.#replica.leaderSilenceMs(epoch) < FollowerReads.maxLeaderSilenceMs &&
+      this.#replica.sinceLeaderContactMs(epoch) < FollowerReads.leaderTimeoutMs &&
       this.#replica.lagMs < FollowerReads.maxLagMs &&
       this.#node.feed.isFresh
     );
   }
 
+  /** Edges that follow here. */
   get count(): number {
     return this.#followers.count;
   }
@@ -85,17 +88,20 @@
     return { case: "followReply", value: { outcome: "done", heads: [...heads, ...missing], number } };
   }
 
+  /** Heartbeat of one edge for this shard; the outcome travels to the edge. */
   onHeartbeat(follow: Follow): string {
     if (!this.isOpen) return "away";
     return this.#followers.onHeartbeat(follow) ? "done" : "resync";
   }
 
+  /** Messages after an offset, as far as they are committed and applied here. */
   fetch(fetch: Fetch): BodyInit {
     const log = this.#find(fetch.stream);
     if (!this.isOpen || log === undefined) return { case: "fetchReply", value: { outcome: "away" } };
-    return fetchFrom(log, fetch);
+    return fetchMessages(log, fetch);
   }
 
+  /** Forgets unresponsive edges; sends the others back to the leader where reads may not be served any more. */
   tick(): void {
     if (this.#followers.count === 0) return;
     this.#followers.dropUnresponsive();
@@ -109,7 +115,7 @@
   #find(stream: string): StreamLog | undefined {
     const log = this.#replica.state.streams.get(stream);
     if (log === undefined || this.#statuses.isInMemory(stream)) return undefined;
-    return this.#statuses.ofStream(stream, log.spaceIncarnation) === "ours" ? log : undefined;
+    return this.#statuses.ofStream(stream, log.spaceIncarnation) === "current" ? log : undefined;
   }
 
   #isServedHere({ stream, incarnation, spaceIncarnation }: StreamAt): boolean {
@@ -117,7 +123,7 @@
     return log !== undefined && log.incarnation === incarnation && log.spaceIncarnation === spaceIncarnation;
   }
 
-  /** A stream has news; or any may have, or be there no more in the incarnation that is followed, where it is none. */
+  /** A stream has messages to push. Empty for any: it may have, or be gone in the incarnation that is followed. */
   #onStreamChanged(stream: string): void {
     if (this.#followers.count === 0) return;
     if (stream === "") this.#mayAllHaveChanged = true;
--- a/packages/log-storage/src/follows/follows.test.ts
+++ b/packages/log-storage/src/follows/streamFollowers.test.ts
@@ -4,8 +4,8 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { expect } from "earl";
 import { StreamLog } from "../shards/streamLog.js";
-import { StreamFollowers } from "./follows.js";
-import type { PushBatcher } from "./pushTurn.js";
+import { StreamFollowers } from "./streamFollowers.js";
+import type { PushBatcher } from "./pushBatcher.js";
 
 const stream = "6:notes/t1";
 const incarnation = "1-one";
@@ -50,7 +50,7 @@
   expect(pushed[2]!.batches[0]!.messages.map(({ seq }) => seq)).toEqual([3, 4]);
 });
 
-test("a beat that was delayed or doubled on its way undoes nothing that was said after it", () => {
+test("a heartbeat that was delayed or doubled on its way undoes nothing that was said after it", () => {
   const { table, pushed, add } = follows();
   expect(table.onHeartbeat(say({ serial: 3, seen: 0 }))).toEqual(true);
   expect(table.onHeartbeat(say({ serial: 2, seen: 0, quiet: [{ stream, incarnation }] }))).toEqual(false);
--- a/packages/log-storage/src/shards/memoryStreams.ts
+++ b/packages/log-storage/src/shards/memoryStreams.ts
@@ -11,7 +11,7 @@
 }
 
 /**
- * The streams of one held shard whose spaces keep nothing: sequenced by the leader alone, on no disk.
+ * The streams of one led shard whose spaces keep nothing: sequenced by the leader alone, on no disk.
  * Invariants: an incarnation lives as long as this leader at most; messages are trimmed only by `trim`, so what one
  * event-loop turn accepted is still there to be pushed; a stream is never replaced by one of an earlier incarnation of
  * its space.
@@ -35,6 +35,7 @@
     return this.#streams.size;
   }
 
+  /** Undefined where nobody has used the stream under this leader, or not for long. */
   find(stream: string): StreamLog | undefined {
     return this.#streams.get(stream)?.log;
   }
@@ -64,6 +65,7 @@
     return kept !== undefined && at - kept.createdAt < MemoryStreams.repeatMs;
   }
 
+  /** Sequences a message, or repeats the verdict on its number. */
   accept(accept: Accept): Verdict {
     const log = this.find(accept.stream);
     if (log === undefined || log.incarnation !== accept.incarnation)
@@ -90,6 +92,7 @@
     }
   }
 
+  /** Ends a stream whose space was removed, or that goes on in the log. */
   remove(stream: string): void {
     this.#streams.delete(stream);
   }
--- a/packages/log-storage/src/shards/shardState.ts
+++ b/packages/log-storage/src/shards/shardState.ts
@@ -11,12 +11,12 @@
 import { StreamLog, type Verdict } from "./streamLog.js";
 
 /**
- * What a shard's committed log says. Deterministic, and the only judge of what was sent twice.
+ * What a shard's committed log says. Deterministic, and the only one to decide what was sent twice.
  * Invariant: a stream is never replaced by one of an earlier incarnation of its space.
  */
 export class ShardState {
   readonly streams = new Map<string, StreamLog>();
-  /** Shard time: rises with the entries, and stands still while nobody holds the shard. */
+  /** Shard time: rises with the entries, and stands still while nobody leads the shard. */
   at = 0;
 
   /** The verdict on a number that the committed log already knows. */
@@ -24,16 +24,19 @@
     return this.streams.get(stream)?.known(topic, session, number);
   }
 
+  /** Applies the next committed command; gives the verdict where it was an accept. */
   apply(data: Uint8Array): Verdict | undefined {
     const { command } = fromBinary(ShardCommandSchema, data);
     return this.#apply(command);
   }
 
+  /** All of the state, for compaction and for replicas that lack too much. */
   snapshot(): Uint8Array {
     const streams = [...this.streams.values()].map((log) => log.snapshot());
     return toBinary(ShardSnapshotSchema, create(ShardSnapshotSchema, { streams, at: this.at }));
   }
 
+  /** Whether the bytes are a snapshot: asked before anything is replaced by it. */
   static isReadable(snapshot: Uint8Array): boolean {
     try {
       return fromBinary(ShardSnapshotSchema, snapshot).at >= 0;
@@ -42,6 +45,7 @@
     }
   }
 
+  /** Replaces all of the state; throws if the snapshot is unreadable, see `isReadable`. */
   install(snapshot: Uint8Array): void {
     const read = fromBinary(ShardSnapshotSchema, snapshot);
     this.streams.clear();
@@ -49,7 +53,7 @@
     for (const one of read.streams) this.streams.set(one.stream, StreamLog.from(one));
   }
 
-  /** Whether there is something to forget of before a shard time; for the trimming beat. */
+  /** Whether there is something to forget of before a shard time; asked before each trim. */
   hasSessionsBefore(at: number): boolean {
     for (const log of this.streams.values()) if (log.hasSessionsBefore(at)) return true;
     return false;
--- a/packages/log-storage/src/shards/streamLog.ts
+++ b/packages/log-storage/src/shards/streamLog.ts
@@ -1,9 +1,10 @@
-import { create } from "@bufbuild/protobuf";
+import { create, type MessageInitShape } from "@bufbuild/protobuf";
 import {
   StreamMessageSchema,
   type Accept,
   type StreamMessage,
   type StreamSnapshot,
+  type StreamSnapshotSchema,
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 
@@ -13,6 +14,10 @@
   numbers: number[];
   seqs: number[];
 }
+/**
+ * What a stream says of a number: accepted at `seq`, where `isFresh` tells the first time from a repeat; or refused,
+ * with a code and reason that travel to the client.
+ */
 export type Verdict =
   | { kind: "accepted"; stream: string; incarnation: string; seq: number; isFresh: boolean }
   | { kind: "refused"; code: string; reason: string };
@@ -42,6 +47,7 @@
     this.incarnation = incarnation;
   }
 
+  /** Of the stream's space: the first part of its own. */
   get spaceIncarnation(): number {
     return Streams.spaceIncarnationOf(this.incarnation);
   }
@@ -66,6 +72,7 @@
     return { kind: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: false };
   }
 
+  /** Sequences a message, or repeats the verdict on its number. A void one uses up its number alone. */
   accept(accept: Accept): Verdict {
     const { topic, session, number, payload, at } = accept;
     const known = this.known(topic, session, number);
@@ -91,6 +98,7 @@
     return { kind: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: true };
   }
 
+  /** Removes the messages up to the sequence number `low`; never beyond the head. */
   trim(low: number): void {
     if (low <= this.low) return;
     const trimmedCount = Math.min(low, this.head) - this.low;
@@ -99,13 +107,14 @@
     this.low += trimmedCount;
   }
 
-  /** Known sessions last heard of before a shard time. */
+  /** Known sessions whose last accepted number is older than a shard time. */
   hasSessionsBefore(at: number): boolean {
     for (const sessions of this.#known.values())
       for (const record of sessions.values()) if (record.at < at) return true;
     return false;
   }
 
+  /** Forgets the numbers of sessions that accepted nothing since a shard time: they are unknown from then on. */
   forgetSessions(before: number): void {
     for (const [topic, sessions] of this.#known) {
       for (const [session, record] of sessions) if (record.at < before) sessions.delete(session);
@@ -113,15 +122,17 @@
     }
   }
 
-  snapshot(): object {
+  /** Typed as the message's fields: an unknown field would be left out of the snapshot in silence. */
+  snapshot(): MessageInitShape<typeof StreamSnapshotSchema> {
     const { stream, incarnation, head, low, messages } = this;
     const trims = [...this.trims].map(([topic, seq]) => ({ topic, seq }));
     const dedups = [...this.#known].flatMap(([topic, sessions]) =>
       [...sessions].map(([session, record]) => ({ topic, session, ...record })),
     );
-    return { stream, birth: incarnation, head, low, messages, trims, dedups };
+    return { stream, incarnation, head, low, messages, trims, dedups };
   }
 
+  /** The log that a snapshot was taken of. */
   static from(snapshot: StreamSnapshot): StreamLog {
     const log = new StreamLog(snapshot.stream, snapshot.incarnation);
     log.head = snapshot.head;
--- a/packages/testkit/src/mutants/incidentMutants.ts
+++ b/packages/testkit/src/mutants/incidentMutants.ts
@@ -1,7 +1,7 @@
 import type { Mutant } from "./mutant.js";
 
 const sim = "testkit/dist/sim";
-const service = "log-storage/dist/shards/shardService.js";
+const publishHandler = "log-storage/dist/shards/publishHandler.js";
 
 /** Guards that came of the incident "Order and configuration", and the invariants that watch them. */
 export const incidentMutants: readonly Mutant[] = [
@@ -21,14 +21,14 @@
   },
   {
     name: "a young holder refuses what an earlier one may have taken",
-    file: service,
-    find: "if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime))",
+    file: publishHandler,
+    find: "if (isNeverAccepted && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime))",
     put: "if (false)",
     test: `${sim}/memory.test.js`,
   },
   {
     name: "a young holder sequences repeats where one order is promised",
-    file: service,
+    file: publishHandler,
     find: "if (publish.mayBeRepeat && this.#wouldReorder(stream, contract))",
     put: "if (false)",
     test: `${sim}/memory.test.js`,
--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -97,7 +97,7 @@
   },
   {
     name: "a holder acts on a plan it cannot hear about",
-    file: "log-storage/dist/shards/shardService.js",
+    file: "log-storage/dist/shards/leaderAuthority.js",
     find: " && this.#node.feed.isFresh",
     put: "",
     test: `${sim}/freshness.test.js`,
@@ -190,7 +190,7 @@
   },
   {
     name: "a place is expired with the stream, not with its topic",
-    file: "log-storage/dist/shards/startOf.js",
+    file: "log-storage/dist/shards/streamReads.js",
     find: "(log.trims.get(topic) ?? 0) > seq",
     put: "log.low > seq",
     test: `${sim}/streams.test.js`,
@@ -250,7 +250,7 @@
   },
   {
     name: "a push sends no more than one batch",
-    file: "log-storage/dist/follows/follows.js",
+    file: "log-storage/dist/follows/streamFollowers.js",
     find: "batch = this.#nextBatch(follower, stream))",
     put: "batch = undefined)",
     test: `${sim}/streams.test.js`,
@@ -285,9 +285,9 @@
   },
   {
     name: "a holder refuses what it has seen removed",
-    file: "log-storage/dist/shards/shardService.js",
-    find: 'if (route === undefined || status !== "ours")',
-    put: 'if (status === "behind" || status === "older")',
+    file: "log-storage/dist/shards/publishHandler.js",
+    find: 'if (route === undefined || status !== "current")',
+    put: 'if (status === "newer" || status === "older")',
     test: `${sim}/streams.test.js`,
   },
   {
--- a/packages/testkit/src/mutants/repairMutants.ts
+++ b/packages/testkit/src/mutants/repairMutants.ts
@@ -21,20 +21,20 @@
   {
     name: "a replica that may have lost its disk is counted on",
     file: "log-storage/dist/repair/setChange.js",
-    find: "progress.sinceContactMs(id) < maxSilenceMs",
+    find: "progress.sinceContactMs(id) < responseTimeoutMs",
     put: "true",
     test: "log-storage/dist/repair/setChange.test.js",
   },
   {
     name: "a successor is not told from any free machine",
-    file: "log-storage/dist/repair/newcomers.js",
+    file: "log-storage/dist/repair/recentJoins.js",
     find: "joinedAt !== undefined && joinedAt >",
     put: "false && joinedAt >",
     test: `${sim}/replicaSets.test.js`,
   },
   {
     name: "any free machine is taken for a successor",
-    file: "log-storage/dist/repair/newcomers.js",
+    file: "log-storage/dist/repair/recentJoins.js",
     find: "joinedAt !== undefined && joinedAt >",
     put: "true || joinedAt >",
     test: `${sim}/replicaSets.test.js`,
