--- a/packages/edge/src/fanout/shardFollow.test.ts
+++ b/packages/edge/src/fanout/shardFollow.test.ts
@@ -39,7 +39,7 @@
         const value = create(FollowReplySchema, { outcome: "done", epoch: 7, number: 0, heads });
         const reply = Promise.resolve<Body>({ case: "followReply", value });
         // One piece of the net's: the reply settles its promise, the push is handed on before anybody saw that.
-        follow.take(push(body.value.follow!, 1, pendingNumbers));
+        follow.receive(push(body.value.follow!, 1, pendingNumbers));
         return reply;
       },
     } as object as ClusterNode["rpc"],
@@ -107,7 +107,7 @@
   await asked[0]!.answer([head("6:notes/t0", 0)]);
   const late = await add(stream);
   // The leader tells of the stream, and then pushes its first message; the push comes first.
-  follow.take(push("vise-1/identity", 1, [1]));
+  follow.receive(push("vise-1/identity", 1, [1]));
   await asked[1]!.answer([head(stream, 0)]);
   for (const ring of turns.splice(0)) ring();
   await turn();
