--- a/packages/edge/src/connections/edgeClientEndpoint.ts
+++ b/packages/edge/src/connections/edgeClientEndpoint.ts
@@ -23,7 +23,7 @@
       return { outcome: "away", reason: admitted.reason, retryAfterSeconds: admitted.retryAfterSeconds };
     const { session } = admitted;
     if (connection.isClosed) return { outcome: "away", reason: "the client is gone", retryAfterSeconds: 0 };
-    AdmitSession.tie(this.#edge, session, connection);
+    AdmitSession.attach(this.#edge, session, connection);
     session.bringsTopics = true;
     session.resumeCursors.clear();
     return { outcome: "open", connection: new SessionConnection(this.#edge, session, connection) };
--- a/packages/edge/src/edgeCalls.ts
+++ b/packages/edge/src/edgeCalls.ts
@@ -53,9 +53,9 @@
     return ApiReplies.fault(status, fault.code, fault.reason);
   }
 
-  async #onOwner(call: ApiCall, act: (session: Session) => Promise<ApiReply>): Promise<ApiReply> {
+  async #onOwner(call: ApiCall, serve: (session: Session) => Promise<ApiReply>): Promise<ApiReply> {
     const session = this.#edge.sessions.find(call.params[0]!);
-    if (session !== undefined) return act(session);
+    if (session !== undefined) return serve(session);
     const owner = call.isForwarded ? undefined : (await readOwner(this.#edge.node.store, call.params[0]!))?.owner;
     if (owner === undefined || owner.node === "" || owner.node === this.#edge.node.rpc.name)
       return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { retryAfterSeconds: 0.3 });
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -72,7 +72,7 @@
   async drain(): Promise<void> {
     this.isDraining = true;
     const next = this.#nextAddresses();
-    this.sessions.goodbye(
+    this.sessions.disconnectAll(
       "stopping",
       () => this.node.parts.random.draw() * 0.5,
       (session) => Rendezvous.rank(session, next)[0] ?? "",
--- a/packages/edge/src/fanout/countTopic.ts
+++ b/packages/edge/src/fanout/countTopic.ts
@@ -2,7 +2,7 @@
 
 const maxMs = 1500;
 const callMs = 500;
-const againMs = 80;
+const retryDelayMs = 80;
 const retryAfterSeconds = 0.5;
 
 export type Count =
@@ -29,7 +29,7 @@
       // A leader that does not know the space is behind, or this edge is: which it is shows in a moment.
       if (found?.fault === "") return { outcome: "counted", count: found.count };
     }
-    await new Promise<void>((resolve) => void parts.clock.once(againMs, resolve));
+    await new Promise<void>((resolve) => void parts.clock.once(retryDelayMs, resolve));
   }
   return { outcome: "away", retryAfterSeconds };
 }
--- a/packages/edge/src/fanout/numberedPushes.test.ts
+++ b/packages/edge/src/fanout/numberedPushes.test.ts
@@ -10,17 +10,23 @@
   const pushes = new NumberedPushes();
   pushes.begin("a");
   expect(pushes.opened(4)).toEqual([]);
-  expect([4, 6, 5, 5, 6].map((number) => pushes.take(push(number)))).toEqual(["seen", "gap", "next", "seen", "next"]);
-  expect(pushes.take(push(7, "b"))).toEqual("foreign");
+  expect([4, 6, 5, 5, 6].map((number) => pushes.receive(push(number)))).toEqual([
+    "seen",
+    "gap",
+    "next",
+    "seen",
+    "next",
+  ]);
+  expect(pushes.receive(push(7, "b"))).toEqual("foreign");
   expect(pushes.seen).toEqual(6);
 });
 
 test("a push before the follow's reply waits for it and counts then", () => {
   const pushes = new NumberedPushes();
   pushes.begin("a");
-  expect(pushes.take(push(1))).toEqual("early");
+  expect(pushes.receive(push(1))).toEqual("early");
   const early = pushes.opened(0);
-  expect(early.map((one) => pushes.take(one))).toEqual(["next"]);
+  expect(early.map((one) => pushes.receive(one))).toEqual(["next"]);
 });
 
 test("after its end nothing of a follow counts", () => {
@@ -28,6 +34,6 @@
   pushes.begin("a");
   pushes.opened(3);
   pushes.end();
-  expect(pushes.take(push(4))).toEqual("foreign");
+  expect(pushes.receive(push(4))).toEqual("foreign");
   expect([pushes.follow, pushes.seen]).toEqual(["", 0]);
 });
--- a/packages/edge/src/fanout/numberedPushes.ts
+++ b/packages/edge/src/fanout/numberedPushes.ts
@@ -44,7 +44,7 @@
   }
 
   /** Where a push stands; one that is next counts from now on. */
-  take(push: Push): PushOrder {
+  receive(push: Push): PushOrder {
     if (push.follow !== this.#follow) return "foreign";
     if (this.#early !== undefined) {
       this.#early.push(push);
--- a/packages/edge/src/fanout/replicaFollow.ts
+++ b/packages/edge/src/fanout/replicaFollow.ts
@@ -15,7 +15,7 @@
  */
 export class ReplicaFollow {
   /** A replica that was left is tried again so much later; longer each time, unless it had served a while. */
-  static readonly againMs = 2000;
+  static readonly retryDelayMs = 2000;
   static readonly maxRepeatMs = 16_000;
   static readonly provenMs = 10_000;
   /** When a stream is asked for again that the replica did not have in its incarnation. */
@@ -33,7 +33,7 @@
   #isAsking = false;
   #since = 0;
   #againAt = 0;
-  #waitMs = ReplicaFollow.againMs;
+  #waitMs = ReplicaFollow.retryDelayMs;
   /** Rises when a follow is left; a reply of an earlier turn is not heeded. */
   #turn = 0;
 
@@ -63,7 +63,7 @@
   }
 
   /** From now on the leader pushes the stream again. */
-  giveBack(tail: StreamTail): void {
+  returnToLeader(tail: StreamTail): void {
     if (tail.servedIncarnation === "") return;
     tail.servedIncarnation = "";
     this.#left.add(tail.stream);
@@ -71,7 +71,7 @@
   }
 
   /** Follows what the leader has confirmed and the replica does not serve yet. */
-  async tend(): Promise<void> {
+  async reconcile(): Promise<void> {
     const near = this.#near();
     if (this.#server !== "" && this.#server !== near) this.#leave();
     const now = this.#now();
@@ -111,18 +111,18 @@
       else {
         tail.servedIncarnation = incarnation;
         // Where this edge is far behind it, the replica pushes from its own head on.
-        if (from > tail.head) tail.learn(incarnation, from, 0);
-        this.#atLeader.quieten(tail);
+        if (from > tail.head) tail.onHead(incarnation, from, 0);
+        this.#atLeader.suppressAtLeader(tail);
       }
     }
     const early = this.#pushes.opened(isFull ? reply.value.number : undefined);
-    for (const push of early) this.take(push);
-    void this.tend();
+    for (const push of early) this.receive(push);
+    void this.reconcile();
   }
 
   /** What asks whether all pushes were seen; undefined where nothing is followed here. */
   heartbeat(): FollowInit | undefined {
-    void this.tend();
+    void this.reconcile();
     const { follow, seen } = this.#pushes;
     if (follow === "" || this.#isAsking) return undefined;
     if (this.#tails.size === 0 && this.#left.size === 0) return void this.#leave();
@@ -144,9 +144,9 @@
     if (outcome !== "done" || applied < appliedAtLeader) this.fail();
   }
 
-  take(push: Push): void {
+  receive(push: Push): void {
     if (push.follow === this.#pushes.follow && push.isUnavailable) return this.fail();
-    const order = this.#pushes.take(push);
+    const order = this.#pushes.receive(push);
     if (order === "gap") return this.fail();
     if (order !== "next") return;
     for (const batch of push.batches) {
@@ -154,7 +154,7 @@
       if (tail === undefined) continue;
       if (batch.fault === "" && tail.isKnown && tail.incarnation === batch.incarnation)
         tail.extend(batch.incarnation, batch.messages);
-      else this.giveBack(tail);
+      else this.returnToLeader(tail);
     }
   }
 
@@ -166,7 +166,7 @@
   /** Leaves the replica, for a while. */
   fail(): void {
     const now = this.#now();
-    if (now - this.#since > ReplicaFollow.provenMs) this.#waitMs = ReplicaFollow.againMs;
+    if (now - this.#since > ReplicaFollow.provenMs) this.#waitMs = ReplicaFollow.retryDelayMs;
     this.#againAt = now + this.#waitMs;
     this.#waitMs = Math.min(2 * this.#waitMs, ReplicaFollow.maxRepeatMs);
     this.#leave();
@@ -177,7 +177,7 @@
     this.#server = "";
     this.#pushes.end();
     this.#isAsking = false;
-    for (const tail of this.#tails.values()) this.giveBack(tail);
+    for (const tail of this.#tails.values()) this.returnToLeader(tail);
     this.#left.clear();
   }
 
--- a/packages/edge/src/fanout/shardFollow.test.ts
+++ b/packages/edge/src/fanout/shardFollow.test.ts
@@ -26,7 +26,7 @@
   const turns: Array<() => void> = [];
   const parts: Pick<ClusterNode, "rpc" | "parts" | "shards"> = {
     parts: {
-      clock: { once: (_ms: number, ring: () => void) => (turns.push(ring), { stop: () => undefined }) },
+      clock: { once: (_ms: number, fire: () => void) => (turns.push(fire), { stop: () => undefined }) },
       random: { identity: () => `identity-${fulls}` },
     } as ClusterNode["parts"],
     shards: { find: () => ({ leader: "anvil-1", epoch: 7 }) } as object as ClusterNode["shards"],
@@ -39,7 +39,7 @@
         const value = create(FollowReplySchema, { outcome: "done", epoch: 7, number: 0, heads });
         const reply = Promise.resolve<Body>({ case: "followReply", value });
         // One piece of the net's: the reply settles its promise, the push is handed on before anybody saw that.
-        follow.take(push(body.value.follow!, 1, pendingNumbers));
+        follow.receive(push(body.value.follow!, 1, pendingNumbers));
         return reply;
       },
     } as object as ClusterNode["rpc"],
@@ -52,7 +52,7 @@
   );
   const tail = new StreamTail({ stream, space: "notes/", spaceIncarnation: 1 }, 0);
   follow.add(tail);
-  for (const ring of turns.splice(0)) ring();
+  for (const fire of turns.splice(0)) fire();
   return { tail, follow, asked: () => fulls };
 }
 
@@ -71,7 +71,7 @@
   const turn = (): Promise<void> => new Promise<void>((resolve) => setImmediate(resolve));
   const parts: Pick<ClusterNode, "rpc" | "parts" | "shards"> = {
     parts: {
-      clock: { once: (_ms: number, ring: () => void) => (turns.push(ring), { stop: () => undefined }) },
+      clock: { once: (_ms: number, fire: () => void) => (turns.push(fire), { stop: () => undefined }) },
       random: { identity: () => "identity" },
     } as ClusterNode["parts"],
     shards: { find: () => ({ leader: "anvil-1", epoch: 7 }) } as object as ClusterNode["shards"],
@@ -98,18 +98,18 @@
   const add = async (name: string): Promise<StreamTail> => {
     const tail = new StreamTail({ stream: name, space: "notes/", spaceIncarnation: 1 }, 0);
     follow.add(tail);
-    for (const ring of turns.splice(0)) ring();
+    for (const fire of turns.splice(0)) fire();
     await turn();
     return tail;
   };
-  const head = (name: string, from: number): object => ({ stream: name, birth: incarnation, from, low: 0 });
+  const head = (name: string, from: number): object => ({ stream: name, incarnation, from, low: 0 });
   await add("6:notes/t0");
   await asked[0]!.answer([head("6:notes/t0", 0)]);
   const late = await add(stream);
   // The leader tells of the stream, and then pushes its first message; the push comes first.
-  follow.take(push("vise-1/identity", 1, [1]));
+  follow.receive(push("vise-1/identity", 1, [1]));
   await asked[1]!.answer([head(stream, 0)]);
-  for (const ring of turns.splice(0)) ring();
+  for (const fire of turns.splice(0)) fire();
   await turn();
   expect([late.isKnown, late.head]).toEqual([true, 0]);
   expect(asked.map(({ streams }) => streams)).toEqual([["6:notes/t0"], [stream], [stream]]);
--- a/packages/edge/src/fanout/shardFollow.ts
+++ b/packages/edge/src/fanout/shardFollow.ts
@@ -22,7 +22,7 @@
  */
 export class ShardFollow {
   static readonly tickIntervalMs = 500;
-  static readonly againMs = 60;
+  static readonly retryDelayMs = 60;
 
   readonly #node: ClusterNode;
   readonly #shard: number;
@@ -33,11 +33,11 @@
   readonly #counted = new Map<StreamTail, Set<string>>();
   readonly #left = new Set<string>();
   /** Served by a replica since a moment ago: the leader need not push them. */
-  readonly #quiet = new Set<StreamTail>();
-  readonly #learned: () => void;
+  readonly #suppressed = new Set<StreamTail>();
+  readonly #onHeadsConfirmed: () => void;
   /** Up to which index the leader had applied the shard's log when it last answered a beat. */
   applied = 0;
-  #isTelling = false;
+  #isSendingCounts = false;
   readonly #pushes = new NumberedPushes();
   #epoch = 0;
   #serial = 0;
@@ -46,11 +46,11 @@
   /** Rises when the leader changes; a reply of an earlier turn is not heeded. */
   #turn = 0;
 
-  constructor(node: ClusterNode, shard: number, countsOf: CountsOf, learned: () => void) {
+  constructor(node: ClusterNode, shard: number, countsOf: CountsOf, onHeadsConfirmed: () => void) {
     this.#node = node;
     this.#shard = shard;
     this.#countsOf = countsOf;
-    this.#learned = learned;
+    this.#onHeadsConfirmed = onHeadsConfirmed;
   }
 
   get isIdle(): boolean {
@@ -65,7 +65,7 @@
     this.#streams.set(tail.stream, tail);
     this.#left.delete(tail.stream);
     this.#asked.add(tail);
-    this.#node.parts.clock.once(0, () => void this.tend());
+    this.#node.parts.clock.once(0, () => void this.reconcile());
   }
 
   remove(tail: StreamTail): void {
@@ -75,12 +75,12 @@
     }
     this.#asked.delete(tail);
     this.#counted.delete(tail);
-    this.#quiet.delete(tail);
+    this.#suppressed.delete(tail);
   }
 
   /** A replica serves the stream: the leader hears of it with the next beat. */
-  quieten(tail: StreamTail): void {
-    if (this.#streams.get(tail.stream) === tail) this.#quiet.add(tail);
+  suppressAtLeader(tail: StreamTail): void {
+    if (this.#streams.get(tail.stream) === tail) this.#suppressed.add(tail);
   }
 
   /** A topic's subscribers have changed: the leader is told at once, or right behind what it is being told. */
@@ -89,9 +89,9 @@
     let topics = this.#counted.get(tail);
     if (topics === undefined) this.#counted.set(tail, (topics = new Set()));
     topics.add(topic);
-    if (this.#isTelling) return;
-    this.#isTelling = true;
-    this.#node.parts.clock.once(0, () => void this.#tell());
+    if (this.#isSendingCounts) return;
+    this.#isSendingCounts = true;
+    this.#node.parts.clock.once(0, () => void this.#sendCounts());
   }
 
   /** The shard may have another leader now. */
@@ -102,11 +102,11 @@
     // Whatever the old leader was asked has no use any more.
     this.#isAsking = false;
     this.#turn += 1;
-    void this.tend();
+    void this.reconcile();
   }
 
   /** Asks the leader for what is missing; nothing to do where nothing is. */
-  async tend(): Promise<void> {
+  async reconcile(): Promise<void> {
     if (this.#isAsking || this.isIdle || this.leader === "") return;
     if (!this.#isStale && this.#asked.size === 0) return;
     this.#isAsking = true;
@@ -137,22 +137,22 @@
       this.#isStale = true;
       for (const tail of wanted) if (this.#streams.has(tail.stream)) this.#asked.add(tail);
       // Whoever has just claimed the shard serves in a moment; the next beat would be late.
-      this.#node.parts.clock.once(ShardFollow.againMs, () => void this.tend());
+      this.#node.parts.clock.once(ShardFollow.retryDelayMs, () => void this.reconcile());
       return;
     }
     if (isFull) {
       this.#isStale = false;
       this.#epoch = reply.value.epoch;
     }
-    for (const head of reply.value.heads) this.#learn(head);
-    this.#learned();
-    for (const push of early) this.take(push);
+    for (const head of reply.value.heads) this.#onHead(head);
+    this.#onHeadsConfirmed();
+    for (const push of early) this.receive(push);
     // What changed while this was asked.
-    if (!this.#isTelling && this.#counted.size > 0) {
-      this.#isTelling = true;
-      void this.#tell();
+    if (!this.#isSendingCounts && this.#counted.size > 0) {
+      this.#isSendingCounts = true;
+      void this.#sendCounts();
     }
-    if (this.#asked.size > 0) void this.tend();
+    if (this.#asked.size > 0) void this.reconcile();
     // Who has not heard of the newest configuration, this node or the leader, is given until the next beat.
     for (const { fault, stream } of reply.value.heads) {
       const tail = this.#streams.get(stream);
@@ -163,7 +163,7 @@
   /** What asks whether all pushes were seen, the answer to a lost last push; undefined where there is more to ask. */
   heartbeat(): FollowInit | undefined {
     if (this.isIdle && this.#left.size === 0) return undefined;
-    if (this.#isAsking || this.#isStale || this.#asked.size > 0) return void this.tend();
+    if (this.#isAsking || this.#isStale || this.#asked.size > 0) return void this.reconcile();
     const counts = [...this.#counted].flatMap(([tail, topics]) => {
       const present = this.#countsOf(tail.stream);
       return [...topics].map((topic): MessageInitShape<typeof TopicCountSchema> => {
@@ -171,10 +171,10 @@
       });
     });
     const left = [...this.#left];
-    const quiet = [...this.#quiet]
+    const quiet = [...this.#suppressed]
       .filter((tail) => tail.servedIncarnation === tail.incarnation)
       .map(({ stream, incarnation }) => ({ stream, incarnation }));
-    this.#quiet.clear();
+    this.#suppressed.clear();
     this.#counted.clear();
     this.#left.clear();
     const serial = ++this.#serial;
@@ -187,14 +187,14 @@
     const { follow, seen } = this.#pushes;
     if (outcome === "done" || heartbeat.follow !== follow || (outcome === "resync" && seen !== heartbeat.seen)) return;
     this.#isStale = true;
-    await this.tend();
+    await this.reconcile();
   }
 
-  take(push: Push): void {
-    const order = this.#pushes.take(push);
+  receive(push: Push): void {
+    const order = this.#pushes.receive(push);
     if (order === "gap" && !this.#isStale) {
       this.#isStale = true;
-      return void this.tend();
+      return void this.reconcile();
     }
     if (order !== "next" || this.#isStale) return;
     for (const batch of push.batches) {
@@ -213,14 +213,14 @@
   }
 
   /** One telling after the other, so that an older count never comes behind a newer one. */
-  async #tell(): Promise<void> {
+  async #sendCounts(): Promise<void> {
     while (this.#counted.size > 0) {
       const heartbeat = this.#isAsking || this.#isStale ? undefined : this.heartbeat();
       if (heartbeat === undefined) break;
       const reply = await this.#node.rpc.call(this.leader, { case: "follow", value: heartbeat }, 700);
       await this.onHeartbeatOutcome(heartbeat, reply?.case === "followReply" ? reply.value.outcome : undefined);
     }
-    this.#isTelling = false;
+    this.#isSendingCounts = false;
   }
 
   #at(tail: StreamTail): MessageInitShape<typeof StreamAtSchema> {
@@ -229,18 +229,18 @@
     const present = [...this.#countsOf(stream)];
     this.#counted.delete(tail);
     const isQuiet = incarnation !== "" && tail.servedIncarnation === incarnation;
-    this.#quiet.delete(tail);
+    this.#suppressed.delete(tail);
     const at = { stream, spaceIncarnation, incarnation, after: head, isQuiet };
     return isWhole
       ? { ...at, counts: present.map(([topic, count]) => ({ topic, count })) }
       : { ...at, count: present[0]?.[1] ?? 0 };
   }
 
-  #learn(head: StreamHead): void {
+  #onHead(head: StreamHead): void {
     const tail = this.#streams.get(head.stream);
     if (tail === undefined) return;
     if (head.fault === "behind") return;
     if (head.fault !== "") tail.end(head.fault);
-    else tail.learn(head.incarnation, head.from, head.low);
+    else tail.onHead(head.incarnation, head.from, head.low);
   }
 }
--- a/packages/edge/src/fanout/streamTable.ts
+++ b/packages/edge/src/fanout/streamTable.ts
@@ -13,7 +13,7 @@
 interface PendingHeartbeat {
   server: string;
   heartbeat: FollowInit;
-  heed: (outcome: string | undefined, applied: number) => void;
+  onReply: (outcome: string | undefined, applied: number) => void;
 }
 
 /**
@@ -38,7 +38,7 @@
     const countsOf: CountsOf = (stream) => this.countsOf(stream);
     this.#follows = Array.from(
       { length: node.parts.settings.shards },
-      (_, shard) => new ShardFollow(node, shard, countsOf, () => void this.#atReplicas[shard]!.tend()),
+      (_, shard) => new ShardFollow(node, shard, countsOf, () => void this.#atReplicas[shard]!.reconcile()),
     );
     this.#atReplicas = this.#follows.map((follow, shard) => new ReplicaFollow(node, shard, follow));
     const failAt = (name: string): void => {
@@ -47,16 +47,16 @@
     node.rpc.on("unresponsive", failAt);
     node.membership.on("suspected", failAt);
     node.rpc.serve("push", (push) => {
-      this.#take(push);
+      this.#receive(push);
       return undefined;
     });
     node.rpc.serve("pushes", ({ pushes }) => {
-      for (const push of pushes) this.#take(push);
+      for (const push of pushes) this.#receive(push);
       return undefined;
     });
     node.shards.on("changed", (shard) => {
       this.#follows[shard]?.moved();
-      void this.#atReplicas[shard]?.tend();
+      void this.#atReplicas[shard]?.reconcile();
     });
     node.configuration.on("changed", () => this.#configurationChanged());
     node.parts.clock.every(ShardFollow.tickIntervalMs, () => this.#tick());
@@ -86,7 +86,7 @@
   }
 
   /** Each take is paired with one `leave`. */
-  take(route: StreamRoute): StreamTail {
+  acquire(route: StreamRoute): StreamTail {
     const key = StreamTable.#key(route);
     let tail = this.#tails.get(key);
     if (tail === undefined) {
@@ -103,7 +103,7 @@
     return tail;
   }
 
-  leave(tail: StreamTail): void {
+  release(tail: StreamTail): void {
     tail.users -= 1;
     if (tail.users > 0) return;
     this.#node.parts.clock.once(StreamTable.lingerMs, () => {
@@ -132,7 +132,7 @@
 
   /** One call to each node for all its shards, those that it holds and those that it is followed at as a replica. */
   #tick(): void {
-    const due = this.#follows.flatMap((follow, shard): PendingHeartbeat[] => {
+    const pending = this.#follows.flatMap((follow, shard): PendingHeartbeat[] => {
       const atReplica = this.#atReplicas[shard]!;
       const { applied } = follow;
       const heartbeat = follow.leader === "" ? undefined : follow.heartbeat();
@@ -142,7 +142,7 @@
         heartbeats.push({
           server: follow.leader,
           heartbeat,
-          heed: (outcome, applied) => {
+          onReply: (outcome, applied) => {
             if (outcome !== undefined && outcome !== "away") follow.applied = applied;
             void follow.onHeartbeatOutcome(heartbeat, outcome);
           },
@@ -151,19 +151,19 @@
         heartbeats.push({
           server: atReplica.server,
           heartbeat: replicaHeartbeat,
-          heed: (outcome, appliedThere) =>
+          onReply: (outcome, appliedThere) =>
             atReplica.onHeartbeatOutcome(replicaHeartbeat, outcome, appliedThere, applied),
         });
       return heartbeats;
     });
-    for (const [server, list] of Grouped.by(due, (one) => one.server)) void this.#sendHeartbeatTo(server, list);
+    for (const [server, list] of Grouped.by(pending, (one) => one.server)) void this.#sendHeartbeatTo(server, list);
   }
 
   async #sendHeartbeatTo(server: string, list: readonly PendingHeartbeat[]): Promise<void> {
     const heartbeats = list.map(({ heartbeat }) => heartbeat);
     const reply = await this.#node.rpc.call(server, { case: "followHeartbeats", value: { heartbeats } }, 700);
     const { outcomes, applied } = reply?.case === "followHeartbeatsReply" ? reply.value : { outcomes: [], applied: [] };
-    for (const [i, { heed }] of list.entries()) heed(outcomes[i], applied[i] ?? 0);
+    for (const [i, { onReply }] of list.entries()) onReply(outcomes[i], applied[i] ?? 0);
   }
 
   /**
@@ -173,7 +173,7 @@
   #configurationChanged(): void {
     for (const tail of this.#tails.values()) {
       tail.keepsNothing = keepsNothing(this.#node.configuration.configuration, tail.stream);
-      if (tail.keepsNothing) this.#atReplicas[tail.shard]!.giveBack(tail);
+      if (tail.keepsNothing) this.#atReplicas[tail.shard]!.returnToLeader(tail);
       if (this.#node.configuration.spaceIncarnationOf(tail.stream) === tail.route.spaceIncarnation) continue;
       this.#remove(tail);
       tail.end("topic-gone");
@@ -185,9 +185,9 @@
     this.#follows[tail.shard]!.remove(tail);
   }
 
-  #take(push: Push): void {
-    this.#follows[push.shard]?.take(push);
-    this.#atReplicas[push.shard]?.take(push);
+  #receive(push: Push): void {
+    this.#follows[push.shard]?.receive(push);
+    this.#atReplicas[push.shard]?.receive(push);
   }
 
   static #key({ stream, spaceIncarnation }: StreamRoute): string {
--- a/packages/edge/src/fanout/streamTail.test.ts
+++ b/packages/edge/src/fanout/streamTail.test.ts
@@ -19,10 +19,10 @@
 
 test("a tail that ended and comes back in the same incarnation with a higher head has no gap before it", () => {
   const tail = tailOf();
-  tail.learn(incarnation, 0, 0);
+  tail.onHead(incarnation, 0, 0);
   tail.extend(incarnation, [message(1), message(2)]);
   tail.end("topic-gone");
-  tail.learn(incarnation, 7, 0);
+  tail.onHead(incarnation, 7, 0);
   look(tail);
   expect([tail.head, tail.after(1), tail.after(2)]).toEqual([7, undefined, undefined]);
   tail.extend(incarnation, [message(8)]);
@@ -38,9 +38,9 @@
     for (let step = 0; step < 40; step += 1) {
       const before = tail.head;
       const first = next(30) + 1;
-      const act = next(5);
-      if (act === 0) tail.learn(incarnation, next(900), 0);
-      else if (act === 1) tail.end("topic-gone");
+      const action = next(5);
+      if (action === 0) tail.onHead(incarnation, next(900), 0);
+      else if (action === 1) tail.end("topic-gone");
       else
         tail.extend(
           incarnation,
--- a/packages/edge/src/fanout/streamTail.ts
+++ b/packages/edge/src/fanout/streamTail.ts
@@ -19,7 +19,7 @@
   ended: [fault: string];
   disorder: [fault: OrderFault];
 }> {
-  static readonly most = 400;
+  static readonly maxMessages = 400;
   static readonly maxBytes = 2 * 1024 * 1024;
 
   readonly route: StreamRoute;
@@ -64,8 +64,8 @@
   }
 
   /** The leader pushes what comes after `from`. What lies before it and was not heard is for readers to fetch. */
-  learn(incarnation: string, from: number, low: number): void {
-    if (incarnation !== this.incarnation) this.#reborn(incarnation);
+  onHead(incarnation: string, from: number, low: number): void {
+    if (incarnation !== this.incarnation) this.#startIncarnation(incarnation);
     this.low = Math.max(low, this.low);
     if (from > this.head) this.#skipTo(from);
     this.isKnown = true;
@@ -84,7 +84,7 @@
       this.#bytes += message.payload.length;
     }
     this.head = fresh.at(-1)!.seq;
-    while (this.messages.length > StreamTail.most || this.#bytes > StreamTail.maxBytes)
+    while (this.messages.length > StreamTail.maxMessages || this.#bytes > StreamTail.maxBytes)
       this.#bytes -= this.messages.shift()!.payload.length;
     this.emit("grown");
   }
@@ -94,7 +94,7 @@
     this.emit("ended", fault);
   }
 
-  #reborn(incarnation: string): void {
+  #startIncarnation(incarnation: string): void {
     this.#order.clear();
     this.incarnation = incarnation;
     this.head = 0;
--- a/packages/edge/src/publishing/publishCall.ts
+++ b/packages/edge/src/publishing/publishCall.ts
@@ -30,7 +30,7 @@
       problems: [{ path: "topic", problem: "must be space/name" }],
     });
   const session = edge.sessions.find(call.params[0]!);
-  if (session === undefined) return passOn(edge, call.params[0]!, topic, call);
+  if (session === undefined) return forwardToOwner(edge, call.params[0]!, topic, call);
   const answer = await publishMessage(edge, session, topic, number, payload);
   switch (answer.outcome) {
     case "accepted":
@@ -47,11 +47,11 @@
 }
 
 /** The call came in at a node that does not own the session. */
-async function passOn(edge: EdgeParts, id: string, topic: string, call: ApiCall): Promise<ApiReply> {
+async function forwardToOwner(edge: EdgeParts, id: string, topic: string, call: ApiCall): Promise<ApiReply> {
   const owner = call.isForwarded ? undefined : (await readOwner(edge.node.store, id))?.owner;
   if (owner === undefined || owner.node === "" || owner.node === edge.node.rpc.name)
     return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { retryAfterSeconds: 0.3 });
-  const due = 1.4 * publishTimeoutMs(edge, topic);
-  const reply = await edge.router.forwardTo(owner.node, "POST", call.path, call.body, due);
+  const timeoutMs = 1.4 * publishTimeoutMs(edge, topic);
+  const reply = await edge.router.forwardTo(owner.node, "POST", call.path, call.body, timeoutMs);
   return reply ?? ApiReplies.unknown("the session's owner did not answer; the same number again settles it");
 }
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -8,7 +8,7 @@
 
 /** How long a free shard is waited for, and a leader that does not serve yet. */
 const claimMs = 300;
-const againMs = 40;
+const retryDelayMs = 40;
 
 /** What became of a publish; `away` and `refused` promise that it was not done and never will be. */
 export type PublishOutcome =
@@ -53,7 +53,8 @@
     };
   if (reply !== "unresponsive" && reply.outcome === "unsure")
     return { outcome: "unsure", reason: reply.reason, retryAfterSeconds: reply.retryAfterSeconds };
-  if (!isDoubtful || (reply !== "unresponsive" && reply.outcome === "accepted")) session.numbers.settled(topic, number);
+  if (!isDoubtful || (reply !== "unresponsive" && reply.outcome === "accepted"))
+    session.numbers.resolved(topic, number);
   if (reply === "unresponsive") return givenUp("the topic's holder does not answer", 0.2);
   const { outcome, code, reason, retryAfterSeconds, incarnation, seq } = reply;
   if (outcome === "accepted") return { outcome: "accepted", cursor: Cursors.write(incarnation, seq) };
@@ -106,7 +107,7 @@
     if (reply === undefined && !(isMoved && mayRepeat(call))) return undefined;
     if (!(await isHeld(edge, shard, end))) return isOpen ? undefined : reply;
     // Whoever has just claimed it does not serve yet.
-    if (!isMoved) await new Promise<void>((resolve) => void parts.clock.once(againMs, resolve));
+    if (!isMoved) await new Promise<void>((resolve) => void parts.clock.once(retryDelayMs, resolve));
   }
   return undefined;
 }
--- a/packages/edge/src/publishing/publishNumbers.ts
+++ b/packages/edge/src/publishing/publishNumbers.ts
@@ -35,7 +35,7 @@
     if (numbers.open.size > PublishNumbers.maxOpen) numbers.open.delete(Math.min(...numbers.open));
   }
 
-  settled(topic: string, number: number): void {
+  resolved(topic: string, number: number): void {
     const numbers = this.#of(topic);
     numbers.highest = Math.max(numbers.highest, number);
     numbers.open.delete(number);
@@ -48,10 +48,10 @@
     ]);
   }
 
-  take(records: readonly NumberRecord[]): void {
+  restore(records: readonly NumberRecord[]): void {
     for (const { topic, number, isOpen } of records) {
       if (isOpen) this.opened(topic, number);
-      else this.settled(topic, number);
+      else this.resolved(topic, number);
     }
   }
 
--- a/packages/edge/src/sessions/admitSession.ts
+++ b/packages/edge/src/sessions/admitSession.ts
@@ -8,7 +8,7 @@
 
 /** The way to a session's ownership that every connection goes, whatever it speaks. */
 export const AdmitSession = {
-  againMs: 50,
+  retryDelayMs: 50,
 
   isName(id: string): boolean {
     return sessionName.test(id);
@@ -20,7 +20,7 @@
     if (edge.isDraining) return { reason: "this node is stopping", retryAfterSeconds: 0.2, code: "stopping" };
     const end = node.parts.clock.now() + patience;
     while ((!lease.isHeld || !node.feed.isFresh) && node.parts.clock.now() < end)
-      await new Promise<void>((resolve) => void node.parts.clock.once(AdmitSession.againMs, resolve));
+      await new Promise<void>((resolve) => void node.parts.clock.once(AdmitSession.retryDelayMs, resolve));
     if (!lease.isHeld || !node.feed.isFresh)
       return { reason: "this node is out of touch with the store", retryAfterSeconds: 1, code: "unavailable" };
     if (sessions.connections + edge.admitting >= edge.live.maxConnections) {
@@ -38,7 +38,7 @@
   },
 
   /** Ties a connection to its session in place of an older one. */
-  tie(edge: EdgeParts, session: Session, connection: ClientConnection): void {
+  attach(edge: EdgeParts, session: Session, connection: ClientConnection): void {
     const { clock } = edge.node.parts;
     session.disconnect("replaced by a newer link", 0, clock.now());
     session.connection = connection;
--- a/packages/edge/src/sessions/openConnection.ts
+++ b/packages/edge/src/sessions/openConnection.ts
@@ -7,7 +7,7 @@
 import type { Session } from "./session.js";
 import type { EdgeParts } from "../edgeParts.js";
 import { AdmitSession } from "./admitSession.js";
-import type { Wish } from "../subscriptions/findStarts.js";
+import type { SubscriptionRequest } from "../subscriptions/findStarts.js";
 import type { TopicFault } from "../publishing/topicFault.js";
 import { subscribeTopics } from "../subscriptions/subscribeTopics.js";
 
@@ -32,7 +32,7 @@
     );
   const read = BodyReader.read(body.length === 0 ? Buffer.from("{}") : body, connectionBody);
   if ("reply" in read) return read.reply;
-  const faulty = (read.value.subscriptions ?? []).findIndex((wish) => !Configurations.isTopic(wish.topic));
+  const faulty = (read.value.subscriptions ?? []).findIndex((request) => !Configurations.isTopic(request.topic));
   if (faulty !== -1)
     return ApiReplies.fault(400, "malformed", "a topic is space/name", {
       problems: [{ path: `subscriptions.${faulty}.topic`, problem: "must be space/name" }],
@@ -42,9 +42,9 @@
     return ApiReplies.unavailable(admitted.reason, admitted.retryAfterSeconds, admitted.code);
   const { session } = admitted;
   const connection = open();
-  AdmitSession.tie(edge, session, connection);
+  AdmitSession.attach(edge, session, connection);
   session.bringsTopics = false;
-  const kept: Wish[] = [...session.resumeCursors.keys()].map((topic) => ({ topic }));
+  const kept: SubscriptionRequest[] = [...session.resumeCursors.keys()].map((topic) => ({ topic }));
   connection.send({
     kind: "open",
     session: id,
@@ -70,11 +70,11 @@
 }
 
 /** A connection that names its topics gets these and no others. */
-function forgetOthers(session: Session, wishes: readonly Wish[] | undefined): void {
-  if (wishes === undefined) return;
-  const wanted = new Set(wishes.map((wish) => wish.topic));
+function forgetOthers(session: Session, requests: readonly SubscriptionRequest[] | undefined): void {
+  if (requests === undefined) return;
+  const wanted = new Set(requests.map((request) => request.topic));
   for (const topic of session.resumeCursors.keys()) if (!wanted.has(topic)) session.resumeCursors.delete(topic);
-  for (const { topic, after } of wishes) {
+  for (const { topic, after } of requests) {
     const cursor = Cursors.read(after);
     if (cursor !== undefined) session.resumeCursors.set(topic, cursor);
   }
--- a/packages/edge/src/sessions/sessionConnection.ts
+++ b/packages/edge/src/sessions/sessionConnection.ts
@@ -12,7 +12,7 @@
 interface Asked {
   topic: string;
   after: string | undefined;
-  settle: (outcome: Subscribed) => void;
+  resolve: (outcome: Subscribed) => void;
 }
 interface Pending {
   readonly asked: Asked;
@@ -92,9 +92,9 @@
   }
 
   #ask(topic: string, after: string | undefined): Promise<Subscribed> {
-    let settle: (outcome: Subscribed) => void = () => undefined;
-    const outcome = new Promise<Subscribed>((resolve) => (settle = resolve));
-    const asked = { topic, after, settle };
+    let resolveOutcome: (outcome: Subscribed) => void = () => undefined;
+    const outcome = new Promise<Subscribed>((resolve) => (resolveOutcome = resolve));
+    const asked = { topic, after, resolve: resolveOutcome };
     this.#pending.set(topic, { asked, outcome });
     this.#asked.push(asked);
     if (this.#asked.length === 1) this.#edge.node.parts.clock.once(0, () => void this.#lookUp());
@@ -104,15 +104,15 @@
   async #lookUp(): Promise<void> {
     const asked = this.#asked;
     this.#asked = [];
-    const wishes = asked.map(({ topic, after }) => (after === undefined ? { topic } : { topic, after }));
-    const { starts, faults } = await findStarts(this.#edge, this.#session, wishes);
+    const requests = asked.map(({ topic, after }) => (after === undefined ? { topic } : { topic, after }));
+    const { starts, faults } = await findStarts(this.#edge, this.#session, requests);
     const good = starts.filter(({ expired }) => expired === "");
-    for (const one of asked) one.settle(this.#outcomeOf(one.topic, starts, faults));
+    for (const one of asked) one.resolve(this.#outcomeOf(one.topic, starts, faults));
     // The confirmations go out first.
     this.#edge.node.parts.clock.once(0, () => this.#join(asked, good));
     for (const one of asked)
       if (this.#isPending(one) && !good.some(({ topic }) => topic === one.topic)) this.#pending.delete(one.topic);
-    for (const { tail, expired } of starts) if (expired !== "") this.#edge.streams.leave(tail);
+    for (const { tail, expired } of starts) if (expired !== "") this.#edge.streams.release(tail);
   }
 
   #outcomeOf(topic: string, starts: readonly Start[], faults: readonly TopicFault[]): Subscribed {
@@ -141,6 +141,6 @@
     for (const topic of wanted) this.#pending.delete(topic);
     const joining = starts.filter(({ topic }) => wanted.delete(topic));
     if (this.#isCurrent) joinStreams(this.#edge, this.#session, this.#connection, joining, () => undefined);
-    for (const { tail } of starts) this.#edge.streams.leave(tail);
+    for (const { tail } of starts) this.#edge.streams.release(tail);
   }
 }
--- a/packages/edge/src/sessions/sessions.ts
+++ b/packages/edge/src/sessions/sessions.ts
@@ -44,7 +44,7 @@
     this.#lease = lease;
     node.rpc.serve("pull", (pull) => this.#ship(pull));
     lease.on("lost", () => this.#dropAll());
-    node.parts.clock.every(1000, () => this.#tend());
+    node.parts.clock.every(1000, () => this.#expireIdle());
   }
 
   get table(): ReadonlyMap<string, Session> {
@@ -108,7 +108,8 @@
       puts: [{ key, value, lease }],
     });
     if (written.outcome === "conflict") return { retryAfterSeconds: 0.1, reason: "another resume of this session won" };
-    const revision = written.outcome === "done" ? written.revision! : await this.#settle(id, lease, written.outcome);
+    const revision =
+      written.outcome === "done" ? written.revision! : await this.#resolveUnknownWrite(id, lease, written.outcome);
     if (revision === 0) return { retryAfterSeconds: 0.3, reason: "the owner key could not be written" };
     if (!this.#lease.isHeld || this.#lease.lease !== lease)
       return { retryAfterSeconds: 1, reason: "this node lost its lease" };
@@ -135,7 +136,7 @@
   }
 
   /** Closes every connection; the sessions stay to be pulled until released. */
-  goodbye(reason: string, retryAfterSeconds: () => number, addressFor: (session: string) => string): void {
+  disconnectAll(reason: string, retryAfterSeconds: () => number, addressFor: (session: string) => string): void {
     for (const session of this.#table.values())
       session.disconnect(reason, retryAfterSeconds(), this.#node.parts.clock.now(), addressFor(session.id));
   }
@@ -223,7 +224,7 @@
   }
 
   /** A write whose outcome is unknown: what does the key say now? */
-  async #settle(id: string, lease: string, outcome: string): Promise<number> {
+  async #resolveUnknownWrite(id: string, lease: string, outcome: string): Promise<number> {
     if (outcome !== "unsure") return 0;
     const read = await readOwner(this.#node.store, id);
     const owner = read?.owner;
@@ -238,7 +239,7 @@
     }
     for (const { topic, incarnation, cursor } of shipped?.subscriptions ?? [])
       session.resumeCursors.set(topic, { incarnation, seq: cursor });
-    session.numbers.take(shipped?.numbers ?? []);
+    session.numbers.restore(shipped?.numbers ?? []);
   }
 
   #dropAll(): void {
@@ -249,7 +250,7 @@
     this.#table.clear();
   }
 
-  #tend(): void {
+  #expireIdle(): void {
     const now = this.#node.parts.clock.now();
     for (const [id, { at }] of this.#shipped) if (now - at > Sessions.keepShippedMs) this.#shipped.delete(id);
     for (const [id, at] of this.#orphans) if (now - at > Sessions.keepIdleMs) this.#orphans.delete(id);
--- a/packages/edge/src/subscriptions/askStarts.ts
+++ b/packages/edge/src/subscriptions/askStarts.ts
@@ -4,7 +4,7 @@
 
 const maxMs = 1500;
 const callMs = 700;
-const againMs = 80;
+const retryDelayMs = 80;
 
 /** Asks a shard's leader for starts, and whoever holds it next while it changes hands; undefined where none can. */
 export async function askStarts(
@@ -22,7 +22,7 @@
       if (reply?.case === "startReply" && reply.value.outcome === "done")
         return new Map(reply.value.starts.map((start) => [start.topic, start]));
     }
-    await new Promise<void>((resolve) => void parts.clock.once(againMs, resolve));
+    await new Promise<void>((resolve) => void parts.clock.once(retryDelayMs, resolve));
   }
   return undefined;
 }
--- a/packages/edge/src/subscriptions/findStarts.ts
+++ b/packages/edge/src/subscriptions/findStarts.ts
@@ -9,9 +9,9 @@
 import type { EdgeParts } from "../edgeParts.js";
 import { askStarts } from "./askStarts.js";
 
-const knownMs = 600;
+const headTimeoutMs = 600;
 
-export interface Wish {
+export interface SubscriptionRequest {
   topic: string;
   after?: string;
 }
@@ -38,12 +38,12 @@
 export async function findStarts(
   edge: EdgeParts,
   session: Session,
-  wishes: readonly Wish[],
+  requests: readonly SubscriptionRequest[],
 ): Promise<{ starts: Start[]; faults: TopicFault[] }> {
   const faults: TopicFault[] = [];
   const unrouted: string[] = [];
   const routed: Routed[] = [];
-  for (const { topic, after } of wishes) {
+  for (const { topic, after } of requests) {
     const asked = Cursors.read(after);
     const route = edge.node.configuration.route(topic);
     if (after !== undefined && asked === undefined)
@@ -51,23 +51,23 @@
     else if (route === undefined) unrouted.push(topic);
     else {
       const cursor = asked ?? session.resumeCursors.get(topic);
-      routed.push({ topic, tail: edge.streams.take(route), route, cursor, isAsked: asked !== undefined });
+      routed.push({ topic, tail: edge.streams.acquire(route), route, cursor, isAsked: asked !== undefined });
     }
   }
   const starts: Start[] = [];
   const unknown: Routed[] = [];
   // One follow of an edge tells the confirmed heads of all its connections' streams; a crowd need not ask one by one.
-  await Promise.all(routed.map(({ tail }) => edge.streams.known(tail, knownMs)));
+  await Promise.all(routed.map(({ tail }) => edge.streams.known(tail, headTimeoutMs)));
   for (const one of routed) {
-    const heard = heardStart(edge, one);
-    if (heard === undefined) unknown.push(one);
-    else starts.push(heard);
+    const start = startFromTail(edge, one);
+    if (start === undefined) unknown.push(one);
+    else starts.push(start);
   }
-  const [judged] = await Promise.all([
-    judge(edge, unknown),
+  const [confirmed] = await Promise.all([
+    startsFromLeader(edge, unknown),
     Promise.all(unrouted.map(async (topic) => faults.push(await edge.configurationCheck.faultOf(topic)))),
   ]);
-  for (const one of judged) {
+  for (const one of confirmed) {
     if ("code" in one) faults.push(one);
     else starts.push(one);
   }
@@ -77,18 +77,18 @@
 /**
  * What the tail shows by itself: a place it has passed in the same incarnation, of a topic that the configuration owes.
  */
-function heardStart(edge: EdgeParts, { topic, tail, cursor }: Routed): Start | undefined {
+function startFromTail(edge: EdgeParts, { topic, tail, cursor }: Routed): Start | undefined {
   if (!tail.isKnown || Configurations.contractFor(edge.node.configuration.configuration, topic) === undefined)
     return undefined;
   if (cursor === undefined)
     return { topic, tail, cursor: { incarnation: tail.incarnation, seq: tail.head }, expired: "" };
-  const isHeard = cursor.incarnation === tail.incarnation && cursor.seq >= tail.low && cursor.seq <= tail.head;
-  return isHeard ? { topic, tail, cursor, expired: "" } : undefined;
+  const isWithinTail = cursor.incarnation === tail.incarnation && cursor.seq >= tail.low && cursor.seq <= tail.head;
+  return isWithinTail ? { topic, tail, cursor, expired: "" } : undefined;
 }
 
-async function judge(edge: EdgeParts, unknown: readonly Routed[]): Promise<Array<Start | TopicFault>> {
+async function startsFromLeader(edge: EdgeParts, unknown: readonly Routed[]): Promise<Array<Start | TopicFault>> {
   const shards = Grouped.by(unknown, ({ tail }) => tail.shard);
-  const judged = await Promise.all(
+  const confirmed = await Promise.all(
     [...shards].map(async ([shard, list]) => {
       const cursors = list.map(({ topic, route: { spaceIncarnation }, cursor }) => ({
         topic,
@@ -96,16 +96,16 @@
         ...cursor,
       }));
       const answers = await askStarts(edge, shard, cursors);
-      return list.map((one) => settle(one, answers?.get(one.topic)));
+      return list.map((one) => startOrFault(one, answers?.get(one.topic)));
     }),
   );
-  const all = judged.flat();
+  const all = confirmed.flat();
   for (const one of unknown)
-    if (!all.some((found) => "tail" in found && found.topic === one.topic)) edge.streams.leave(one.tail);
+    if (!all.some((found) => "tail" in found && found.topic === one.topic)) edge.streams.release(one.tail);
   return all;
 }
 
-function settle({ topic, tail, isAsked }: Routed, answer: TopicStart | undefined): Start | TopicFault {
+function startOrFault({ topic, tail, isAsked }: Routed, answer: TopicStart | undefined): Start | TopicFault {
   const unavailable = {
     topic,
     code: "unavailable",
--- a/packages/edge/src/subscriptions/joinStreams.ts
+++ b/packages/edge/src/subscriptions/joinStreams.ts
@@ -23,7 +23,7 @@
     if (cursor === undefined) {
       cursor = new StreamCursor({
         table: edge.streams,
-        tail: edge.streams.take(tail.route),
+        tail: edge.streams.acquire(tail.route),
         connection,
         clock: edge.node.parts.clock,
         maySend: () => edge.maySend(session, connection),
--- a/packages/edge/src/subscriptions/streamCursor.ts
+++ b/packages/edge/src/subscriptions/streamCursor.ts
@@ -25,19 +25,19 @@
  * kept, each publisher's numbers in a topic rise from incarnation to incarnation, whichever way a message came.
  */
 export class StreamCursor {
-  static readonly againMs = 250;
+  static readonly retryDelayMs = 250;
 
   readonly #parts: CursorParts;
   readonly #topics = new Map<string, number>();
   /** By topic: what was handed on, where nothing is kept and places begin anew with each leader. */
-  readonly #given = new Map<string, PublisherOrder>();
+  readonly #delivered = new Map<string, PublisherOrder>();
   readonly #grown = (): void => void this.#pump();
   readonly #ended = (fault: string): void => this.#endAll(fault);
   incarnation = "";
   cursor = 0;
   #isPumping = false;
   #isStopped = false;
-  #again: TimerHandle | undefined;
+  #retryTimer: TimerHandle | undefined;
 
   constructor(parts: CursorParts) {
     this.#parts = parts;
@@ -80,7 +80,7 @@
   }
 
   remove(topic: string): void {
-    this.#given.delete(topic);
+    this.#delivered.delete(topic);
     if (this.#topics.delete(topic) && !this.#isStopped) this.#parts.table.counts.part(this.tail, topic);
     if (this.#topics.size === 0) this.stop();
   }
@@ -89,10 +89,10 @@
     if (this.#isStopped) return;
     this.#isStopped = true;
     for (const topic of this.#topics.keys()) this.#parts.table.counts.part(this.tail, topic);
-    this.#again?.stop();
+    this.#retryTimer?.stop();
     this.#parts.tail.off("grown", this.#grown);
     this.#parts.tail.off("ended", this.#ended);
-    this.#parts.table.leave(this.#parts.tail);
+    this.#parts.table.release(this.#parts.tail);
   }
 
   /** Topics that the configuration now in force owes nothing, or gives to another space, end. */
@@ -122,16 +122,16 @@
         this.cursor = Math.max(before, (tail.messages[0]?.seq ?? tail.head + 1) - 1);
         if (this.cursor > before) continue;
       }
-      this.#lookAgain();
+      this.#retryLater();
       break;
     }
     this.#isPumping = false;
   }
 
   /** What could not be fetched now is asked for again, also where no news comes. */
-  #lookAgain(): void {
-    this.#again?.stop();
-    this.#again = this.#parts.clock.once(StreamCursor.againMs, () => void this.#pump());
+  #retryLater(): void {
+    this.#retryTimer?.stop();
+    this.#retryTimer = this.#parts.clock.once(StreamCursor.retryDelayMs, () => void this.#pump());
   }
 
   async #fetch(): Promise<void> {
@@ -160,9 +160,9 @@
   /** What an earlier leader's stream brought, or something before it: published again for want of a reply. */
   #isRepeat(message: StreamMessage): boolean {
     if (!this.tail.keepsNothing) return false;
-    const given = this.#given.get(message.topic) ?? new PublisherOrder();
-    this.#given.set(message.topic, given);
-    return given.faultOf(message, this.#parts.clock.now()) !== undefined;
+    const delivered = this.#delivered.get(message.topic) ?? new PublisherOrder();
+    this.#delivered.set(message.topic, delivered);
+    return delivered.faultOf(message, this.#parts.clock.now()) !== undefined;
   }
 
   /** Goes on after what was trimmed. Only topics that lost a message by it are told, and that were owed it. */
--- a/packages/edge/src/subscriptions/subscribeTopics.ts
+++ b/packages/edge/src/subscriptions/subscribeTopics.ts
@@ -7,7 +7,7 @@
 import type { TopicFault } from "../publishing/topicFault.js";
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
-import { findStarts, type Start, type Wish } from "./findStarts.js";
+import { findStarts, type Start, type SubscriptionRequest } from "./findStarts.js";
 import { joinStreams } from "./joinStreams.js";
 
 /**
@@ -19,12 +19,13 @@
   edge: EdgeParts,
   session: Session,
   connection: ClientConnection,
-  wishes: readonly Wish[],
+  requests: readonly SubscriptionRequest[],
 ): Promise<TopicFault[] | undefined> {
-  const fresh = wishes.filter(
-    (wish, i) => !session.subscriptions.has(wish.topic) && wishes.findIndex((one) => one.topic === wish.topic) === i,
+  const fresh = requests.filter(
+    (request, i) =>
+      !session.subscriptions.has(request.topic) && requests.findIndex((one) => one.topic === request.topic) === i,
   );
-  for (const { topic } of wishes) {
+  for (const { topic } of requests) {
     const cursor = session.subscriptions.get(topic);
     if (cursor !== undefined) confirm(connection, topic, cursor);
   }
@@ -48,7 +49,7 @@
       confirm(connection, topic, cursor);
     });
   if (session.connection === connection) session.joining -= admitted.length;
-  for (const { tail } of starts) edge.streams.leave(tail);
+  for (const { tail } of starts) edge.streams.release(tail);
   const tooMany = fresh.slice(admitted.length).map(({ topic }) => {
     return { topic, code: "too-many", reason: "a connection may have no more topics by the plan in force" };
   });
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -196,8 +196,8 @@
   {
     name: "an edge judges a place by what it has heard",
     file: "edge/dist/subscriptions/findStarts.js",
-    find: 'return isHeard ? { topic, tail, cursor, expired: "" } : undefined;',
-    put: 'return { topic, tail, cursor: { incarnation: tail.incarnation, seq: tail.head }, expired: isHeard ? "" : "unheard" };',
+    find: 'return isWithinTail ? { topic, tail, cursor, expired: "" } : undefined;',
+    put: 'return { topic, tail, cursor: { incarnation: tail.incarnation, seq: tail.head }, expired: isWithinTail ? "" : "unheard" };',
     test: `${sim}/streams.test.js`,
   },
   {
--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -30,12 +30,12 @@
 
 test("an edge's tail, a journal and a log ring keep their newest, and no more than they say", () => {
   const tail = new StreamTail({ stream: "6:notes/t1", space: "notes/", spaceIncarnation: 1 }, 0);
-  tail.learn(incarnation, 0, 0);
+  tail.onHead(incarnation, 0, 0);
   const sizeOf = (): number => tail.messages.reduce((sum, one) => sum + one.payload.length, 0);
   for (let seq = 1; seq <= 3000; seq += 1) {
     const payload = new Uint8Array(seq > 2000 ? 60_000 : 10);
     tail.extend(incarnation, [create(StreamMessageSchema, { seq, payload })]);
-    expect(tail.messages.length <= StreamTail.most && sizeOf() <= StreamTail.maxBytes).toEqual(true);
+    expect(tail.messages.length <= StreamTail.maxMessages && sizeOf() <= StreamTail.maxBytes).toEqual(true);
   }
   expect(tail.messages.at(-1)!.seq).toEqual(3000);
   const journal = new ChangeJournal<number>(50);
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -21,9 +21,9 @@
 
 const serverOf = ({ fleet, edge }: Pick<Scene, "fleet" | "edge">): string => {
   const { node, edge: edgeNode } = fleet.find(edge)!;
-  const tail = edgeNode!.streams.take(node.configuration.route(topic)!);
+  const tail = edgeNode!.streams.acquire(node.configuration.route(topic)!);
   const server = edgeNode!.streams.serverOf(tail);
-  edgeNode!.streams.leave(tail);
+  edgeNode!.streams.release(tail);
   return server;
 };
 
--- a/packages/testkit/src/slopes/edgeSlopes.ts
+++ b/packages/testkit/src/slopes/edgeSlopes.ts
@@ -29,7 +29,7 @@
 
 function tailOf(topic: string): StreamTail {
   const tail = new StreamTail({ stream: `6:${topic}`, space: "notes/", spaceIncarnation: 1 }, 0);
-  tail.learn(incarnation, 0, 0);
+  tail.onHead(incarnation, 0, 0);
   return tail;
 }
 function subscribe(
