--- a/packages/edge/src/edgeCalls.ts
+++ b/packages/edge/src/connections/edgeCalls.ts
@@ -3,14 +3,14 @@
 import type { ApiCall, Router } from "@cranetrack/core/http/router.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { BodyReader } from "@cranetrack/core/http/bodyReader.js";
-import type { ClientConnection } from "./connections/clientConnection.js";
-import { openConnection } from "./sessions/openConnection.js";
-import { publishCall } from "./publishing/publishCall.js";
-import { readOwner } from "./sessions/readOwner.js";
-import { subscribeTopics } from "./subscriptions/subscribeTopics.js";
-import { unsubscribeTopic } from "./subscriptions/unsubscribeTopic.js";
-import type { Session } from "./sessions/session.js";
-import type { EdgeParts } from "./edgeParts.js";
+import type { ClientConnection } from "./clientConnection.js";
+import { openConnection } from "./openConnection.js";
+import { publishCall } from "../publishing/publishCall.js";
+import { readOwner } from "../sessions/readOwner.js";
+import { subscribeTopics } from "../subscriptions/subscribeTopics.js";
+import { unsubscribeTopic } from "../subscriptions/unsubscribeTopic.js";
+import type { Session } from "../sessions/session.js";
+import type { EdgeParts } from "../edgeParts.js";
 
 const subscriptionsBody = type({ "+": "reject", topic: "string", "after?": "string" });
 
--- a/packages/edge/src/connections/edgeClientEndpoint.ts
+++ b/packages/edge/src/connections/edgeClientEndpoint.ts
@@ -1,6 +1,6 @@
-import { SessionConnection } from "../sessions/sessionConnection.js";
+import { SessionConnection } from "./sessionConnection.js";
 import type { ClientConnection } from "./clientConnection.js";
-import { countTopic } from "../fanout/countTopic.js";
+import { countTopic } from "../subscriptions/countTopic.js";
 import { AdmitSession } from "../sessions/admitSession.js";
 import type { Connected, ClientEndpoint, Counted } from "./clientEndpoint.js";
 import type { EdgeParts } from "../edgeParts.js";
--- a/packages/edge/src/sessions/openConnection.ts
+++ b/packages/edge/src/connections/openConnection.ts
@@ -2,13 +2,13 @@
 import { Configurations } from "@cranetrack/core/configuration/configuration.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { BodyReader } from "@cranetrack/core/http/bodyReader.js";
-import type { ClientConnection } from "../connections/clientConnection.js";
+import type { ClientConnection } from "./clientConnection.js";
 import { Cursors } from "../subscriptions/cursor.js";
-import type { Session } from "./session.js";
+import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
-import { AdmitSession } from "./admitSession.js";
+import { AdmitSession } from "../sessions/admitSession.js";
 import type { SubscriptionRequest } from "../subscriptions/findStarts.js";
-import type { TopicFault } from "../publishing/topicFault.js";
+import type { TopicFault } from "../subscriptions/topicFault.js";
 import { subscribeTopics } from "../subscriptions/subscribeTopics.js";
 
 const connectionBody = type({
--- a/packages/edge/src/sessions/sessionConnection.ts
+++ b/packages/edge/src/connections/sessionConnection.ts
@@ -1,9 +1,9 @@
 import { Configurations } from "@cranetrack/core/configuration/configuration.js";
-import type { ClientConnection } from "../connections/clientConnection.js";
+import type { ClientConnection } from "./clientConnection.js";
 import { Cursors } from "../subscriptions/cursor.js";
-import type { TopicFault } from "../publishing/topicFault.js";
-import type { SessionEndpoint, Subscribed } from "../connections/clientEndpoint.js";
-import type { Session } from "./session.js";
+import type { TopicFault } from "../subscriptions/topicFault.js";
+import type { SessionEndpoint, Subscribed } from "./clientEndpoint.js";
+import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
 import { findStarts, type Start } from "../subscriptions/findStarts.js";
 import { joinStreams } from "../subscriptions/joinStreams.js";
--- a/packages/edge/src/cranetrack-edge.ts
+++ b/packages/edge/src/cranetrack-edge.ts
@@ -2,7 +2,7 @@
 import { Program } from "@cranetrack/core/runtime/program.js";
 import { HttpConnection } from "./connections/httpConnection.js";
 import { EdgeNode } from "./edgeNode.js";
-import { EdgeCalls } from "./edgeCalls.js";
+import { EdgeCalls } from "./connections/edgeCalls.js";
 
 await new Program("vise", ["plan", "shards/"], ({ node, router }) => {
   const edge = new EdgeNode(node, router);
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -3,7 +3,7 @@
 import { LeaseKeepAlive } from "@cranetrack/core/store/leaseKeepAlive.js";
 import type { Router } from "@cranetrack/core/http/router.js";
 import type { ClientConnection } from "./connections/clientConnection.js";
-import { SubscriptionKey } from "./sessions/subscriptionKey.js";
+import { SubscriptionKey } from "./subscriptions/subscriptionKey.js";
 import type { Session } from "./sessions/session.js";
 import { Sessions } from "./sessions/sessions.js";
 import { ConfigurationCheck } from "./publishing/configurationCheck.js";
--- a/packages/edge/src/publishing/configurationCheck.ts
+++ b/packages/edge/src/publishing/configurationCheck.ts
@@ -1,7 +1,7 @@
 import { ConfigurationKey, type SpaceOutline } from "@cranetrack/core/keys/configurationKey.js";
 import type { StoreClient } from "@cranetrack/core/store/storeClient.js";
 import { PrefixIndex } from "@cranetrack/core/configuration/prefixIndex.js";
-import type { TopicFault } from "./topicFault.js";
+import type { TopicFault } from "../subscriptions/topicFault.js";
 
 type Prefixes = PrefixIndex<SpaceOutline>;
 
--- a/packages/edge/src/sessions/sessions.ts
+++ b/packages/edge/src/sessions/sessions.ts
@@ -4,7 +4,7 @@
 import type { LeaseKeepAlive } from "@cranetrack/core/store/leaseKeepAlive.js";
 import type { Body, BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { OwnerKey } from "./ownerKey.js";
-import { SubscriptionKey } from "./subscriptionKey.js";
+import { SubscriptionKey } from "../subscriptions/subscriptionKey.js";
 import { readOwner, type Owner } from "./readOwner.js";
 import { Session } from "./session.js";
 
--- a/packages/edge/src/subscriptions/findStarts.ts
+++ b/packages/edge/src/subscriptions/findStarts.ts
@@ -3,7 +3,7 @@
 import { Configurations } from "@cranetrack/core/configuration/configuration.js";
 import type { StreamRoute } from "@cranetrack/core/configuration/streams.js";
 import { Cursors, type Cursor } from "./cursor.js";
-import type { TopicFault } from "../publishing/topicFault.js";
+import type { TopicFault } from "./topicFault.js";
 import type { Session } from "../sessions/session.js";
 import type { StreamTail } from "../fanout/streamTail.js";
 import type { EdgeParts } from "../edgeParts.js";
--- a/packages/edge/src/sessions/subscriptionKey.ts
+++ b/packages/edge/src/subscriptions/subscriptionKey.ts
@@ -1,4 +1,4 @@
-import { Cursors, type Cursor } from "../subscriptions/cursor.js";
+import { Cursors, type Cursor } from "./cursor.js";
 
 /** The keys of a session's subscriptions: each topic with the place from which it is owed. */
 export const SubscriptionKey = {
--- a/packages/edge/src/subscriptions/unsubscribeTopic.ts
+++ b/packages/edge/src/subscriptions/unsubscribeTopic.ts
@@ -1,6 +1,6 @@
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { OwnerKey } from "../sessions/ownerKey.js";
-import { SubscriptionKey } from "../sessions/subscriptionKey.js";
+import { SubscriptionKey } from "./subscriptionKey.js";
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
 
--- a/packages/testkit/src/golden/adapter.ts
+++ b/packages/testkit/src/golden/adapter.ts
@@ -28,7 +28,7 @@
 import { LargeValues } from "@cranetrack/core/store/largeValues.js";
 import { PackedValue, packing } from "@cranetrack/core/store/packedValue.js";
 import { OwnerKey } from "@cranetrack/edge/sessions/ownerKey.js";
-import { SubscriptionKey } from "@cranetrack/edge/sessions/subscriptionKey.js";
+import { SubscriptionKey } from "@cranetrack/edge/subscriptions/subscriptionKey.js";
 import { SimRandom } from "../sim/simRandom.js";
 
 type Frame = messages.Frame;
--- a/packages/testkit/src/sabotage/incidentSabotages.ts
+++ b/packages/testkit/src/sabotage/incidentSabotages.ts
@@ -14,7 +14,7 @@
   },
   {
     name: "a late join takes a later call of the topic for its own",
-    file: "edge/dist/sessions/sessionConnection.js",
+    file: "edge/dist/connections/sessionConnection.js",
     find: "this.#pending.get(asked.topic)?.asked === asked",
     put: "this.#pending.has(asked.topic)",
     test: `${sim}/connections.test.js`,
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -4,7 +4,7 @@
 import type { ShardLeader } from "@cranetrack/log-storage/shards/shardLeader.js";
 import type { PublishReply } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Wire, type Body } from "@cranetrack/core/rpc/wire.js";
-import { countTopic, type Count } from "@cranetrack/edge/fanout/countTopic.js";
+import { countTopic, type Count } from "@cranetrack/edge/subscriptions/countTopic.js";
 import { expect } from "earl";
 import { Hand, served, type Served } from "./hand.js";
 
--- a/packages/testkit/src/sim/simNode.ts
+++ b/packages/testkit/src/sim/simNode.ts
@@ -9,7 +9,7 @@
 import type { Settings } from "@cranetrack/core/runtime/settings.js";
 import { ControlNode } from "@cranetrack/control/controlNode.js";
 import { EdgeNode } from "@cranetrack/edge/edgeNode.js";
-import { EdgeCalls } from "@cranetrack/edge/edgeCalls.js";
+import { EdgeCalls } from "@cranetrack/edge/connections/edgeCalls.js";
 import { SimClock, type SimBody } from "./simClock.js";
 import type { SimDisk } from "./simDisk.js";
 import type { SimWires } from "./simTransport.js";
