--- a/packages/cli/src/fleetChecks.ts
+++ b/packages/cli/src/fleetChecks.ts
@@ -13,16 +13,19 @@
   replicas: string[];
 }
 
+/** The role of control nodes as status names it: the stored value of before the standard terms. */
+const controlRole = "lathe";
+
 async function status(context: RunbookContext): Promise<{ members: MemberState[]; shards: ShardState[] } | undefined> {
   const reply = await context.client.call("GET", "/v1/status");
   return reply.status === 200 ? (reply.body as { members: MemberState[]; shards: ShardState[] }) : undefined;
 }
 
-/** What runbooks ask of a fleet. Each answers undefined where all is well. */
+/** What runbooks check of a fleet, each from one node's view; undefined where all is well, else what is wrong. */
 export const FleetChecks = {
   status,
 
-  nothing: (async () => undefined) satisfies Check,
+  none: (async () => undefined) satisfies Check,
 
   allAlive: (async (context) => {
     const seen = await status(context);
@@ -33,12 +36,12 @@
     return missing.length === 0 ? undefined : missing.join(", ");
   }) satisfies Check,
 
-  allHeld: (async (context) => {
+  allShardsLed: (async (context) => {
     const seen = await status(context);
     if (seen === undefined) return "no node answers";
     const free = seen.shards.filter((shard) => shard.leader === "").map((shard) => shard.shard);
     if (seen.shards.length === 0) return "no shard has a replica set yet";
-    return free.length === 0 ? undefined : `shards ${free.join(", ")} have no holder`;
+    return free.length === 0 ? undefined : `shards ${free.join(", ")} have no leader`;
   }) satisfies Check,
 
   fullStrength: (async (context) => {
@@ -64,22 +67,22 @@
   controlNodesUp: (async (context) => {
     const seen = await status(context);
     if (seen === undefined) return "no node answers";
-    const controlNodes = seen.members.filter((member) => member.role === "lathe" && member.state === "alive");
+    const controlNodes = seen.members.filter((member) => member.role === controlRole && member.state === "alive");
     for (const controlNode of controlNodes) {
       const own = await context.client.call("GET", "/v1/status", undefined, [controlNode.http]);
       const raft = own.body["raft"] as { voters: string[]; learners: string[]; isLeader: boolean } | null | undefined;
       if (raft?.isLeader !== true) continue;
-      const outside = controlNodes.filter((one) => !raft.voters.includes(one.name)).map((one) => one.name);
+      const outside = controlNodes.map(({ name }) => name).filter((name) => !raft.voters.includes(name));
       return outside.length === 0 ? undefined : `${outside.join(", ")} not a voter yet`;
     }
-    return "no lathe proposes";
+    return "no control node leads the metadata store";
   }) satisfies Check,
 
   isAlive:
     (arg: string): Check =>
     async (context) => {
       const seen = await status(context);
-      const member = seen?.members.find((one) => one.name === context.args[arg]);
+      const member = seen?.members.find((candidate) => candidate.name === context.args[arg]);
       if (member === undefined) return `no node is called ${context.args[arg]}`;
       return member.state === "alive" ? undefined : `${member.name} is ${member.state}`;
     },
--- a/packages/cli/src/fleetClient.ts
+++ b/packages/cli/src/fleetClient.ts
@@ -21,10 +21,15 @@
     this.#nodes = [...nodes];
   }
 
+  /** The file's text, or standard input for `-`. */
   static readConfigurationFile(path: string): string {
     return readFileSync(path === "-" ? 0 : path, "utf8");
   }
 
+  /**
+   * Asks the nodes in turn until one has a final answer. Never throws: a call that no node answered, or with an unknown
+   * outcome, has status 0 and an `error` in its body.
+   */
   async call(method: Method, path: string, body?: string, nodes: readonly string[] = this.#nodes): Promise<FleetReply> {
     let last = FleetClient.#noAnswer("unreachable", `no node answers: ${nodes.join(", ")}`);
     for (const node of nodes) {
@@ -64,6 +69,7 @@
     return { status: 0, text: "", body: { error: { code, message } }, retryAfterSeconds: undefined };
   }
 
+  /** Ends the connections to the nodes. */
   close(): Promise<void> {
     return this.#agent.close();
   }
--- /dev/null
+++ b/packages/cli/src/nearestName.ts
@@ -0,0 +1,34 @@
+/** The known name with the fewest changed, added, left out or swapped letters (edit distance); the first of equals. */
+export function nearestName(given: string, known: readonly string[]): string | undefined {
+  let nearest: string | undefined;
+  let fewest = Infinity;
+  for (const name of known) {
+    const distance = distanceBetween(given, name);
+    if (distance < fewest) [nearest, fewest] = [name, distance];
+  }
+  return nearest;
+}
+
+/** An error for a name that is not known, with the nearest one and the whole list. */
+export function unknownName(kind: string, given: string, known: readonly string[]): Error {
+  return new Error(
+    `unknown ${kind} "${given}"; the nearest is "${nearestName(given, known) ?? ""}". Known: ${known.join(", ")}`,
+  );
+}
+
+function distanceBetween(from: string, to: string): number {
+  // rows[i][j]: from the first i letters of `from` to the first j of `to`.
+  const rows = [Array.from({ length: to.length + 1 }, (_, j) => j)];
+  for (let i = 1; i <= from.length; i += 1) {
+    const row = [i];
+    for (let j = 1; j <= to.length; j += 1) {
+      const isSame = from[i - 1] === to[j - 1];
+      const above = rows[i - 1]!;
+      row.push(Math.min(above[j]! + 1, row[j - 1]! + 1, above[j - 1]! + (isSame ? 0 : 1)));
+      const isSwapped = i > 1 && j > 1 && from[i - 1] === to[j - 2] && from[i - 2] === to[j - 1];
+      if (isSwapped) row[j] = Math.min(row[j]!, rows[i - 2]![j - 2]! + 1);
+    }
+    rows.push(row);
+  }
+  return rows[from.length]![to.length]!;
+}
--- a/packages/cli/src/retryPolicy.ts
+++ b/packages/cli/src/retryPolicy.ts
@@ -37,8 +37,7 @@
 
   /**
    * Reads change nothing. A configuration is known by its version and content, and is acknowledged again. Other changes
-   * may undo
-   * what somebody else did between the two.
+   * may undo what somebody else did between the two.
    */
   mayRepeat(method: Method, path: string): boolean {
     return method === "GET" || (method === "PUT" && path === configurationPath);
--- a/packages/cli/src/runbooks/runbooks.ts
+++ b/packages/cli/src/runbooks/runbooks.ts
@@ -2,9 +2,13 @@
 import { FleetClient } from "../fleetClient.js";
 import type { Check, Runbook, RunbookContext } from "./runbook.js";
 
-const whole = FleetChecks.all(FleetChecks.allAlive, FleetChecks.allHeld, FleetChecks.fullStrength);
+const healthy = FleetChecks.all(FleetChecks.allAlive, FleetChecks.allShardsLed, FleetChecks.fullStrength);
 
-async function ask(
+/** The documented option of `replace-lathe`; scripts use it. */
+const controlNodeFlag = "lathe";
+
+/** Makes one change by the HTTP API; undefined where it was accepted. */
+async function change(
   context: RunbookContext,
   method: "PUT" | "DELETE",
   path: string,
@@ -15,10 +19,10 @@
   return reply.status === 200 ? undefined : `${reply.status}: ${fault?.message ?? reply.text}`;
 }
 
-/** Waits for somebody's hands: the node named must leave and come back with a new start. */
+/** Holds once the operator has restarted the node: it answers, with another incarnation than noted before. */
 const restarted: Check = async (context) => {
   const seen = await FleetChecks.status(context);
-  const member = seen?.members.find((one) => one.name === context.args["node"]);
+  const member = seen?.members.find((candidate) => candidate.name === context.args["node"]);
   const own =
     member === undefined ? undefined : await context.client.call("GET", "/v1/status", undefined, [member.http]);
   const before = context.args["incarnation"];
@@ -26,14 +30,15 @@
   return String(own.body["incarnation"]) === before ? `${context.args["node"]} has not been restarted yet` : undefined;
 };
 
-async function remember(context: RunbookContext): Promise<string | undefined> {
+/** Notes the process's incarnation before the operator restarts it; `restarted` compares it. */
+async function noteIncarnation(context: RunbookContext): Promise<string | undefined> {
   const seen = await FleetChecks.status(context);
-  const member = seen?.members.find((one) => one.name === context.args["node"]);
+  const member = seen?.members.find((candidate) => candidate.name === context.args["node"]);
   const own =
     member === undefined ? undefined : await context.client.call("GET", "/v1/status", undefined, [member.http]);
   if (own?.status !== 200) return `${context.args["node"]} does not answer`;
   context.args["incarnation"] = String(own.body["incarnation"]);
-  context.say(`now stop ${context.args["node"]} politely and start it again`);
+  context.say(`now stop ${context.args["node"]} with SIGTERM and start it again`);
   return undefined;
 }
 
@@ -44,38 +49,43 @@
     about: "Move all topic logs off a storage machine",
     args: { machine: "the machine's name" },
     steps: [
-      { title: "the fleet is whole", before: FleetChecks.nothing, after: FleetChecks.allHeld, timeoutMs: 10_000 },
       {
-        title: "ask for the machine to be emptied",
+        title: "every shard has a leader",
+        before: FleetChecks.none,
+        after: FleetChecks.allShardsLed,
+        timeoutMs: 10_000,
+      },
+      {
+        title: "request the drain",
         before: FleetChecks.isAlive("machine"),
-        act: (context) => ask(context, "PUT", `/v1/machines/${context.args["machine"]}/emptying`),
+        perform: (context) => change(context, "PUT", `/v1/machines/${context.args["machine"]}/emptying`),
         after: FleetChecks.isEmpty,
         timeoutMs: 300_000,
       },
       {
-        title: "every shard is held at full strength without it",
+        title: "every shard has a leader and all replicas without it",
         before: FleetChecks.isEmpty,
-        after: FleetChecks.all(FleetChecks.allHeld, FleetChecks.fullStrength),
+        after: FleetChecks.all(FleetChecks.allShardsLed, FleetChecks.fullStrength),
         timeoutMs: 60_000,
       },
     ],
   },
   {
     name: "refill-machine",
-    about: "Let an emptied machine hold topic logs again",
+    about: "Let a drained machine hold topic logs again",
     args: { machine: "the machine's name" },
     steps: [
       {
-        title: "take the request to empty it back",
+        title: "cancel the drain request",
         before: FleetChecks.isAlive("machine"),
-        act: (context) => ask(context, "DELETE", `/v1/machines/${context.args["machine"]}/emptying`),
-        after: FleetChecks.allHeld,
+        perform: (context) => change(context, "DELETE", `/v1/machines/${context.args["machine"]}/emptying`),
+        after: FleetChecks.allShardsLed,
         timeoutMs: 10_000,
       },
       {
-        title: "every shard is held at full strength",
-        before: FleetChecks.nothing,
-        after: FleetChecks.all(FleetChecks.allHeld, FleetChecks.fullStrength),
+        title: "every shard has a leader and all replicas",
+        before: FleetChecks.none,
+        after: FleetChecks.all(FleetChecks.allShardsLed, FleetChecks.fullStrength),
         timeoutMs: 60_000,
       },
     ],
@@ -85,42 +95,42 @@
     about: "Restart one node; run it once for each, for a rolling restart",
     args: { node: "the node's name" },
     steps: [
-      { title: "the fleet is whole before", before: whole, after: whole, timeoutMs: 10_000 },
+      { title: "the fleet is healthy before", before: healthy, after: healthy, timeoutMs: 10_000 },
       {
         title: "the node is restarted",
         before: FleetChecks.isAlive("node"),
-        act: remember,
+        perform: noteIncarnation,
         after: restarted,
         timeoutMs: 120_000,
       },
       {
-        title: "the fleet is whole after",
-        before: FleetChecks.nothing,
-        after: FleetChecks.all(whole, FleetChecks.controlNodesUp, FleetChecks.configurationInForce),
+        title: "the fleet is healthy after",
+        before: FleetChecks.none,
+        after: FleetChecks.all(healthy, FleetChecks.controlNodesUp, FleetChecks.configurationInForce),
         timeoutMs: 60_000,
       },
     ],
   },
   {
     name: "replace-lathe",
-    about: "Bring back a lathe whose disk was lost, blank, under its old name",
-    args: { controlNode: "the lathe's name" },
+    about: "Bring back a control node whose disk was lost, blank, under its old name",
+    args: { [controlNodeFlag]: "the control node's name" },
     steps: [
       {
-        title: "the lost lathe is down",
-        before: FleetChecks.allHeld,
-        after: FleetChecks.isGone("lathe"),
+        title: "the lost control node is down",
+        before: FleetChecks.allShardsLed,
+        after: FleetChecks.isGone(controlNodeFlag),
         timeoutMs: 5000,
       },
       {
         title: "start it again with an empty data folder",
-        before: FleetChecks.isGone("lathe"),
-        after: FleetChecks.isAlive("lathe"),
+        before: FleetChecks.isGone(controlNodeFlag),
+        after: FleetChecks.isAlive(controlNodeFlag),
         timeoutMs: 300_000,
       },
       {
         title: "it is a voter again",
-        before: FleetChecks.isAlive("lathe"),
+        before: FleetChecks.isAlive(controlNodeFlag),
         after: FleetChecks.controlNodesUp,
         timeoutMs: 60_000,
       },
@@ -128,33 +138,34 @@
   },
   {
     name: "lost-zone",
-    about: "Wait for a zone to come back and see that service is whole again",
+    about: "Wait for a zone to come back and see that service is complete again",
     args: { zone: "the zone's name" },
     steps: [
-      { title: "the other zones serve", before: FleetChecks.nothing, after: FleetChecks.allHeld, timeoutMs: 15_000 },
+      { title: "the other zones serve", before: FleetChecks.none, after: FleetChecks.allShardsLed, timeoutMs: 15_000 },
       {
         title: "the zone's nodes are back",
-        before: FleetChecks.nothing,
+        before: FleetChecks.none,
         after: FleetChecks.zoneAlive,
         timeoutMs: 3_600_000,
       },
       {
-        title: "all is whole again",
+        title: "everything is complete again",
         before: FleetChecks.zoneAlive,
-        after: FleetChecks.all(whole, FleetChecks.controlNodesUp, FleetChecks.configurationInForce),
+        after: FleetChecks.all(healthy, FleetChecks.controlNodesUp, FleetChecks.configurationInForce),
         timeoutMs: 60_000,
       },
     ],
   },
   {
     name: "undo-plan",
-    about: "Put an older plan's spaces back under a new mark",
-    args: { file: "a plan file with a mark above the one in force" },
+    about: "Put an older configuration's spaces back under a new version",
+    args: { file: "a configuration file with a version above the one in force" },
     steps: [
       {
-        title: "send the plan",
-        before: FleetChecks.nothing,
-        act: (context) => ask(context, "PUT", "/v1/plan", FleetClient.readConfigurationFile(context.args["file"]!)),
+        title: "send the configuration",
+        before: FleetChecks.none,
+        perform: (context) =>
+          change(context, "PUT", "/v1/plan", FleetClient.readConfigurationFile(context.args["file"]!)),
         after: FleetChecks.configurationInForce,
         timeoutMs: 10_000,
       },
--- a/packages/cli/src/statusText.ts
+++ b/packages/cli/src/statusText.ts
@@ -1,3 +1,4 @@
+/** The fields of `GET /v1/status` that are printed. */
 interface StatusBody {
   name: string;
   feed: { ageMs: number | null; isFresh: boolean };
@@ -8,55 +9,43 @@
   faults: { settings: string; last: string; garbledFrames: number };
 }
 
-/** Status and rollout for people's eyes. */
-export const StatusText = {
-  write(body: object): string {
-    const status = body as StatusBody;
-    const lines = [
-      `plan ${status.configuration.version === 0 ? "none" : `mark ${status.configuration.version}`} ` +
-        `(${status.configuration.spaces.join(", ")}), as ${status.name} sees it`,
-    ];
-    for (const member of status.members)
-      lines.push(
-        [
-          member.name.padEnd(12),
-          member.role.padEnd(6),
-          member.zone.padEnd(12),
-          member.http.padEnd(22),
-          member.state,
-        ].join(" "),
-      );
-    const leaders = new Map<string, number>();
-    for (const { leader } of status.shards) leaders.set(leader, (leaders.get(leader) ?? 0) + 1);
-    for (const [leader, count] of [...leaders].sort())
-      lines.push(leader === "" ? `${count} shards have no holder` : `${leader} holds ${count} shards`);
-    const alive = new Set(status.members.filter((member) => member.state === "alive").map((member) => member.name));
-    const weak = status.shards.filter((shard) => shard.replicas.some((name) => !alive.has(name)));
-    if (weak.length > 0)
-      lines.push(`${weak.length} shards lack a live replica: ${weak.map((shard) => shard.shard).join(", ")}`);
-    for (const { space, budget, why } of status.risks)
-      lines.push(`contract at risk: space ${space} (${budget}): ${why}`);
-    if (!status.feed.isFresh) lines.push(`${status.name} is out of touch with the store`);
-    if (status.faults.settings !== "") lines.push(`settings: ${status.faults.settings}`);
-    if (status.faults.last !== "") lines.push(`last fault: ${status.faults.last}`);
-    return `${lines.join("\n")}\n`;
-  },
+/** The body of `GET /v1/plan/rollout`; `mark` is the API's word for a version. */
+interface RolloutBody {
+  mark: number;
+  taken: number;
+  of: number;
+  nodes: Array<{ name: string; mark: number; hasTakenUp: boolean; why?: string }>;
+}
+
+/** A node's status for people: configuration, members, shards by leader, and what is wrong, a line each. */
+export function statusText(body: object): string {
+  const status = body as StatusBody;
+  const { version, spaces } = status.configuration;
+  const lines = [
+    `configuration ${version === 0 ? "none" : `version ${version}`} (${spaces.join(", ")}), as ${status.name} sees it`,
+  ];
+  for (const { name, role, zone, http, state } of status.members)
+    lines.push([name.padEnd(12), role.padEnd(6), zone.padEnd(12), http.padEnd(22), state].join(" "));
+  const shardsByLeader = new Map<string, number>();
+  for (const { leader } of status.shards) shardsByLeader.set(leader, (shardsByLeader.get(leader) ?? 0) + 1);
+  for (const [leader, count] of [...shardsByLeader].sort())
+    lines.push(leader === "" ? `${count} shards have no leader` : `${leader} leads ${count} shards`);
+  const alive = new Set(status.members.filter(({ state }) => state === "alive").map(({ name }) => name));
+  const weak = status.shards.filter(({ replicas }) => replicas.some((name) => !alive.has(name)));
+  if (weak.length > 0)
+    lines.push(`${weak.length} shards lack a live replica: ${weak.map(({ shard }) => shard).join(", ")}`);
+  for (const { space, budget, why } of status.risks) lines.push(`contract at risk: space ${space} (${budget}): ${why}`);
+  if (!status.feed.isFresh) lines.push(`${status.name} is out of touch with the store`);
+  if (status.faults.settings !== "") lines.push(`settings: ${status.faults.settings}`);
+  if (status.faults.last !== "") lines.push(`last fault: ${status.faults.last}`);
+  return `${lines.join("\n")}\n`;
+}
 
-  rollout(body: Record<string, unknown>): string {
-    const {
-      mark: version,
-      taken,
-      of,
-      nodes,
-    } = body as {
-      mark: number;
-      taken: number;
-      of: number;
-      nodes: Array<{ name: string; mark: number; hasTakenUp: boolean; why?: string }>;
-    };
-    const late = nodes
-      .filter((node) => !node.hasTakenUp)
-      .map((node) => `  ${node.name} at mark ${node.mark}: ${node.why ?? ""}\n`);
-    return `mark ${version}: taken up by ${taken} of ${of}\n${late.join("")}`;
-  },
-};
+/** A rollout for people: how many nodes have the version in force, and which have not and why. */
+export function rolloutText(body: object): string {
+  const rollout = body as RolloutBody;
+  const late = rollout.nodes
+    .filter((node) => !node.hasTakenUp)
+    .map((node) => `  ${node.name} at version ${node.mark}: ${node.why ?? ""}\n`);
+  return `version ${rollout.mark}: in force at ${rollout.taken} of ${rollout.of}\n${late.join("")}`;
+}
--- a/packages/testkit/src/fleet/fleet.test.ts
+++ b/packages/testkit/src/fleet/fleet.test.ts
@@ -192,38 +192,38 @@
   },
 );
 
-test(
-  "spanner: status, plans, rollouts and runbooks against a fleet, with exit codes that say " + "what happened",
-  async () => {
-    const ctl = (...args: string[]): Promise<Ran> =>
-      run("cranetrackctl", ...args, "--node", `127.0.0.1:9,${fleet.httpOf("anvil-1")}`);
-    const status = await ctl("status");
-    expect([status.status, status.out.includes("lathe-3"), status.out.includes("holds")]).toEqual([0, true, true]);
-    const configuration = join(folder, "plan.json");
-    const text = documentTextOf(Deployments.configuration(fleet.deployment, 50));
-    writeFileSync(configuration, text);
-    expect((await ctl("plan", "put", configuration)).out).toEqual("mark 50 accepted\n");
-    expect((await ctl("plan", "get")).out).toEqual(`${text}\n`);
-    writeFileSync(configuration, JSON.stringify({ mark: 51, spaces: [{ name: "x" }] }));
-    const refused = await ctl("plan", "put", configuration);
-    expect([refused.status, refused.err.includes("spaces.0.program")]).toEqual([1, true]);
-    expect((await ctl("plan", "mend")).status).toEqual(2);
-    expect((await ctl("runbook", "list")).out.split("\n").length > 5).toEqual(true);
-    expect((await ctl("runbook", "run", "empty-machine")).status).toEqual(2);
-    const dry = await ctl("runbook", "run", "empty-machine", "--machine", "anvil-3", "--dry-run");
-    expect([dry.status, dry.err.match(/would be done/g)?.length]).toEqual([0, 3]);
-    const wrong = await ctl("runbook", "run", "empty-machine", "--machine", "anvil-9");
-    expect([wrong.status, wrong.err.includes("not reached")]).toEqual([1, true]);
-    const emptied = await ctl("runbook", "run", "empty-machine", "--machine", "anvil-3", "--json");
-    expect([emptied.status, (JSON.parse(emptied.out) as { isDone: boolean }).isDone]).toEqual([0, true]);
-    expect((await ctl("machine", "progress", "anvil-3")).out).toEqual(
-      "anvil-3: to be emptied, 0 of 32 shards have a replica there\n",
-    );
-    expect((await ctl("runbook", "run", "refill-machine", "--machine", "anvil-3")).status).toEqual(0);
-    const rollout = await ctl("plan", "rollout", "--json");
-    expect((JSON.parse(rollout.out) as { taken: number; of: number }).taken).toEqual(8);
-  },
-);
+test("cranetrackctl: status, configurations, drains and runbooks against a fleet, with their exit codes", async () => {
+  const ctl = (...args: string[]): Promise<Ran> =>
+    run("cranetrackctl", ...args, "--node", `127.0.0.1:9,${fleet.httpOf("anvil-1")}`);
+  const status = await ctl("status");
+  expect([status.status, status.out.includes("lathe-3"), status.out.includes("leads")]).toEqual([0, true, true]);
+  const configuration = join(folder, "plan.json");
+  const text = documentTextOf(Deployments.configuration(fleet.deployment, 50));
+  writeFileSync(configuration, text);
+  expect((await ctl("configuration", "apply", configuration)).out).toEqual("version 50 accepted\n");
+  expect((await ctl("configuration", "get")).out).toEqual(`${text}\n`);
+  writeFileSync(configuration, JSON.stringify({ mark: 51, spaces: [{ name: "x" }] }));
+  const refused = await ctl("configuration", "apply", configuration);
+  expect([refused.status, refused.err.includes("spaces.0.program")]).toEqual([1, true]);
+  expect((await ctl("configuration", "mend")).status).toEqual(2);
+  expect((await ctl("plan", "mend")).status).toEqual(2);
+  const earlier = await ctl("plan", "get");
+  expect([earlier.out, earlier.err.includes('"configuration get"')]).toEqual([`${text}\n`, true]);
+  expect((await ctl("runbook", "list")).out.split("\n").length > 5).toEqual(true);
+  expect((await ctl("runbook", "run", "empty-machine")).status).toEqual(2);
+  const dry = await ctl("runbook", "run", "empty-machine", "--machine", "anvil-3", "--dry-run");
+  expect([dry.status, dry.err.match(/would be done/g)?.length]).toEqual([0, 3]);
+  const wrong = await ctl("runbook", "run", "empty-machine", "--machine", "anvil-9");
+  expect([wrong.status, wrong.err.includes("not reached")]).toEqual([1, true]);
+  const emptied = await ctl("runbook", "run", "empty-machine", "--machine", "anvil-3", "--json");
+  expect([emptied.status, (JSON.parse(emptied.out) as { isDone: boolean }).isDone]).toEqual([0, true]);
+  expect((await ctl("drain", "status", "anvil-3")).out).toEqual(
+    "anvil-3: drain requested, 0 of 32 shards have a replica there\n",
+  );
+  expect((await ctl("runbook", "run", "refill-machine", "--machine", "anvil-3")).status).toEqual(0);
+  const rollout = await ctl("configuration", "rollout", "--json");
+  expect((JSON.parse(rollout.out) as { taken: number; of: number }).taken).toEqual(8);
+});
 
 test(
   "processes killed, cycled, frozen and cut off under load: no breach, service back within " + "12 s each time",
