--- a/packages/edge/src/connections/edgeCalls.ts
+++ b/packages/edge/src/connections/edgeCalls.ts
@@ -14,7 +14,7 @@
 
 const subscriptionsBody = type({ "+": "reject", topic: "string", "after?": "string" });
 
-/** The calls of an edge's HTTP interface. An edge with fronts of another kind does without them. */
+/** The calls of an edge's HTTP API. An edge whose clients speak another protocol does without them. */
 export class EdgeCalls {
   static readonly connectionPath = /^\/v1\/sessions\/([^/]+)\/link$/;
 
@@ -31,6 +31,7 @@
     );
   }
 
+  /** `POST /v1/sessions/ID/link`: undefined once the connection is open, else the reply that refuses it. */
   connection(id: string, body: Uint8Array, open: () => ClientConnection): Promise<ApiReply | undefined> {
     return openConnection(this.#edge, id, body, open);
   }
--- a/packages/edge/src/connections/edgeClientEndpoint.ts
+++ b/packages/edge/src/connections/edgeClientEndpoint.ts
@@ -5,9 +5,9 @@
 import type { Connected, ClientEndpoint, Counted } from "./clientEndpoint.js";
 import type { EdgeParts } from "../edgeParts.js";
 
-/** The in-process interface of an edge for fronts that clients connect to. */
+/** The in-process interface of an edge for servers that clients connect to. */
 export class EdgeClientEndpoint implements ClientEndpoint {
-  /** How long a connection waits for its session's old owner before it is told when to come back. */
+  /** Milliseconds that a connection waits for its session's old owner before the client hears when to retry. */
   static readonly patienceMs = 800;
 
   readonly #edge: EdgeParts;
@@ -16,6 +16,7 @@
     this.#edge = edge;
   }
 
+  /** Takes the session over to this node and makes the connection its own, in place of an older one. */
   async connect(id: string, connection: ClientConnection): Promise<Connected> {
     if (!AdmitSession.isName(id)) return { outcome: "malformed", reason: "a session's name is malformed" };
     const admitted = await AdmitSession.run(this.#edge, id, EdgeClientEndpoint.patienceMs);
@@ -29,6 +30,7 @@
     return { outcome: "open", connection: new SessionConnection(this.#edge, session, connection) };
   }
 
+  /** Subscribers at all edges. */
   count(topic: string): Promise<Counted> {
     return countTopic(this.#edge, topic);
   }
--- a/packages/edge/src/connections/httpConnection.ts
+++ b/packages/edge/src/connections/httpConnection.ts
@@ -19,18 +19,22 @@
     answer.socket?.setNoDelay(true);
   }
 
+  /** Bytes in the response and its socket that the network has not taken. */
   get waitingBytes(): number {
     return this.#answer.writableLength + (this.#answer.socket?.writableLength ?? 0);
   }
 
+  /** True from the end of either side on. */
   get isClosed(): boolean {
     return this.#isClosed;
   }
 
+  /** One JSON line; a line's end follows it. */
   send(line: object): void {
     if (!this.#isClosed) this.#answer.write(`${JSON.stringify(line)}\n`);
   }
 
+  /** Ends the response; the socket is destroyed 200 ms later, should the client not end it. */
   close(): void {
     if (this.#isClosed) return;
     this.#answer.end();
@@ -39,6 +43,7 @@
     this.#ended();
   }
 
+  /** One listener, called once. */
   onClose(whenClosed: () => void): void {
     this.#whenClosed = whenClosed;
   }
--- a/packages/edge/src/connections/openConnection.ts
+++ b/packages/edge/src/connections/openConnection.ts
@@ -69,7 +69,7 @@
   };
 }
 
-/** A connection that names its topics gets these and no others. */
+/** A request that names topics gets these and no others: cursors kept for the rest are dropped. */
 function forgetOthers(session: Session, requests: readonly SubscriptionRequest[] | undefined): void {
   if (requests === undefined) return;
   const wanted = new Set(requests.map((request) => request.topic));
--- a/packages/edge/src/connections/sessionConnection.ts
+++ b/packages/edge/src/connections/sessionConnection.ts
@@ -21,7 +21,7 @@
 const faultOutcomes = ["unknown-topic", "malformed-place", "unknown-place", "away"] as const;
 
 /**
- * A connection whose client brings its topics and places itself.
+ * A connection whose client brings its topics and cursors itself.
  * Invariants: a topic is pending from its call until it joined or failed; what is asked for in one turn is
  * looked up together; nothing of a topic is delivered in the turn in which its subscription is confirmed.
  */
@@ -29,7 +29,7 @@
   readonly #edge: EdgeParts;
   readonly #session: Session;
   readonly #connection: ClientConnection;
-  /** By topic, the call that is under way; a later one takes the place of one that was left meanwhile. */
+  /** By topic, the pending call; a later one takes the place of one that was unsubscribed meanwhile. */
   readonly #pending = new Map<string, Pending>();
   #asked: Asked[] = [];
 
@@ -39,10 +39,12 @@
     this.#connection = connection;
   }
 
+  /** The session's name. */
   get session(): string {
     return this.#session.id;
   }
 
+  /** Confirms where the topic's messages go on; a repeated call shares the one that is pending. */
   subscribe(topic: string, after?: string): Promise<Subscribed> {
     const refusal = this.#refusal(topic);
     if (refusal !== undefined) return Promise.resolve(refusal);
@@ -54,6 +56,7 @@
     return this.#pending.get(topic)?.outcome ?? this.#ask(topic, after);
   }
 
+  /** Ends deliveries of the topic at once; a pending subscription of it no longer joins. */
   unsubscribe(topic: string): Promise<{ outcome: "done" | "moved" }> {
     if (!this.#isCurrent) return Promise.resolve({ outcome: "moved" });
     this.#pending.delete(topic);
@@ -62,6 +65,7 @@
     return Promise.resolve({ outcome: "done" });
   }
 
+  /** Hands one message to the topic's leader. `number` rises per topic; repeating one is idempotent. */
   publish(topic: string, number: number, payload: string): Promise<PublishOutcome> {
     if (!this.#isCurrent)
       return Promise.resolve({ outcome: "unsure", reason: "the session moved on meanwhile", retryAfterSeconds: 0.3 });
@@ -70,6 +74,7 @@
     return publishMessage(this.#edge, this.#session, topic, number, payload);
   }
 
+  /** Disconnects the session, unless a newer connection has it. */
   close(): void {
     if (this.#session.connection !== this.#connection) return;
     this.#session.disconnect("closed by the client", 0, this.#edge.node.parts.clock.now());
@@ -130,12 +135,12 @@
     };
   }
 
-  /** Not left again since, nor asked for anew after that. */
+  /** Neither unsubscribed since, nor subscribed anew after that. */
   #isPending(asked: Asked): boolean {
     return this.#pending.get(asked.topic)?.asked === asked;
   }
 
-  /** Topics that were left again meanwhile, or whose connection ended, don't join. */
+  /** Topics unsubscribed meanwhile, or whose connection ended, don't join. */
   #join(asked: readonly Asked[], starts: readonly Start[]): void {
     const wanted = new Set(asked.filter((one) => this.#isPending(one)).map(({ topic }) => topic));
     for (const topic of wanted) this.#pending.delete(topic);
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -10,8 +10,12 @@
 import { StreamTable } from "./fanout/streamTable.js";
 import type { EdgeParts } from "./edgeParts.js";
 
-/** An edge: clients' connections, their sessions, and the topics these need. Keeps nothing on disk. */
+/**
+ * An edge: clients' connections, their sessions, and the streams these need. Keeps nothing on disk.
+ * Invariant: without its lease in the metadata store it sends nothing to any client (`maySend`).
+ */
 export class EdgeNode implements EdgeParts {
+  /** Age of the newest update from the metadata store, in milliseconds, at which connections are closed. */
   static readonly outOfTouchMs = 3000;
 
   readonly node: ClusterNode;
@@ -41,10 +45,12 @@
     clock.every(200_000, () => this.#renewSessions());
   }
 
+  /** Ready to take connections: holds its lease, hears from the store, and is not draining. */
   get isReady(): boolean {
     return !this.isDraining && this.lease.isHeld && this.node.feed.isFresh;
   }
 
+  /** The edge's part of `GET /v1/status`; field names are the API's. */
   status(): object {
     return {
       links: this.sessions.connections,
@@ -57,10 +63,12 @@
     };
   }
 
+  /** Begins to acquire the node's lease. */
   start(): void {
     this.lease.start();
   }
 
+  /** Asked before each delivery; a reader with more than `bufferBytes` unread is disconnected. */
   maySend(session: Session, connection: ClientConnection): boolean {
     if (!this.lease.isHeld || session.isStopped || session.connection !== connection) return false;
     if (connection.waitingBytes <= this.live.bufferBytes) return true;
@@ -68,7 +76,10 @@
     return false;
   }
 
-  /** Stop enrolling, say goodbye, leave the sessions to be pulled a while, release the rest. */
+  /**
+   * Graceful shutdown: admits no client, sends each to another edge, leaves the sessions to be taken over for 1.5 s and
+   * releases the owner keys of the rest, then the lease.
+   */
   async drain(): Promise<void> {
     this.isDraining = true;
     const next = this.#nextAddresses();
--- a/packages/edge/src/edgeParts.ts
+++ b/packages/edge/src/edgeParts.ts
@@ -22,6 +22,6 @@
   /** Connection requests under way that will count as connections if they succeed. */
   admitting: number;
   readonly live: { maxConnections: number; bufferBytes: number };
-  /** False once the claim is gone or the reader too slow; the connection is closed then. */
+  /** False once the ownership is lost or the reader too slow; the connection is closed then. */
   maySend(session: Session, connection: ClientConnection): boolean;
 }
--- a/packages/edge/src/fanout/fetchMessages.ts
+++ b/packages/edge/src/fanout/fetchMessages.ts
@@ -2,6 +2,7 @@
 import type { FetchSchema, StreamMessage } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
+/** Messages of one incarnation, in order; `trimmed` where those up to `low` are gone from the log. */
 export interface Fetched {
   outcome: "done" | "trimmed";
   low: number;
@@ -13,7 +14,7 @@
 const timeoutMs = 800;
 const limit = 500;
 
-/** Messages after a place that the tail no longer has; undefined where that server can't tell them now. */
+/** Messages after an offset that the tail no longer has; undefined where that server can't give them now. */
 export async function fetchMessages(
   node: ClusterNode,
   server: string,
--- a/packages/edge/src/fanout/numberedPushes.ts
+++ b/packages/edge/src/fanout/numberedPushes.ts
@@ -37,13 +37,14 @@
     return early;
   }
 
+  /** Nothing is followed any more; every push is foreign until `begin`. */
   end(): void {
     this.#follow = "";
     this.#seen = 0;
     this.#early = undefined;
   }
 
-  /** Where a push stands; one that is next counts from now on. */
+  /** How a push fits in; one that is next counts from now on. */
   receive(push: Push): PushOrder {
     if (push.follow !== this.#follow) return "foreign";
     if (this.#early !== undefined) {
--- a/packages/edge/src/fanout/publisherOrder.ts
+++ b/packages/edge/src/fanout/publisherOrder.ts
@@ -29,6 +29,7 @@
     return isLate ? last.number : undefined;
   }
 
+  /** Forgets all publishers: numbers may begin anew. */
   clear(): void {
     this.#last.clear();
   }
--- a/packages/edge/src/fanout/replicaFollow.ts
+++ b/packages/edge/src/fanout/replicaFollow.ts
@@ -10,11 +10,10 @@
  * This edge's following of one shard's kept streams at a replica in its own region, beside the leader's, which
  * confirms heads, incarnations and faults and pushes nothing meanwhile.
  * Invariants: a stream is served here only in the incarnation that the leader has confirmed, from the head that this
- * edge
- * has; at the first doubt the whole follow is left and the leader pushes again, from that head on.
+ * edge has; at the first doubt the whole follow is left and the leader pushes again, from that head on.
  */
 export class ReplicaFollow {
-  /** A replica that was left is tried again so much later; longer each time, unless it had served a while. */
+  /** Milliseconds until a replica that was left is tried again; doubled each time, unless it had served a while. */
   static readonly retryDelayMs = 2000;
   static readonly maxRepeatMs = 16_000;
   static readonly provenMs = 10_000;
@@ -34,7 +33,7 @@
   #since = 0;
   #againAt = 0;
   #waitMs = ReplicaFollow.retryDelayMs;
-  /** Rises when a follow is left; a reply of an earlier turn is not heeded. */
+  /** Rises when a follow is left; a reply to an earlier turn is ignored. */
   #turn = 0;
 
   constructor(node: ClusterNode, shard: number, atLeader: ShardFollow) {
@@ -43,16 +42,18 @@
     this.#atLeader = atLeader;
   }
 
-  /** Whom this edge follows here now; empty where nobody. */
+  /** The replica that this edge follows now; empty where none. */
   get server(): string {
     return this.#server;
   }
 
+  /** The stream is followed here as soon as its leader has confirmed it and it is kept. */
   add(tail: StreamTail): void {
     this.#tails.set(tail.stream, tail);
     this.#left.delete(tail.stream);
   }
 
+  /** The stream is followed no more; the replica is told with the next heartbeat. */
   remove(tail: StreamTail): void {
     if (this.#tails.get(tail.stream) === tail) {
       this.#tails.delete(tail.stream);
@@ -132,7 +133,7 @@
     return { shard: this.#shard, follow, seen, isFull: false, left, isAtReplica: true, serial };
   }
 
-  /** The replica's answer to a beat, if it gave one; and what the leader had applied before the beat was sent. */
+  /** The replica's reply to a heartbeat, if any, and what the leader had applied before the heartbeat was sent. */
   onHeartbeatOutcome(
     heartbeat: FollowInit,
     outcome: string | undefined,
@@ -144,6 +145,7 @@
     if (outcome !== "done" || applied < appliedAtLeader) this.fail();
   }
 
+  /** A push of the replica; a gap, or an unavailable replica, ends the whole follow. */
   receive(push: Push): void {
     if (push.follow === this.#pushes.follow && push.isUnavailable) return this.fail();
     const order = this.#pushes.receive(push);
@@ -158,6 +160,7 @@
     }
   }
 
+  /** As `ShardFollow.fetch`, from the replica; its log may be behind the leader's. */
   fetch(stream: string, incarnation: string, after: number): Promise<Fetched | undefined> {
     const fetch = { shard: this.#shard, stream, incarnation, after, isAtReplica: true };
     return fetchMessages(this.#node, this.#server, fetch);
--- a/packages/edge/src/fanout/shardFollow.ts
+++ b/packages/edge/src/fanout/shardFollow.ts
@@ -11,12 +11,13 @@
 import { NumberedPushes } from "./numberedPushes.js";
 import type { StreamTail } from "./streamTail.js";
 
+/** A follow or its heartbeat, as it is sent. */
 export type FollowInit = MessageInitShape<typeof FollowSchema>;
 /** This edge's subscribers of a stream's topics. */
 export type CountsOf = (stream: string) => ReadonlyMap<string, number>;
 
 /**
- * This edge's following of one shard's streams at whoever holds the shard.
+ * This edge's following of one shard's streams at the shard's leader.
  * Invariants: a push counts only in its number's turn (`NumberedPushes`); anything else
  * makes the edge follow again, in full, from what it has.
  */
@@ -29,13 +30,14 @@
   readonly #streams = new Map<string, StreamTail>();
   readonly #asked = new Set<StreamTail>();
   readonly #countsOf: CountsOf;
-  /** Topics whose counts the leader does not have yet, by stream; and streams that it still pushes for nobody. */
+  /** Topics whose counts the leader does not have yet, by stream. */
   readonly #counted = new Map<StreamTail, Set<string>>();
+  /** Streams that nobody here needs any more and that the leader still pushes. */
   readonly #left = new Set<string>();
   /** Served by a replica since a moment ago: the leader need not push them. */
   readonly #suppressed = new Set<StreamTail>();
   readonly #onHeadsConfirmed: () => void;
-  /** Up to which index the leader had applied the shard's log when it last answered a beat. */
+  /** Up to which index the leader had applied the shard's log when it last answered a heartbeat. */
   applied = 0;
   #isSendingCounts = false;
   readonly #pushes = new NumberedPushes();
@@ -43,7 +45,7 @@
   #serial = 0;
   #isAsking = false;
   #isStale = true;
-  /** Rises when the leader changes; a reply of an earlier turn is not heeded. */
+  /** Rises when the leader changes; a reply to an earlier turn is ignored. */
   #turn = 0;
 
   constructor(node: ClusterNode, shard: number, countsOf: CountsOf, onHeadsConfirmed: () => void) {
@@ -53,14 +55,17 @@
     this.#onHeadsConfirmed = onHeadsConfirmed;
   }
 
+  /** Nothing is followed. */
   get isIdle(): boolean {
     return this.#streams.size === 0;
   }
 
+  /** The shard's leader as this node knows it; empty where there is none. */
   get leader(): string {
     return this.#node.shards.find(this.#shard).leader;
   }
 
+  /** Asks the leader for the stream, from the tail's head on, in the next turn of the event loop. */
   add(tail: StreamTail): void {
     this.#streams.set(tail.stream, tail);
     this.#left.delete(tail.stream);
@@ -68,6 +73,7 @@
     this.#node.parts.clock.once(0, () => void this.reconcile());
   }
 
+  /** The stream is followed no more; the leader is told with the next heartbeat. */
   remove(tail: StreamTail): void {
     if (this.#streams.get(tail.stream) === tail) {
       this.#streams.delete(tail.stream);
@@ -78,12 +84,12 @@
     this.#suppressed.delete(tail);
   }
 
-  /** A replica serves the stream: the leader hears of it with the next beat. */
+  /** A replica serves the stream: the leader is told with the next heartbeat to push it no more. */
   suppressAtLeader(tail: StreamTail): void {
     if (this.#streams.get(tail.stream) === tail) this.#suppressed.add(tail);
   }
 
-  /** A topic's subscribers have changed: the leader is told at once, or right behind what it is being told. */
+  /** A topic's subscribers have changed: the leader is notified at once, or right after the update under way. */
   countChanged(tail: StreamTail, topic: string): void {
     if (this.#streams.get(tail.stream) !== tail) return;
     let topics = this.#counted.get(tail);
@@ -136,7 +142,7 @@
     if (!isDone) {
       this.#isStale = true;
       for (const tail of wanted) if (this.#streams.has(tail.stream)) this.#asked.add(tail);
-      // Whoever has just claimed the shard serves in a moment; the next beat would be late.
+      // A leader that has just claimed the shard serves in a moment; the next heartbeat would be late.
       this.#node.parts.clock.once(ShardFollow.retryDelayMs, () => void this.reconcile());
       return;
     }
@@ -153,7 +159,7 @@
       void this.#sendCounts();
     }
     if (this.#asked.size > 0) void this.reconcile();
-    // Who has not heard of the newest configuration, this node or the leader, is given until the next beat.
+    // Who has not heard of the newest configuration, this node or the leader, is given until the next heartbeat.
     for (const { fault, stream } of reply.value.heads) {
       const tail = this.#streams.get(stream);
       if (fault === "behind" && tail !== undefined) this.#asked.add(tail);
@@ -182,7 +188,7 @@
     return { shard: this.#shard, follow, seen, isFull: false, counts, left, quiet, serial };
   }
 
-  /** The leader's answer to a beat, if it gave one. */
+  /** The leader's reply to a heartbeat, if any. */
   async onHeartbeatOutcome(heartbeat: FollowInit, outcome: string | undefined): Promise<void> {
     const { follow, seen } = this.#pushes;
     if (outcome === "done" || heartbeat.follow !== follow || (outcome === "resync" && seen !== heartbeat.seen)) return;
@@ -190,6 +196,7 @@
     await this.reconcile();
   }
 
+  /** A push of the leader; a gap makes the edge follow anew. */
   receive(push: Push): void {
     const order = this.#pushes.receive(push);
     if (order === "gap" && !this.#isStale) {
@@ -202,17 +209,17 @@
       if (tail === undefined) continue;
       if (batch.fault !== "") tail.end(batch.fault);
       else if (tail.isKnown && tail.incarnation === batch.incarnation) tail.extend(batch.incarnation, batch.messages);
-      // Overtook the receipt that tells of the stream: it counts as seen, so it has to be asked for.
+      // Overtook the reply that confirms the stream: it counts as seen, so the stream has to be asked for again.
       else this.add(tail);
     }
   }
 
-  /** Messages after a place that the tail no longer has; undefined where the leader can't be asked now. */
+  /** Messages after an offset that the tail no longer has; undefined where the leader can't be asked now. */
   fetch(stream: string, incarnation: string, after: number): Promise<Fetched | undefined> {
     return fetchMessages(this.#node, this.leader, { shard: this.#shard, stream, incarnation, after });
   }
 
-  /** One telling after the other, so that an older count never comes behind a newer one. */
+  /** One update after the other, so that an older count never arrives behind a newer one. */
   async #sendCounts(): Promise<void> {
     while (this.#counted.size > 0) {
       const heartbeat = this.#isAsking || this.#isStale ? undefined : this.heartbeat();
--- a/packages/edge/src/fanout/streamTable.ts
+++ b/packages/edge/src/fanout/streamTable.ts
@@ -21,6 +21,7 @@
  * Invariant: a stream of an earlier incarnation of its space is in here only until the last connection has left it.
  */
 export class StreamTable {
+  /** Milliseconds that a stream is followed on after its last user. */
   static readonly lingerMs = 5000;
 
   readonly #node: ClusterNode;
@@ -28,9 +29,9 @@
   readonly #follows: ShardFollow[];
   readonly #atReplicas: ReplicaFollow[];
 
-  /** Who subscribes to what here; cursors tell it. */
+  /** Subscribers at this edge, by stream and topic; cursors report them. */
   readonly counts = new SubscriberCounts((tail, topic) => this.#follows[tail.shard]!.countChanged(tail, topic));
-  /** What the leaders are told; whoever replaces it tells of changes by `countChanged`. */
+  /** The counts that are sent to the leaders; a replacement reports changes by `countChanged`. */
   countsOf: CountsOf = (stream) => this.counts.of(stream);
 
   constructor(node: ClusterNode) {
@@ -62,10 +63,12 @@
     node.parts.clock.every(ShardFollow.tickIntervalMs, () => this.#tick());
   }
 
+  /** Streams that are followed. */
   get count(): number {
     return this.#tails.size;
   }
 
+  /** The shard that a stream belongs to. */
   shardOf(stream: string): number {
     return Rendezvous.shardOf(stream, this.#follows.length);
   }
@@ -75,7 +78,7 @@
     return tail.servedIncarnation !== "" ? this.#atReplicas[tail.shard]!.server : this.#follows[tail.shard]!.leader;
   }
 
-  /** Messages after a place that the tail no longer has; the leader has them where the replica does not yet. */
+  /** Messages after an offset that the tail no longer has; the leader has them where the replica does not yet. */
   async fetch(tail: StreamTail, incarnation: string, after: number): Promise<Fetched | undefined> {
     const { stream, shard } = tail;
     if (tail.servedIncarnation === incarnation) {
@@ -85,7 +88,7 @@
     return this.#follows[shard]!.fetch(stream, incarnation, after);
   }
 
-  /** Each take is paired with one `leave`. */
+  /** The stream's tail, followed from now on. Each call is paired with one `release`. */
   acquire(route: StreamRoute): StreamTail {
     const key = StreamTable.#key(route);
     let tail = this.#tails.get(key);
@@ -103,6 +106,7 @@
     return tail;
   }
 
+  /** Its last user gone, the stream is dropped `lingerMs` later. */
   release(tail: StreamTail): void {
     tail.users -= 1;
     if (tail.users > 0) return;
@@ -114,7 +118,7 @@
     });
   }
 
-  /** Resolves once the stream's leader has told of it, or said that it has none, or the due has passed. */
+  /** Resolves once the stream's leader has confirmed it, or said that it has none, or `timeoutMs` have passed. */
   known(tail: StreamTail, timeoutMs: number): Promise<void> {
     if (tail.isKnown) return Promise.resolve();
     return new Promise((resolve) => {
@@ -130,7 +134,9 @@
     });
   }
 
-  /** One call to each node for all its shards, those that it holds and those that it is followed at as a replica. */
+  /**
+   * One heartbeat to each node for all its shards: those that it leads, and those that it is followed at as a replica.
+   */
   #tick(): void {
     const pending = this.#follows.flatMap((follow, shard): PendingHeartbeat[] => {
       const atReplica = this.#atReplicas[shard]!;
--- a/packages/edge/src/fanout/streamTail.ts
+++ b/packages/edge/src/fanout/streamTail.ts
@@ -48,6 +48,7 @@
     this.shard = shard;
   }
 
+  /** The stream's key. */
   get stream(): string {
     return this.route.stream;
   }
@@ -57,7 +58,7 @@
     return Streams.topicOf(this.route.stream) === this.route.space;
   }
 
-  /** The message after a place, if it is here. */
+  /** The message after an offset, if it is here. */
   after(seq: number): StreamMessage | undefined {
     const first = this.messages[0];
     return first === undefined || seq + 1 < first.seq ? undefined : this.messages[seq + 1 - first.seq];
@@ -72,6 +73,7 @@
     this.emit("grown");
   }
 
+  /** Appends pushed messages; repeats are left out, and a gap drops what came before it. */
   extend(incarnation: string, messages: readonly StreamMessage[]): void {
     if (incarnation !== this.incarnation) return;
     const fresh = messages.filter((message) => message.seq > this.head);
@@ -89,6 +91,7 @@
     this.emit("grown");
   }
 
+  /** The leader no longer has the stream: readers are told why. */
   end(fault: string): void {
     this.isKnown = false;
     this.emit("ended", fault);
--- a/packages/edge/src/fanout/subscriberCounts.ts
+++ b/packages/edge/src/fanout/subscriberCounts.ts
@@ -9,15 +9,17 @@
     this.#changed = changed;
   }
 
+  /** Subscribers of each of a stream's topics. */
   of(stream: string): ReadonlyMap<string, number> {
     return this.#streams.get(stream) ?? new Map();
   }
 
+  /** One subscriber more. */
   join(tail: StreamTail, topic: string): void {
     this.#add(tail, topic, 1);
   }
 
-  /** Each join is paired with one. */
+  /** One subscriber less; each `join` is paired with one call. */
   part(tail: StreamTail, topic: string): void {
     this.#add(tail, topic, -1);
   }
--- a/packages/edge/src/publishing/configurationCheck.ts
+++ b/packages/edge/src/publishing/configurationCheck.ts
@@ -6,8 +6,8 @@
 type Prefixes = PrefixIndex<SpaceOutline>;
 
 /**
- * Whether a space that this edge has not heard of is unknown: the store is asked, for an edge refuses nothing
- * from its cache.
+ * Whether a topic whose space is not in this edge's configuration is unknown: the metadata store is asked, for an edge
+ * refuses nothing from its cache.
  * Invariant: an answer comes from a read that began after the question.
  */
 export class ConfigurationCheck {
@@ -21,6 +21,7 @@
     this.#store = store;
   }
 
+  /** Why a topic without a route can't be served: `unknown-topic` for good, or `unavailable` for now. */
   async faultOf(topic: string): Promise<TopicFault> {
     const prefixes = await this.#prefixes();
     if (prefixes !== undefined && prefixes.longest(topic) === undefined)
--- a/packages/edge/src/publishing/publishCall.ts
+++ b/packages/edge/src/publishing/publishCall.ts
@@ -46,7 +46,7 @@
   }
 }
 
-/** The call came in at a node that does not own the session. */
+/** The call came in at a node that does not own the session: the owner carries it out. */
 async function forwardToOwner(edge: EdgeParts, id: string, topic: string, call: ApiCall): Promise<ApiReply> {
   const owner = call.isForwarded ? undefined : (await readOwner(edge.node.store, id))?.owner;
   if (owner === undefined || owner.node === "" || owner.node === edge.node.rpc.name)
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -6,7 +6,9 @@
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
 
-/** How long a free shard is waited for, and a leader that does not serve yet. */
+/**
+ * Milliseconds that a shard without a leader is waited for, and between two attempts at one that does not serve yet.
+ */
 const claimMs = 300;
 const retryDelayMs = 40;
 
@@ -17,7 +19,7 @@
   | { outcome: "away"; reason: string; retryAfterSeconds: number; code?: string }
   | { outcome: "unsure"; reason: string; retryAfterSeconds: number };
 
-/** One publish of an owned session, to its final answer. The shard's leader alone judges it. */
+/** One publish of an owned session, to its final answer. The shard's leader alone accepts or refuses it. */
 export async function publishMessage(
   edge: EdgeParts,
   session: Session,
@@ -27,7 +29,7 @@
 ): Promise<PublishOutcome> {
   const { node } = edge;
   const end = node.parts.clock.now() + publishTimeoutMs(edge, topic);
-  // What an earlier try may have handed over can't be promised undone.
+  // What an earlier attempt may have handed over can't be promised undone.
   const isDoubtful = !session.isWhole || session.numbers.isOpen(topic, number);
   const givenUp = (reason: string, retryAfterSeconds: number, code?: string): PublishOutcome =>
     isDoubtful
@@ -62,7 +64,7 @@
   return givenUp(reason || "the topic is changing hands", retryAfterSeconds || 0.5, code || undefined);
 }
 
-/** How long a publish may take: its space's deadline is its callers', who must hear the answer well before it. */
+/** How long a publish may take: its space's deadline is its callers', who must have the answer well before it. */
 export function publishTimeoutMs(edge: EdgeParts, topic: string): number {
   const { deadlineMs = Infinity } = Configurations.spaceOf(edge.node.configuration.configuration, topic) ?? {};
   return Math.min(edge.publishTimeoutMs, deadlineMs / 2);
--- a/packages/edge/src/publishing/publishNumbers.ts
+++ b/packages/edge/src/publishing/publishNumbers.ts
@@ -1,9 +1,10 @@
 /** What is known of a session's publish numbers in one topic. */
 interface TopicNumbers {
   highest: number;
-  /** Handed to a leader, and no answer for good came back. */
+  /** Handed to a leader, without a final outcome yet. */
   open: Set<number>;
 }
+/** One number as a takeover ships it. */
 export interface NumberRecord {
   topic: string;
   number: number;
@@ -12,22 +13,25 @@
 
 /**
  * A session's publish numbers by topic: the highest taken, and those that are not acknowledged yet.
- * Invariants: a number is open from the moment it is handed over until an answer for good; at most `mostOpen` a
- * topic are remembered, the highest.
+ * Invariants: a number is open from the moment it is handed over until a final outcome; at most `maxOpen` a topic are
+ * remembered, the highest.
  */
 export class PublishNumbers {
   static readonly maxOpen = 64;
 
   readonly #topics = new Map<string, TopicNumbers>();
 
+  /** The highest number of each topic, by which a resuming client goes on. */
   highestByTopic(): Record<string, number> {
     return Object.fromEntries([...this.#topics].map(([topic, { highest }]) => [topic, highest]));
   }
 
+  /** Whether an earlier attempt of the number may have been carried out. */
   isOpen(topic: string, number: number): boolean {
     return this.#topics.get(topic)?.open.has(number) === true;
   }
 
+  /** The number is about to be handed to a leader. */
   opened(topic: string, number: number): void {
     const numbers = this.#of(topic);
     numbers.highest = Math.max(numbers.highest, number);
@@ -35,12 +39,14 @@
     if (numbers.open.size > PublishNumbers.maxOpen) numbers.open.delete(Math.min(...numbers.open));
   }
 
+  /** The number has its final outcome. */
   resolved(topic: string, number: number): void {
     const numbers = this.#of(topic);
     numbers.highest = Math.max(numbers.highest, number);
     numbers.open.delete(number);
   }
 
+  /** All that another owner must know. */
   records(): NumberRecord[] {
     return [...this.#topics].flatMap(([topic, { highest, open }]) => [
       { topic, number: highest, isOpen: open.has(highest) },
@@ -48,6 +54,7 @@
     ]);
   }
 
+  /** What an earlier owner shipped. */
   restore(records: readonly NumberRecord[]): void {
     for (const { topic, number, isOpen } of records) {
       if (isOpen) this.opened(topic, number);
--- a/packages/edge/src/sessions/admitSession.ts
+++ b/packages/edge/src/sessions/admitSession.ts
@@ -2,11 +2,12 @@
 import type { Session } from "./session.js";
 import type { EdgeParts } from "../edgeParts.js";
 
+/** The session, owned by this node; or why not, and when the client may try again. */
 export type Admitted = { session: Session } | { reason: string; retryAfterSeconds: number; code: string };
 
 const sessionName = /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/;
 
-/** The way to a session's ownership that every connection goes, whatever it speaks. */
+/** How every connection, whatever its protocol, comes to a session that this node owns. */
 export const AdmitSession = {
   retryDelayMs: 50,
 
@@ -14,7 +15,7 @@
     return sessionName.test(id);
   },
 
-  /** Makes this node the session's owner, or says when to come back; waits up to `patience` ms for what it lacks. */
+  /** Makes this node the session's owner, or says when to retry; waits up to `patience` ms for what it lacks. */
   async run(edge: EdgeParts, id: string, patience = 0): Promise<Admitted> {
     const { sessions, node, lease } = edge;
     if (edge.isDraining) return { reason: "this node is stopping", retryAfterSeconds: 0.2, code: "stopping" };
@@ -37,7 +38,7 @@
     return { session };
   },
 
-  /** Ties a connection to its session in place of an older one. */
+  /** Makes a connection its session's only one; an older one is closed. */
   attach(edge: EdgeParts, session: Session, connection: ClientConnection): void {
     const { clock } = edge.node.parts;
     session.disconnect("replaced by a newer link", 0, clock.now());
--- a/packages/edge/src/sessions/ownerKey.ts
+++ b/packages/edge/src/sessions/ownerKey.ts
@@ -1,11 +1,16 @@
 import { JsonValue } from "@cranetrack/core/keys/jsonValue.js";
 
+/** The stored value: the owning node, and its lease, with which the key ends. */
 export interface OwnerRecord {
   node: string;
   lease: string;
 }
 
-/** The key that names a session's owner, under the owning node's lease. */
+/**
+ * The key that names a session's owner, under the owning node's lease: when the node dies, its lease runs out and all
+ * its owner keys end with it (FluxMQ paper, "etcd Keyspace" and "Session Ownership"). Key and value rest in the store:
+ * they stay byte for byte.
+ */
 export const OwnerKey = {
   of(session: string): string {
     return `sessions/${session}/owner`;
--- a/packages/edge/src/sessions/readOwner.ts
+++ b/packages/edge/src/sessions/readOwner.ts
@@ -2,6 +2,7 @@
 import type { StoreClient } from "@cranetrack/core/store/storeClient.js";
 import { OwnerKey, type OwnerRecord } from "./ownerKey.js";
 
+/** An owner key as read: its revision, by which it may be overwritten, and how many ms its lease has left. */
 export type Owner = OwnerRecord & { revision: number; leaseLeft: number };
 
 /**
--- a/packages/edge/src/sessions/session.ts
+++ b/packages/edge/src/sessions/session.ts
@@ -21,7 +21,7 @@
   connection: ClientConnection | undefined;
   /** Topics being looked up for the connection that there is: they count against the configuration's limit already. */
   joining = 0;
-  /** The client brings its topics and places with every connection: none are kept for it in between. */
+  /** The client brings its topics and cursors with every connection: none are kept for it in between. */
   bringsTopics = false;
   leftAt = 0;
   isStopped = false;
@@ -32,7 +32,9 @@
     this.isWhole = isWhole;
   }
 
-  /** Stops deliveries on the present connection, keeps their cursors, and says goodbye. */
+  /**
+   * Stops deliveries on the present connection, keeps their cursors, and tells the client why and when to come back.
+   */
   disconnect(reason: string, retryAfterSeconds: number, now: number, address = ""): void {
     const { connection } = this;
     if (connection === undefined) return;
@@ -48,11 +50,12 @@
     connection.close();
   }
 
+  /** The cursors of live subscriptions, one for each stream. */
   cursors(): ReadonlySet<StreamCursor> {
     return new Set(this.subscriptions.values());
   }
 
-  /** Places of everything, linked or not. */
+  /** By topic, the cursor of each subscription, live or not. */
   allCursors(): Map<string, Cursor> {
     const resumeCursors = new Map(this.resumeCursors);
     for (const [topic, cursor] of this.subscriptions) resumeCursors.set(topic, cursor.cursorOf(topic));
--- a/packages/edge/src/sessions/sessions.ts
+++ b/packages/edge/src/sessions/sessions.ts
@@ -8,6 +8,7 @@
 import { readOwner, type Owner } from "./readOwner.js";
 import { Session } from "./session.js";
 
+/** The session, owned by this node; or when the claim may be tried again. */
 export type Claimed = { session: Session } | { retryAfterSeconds: number; reason: string };
 interface Shipped {
   body: BodyInit;
@@ -15,18 +16,31 @@
 }
 
 /**
- * The sessions this node owns, and how one changes hands: the new node pulls from the old owner, which
- * stops, prepares and ships; only then is the key overwritten, by compare-and-set. An owner that does not
- * answer keeps the key until its lease is lost.
+ * The sessions this node owns, and how one is taken over. The design is FluxMQ's ("Clustering: embedded etcd", sections
+ * "Session Ownership" and "Session Takeover"), step by step:
+ *
+ * 1. Lease: each edge holds a lease in the metadata store; all its owner keys end with it (`LeaseKeepAlive`,
+ * `#dropAll`).
+ * 2. Owner key: the new node reads `sessions/ID/owner`, its revision included (`readOwner`).
+ * 3. Stop: the new node asks the old owner over RPC, not through the store (`#pull`); the old owner closes the client's
+ *    connection and takes nothing more for the session (`#ship`).
+ * 4. Ship: it replies with publish numbers and cursors (`#prepare`).
+ * 5. Overwrite: only then does the new node write the owner key under its own lease, by compare-and-set on the revision
+ *    read in step 2 (`#claim`). The revision written is the session's epoch, the fencing token of its publishes.
+ *
+ * An owner that does not answer keeps the key until its lease runs out.
  * Invariant: a session is in the table only while its owner key was last seen written with this node's
  * present lease.
  */
 export class Sessions extends EventEmitter<{ step: [step: string, session: string] }> {
   static readonly pullTimeoutMs = 700;
-  /** What lies between the end of a lease and everybody's hearing of it; and what is soon enough to be waited for. */
+  /** Milliseconds between the end of a lease and every node's knowing of it. */
   static readonly expiryMs = 100;
+  /** A lease that ends within so many milliseconds is waited for rather than reported. */
   static readonly soonMs = 400;
+  /** Milliseconds that a shipped state is kept, should its reply be lost. */
   static readonly keepShippedMs = 30_000;
+  /** Milliseconds that a session without a connection is kept before its ownership is released. */
   static readonly keepIdleMs = 60_000;
 
   readonly #node: ClusterNode;
@@ -35,7 +49,7 @@
   readonly #claiming = new Set<string>();
   /** Sessions whose owner was seen to be gone with their state, and when: numbers may have been handed over. */
   readonly #orphans = new Map<string, number>();
-  /** State already shipped, for an asker whose reply was lost. */
+  /** State already shipped, for a new owner whose reply was lost. */
   readonly #shipped = new Map<string, Shipped>();
 
   constructor(node: ClusterNode, lease: LeaseKeepAlive) {
@@ -47,6 +61,7 @@
     node.parts.clock.every(1000, () => this.#expireIdle());
   }
 
+  /** By name, the sessions owned now. */
   get table(): ReadonlyMap<string, Session> {
     return this.#table;
   }
@@ -56,19 +71,21 @@
     return this.#shipped.size;
   }
 
+  /** Sessions with a connection. */
   get connections(): number {
     let connections = 0;
     for (const session of this.#table.values()) if (session.connection !== undefined) connections += 1;
     return connections;
   }
 
+  /** A session that this node may serve: none without the lease. */
   find(id: string): Session | undefined {
     return this.#lease.isHeld ? this.#table.get(id) : undefined;
   }
 
   /**
-   * Makes this node the session's owner, or says when to come back. With patience it comes back itself, as long as
-   * that is soon enough.
+   * Makes this node the session's owner, or says when to retry. It retries by itself as long as that is within
+   * `patience` milliseconds.
    */
   async claim(id: string, patience = 0): Promise<Claimed> {
     const { clock } = this.#node.parts;
@@ -97,11 +114,14 @@
     const { lease } = this.#lease;
     if (!this.#lease.isHeld) return { retryAfterSeconds: 1, reason: "this node has no lease" };
     const key = OwnerKey.of(id);
+    // Step 2, owner key.
     const read = await readOwner(this.#node.store, id, [SubscriptionKey.prefix(id)]);
     if (read === undefined) return { retryAfterSeconds: 1, reason: "the store does not answer" };
     const { owner } = read;
+    // Steps 3 and 4, stop and ship, at the old owner.
     const shipped = owner === undefined || owner.node === "" ? undefined : await this.#pull(id, owner, lease);
     if (shipped === "freed" || (shipped !== undefined && "retryAfterSeconds" in shipped)) return shipped;
+    // Step 5, overwrite: after the transfer, so that two nodes never both hold the session's state as owner.
     const value = OwnerKey.write({ node: this.#node.rpc.name, lease });
     const written = await this.#node.store.txn({
       checks: [{ key, revision: owner?.revision ?? 0 }],
@@ -120,7 +140,7 @@
     return { session };
   }
 
-  /** Gives sessions back to the store, with their cursors, so that anyone may take them at once. */
+  /** Gives a session up, its cursors kept in the store, so that any node may own it at once. */
   async release(session: Session): Promise<void> {
     this.#prepare(session);
     const key = OwnerKey.of(session.id);
@@ -135,7 +155,7 @@
       await this.#node.store.txn({ checks: [{ key, revision: session.epoch }], deletes: [key] });
   }
 
-  /** Closes every connection; the sessions stay to be pulled until released. */
+  /** Closes every connection; the sessions can be taken over until they are released. */
   disconnectAll(reason: string, retryAfterSeconds: () => number, addressFor: (session: string) => string): void {
     for (const session of this.#table.values())
       session.disconnect(reason, retryAfterSeconds(), this.#node.parts.clock.now(), addressFor(session.id));
@@ -166,7 +186,7 @@
     return { state: reply.value };
   }
 
-  /** Asks the owner for the session; one known to be mute is not asked, only waited for where its lease ends soon. */
+  /** Asks the owner for the session; an unresponsive one is not asked, only waited for where its lease ends soon. */
   async #ask(id: string, owner: Owner): Promise<Body | undefined> {
     const { rpc, parts } = this.#node;
     if (!rpc.isUnresponsive(owner.node)) {
@@ -178,7 +198,7 @@
     return undefined;
   }
 
-  /** The owner said nothing. What does the store say of its key now? */
+  /** The owner did not answer: the store says whether its key has changed meanwhile, or how long its lease has left. */
   async #unanswered(id: string, owner: Owner): Promise<"freed" | { retryAfterSeconds: number; reason: string }> {
     this.#orphans.set(id, this.#node.parts.clock.now());
     const now = await readOwner(this.#node.store, id);
@@ -188,7 +208,7 @@
     return { retryAfterSeconds, reason: `the owner ${owner.node} does not answer; its lease must run out first` };
   }
 
-  /** The old owner's part: close the connection, stop, prepare, ship. */
+  /** The old owner's part of a takeover, steps 3 and 4. */
   #ship(pull: Pull): BodyInit {
     const session = this.#table.get(pull.session);
     const again = this.#shipped.get(`${pull.session}@${pull.ownerRevision}`);
@@ -198,6 +218,7 @@
     return this.#prepare(session);
   }
 
+  /** Step 4, ship: the state leaves the table, and is kept a while for a repeated request. */
   #prepare(session: Session): BodyInit {
     session.isStopped = true;
     this.#table.delete(session.id);
@@ -214,7 +235,7 @@
 
   /**
    * The key names this node, which does not have the session: it lost it with a lease, never got it, or shipped it to
-   * an asker that never wrote the key, longer ago than shipped states are kept.
+   * a node that never wrote the key, longer ago than shipped states are kept.
    */
   #shipNothing(pull: Pull): BodyInit {
     const owner = this.#table.get(pull.session);
@@ -223,7 +244,7 @@
     return { case: "pullReply", value: { outcome: "shipped", isLost: true } };
   }
 
-  /** A write whose outcome is unknown: what does the key say now? */
+  /** A write with an unknown outcome: the key says whether it was done. The revision written, or 0. */
   async #resolveUnknownWrite(id: string, lease: string, outcome: string): Promise<number> {
     if (outcome !== "unsure") return 0;
     const read = await readOwner(this.#node.store, id);
--- a/packages/edge/src/subscriptions/askStarts.ts
+++ b/packages/edge/src/subscriptions/askStarts.ts
@@ -6,7 +6,7 @@
 const callMs = 700;
 const retryDelayMs = 80;
 
-/** Asks a shard's leader for starts, and whoever holds it next while it changes hands; undefined where none can. */
+/** Asks a shard's leader where topics start, and the next leader where it changes; undefined where none answers. */
 export async function askStarts(
   edge: EdgeParts,
   shard: number,
--- a/packages/edge/src/subscriptions/countTopic.ts
+++ b/packages/edge/src/subscriptions/countTopic.ts
@@ -5,10 +5,11 @@
 const retryDelayMs = 80;
 const retryAfterSeconds = 0.5;
 
+/** As `Counted` of the client endpoint. */
 export type Count =
   { outcome: "counted"; count: number } | { outcome: "unknown-topic" } | { outcome: "away"; retryAfterSeconds: number };
 
-/** Subscribers of a topic at all edges, told by the shard's leader, and by the next one while it changes hands. */
+/** Subscribers of a topic at all edges, from the shard's leader, or the next one where it changes. */
 export async function countTopic(edge: EdgeParts, topic: string): Promise<Count> {
   const { rpc, shards, parts, configuration } = edge.node;
   const end = parts.clock.now() + maxMs;
--- a/packages/edge/src/subscriptions/cursor.ts
+++ b/packages/edge/src/subscriptions/cursor.ts
@@ -1,9 +1,10 @@
+/** The last message read of a stream: its incarnation and sequence number. */
 export interface Cursor {
   incarnation: string;
   seq: number;
 }
 
-/** A client's place in a topic: an opaque string to the client, stream's incarnation and sequence number to us. */
+/** A cursor as clients and the store have it: an opaque text, the same byte for byte in every version. */
 export const Cursors = {
   write(incarnation: string, seq: number): string {
     return `${incarnation}.${seq}`;
--- a/packages/edge/src/subscriptions/findStarts.ts
+++ b/packages/edge/src/subscriptions/findStarts.ts
@@ -11,29 +11,31 @@
 
 const headTimeoutMs = 600;
 
+/** One topic that a client asks for, after the cursor that it brings, if any. */
 export interface SubscriptionRequest {
   topic: string;
   after?: string;
 }
+/** Where a topic's delivery starts. */
 export interface Start {
   topic: string;
   tail: StreamTail;
   cursor: Cursor;
-  /** Why delivery does not go on from the client's place. */
+  /** Why delivery does not go on from the client's cursor; empty where it does. */
   expired: string;
 }
 interface Routed {
   topic: string;
   tail: StreamTail;
   route: StreamRoute;
-  /** The client's own place, else the one kept for it; none for a topic that it never had. */
+  /** The client's own cursor, else the one kept for it; none for a topic that it never had. */
   cursor: Cursor | undefined;
   isAsked: boolean;
 }
 
 /**
- * Where each topic's delivery starts. A place that this edge has heard of is good; all else is judged by the
- * stream's leader, never by what this edge has cached. Each start comes with a taken tail, to be left again.
+ * Where each topic's delivery starts. A cursor within this edge's tail is valid; all others are validated by the
+ * stream's leader, never by what this edge has cached. Each start comes with an acquired tail, to be released.
  */
 export async function findStarts(
   edge: EdgeParts,
@@ -56,7 +58,8 @@
   }
   const starts: Start[] = [];
   const unknown: Routed[] = [];
-  // One follow of an edge tells the confirmed heads of all its connections' streams; a crowd need not ask one by one.
+  // One follow of an edge brings the confirmed heads of all its connections' streams, so that a reconnecting crowd
+  // need not ask one by one.
   await Promise.all(routed.map(({ tail }) => edge.streams.known(tail, headTimeoutMs)));
   for (const one of routed) {
     const start = startFromTail(edge, one);
@@ -75,7 +78,7 @@
 }
 
 /**
- * What the tail shows by itself: a place it has passed in the same incarnation, of a topic that the configuration owes.
+ * What the tail shows by itself: a cursor within it, in the same incarnation, of a topic that has a contract.
  */
 function startFromTail(edge: EdgeParts, { topic, tail, cursor }: Routed): Start | undefined {
   if (!tail.isKnown || Configurations.contractFor(edge.node.configuration.configuration, topic) === undefined)
@@ -118,7 +121,7 @@
   if (outcome === "unknown-topic")
     return { topic, code: outcome, reason: `the plan in force has no rule for ${topic}` };
   if (outcome === "unknown-place" && isAsked) return { topic, code: outcome, reason };
-  // A kept place that the log does not know can only be of a log that is gone.
+  // A stored cursor that the log does not know can only be of a log that is gone.
   const expired = outcome === "known" ? "" : reason;
   return { topic, tail, cursor: { incarnation, seq }, expired };
 }
--- a/packages/edge/src/subscriptions/joinStreams.ts
+++ b/packages/edge/src/subscriptions/joinStreams.ts
@@ -7,7 +7,8 @@
 
 /**
  * Subscribes a connection to topics from their starts on. All topics of a stream join its cursor before it moves, so
- * that what they missed comes in the stream's order. Tells of each topic before anything of it is delivered.
+ * that what they missed comes in the stream's order. `whenJoined` is called for each topic before anything of it is
+ * delivered.
  */
 export function joinStreams(
   edge: EdgeParts,
--- a/packages/edge/src/subscriptions/streamCursor.ts
+++ b/packages/edge/src/subscriptions/streamCursor.ts
@@ -18,10 +18,10 @@
 }
 
 /**
- * One stream on one connection: reads the log by cursor, in order, and hands on what is of the topics asked for.
+ * One stream on one connection: reads the log by cursor, in order, and delivers the subscribed topics' messages.
  * Invariants: `cursor` is the last message read and only rises within an incarnation, but where a topic joins with an
- * older place; a topic's entry in `topics` is the last place up to which it needs nothing more, so no message
- * is handed on twice; nothing is handed on before its topic was confirmed, or after it was stopped; where nothing is
+ * older cursor; a topic's entry in `topics` is the last offset up to which it needs nothing more, so no message
+ * is delivered twice; nothing is delivered before its topic was confirmed, or after it was stopped; where nothing is
  * kept, each publisher's numbers in a topic rise from incarnation to incarnation, whichever way a message came.
  */
 export class StreamCursor {
@@ -29,7 +29,7 @@
 
   readonly #parts: CursorParts;
   readonly #topics = new Map<string, number>();
-  /** By topic: what was handed on, where nothing is kept and places begin anew with each leader. */
+  /** By topic: what was delivered, where nothing is kept and offsets begin anew with each leader. */
   readonly #delivered = new Map<string, PublisherOrder>();
   readonly #grown = (): void => void this.#pump();
   readonly #ended = (fault: string): void => this.#endAll(fault);
@@ -43,15 +43,17 @@
     this.#parts = parts;
   }
 
+  /** The stream that is read. */
   get tail(): StreamTail {
     return this.#parts.tail;
   }
 
+  /** Nothing is delivered any more. */
   get isStopped(): boolean {
     return this.#isStopped;
   }
 
-  /** Adds a topic from its place on; the cursor goes back to it where it must, and no other topic with it. */
+  /** Adds a topic from its cursor on; the stream is read again from there where it must, for that topic alone. */
   add(topic: string, start: Cursor): void {
     if (this.#topics.size === 0 && this.incarnation === "") {
       this.incarnation = start.incarnation;
@@ -66,6 +68,7 @@
     this.#topics.set(topic, start.incarnation === this.incarnation ? start.seq : this.cursor);
   }
 
+  /** Begins to deliver, or goes on after topics were added; idempotent. */
   start(): void {
     const { tail } = this.#parts;
     tail.off("grown", this.#grown);
@@ -75,16 +78,19 @@
     void this.#pump();
   }
 
+  /** From where the topic would go on. */
   cursorOf(topic: string): Cursor {
     return { incarnation: this.incarnation, seq: Math.max(this.#topics.get(topic) ?? 0, this.cursor) };
   }
 
+  /** The last topic stops the cursor. */
   remove(topic: string): void {
     this.#delivered.delete(topic);
     if (this.#topics.delete(topic) && !this.#isStopped) this.#parts.table.counts.part(this.tail, topic);
     if (this.#topics.size === 0) this.stop();
   }
 
+  /** Ends all topics without a word to the client; idempotent. */
   stop(): void {
     if (this.#isStopped) return;
     this.#isStopped = true;
@@ -95,7 +101,7 @@
     this.#parts.table.release(this.#parts.tail);
   }
 
-  /** Topics that the configuration now in force owes nothing, or gives to another space, end. */
+  /** Topics without a contract in the configuration now in force, or now in another space, end. */
   configurationChanged(configuration: Configuration | undefined): void {
     for (const topic of [...this.#topics.keys()]) {
       const space = Configurations.spaceOf(configuration, topic);
@@ -104,7 +110,7 @@
     }
   }
 
-  /** Every turn moves the cursor, or is the last: a step without progress waits for news or the next look. */
+  /** Every turn moves the cursor, or is the last: one without progress waits for a push or the retry timer. */
   async #pump(): Promise<void> {
     if (this.#isPumping) return;
     this.#isPumping = true;
@@ -118,7 +124,7 @@
       else await this.#fetch();
       if (this.cursor > before) continue;
       if (tail.keepsNothing && tail.incarnation === this.incarnation && tail.after(before) === undefined) {
-        // What neither the tail nor the leader has any more is owed to nobody.
+        // No contract covers what neither the tail nor the leader has any more.
         this.cursor = Math.max(before, (tail.messages[0]?.seq ?? tail.head + 1) - 1);
         if (this.cursor > before) continue;
       }
@@ -128,7 +134,7 @@
     this.#isPumping = false;
   }
 
-  /** What could not be fetched now is asked for again, also where no news comes. */
+  /** What could not be fetched now is fetched again, also where no push comes. */
   #retryLater(): void {
     this.#retryTimer?.stop();
     this.#retryTimer = this.#parts.clock.once(StreamCursor.retryDelayMs, () => void this.#pump());
@@ -165,7 +171,7 @@
     return delivered.faultOf(message, this.#parts.clock.now()) !== undefined;
   }
 
-  /** Goes on after what was trimmed. Only topics that lost a message by it are told, and that were owed it. */
+  /** Goes on after what was trimmed; only the clients of topics that lost a message by it are notified. */
   #skip(low: number, trims: ReadonlyMap<string, number>): void {
     const cursor = this.cursor;
     if (!this.tail.keepsNothing)
@@ -176,7 +182,7 @@
   }
 
   /**
-   * The stream was made again: all of the new incarnation is news. Where nothing is kept that is no loss to tell of.
+   * The stream has a new incarnation: all of it is unread. Where nothing is kept, no loss is reported.
    */
   #restart(): void {
     const { tail } = this.#parts;
--- a/packages/edge/src/subscriptions/subscribeTopics.ts
+++ b/packages/edge/src/subscriptions/subscribeTopics.ts
@@ -11,9 +11,9 @@
 import { joinStreams } from "./joinStreams.js";
 
 /**
- * Each topic: find where its stream starts, write the key under the owner key's revision, and only then
- * confirm and deliver. A connection has no more topics than the configuration's limit. What fails is answered for that
- * topic alone; undefined where the connection had to be closed.
+ * Subscribes a connection to topics: finds where each one's stream starts, writes the key under the owner key's
+ * revision, and only then confirms and delivers. A connection has no more topics than the configuration's limit. A
+ * failure concerns its topic alone; undefined where the connection had to be closed.
  */
 export async function subscribeTopics(
   edge: EdgeParts,
--- a/packages/edge/src/subscriptions/subscriptionKey.ts
+++ b/packages/edge/src/subscriptions/subscriptionKey.ts
@@ -1,6 +1,6 @@
 import { Cursors, type Cursor } from "./cursor.js";
 
-/** The keys of a session's subscriptions: each topic with the place from which it is owed. */
+/** The stored keys of a session's subscriptions: each topic with the cursor after which it is to be delivered. */
 export const SubscriptionKey = {
   prefix(session: string): string {
     return `sessions/${session}/subscriptions/`;
