--- a/packages/cli/src/retryPolicy.ts
+++ b/packages/cli/src/retryPolicy.ts
@@ -29,6 +29,7 @@
 /** Not carried out, says the node (see the API's error `unavailable`). */
 const unavailable = 503;
 
+/** The rules of this module. */
 export const RetryPolicy = {
   unansweredFor(error: unknown): Unanswered {
     const { code } = error as NodeJS.ErrnoException;
