--- a/packages/control/src/configuration/configurationArchive.test.ts
+++ b/packages/control/src/configuration/configurationArchive.test.ts
@@ -32,19 +32,19 @@
     accept(4);
     accept(3);
     accept(5, `${textOf(5)}\n`);
-    await archive.settled();
+    await archive.whenIdle();
     expect(await archive.versions()).toEqual([5, 4, 1]);
     expect(readFileSync(join(folder, ConfigurationArchive.file), "utf8")).toEqual(`${textOf(5)}\n`);
 
     rmSync(folder, { recursive: true });
     accept(6);
-    await archive.settled();
+    await archive.whenIdle();
     expect(await archive.versions()).toEqual([6]);
 
     rmSync(folder, { recursive: true });
     writeFileSync(folder, "in the way");
     accept(7);
-    await archive.settled();
+    await archive.whenIdle();
     expect([archive.version, log.lines.some((line) => line.includes("could not be archived"))]).toEqual([6, true]);
   },
 );
@@ -56,7 +56,7 @@
   const maxBytes = 60_000;
   const archive = new ConfigurationArchive(folder, new ConfigurationView(journal), log, maxBytes);
   const sizes: number[] = [];
-  for (let version = 1; version <= 3 * ConfigurationArchive.lookEach + 5; version += 1) {
+  for (let version = 1; version <= 3 * ConfigurationArchive.commitsPerSizeCheck + 5; version += 1) {
     journal.append({
       key: IncarnationsKey.name,
       value: IncarnationsKey.write({ version, spaces: {} }),
@@ -65,7 +65,7 @@
     const filler = [...randomBytes(24_000)].map((byte) => (byte < 128 ? " " : "\t")).join("");
     const text = `${textOf(version)}${filler}`;
     journal.append({ key: "plan", value: Buffer.from(text), revision: version });
-    await archive.settled();
+    await archive.whenIdle();
     expect(archive.version).toEqual(version);
     if (version % 5 !== 0) continue;
     const found = [folder, archive.earlierFolder].filter((one) => existsSync(one));
@@ -73,7 +73,7 @@
     sizes.push(names.reduce((sum, name) => sum + statSync(name).size, 0));
   }
   // Two archives, each of what is allowed and what comes between two looks: three objects and their folders a commit.
-  expect(Math.max(...sizes) < 2 * (maxBytes + ConfigurationArchive.lookEach * 20_000)).toEqual(true);
+  expect(Math.max(...sizes) < 2 * (maxBytes + ConfigurationArchive.commitsPerSizeCheck * 20_000)).toEqual(true);
   expect((await archive.versions()).length).toEqual(5);
   expect(existsSync(archive.earlierFolder)).toEqual(true);
 });
@@ -94,8 +94,8 @@
     });
     journal.append({ key: "plan", value: Buffer.from(textOf(version)), revision: version });
   }
-  await archive.settled();
+  await archive.whenIdle();
   const versions = await archive.versions();
   expect(versions[0]).toEqual(50);
-  expect(versions.length <= ConfigurationArchive.maxWaiting + 1).toEqual(true);
+  expect(versions.length <= ConfigurationArchive.maxPending + 1).toEqual(true);
 });
--- a/packages/control/src/configuration/configurationArchive.ts
+++ b/packages/control/src/configuration/configurationArchive.ts
@@ -19,18 +19,18 @@
   /** Bytes on the disk from which on an archive is full; there are at most two of that size. */
   static readonly maxBytes = 8 * 1024 * 1024;
   /** The size is looked at each so many commits: that reads the whole folder. */
-  static readonly lookEach = 25;
+  static readonly commitsPerSizeCheck = 25;
   /** Configurations that may wait to be committed; of more the oldest are left out. */
-  static readonly maxWaiting = 8;
+  static readonly maxPending = 8;
 
   readonly #folder: string;
   readonly #log: LogBuffer;
   readonly #queue = new PQueue({ concurrency: 1 });
-  #kept = 0;
-  readonly #waiting: Array<{ version: number; text: string }> = [];
+  #committedVersion = 0;
+  readonly #pending: Array<{ version: number; text: string }> = [];
   readonly #maxBytes: number;
   /** Commits since the archive's size was looked at. */
-  #commits = 0;
+  #commitsSinceSizeCheck = 0;
 
   constructor(
     folder: string,
@@ -41,22 +41,22 @@
     this.#folder = folder;
     this.#log = log;
     this.#maxBytes = maxBytes;
-    configuration.on("changed", () => this.#follow(configuration.version, configuration.text));
+    configuration.on("changed", () => this.#enqueue(configuration.version, configuration.text));
   }
 
   /** The newest version that is committed here. */
   get version(): number {
-    return this.#kept;
+    return this.#committedVersion;
   }
 
   /** Resolves when all that was handed over is committed. */
-  settled(): Promise<void> {
+  whenIdle(): Promise<void> {
     return this.#queue.onIdle();
   }
 
   /** The versions of the newest commits, newest first; without a number, of all. */
-  async versions(most?: number): Promise<number[]> {
-    const depth = most === undefined ? {} : { depth: most };
+  async versions(max?: number): Promise<number[]> {
+    const depth = max === undefined ? {} : { depth: max };
     const commits = await git.log({ fs: nodeFs, dir: this.#folder, ...depth }).catch(() => []);
     return commits.map(({ commit }) => Number(/^mark (\d+)/.exec(commit.message)?.[1] ?? 0));
   }
@@ -66,28 +66,28 @@
     return `${this.#folder}.earlier`;
   }
 
-  #follow(version: number, text: string): void {
-    this.#waiting.push({ version, text });
-    if (this.#waiting.length > ConfigurationArchive.maxWaiting) this.#waiting.shift();
+  #enqueue(version: number, text: string): void {
+    this.#pending.push({ version, text });
+    if (this.#pending.length > ConfigurationArchive.maxPending) this.#pending.shift();
     void this.#queue.add(async () => {
-      const next = this.#waiting.shift();
-      if (next !== undefined) await this.#keep(next.version, next.text);
+      const next = this.#pending.shift();
+      if (next !== undefined) await this.#archive(next.version, next.text);
     });
   }
 
-  async #keep(version: number, text: string): Promise<void> {
+  async #archive(version: number, text: string): Promise<void> {
     try {
       await this.#commit(version, text);
-      this.#kept = version;
-      await this.#turnWhenFull();
+      this.#committedVersion = version;
+      await this.#rotateWhenFull();
     } catch (cause) {
       this.#log.warn("a plan could not be archived", { version, why: (cause as Error).message });
     }
   }
 
-  async #turnWhenFull(): Promise<void> {
-    this.#commits += 1;
-    if (this.#commits % ConfigurationArchive.lookEach !== 0) return;
+  async #rotateWhenFull(): Promise<void> {
+    this.#commitsSinceSizeCheck += 1;
+    if (this.#commitsSinceSizeCheck % ConfigurationArchive.commitsPerSizeCheck !== 0) return;
     if ((await ConfigurationArchive.#sizeOf(this.#folder)) < this.#maxBytes) return;
     await fs.rm(this.earlierFolder, { recursive: true, force: true });
     await fs.rename(this.#folder, this.earlierFolder);
--- a/packages/control/src/configuration/configurationCapacity.ts
+++ b/packages/control/src/configuration/configurationCapacity.ts
@@ -6,7 +6,7 @@
 
 /** What the fleet could not keep, said rather than promised more weakly. */
 export function checkConfigurationCapacity(node: CapacityParts, configuration: Configuration): ConfigurationFault[] {
-  const disks = disksOf(node);
+  const disks = diskZones(node);
   const zones = new Set(disks.values()).size;
   const faults: ConfigurationFault[] = [];
   configuration.spaces.forEach((space, i) =>
@@ -16,7 +16,7 @@
       const lost = contract.fault_budget.machines ?? 0;
       const problem = machinesProblem(node, lost, disks.size);
       if (problem !== undefined) faults.push({ path: `${path}.machines`, problem });
-      if ((contract.fault_budget.zones ?? 0) > 0 && zones < 3 && !restsOn(node, "zones", 1))
+      if ((contract.fault_budget.zones ?? 0) > 0 && zones < 3 && !isPromisedInForce(node, "zones", 1))
         faults.push({ path: `${path}.zones`, problem: `needs such machines in three zones; there are ${zones}` });
     }),
   );
@@ -30,7 +30,7 @@
   if (lost === 0) return undefined;
   if (replicas < needed)
     return `needs replica sets of ${needed}; this deployment's settings ask for sets of ${replicas}`;
-  if (disks < needed && !restsOn(node, "machines", lost))
+  if (disks < needed && !isPromisedInForce(node, "machines", lost))
     return `needs ${needed} machines with a disk for topic logs; there are ${disks}`;
   return undefined;
 }
@@ -39,7 +39,7 @@
  * The fleet's machines with a disk for topic logs, by name, each with its zone. One that is down belongs to it as
  * long as a member knows it or a replica set names it; one that was emptied and has left does not.
  */
-function disksOf({ membership, machines, shards }: CapacityParts): Map<string, string> {
+function diskZones({ membership, machines, shards }: CapacityParts): Map<string, string> {
   const disks = new Map<string, string>();
   const isGone = (name: string): boolean => machines.isDraining(name) && membership.find(name)?.state !== "up";
   for (const [, { set }] of shards.all())
@@ -52,7 +52,7 @@
  * Whether the configuration in force promises as much: it was accepted by what the fleet has, and no machine leaves
  * that.
  */
-function restsOn({ configuration }: CapacityParts, budget: "machines" | "zones", lost: number): boolean {
+function isPromisedInForce({ configuration }: CapacityParts, budget: "machines" | "zones", lost: number): boolean {
   return (
     configuration.configuration?.spaces.some(({ program }) =>
       program.some(({ contract }) => contract.keep > 0 && (contract.fault_budget[budget] ?? 0) >= lost),
--- a/packages/control/src/configuration/getRollout.ts
+++ b/packages/control/src/configuration/getRollout.ts
@@ -48,6 +48,6 @@
         isAlive: node.membership.isAlive(member.name),
       };
     });
-  const taken = nodes.filter((one) => one.hasTakenUp).length;
+  const taken = nodes.filter((member) => member.hasTakenUp).length;
   return ApiReplies.done({ mark: version, taken, of: nodes.length, nodes });
 }
--- a/packages/control/src/configuration/judgeOrder.ts
+++ b/packages/control/src/configuration/judgeOrder.ts
@@ -1,11 +1,11 @@
 import type { Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { contentDigest, contentKind } from "@cranetrack/core/configuration/contentDigest.js";
-import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 
 /** A whole configuration under a version, as an operator sent it. */
-export interface Order {
+export interface ConfigurationChange {
   version: number;
   body: Uint8Array;
   /** The operators' own document, of which `body` is this node's translation; none where the body is what was sent. */
@@ -13,7 +13,7 @@
 }
 
 /** What the store knows about the configuration in force and about one version; a confirmed read. */
-export interface OrderFacts {
+export interface ConfigurationChangeInputs {
   configuration: Kv | undefined;
   document: Kv | undefined;
   record: Kv | undefined;
@@ -21,7 +21,7 @@
   floor: number;
 }
 
-export type OrderStanding =
+export type ConfigurationChangeDecision =
   /** Acknowledged before with this very content. */
   | { kind: "taken"; revision: number }
   /** Acknowledged before, or held, with another content: this one never will be. */
@@ -37,38 +37,42 @@
  * What an order is to the store: a question about what the operator sent and what was committed, and nothing else.
  * Neither settings nor the fleet's state come into it, so every node has the same answer.
  */
-export function judgeOrder(order: Order, facts: OrderFacts): OrderStanding {
-  const versionInForce = facts.configuration === undefined ? 0 : ConfigurationKey.versionOf(facts.configuration.value);
-  const isInForce = facts.configuration !== undefined && versionInForce === order.version;
-  if (isInForce && isSameAsHeld(order, facts)) return { kind: "taken", revision: facts.configuration!.revision };
-  if (facts.record !== undefined)
-    return isEqual(facts.record.value, digestOf(order))
-      ? { kind: "taken", revision: facts.record.revision }
+export function decideConfigurationChange(
+  change: ConfigurationChange,
+  inputs: ConfigurationChangeInputs,
+): ConfigurationChangeDecision {
+  const versionInForce =
+    inputs.configuration === undefined ? 0 : ConfigurationKey.versionOf(inputs.configuration.value);
+  const isInForce = inputs.configuration !== undefined && versionInForce === change.version;
+  if (isInForce && isContentInForce(change, inputs)) return { kind: "taken", revision: inputs.configuration!.revision };
+  if (inputs.record !== undefined)
+    return isEqual(inputs.record.value, contentDigestOf(change))
+      ? { kind: "taken", revision: inputs.record.revision }
       : { kind: "taken-by-other", versionInForce };
   if (isInForce) return { kind: "taken-by-other", versionInForce };
-  if (order.version > versionInForce) return { kind: "newer" };
-  return { kind: order.version <= facts.floor ? "forgotten" : "superseded", versionInForce };
+  if (change.version > versionInForce) return { kind: "newer" };
+  return { kind: change.version <= inputs.floor ? "forgotten" : "superseded", versionInForce };
 }
 
-export function digestOf({ body, document }: Order): Uint8Array {
+export function contentDigestOf({ body, document }: ConfigurationChange): Uint8Array {
   return document === undefined
     ? contentDigest(contentKind.configuration, body)
     : contentDigest(contentKind.document, document);
 }
 
 /** What the store is asked for; the document comes on top where there is no record. */
-export const OrderFactKeys = {
+export const ConfigurationChangeKeys = {
   of(version: number): string[] {
-    return [ConfigurationKey.name, AcceptedOrderKey.of(version), AcceptedOrderKey.floor];
+    return [ConfigurationKey.name, AcceptedChangeKey.of(version), AcceptedChangeKey.floor];
   },
 
-  read(version: number, kvs: readonly Kv[]): OrderFacts {
+  read(version: number, kvs: readonly Kv[]): ConfigurationChangeInputs {
     const find = (key: string): Kv | undefined => kvs.find((kv) => kv.key === key);
     return {
       configuration: find(ConfigurationKey.name),
       document: find(DocumentKey.name),
-      record: find(AcceptedOrderKey.of(version)),
-      floor: AcceptedOrderKey.readFloor(find(AcceptedOrderKey.floor)?.value),
+      record: find(AcceptedChangeKey.of(version)),
+      floor: AcceptedChangeKey.readFloor(find(AcceptedChangeKey.floor)?.value),
     };
   },
 };
@@ -77,16 +81,16 @@
  * The content in force tells by itself; a configuration sent alone asks for the configuration, whatever document came
  * with it.
  */
-function isSameAsHeld({ body, document }: Order, facts: OrderFacts): boolean {
+function isContentInForce({ body, document }: ConfigurationChange, inputs: ConfigurationChangeInputs): boolean {
   if (document === undefined)
     return isEqual(
-      contentDigest(contentKind.configuration, facts.configuration!.value),
+      contentDigest(contentKind.configuration, inputs.configuration!.value),
       contentDigest(contentKind.configuration, body),
     );
-  const held = facts.document?.value;
+  const documentInForce = inputs.document?.value;
   return (
-    held !== undefined &&
-    isEqual(contentDigest(contentKind.document, held), contentDigest(contentKind.document, document))
+    documentInForce !== undefined &&
+    isEqual(contentDigest(contentKind.document, documentInForce), contentDigest(contentKind.document, document))
   );
 }
 
--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -6,13 +6,19 @@
   type ConfigurationRead,
 } from "@cranetrack/core/configuration/configuration.js";
 import { ConfigurationSchema } from "@cranetrack/core/configuration/configurationSchema.js";
-import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { JsonBody } from "@cranetrack/core/http/jsonBody.js";
-import { digestOf, judgeOrder, OrderFactKeys, type Order, type OrderFacts } from "./judgeOrder.js";
+import {
+  contentDigestOf,
+  decideConfigurationChange,
+  ConfigurationChangeKeys,
+  type ConfigurationChange,
+  type ConfigurationChangeInputs,
+} from "./judgeOrder.js";
 import { checkConfigurationCapacity } from "./configurationCapacity.js";
 
 /** Of an order that loses a race again and again, each time to another one that was taken. */
@@ -41,91 +47,106 @@
   const version = "configuration" in read ? read.configuration.version : ConfigurationKey.versionOf(body);
   // With a document the body is this node's translation, and its faults may be those of this node's settings.
   if ("faults" in read && (document === undefined || version === 0)) return invalid(read.faults);
-  const order = { version: version, body, document };
-  for (let tries = 0; tries < maxAttempts; tries += 1) {
-    const reply = await tryOrder(node, order, read);
+  const change = { version: version, body, document };
+  for (let attempt = 0; attempt < maxAttempts; attempt += 1) {
+    const reply = await attemptChange(node, change, read);
     if (reply !== "conflict") return reply;
   }
   return ApiReplies.unknown("other plans came between; the same plan again settles it");
 }
 
-async function tryOrder(node: ClusterNode, order: Order, read: ConfigurationRead): Promise<ApiReply | "conflict"> {
-  const { version: version, document } = order;
+async function attemptChange(
+  node: ClusterNode,
+  change: ConfigurationChange,
+  read: ConfigurationRead,
+): Promise<ApiReply | "conflict"> {
+  const { version: version, document } = change;
   const { bound } = node.configurationVerifier;
-  const facts = await readFacts(node, order);
-  if (facts === undefined || !node.configurationVerifier.isCurrent(bound, facts.configuration?.revision ?? 0))
+  const inputs = await readInputs(node, change);
+  if (inputs === undefined || !node.configurationVerifier.isCurrent(bound, inputs.configuration?.revision ?? 0))
     return noMajority();
-  const standing = judgeOrder(order, facts);
-  switch (standing.kind) {
+  const decision = decideConfigurationChange(change, inputs);
+  switch (decision.kind) {
     case "taken":
-      return accepted(version, standing.revision);
+      return accepted(version, decision.revision);
     case "taken-by-other":
-      return stale(version, standing.versionInForce, "was taken with other content");
+      return stale(version, decision.versionInForce, "was taken with other content");
     case "forgotten":
       return ApiReplies.unavailable(`mark ${version} is so old that its content is forgotten`);
     case "superseded":
-      if (document === undefined) return stale(version, standing.versionInForce, "is not above the one in force");
-      return "faults" in read ? invalid(read.faults) : record(node, order, facts);
+      if (document === undefined) return stale(version, decision.versionInForce, "is not above the one in force");
+      return "faults" in read ? invalid(read.faults) : recordSuperseded(node, change, inputs);
     case "newer":
-      return "faults" in read ? invalid(read.faults) : putNewer(node, order, read.configuration, facts);
+      return "faults" in read ? invalid(read.faults) : putInForce(node, change, read.configuration, inputs);
   }
 }
 
 /** A confirmed read. The document is as large as the configuration, and needed only where its version has no record. */
-async function readFacts(node: ClusterNode, { version, document }: Order): Promise<OrderFacts | undefined> {
-  const read = async (keys: string[]): Promise<OrderFacts | undefined> => {
+async function readInputs(
+  node: ClusterNode,
+  { version, document }: ConfigurationChange,
+): Promise<ConfigurationChangeInputs | undefined> {
+  const read = async (keys: string[]): Promise<ConfigurationChangeInputs | undefined> => {
     const present = await node.store.read(keys);
-    return present.outcome === "done" ? OrderFactKeys.read(version, present.kvs ?? []) : undefined;
+    return present.outcome === "done" ? ConfigurationChangeKeys.read(version, present.kvs ?? []) : undefined;
   };
-  const facts = await read(OrderFactKeys.of(version));
-  const isUnrecorded = facts?.configuration !== undefined && facts.record === undefined;
-  if (document === undefined || !isUnrecorded || ConfigurationKey.versionOf(facts.configuration!.value) !== version)
-    return facts;
-  return read([...OrderFactKeys.of(version), DocumentKey.name]);
+  const inputs = await read(ConfigurationChangeKeys.of(version));
+  const isUnrecorded = inputs?.configuration !== undefined && inputs.record === undefined;
+  if (document === undefined || !isUnrecorded || ConfigurationKey.versionOf(inputs.configuration!.value) !== version)
+    return inputs;
+  return read([...ConfigurationChangeKeys.of(version), DocumentKey.name]);
 }
 
 /** Above all versions so far: put in force, and recorded, in one step, if nothing else was put meanwhile. */
-async function putNewer(
+async function putInForce(
   node: ClusterNode,
-  order: Order,
+  change: ConfigurationChange,
   configuration: Configuration,
-  facts: OrderFacts,
+  inputs: ConfigurationChangeInputs,
 ): Promise<ApiReply | "conflict"> {
-  const { body, document } = order;
-  const turned = facts.configuration === undefined ? [] : turnedOrders(facts.configuration.value, configuration);
-  if (turned.length > 0) return invalid(turned);
-  const lacking = checkConfigurationCapacity(node, configuration);
-  if (lacking.length > 0) return noCapacity(lacking);
+  const { body, document } = change;
+  const orderFaults =
+    inputs.configuration === undefined ? [] : messageOrderFaults(inputs.configuration.value, configuration);
+  if (orderFaults.length > 0) return invalid(orderFaults);
+  const capacityFaults = checkConfigurationCapacity(node, configuration);
+  if (capacityFaults.length > 0) return noCapacity(capacityFaults);
   const written = await node.store.txn({
-    checks: [{ key: ConfigurationKey.name, revision: facts.configuration?.revision ?? 0 }],
+    checks: [{ key: ConfigurationKey.name, revision: inputs.configuration?.revision ?? 0 }],
     puts: [
       { key: ConfigurationKey.name, value: body },
-      recordOf(order),
+      acceptanceRecord(change),
       ...(document === undefined ? [] : [{ key: DocumentKey.name, value: document }]),
     ],
     deletes: document === undefined ? [DocumentKey.name] : [],
   });
   if (written.outcome === "done") node.configurationVerifier.saw(written.revision ?? 0);
-  return settled(order, written);
+  return replyToWrite(change, written);
 }
 
 /**
  * Below the version in force and never acknowledged so far. It changes nothing; but its content is committed before it
  * is acknowledged, so that no other content under its version can be.
  */
-async function record(node: ClusterNode, order: Order, facts: OrderFacts): Promise<ApiReply | "conflict"> {
-  const check = { key: AcceptedOrderKey.of(order.version), revision: facts.record?.revision ?? 0 };
-  return settled(order, await node.store.txn({ checks: [check], puts: [recordOf(order)], deletes: [] }));
+async function recordSuperseded(
+  node: ClusterNode,
+  change: ConfigurationChange,
+  inputs: ConfigurationChangeInputs,
+): Promise<ApiReply | "conflict"> {
+  const check = { key: AcceptedChangeKey.of(change.version), revision: inputs.record?.revision ?? 0 };
+  return replyToWrite(change, await node.store.txn({ checks: [check], puts: [acceptanceRecord(change)], deletes: [] }));
 }
 
-function recordOf(order: Order): Pick<Kv, "key" | "value"> {
-  return { key: AcceptedOrderKey.of(order.version), value: digestOf(order) };
+function acceptanceRecord(change: ConfigurationChange): Pick<Kv, "key" | "value"> {
+  return { key: AcceptedChangeKey.of(change.version), value: contentDigestOf(change) };
 }
 
-function settled(order: Order, written: { outcome: string; revision?: number }): ApiReply | "conflict" {
+function replyToWrite(
+  change: ConfigurationChange,
+  written: { outcome: string; revision?: number },
+): ApiReply | "conflict" {
   switch (written.outcome) {
     case "done":
-      return accepted(order.version, written.revision);
+      return accepted(change.version, written.revision);
     case "conflict":
       return "conflict";
     case "unsure":
@@ -136,7 +157,7 @@
 }
 
 /** A space is one stream, or a stream a topic, for its whole life: where its messages go follows from it. */
-function turnedOrders(inForce: Uint8Array, configuration: Configuration): ConfigurationFault[] {
+function messageOrderFaults(inForce: Uint8Array, configuration: Configuration): ConfigurationFault[] {
   const before = new Map(ConfigurationKey.outline(inForce)?.spaces.map((space) => [space.prefix, space]));
   return configuration.spaces.flatMap((space, i) => {
     const earlier = before.get(Configurations.prefixOf(space));
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -41,19 +41,19 @@
   readonly #expected: number;
   readonly #founders: readonly string[] | undefined;
   #identity: Identity;
-  #isAsking = false;
+  #isTicking = false;
   #isReady = false;
-  #restUntil = 0;
+  #nextJoinAt = 0;
   /** A store is there, and has members enough. */
-  isStandingBy = false;
+  isStandby = false;
   /** What the founding waits for, for status; empty once founded. */
-  missing = "";
+  waitingFor = "";
 
   constructor(node: ClusterNode, disk: Disk) {
     super();
     this.#node = node;
     this.#disk = disk;
-    const { founders, lathes: controlCount, mayFound } = node.parts.settings;
+    const { founders, controlNodes: controlCount, mayFound } = node.parts.settings;
     this.#founders = founders;
     this.#expected = founders?.length ?? controlCount;
     const kept = disk.read("identity")[0];
@@ -61,8 +61,8 @@
       kept === undefined
         ? { id: node.parts.random.identity(), founding: "", agreed: "", members: [], mayFound }
         : (JSON.parse(Buffer.from(kept.value).toString()) as Identity);
-    node.rpc.serve("foundingRequest", (ask) => this.#agree(ask));
-    node.rpc.serve("founded", (founded) => this.#accept(founded));
+    node.rpc.serve("foundingRequest", (request) => this.#handleFoundingRequest(request));
+    node.rpc.serve("founded", (founded) => this.#handleFounded(founded));
   }
 
   get id(): string {
@@ -79,7 +79,7 @@
   }
 
   /** Why the disk is not this machine's: it would be in the place of another member. */
-  fault(): string | undefined {
+  foreignDiskError(): string | undefined {
     const { name } = this.#node.parts.settings;
     const owner = this.#identity.name ?? name;
     return owner === name ? undefined : `the data folder is that of ${owner}, and this is ${name}`;
@@ -88,7 +88,7 @@
   async start(): Promise<void> {
     const { incarnation, settings } = this.#node.parts;
     this.#identity = { ...this.#identity, name: settings.name, starts: (this.#identity.starts ?? 0) + 1 };
-    await this.#keep();
+    await this.#writeIdentity();
     const { self } = this.#node.membership;
     self.processIncarnation = String(incarnation);
     self.diskStarts = this.#identity.starts!;
@@ -97,7 +97,7 @@
     this.#node.parts.clock.every(250, () => void this.#tick());
   }
 
-  #keep(): Promise<void> {
+  #writeIdentity(): Promise<void> {
     const { self } = this.#node.membership;
     self.disk = this.#identity.id;
     self.isFounder = this.#isFounder;
@@ -105,20 +105,20 @@
   }
 
   async #tick(): Promise<void> {
-    if (this.founding !== "" || this.#isAsking || !this.#isReady) return;
-    this.#isAsking = true;
+    if (this.founding !== "" || this.#isTicking || !this.#isReady) return;
+    this.#isTicking = true;
     const controlNodes = this.#node.membership.alive("lathe").filter((member) => member.disk !== "");
     const founders = controlNodes.filter((member) => member.isFounder && this.#isNamed(member.address));
     const founded = controlNodes.find((member) => member.isInStore) ?? controlNodes.find((member) => member.isFounded);
     if (founded !== undefined) await this.#join(founded);
-    else if (!this.#isFounder) this.missing = "waits for a founded store to join, and founds none itself";
+    else if (!this.#isFounder) this.waitingFor = "waits for a founded store to join, and founds none itself";
     else if (founders.length !== this.#expected)
-      this.missing =
+      this.waitingFor =
         `founding waits: ${founders.length} of ${this.#expected} blank lathes are here ` +
-        `(${founders.map((one) => one.name).join(", ")})`;
-    else if (this.#isFirst(founders)) await this.#ask(founders);
-    else this.missing = "founding waits for the agreement of all lathes";
-    this.#isAsking = false;
+        `(${founders.map((member) => member.name).join(", ")})`;
+    else if (this.#isFirst(founders)) await this.#proposeFounding(founders);
+    else this.waitingFor = "founding waits for the agreement of all lathes";
+    this.#isTicking = false;
   }
 
   #isNamed(address: string | undefined): boolean {
@@ -129,83 +129,84 @@
     return controlNodes.every((member) => member.disk >= this.id);
   }
 
-  async #ask(controlNodes: Member[]): Promise<void> {
+  async #proposeFounding(controlNodes: Member[]): Promise<void> {
     const members = controlNodes.map((member) => ({ id: member.disk, name: member.name }));
     const founding =
       this.#identity.agreed !== "" && JSON.stringify(this.#identity.members) === JSON.stringify(members)
         ? this.#identity.agreed
         : this.#node.parts.random.identity();
-    const ask: BodyInit = { case: "foundingRequest", value: { founding, members } };
-    const own = await this.#agree({ founding, members: members as StoreMember[] } as FoundingRequest);
+    const request: BodyInit = { case: "foundingRequest", value: { founding, members } };
+    const own = await this.#handleFoundingRequest({ founding, members: members as StoreMember[] } as FoundingRequest);
     const others = members.filter((member) => member.id !== this.id);
-    const replies = await Promise.all(others.map((member) => this.#node.rpc.call(member.name, ask, 1000)));
+    const replies = await Promise.all(others.map((member) => this.#node.rpc.call(member.name, request, 1000)));
     const refused = others.filter((_, i) => !(replies[i]?.case === "foundingReply" && replies[i].value.isAgreed));
-    this.missing =
-      refused.length > 0 ? `founding waits: no agreement of ${refused.map((one) => one.name).join(", ")}` : "";
+    this.waitingFor =
+      refused.length > 0 ? `founding waits: no agreement of ${refused.map((member) => member.name).join(", ")}` : "";
     const isOwn = own.case === "foundingReply" && own.value.isAgreed === true;
     if (refused.length > 0 || !isOwn || this.#identity.agreed !== founding) return;
-    await this.#found(founding, members);
+    await this.#writeFirstEntry(founding, members);
     for (const member of others) this.#node.rpc.send(member.name, { case: "founded", value: { founding, members } });
   }
 
-  async #agree(ask: FoundingRequest): Promise<BodyInit> {
+  async #handleFoundingRequest(request: FoundingRequest): Promise<BodyInit> {
     if (this.founding !== "") return { case: "foundingReply", value: { isAgreed: false, veto: this.founding } };
-    const isMeant =
+    const mayAgree =
       this.#isReady &&
       this.#isFounder &&
-      ask.members.length === this.#expected &&
-      ask.members.some((one) => one.id === this.id) &&
-      ask.members.every((one) => this.#isNamed(this.#node.membership.find(one.name)?.address));
-    if (!isMeant) return { case: "foundingReply", value: { isAgreed: false, veto: "" } };
+      request.members.length === this.#expected &&
+      request.members.some((member) => member.id === this.id) &&
+      request.members.every((member) => this.#isNamed(this.#node.membership.find(member.name)?.address));
+    if (!mayAgree) return { case: "foundingReply", value: { isAgreed: false, veto: "" } };
     const before = this.#identity.agreed;
     this.#identity = {
       ...this.#identity,
-      agreed: ask.founding,
-      members: ask.members.map(({ id, name }) => ({ id, name })),
+      agreed: request.founding,
+      members: request.members.map(({ id, name }) => ({ id, name })),
     };
-    if (before !== ask.founding) await this.#keep();
+    if (before !== request.founding) await this.#writeIdentity();
     return {
       case: "foundingReply",
-      value: { isAgreed: this.#identity.agreed === ask.founding && this.founding === "", veto: "" },
+      value: { isAgreed: this.#identity.agreed === request.founding && this.founding === "", veto: "" },
     };
   }
 
-  async #accept(founded: Founded): Promise<undefined> {
+  async #handleFounded(founded: Founded): Promise<undefined> {
     if (this.founding === "" && this.#identity.agreed === founded.founding)
-      await this.#found(founded.founding, founded.members);
+      await this.#writeFirstEntry(founded.founding, founded.members);
     return undefined;
   }
 
   /** Everyone starts from the same first entry: who the members are. */
-  async #found(founding: string, members: ReadonlyArray<{ id: string; name: string }>): Promise<void> {
+  async #writeFirstEntry(founding: string, members: ReadonlyArray<{ id: string; name: string }>): Promise<void> {
     const log = new ReplicaLog(this.#disk, logGroupNames.store);
     if (log.lastIndex === 0) {
       const data = toBinary(MembersSchema, create(MembersSchema, { voters: [...members] as StoreMember[] }));
       await log.append([create(EntrySchema, { index: 1, term: 1, kind: entryKind.members, data })]);
     }
-    await this.#settle(founding);
+    await this.#completeFounding(founding);
   }
 
-  async #settle(founding: string): Promise<void> {
+  async #completeFounding(founding: string): Promise<void> {
     if (this.founding !== "") return;
     this.#identity = { ...this.#identity, founding };
-    await this.#keep();
-    this.missing = "";
-    this.isStandingBy = false;
+    await this.#writeIdentity();
+    this.waitingFor = "";
+    this.isStandby = false;
     this.emit("founded");
   }
 
   /** A blank control node beside a founded store: the founder's word again, or a new member's start. */
   async #join(founded: Member): Promise<void> {
-    if (!this.isStandingBy) this.missing = `asks ${founded.name} to join the founded store`;
-    if (this.#identity.agreed === founded.founding) return this.#found(founded.founding, this.#identity.members);
+    if (!this.isStandby) this.waitingFor = `asks ${founded.name} to join the founded store`;
+    if (this.#identity.agreed === founded.founding)
+      return this.#writeFirstEntry(founded.founding, this.#identity.members);
     const { clock } = this.#node.parts;
-    if (clock.now() < this.#restUntil) return;
-    const outcome = await MembershipStatus.ask(this.#node, founded.name, this.id);
-    if (outcome === "done") return this.#settle(founded.founding);
-    this.isStandingBy = outcome === "standby" || (outcome === "away" && this.isStandingBy);
-    if (!this.isStandingBy) return;
-    this.missing = "stands by: enough lathes vote";
-    this.#restUntil = clock.now() + MembershipStatus.tickIntervalMs;
+    if (clock.now() < this.#nextJoinAt) return;
+    const outcome = await MembershipStatus.requestJoin(this.#node, founded.name, this.id);
+    if (outcome === "done") return this.#completeFounding(founded.founding);
+    this.isStandby = outcome === "standby" || (outcome === "away" && this.isStandby);
+    if (!this.isStandby) return;
+    this.waitingFor = "stands by: enough lathes vote";
+    this.#nextJoinAt = clock.now() + MembershipStatus.tickIntervalMs;
   }
 }
--- a/packages/control/src/consensus/proposals.test.ts
+++ b/packages/control/src/consensus/proposals.test.ts
@@ -36,7 +36,7 @@
     if (body.case === "append") sent.push({ id, entries: body.value.entries!.length, round: body.value.round! });
   };
   const replicator = new LogReplicator({ log, clock, self: "a", term: 3, commit: 0, send });
-  replicator.enlist([["a", "b", "c"]], []);
+  replicator.setMembers([["a", "b", "c"]], []);
   const proposals = new Proposals(log, clock);
   proposals.begin(replicator);
   return { proposals, log, writes, sent, replicator, turn: () => turns.splice(0).forEach((ring) => ring()) };
--- a/packages/control/src/consensus/proposals.ts
+++ b/packages/control/src/consensus/proposals.ts
@@ -80,11 +80,11 @@
       this.#pending.set(lastIndex + 1 + i, { term, settle });
       return create(EntrySchema, { index: lastIndex + 1 + i, term, kind, data });
     });
-    if (entries.length > 0) void this.#log.append(entries).then(() => this.#replicator?.kick());
+    if (entries.length > 0) void this.#log.append(entries).then(() => this.#replicator?.sendNew());
     if (confirming.length > 0)
       void replicator.confirm().then((isConfirmed) => {
         for (const settle of confirming) settle(isConfirmed);
       });
-    if (entries.length > 0) replicator.kick();
+    if (entries.length > 0) replicator.sendNew();
   }
 }
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -60,7 +60,7 @@
   readonly #proposals: Proposals;
   readonly #memberLog: MemberLog;
   readonly #compaction: LogCompaction;
-  readonly memberExchange: MemberExchange;
+  readonly membershipChange: MemberExchange;
   #replicator: LogReplicator | undefined;
   #commit: number;
   #applied: number;
@@ -95,7 +95,7 @@
     this.#proposals = new Proposals(this.#log, this.#clock);
     this.#memberLog = new MemberLog(this.#log);
     const propose = (data: Uint8Array): void => void this.propose(data, entryKind.members);
-    this.memberExchange = new MemberExchange(this.#memberLog, parts.logBuffer, propose);
+    this.membershipChange = new MemberExchange(this.#memberLog, parts.logBuffer, propose);
     if (this.#log.snapshotIndex > 0) this.#memberLog.installed(this.metadata.install(this.#log.snapshot));
     this.#followerLog = new FollowerLog(
       this.#log,
@@ -115,7 +115,7 @@
       append: (append, from) => this.#take(append, from, () => this.#followerLog.take(append, this.#commit)),
       snapshot: (snapshot, from) =>
         this.#take(snapshot, from, () => this.#followerLog.takeSnapshot(snapshot, this.#commit)),
-      onReply: (reply) => this.#replicator?.take(reply),
+      onReply: (reply) => this.#replicator?.handleReply(reply),
     };
     parts.groups.enlist(this.#log.group, ownMessages(this.id, parts.isTrusted, group));
     this.#rearm();
@@ -147,7 +147,11 @@
   /** Whether a majority stands behind what this control node tells its feeds, and it has all that was committed. */
   get isInTouch(): boolean {
     if (this.#replicator === undefined) return this.#leader !== "" && this.#contact.isCurrent;
-    return this.isLeader && !this.#contact.hasJustResumed && this.#replicator.majorityAgo() < this.#contact.limitMs;
+    return (
+      this.isLeader &&
+      !this.#contact.hasJustResumed &&
+      this.#replicator.sinceMajorityContactMs() < this.#contact.limitMs
+    );
   }
 
   /** Undefined: not the leader any more; the command may or may not be carried out. */
@@ -163,20 +167,20 @@
     return (await this.#proposals.confirm()) && this.isLeader;
   }
 
-  matchOf(id: string): { match: number; behind: number; heardAgo: number } {
+  progressOf(id: string): { match: number; behind: number; heardAgo: number } {
     if (this.#replicator === undefined) return { match: 0, behind: Infinity, heardAgo: Infinity };
     const match = this.#replicator.matchOf(id);
-    return { match, behind: this.#log.lastIndex - match, heardAgo: this.#replicator.heardAgo(id) };
+    return { match, behind: this.#log.lastIndex - match, heardAgo: this.#replicator.sinceContactMs(id) };
   }
 
   /** Whether the members in force are committed, and no exchange of voters is under way. */
-  get hasSettledMembers(): boolean {
-    return this.memberExchange.isSettled(this.#commit);
+  get hasStableMembers(): boolean {
+    return this.membershipChange.isSettled(this.#commit);
   }
 
   /** Begins a change of members, where none is under way; other voters come by joint consensus. */
   changeMembers(voters: StoreMember[], learners: StoreMember[]): void {
-    if (this.isLeader) this.memberExchange.begin(this.#commit, voters, learners);
+    if (this.isLeader) this.membershipChange.begin(this.#commit, voters, learners);
   }
 
   async #take(message: LeaderMessage, from: string, take: () => Promise<BodyInit>): Promise<undefined> {
@@ -207,12 +211,13 @@
     const now = this.#clock.now();
     this.#contact.tick();
     if (this.#replicator !== undefined) {
-      if (this.#replicator.majorityAgo() > this.#contact.limitMs) return this.#stepDown("no majority answers");
+      if (this.#replicator.sinceMajorityContactMs() > this.#contact.limitMs)
+        return this.#stepDown("no majority answers");
       if (this.#slowWatch.isSlow(now, this.#replicator.answerMs)) return this.#giveWay(now);
-      this.#replicator.askWaiting();
+      this.#replicator.heartbeatWaiting();
       return this.#replicator.sendHeartbeats();
     }
-    const mayLead = this.memberExchange.voting(this.#commit).some((one) => one.id === this.id);
+    const mayLead = this.membershipChange.voting(this.#commit).some((one) => one.id === this.id);
     if (mayLead && now >= this.#electionAt && !this.#isResigned && !this.#isStandingBy) this.#ask(true);
     // After a start of all, the first question may have reached nobody yet.
     else if (this.#asking !== 0 && this.#isPre) this.#sendVote();
@@ -372,11 +377,11 @@
       this.emit("applied", applied);
     }
     if (!wasLeader && this.isLeader) this.emit("elected");
-    if (this.isLeader) this.memberExchange.end(this.#commit);
+    if (this.isLeader) this.membershipChange.end(this.#commit);
     // Its removal is committed: the others elect at once.
-    if (this.isLeader && this.hasSettledMembers && !VoterSets.isVoter(this.members, this.id))
+    if (this.isLeader && this.hasStableMembers && !VoterSets.isVoter(this.members, this.id))
       this.#stepDown("it is no voter any more");
-    if (this.#compaction.isDue) this.#compact();
+    if (this.#compaction.shouldCompact) this.#compact();
   }
 
   #compact(): void {
@@ -396,6 +401,6 @@
   }
 
   #enlist(): void {
-    this.#replicator?.enlist(VoterSets.idSets(this.members), VoterSets.learnerIds(this.members));
+    this.#replicator?.setMembers(VoterSets.idSets(this.members), VoterSets.learnerIds(this.members));
   }
 }
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -12,7 +12,7 @@
 import { Founding } from "./consensus/founding.js";
 import { RaftNode } from "./consensus/raftNode.js";
 import { DiskWatch } from "./membership/diskWatch.js";
-import { handOverVote } from "./membership/handOverVote.js";
+import { transferVote } from "./membership/handOverVote.js";
 import { MembershipStatus } from "./membership/membershipStatus.js";
 import { StoreService } from "./store/storeService.js";
 
@@ -24,7 +24,7 @@
   readonly #disk: Disk;
   readonly #disks: DiskWatch;
   #raft: RaftNode | undefined;
-  #desk: StoreService | undefined;
+  #storeService: StoreService | undefined;
 
   constructor(node: ClusterNode, disk: Disk, router: Router) {
     this.node = node;
@@ -53,7 +53,9 @@
 
   /** Says what is wrong with the data folder, if anything is. */
   load(): string | undefined {
-    return new ReplicaLog(this.#disk, logGroupNames.store).fault() ?? this.founding.fault() ?? this.storage.load();
+    return (
+      new ReplicaLog(this.#disk, logGroupNames.store).fault() ?? this.founding.foreignDiskError() ?? this.storage.load()
+    );
   }
 
   async start(): Promise<void> {
@@ -67,25 +69,25 @@
     membership.gossipNow();
     await this.storage.stop();
     this.#raft?.resign();
-    if (membership.self.isInStore) await handOverVote(this.node);
-    this.#desk?.closeFeeds("the process is stopping");
+    if (membership.self.isInStore) await transferVote(this.node);
+    this.#storeService?.closeFeeds("the process is stopping");
   }
 
   /** Not a member of the store, which has enough: kept in mind for a loss, and ready for all else. */
-  get isStandingBy(): boolean {
-    return this.#raft === undefined ? this.founding.isStandingBy : !this.node.membership.self.isInStore;
+  get isStandby(): boolean {
+    return this.#raft === undefined ? this.founding.isStandby : !this.node.membership.self.isInStore;
   }
 
   get isReady(): boolean {
-    const isSettled = this.#raft?.isInTouch === true || this.isStandingBy;
-    return isSettled && this.node.feed.isFresh;
+    const isInStoreOrStandby = this.#raft?.isInTouch === true || this.isStandby;
+    return isInStoreOrStandby && this.node.feed.isFresh;
   }
 
   status(): object {
     const raft = this.#raft;
     const members = raft?.members;
     return {
-      founding: { id: this.founding.id, founded: this.founding.founding, missing: this.founding.missing },
+      founding: { id: this.founding.id, founded: this.founding.founding, missing: this.founding.waitingFor },
       raft:
         raft === undefined
           ? null
@@ -95,8 +97,8 @@
               isLeader: raft.isLeader,
               leader: raft.leaderName,
               isInTouch: raft.isInTouch,
-              voters: members!.voters.map((one) => one.name),
-              learners: members!.learners.map((one) => one.name),
+              voters: members!.voters.map((member) => member.name),
+              learners: members!.learners.map((member) => member.name),
             },
       anvil: this.storage.status(),
     };
@@ -118,7 +120,7 @@
       invariants: this.node.invariants,
       isTrusted: (id) => this.#disks.isTrusted(id),
     });
-    this.#desk = new StoreService(this.node, this.#raft);
+    this.#storeService = new StoreService(this.node, this.#raft);
     membership.self.isFounded = true;
     membership.self.founding = this.founding.founding;
     new MembershipStatus(this.node, this.#raft);
--- a/packages/control/src/drain/drainCapacity.ts
+++ b/packages/control/src/drain/drainCapacity.ts
@@ -3,7 +3,7 @@
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 
 /** What rests on the machines, as a confirmed read of the store has it. */
-export interface DrainFacts {
+export interface DrainInputs {
   /** Machines whose drain is recorded. */
   draining: ReadonlySet<string>;
   /** Machines that a replica set or the voters of the store name, whether they are up or not. */
@@ -11,11 +11,11 @@
 }
 
 /** Why a machine can't be drained with all budgets kept; undefined where it can. */
-export function drainRefusal(node: ClusterNode, name: string, facts: DrainFacts): ApiReply | undefined {
+export function drainRefusal(node: ClusterNode, name: string, inputs: DrainInputs): ApiReply | undefined {
   const member = node.membership.find(name);
-  if (!facts.inUse.has(name) && (member === undefined || member.logDisk === ""))
+  if (!inputs.inUse.has(name) && (member === undefined || member.logDisk === ""))
     return ApiReplies.fault(404, "unknown-machine", `no machine called ${name} has a disk for topic logs`);
-  const left = node.membership.alive().filter((one) => one.name !== name && !facts.draining.has(one.name));
+  const left = node.membership.alive().filter((member) => member.name !== name && !inputs.draining.has(member.name));
   return replicasAtRisk(node, left) ?? votersAtRisk(node, member, left) ?? zonesAtRisk(node, left);
 }
 
@@ -23,7 +23,7 @@
 
 function replicasAtRisk({ parts }: ClusterNode, left: readonly Member[]): ApiReply | undefined {
   const needed = parts.settings.replicas;
-  const disks = left.filter((one) => one.logDisk !== "").length;
+  const disks = left.filter((member) => member.logDisk !== "").length;
   if (disks >= needed) return undefined;
   return atRisk(`only ${disks} machines with a disk would be left, and each shard needs ${needed}`);
 }
@@ -35,9 +35,9 @@
   left: readonly Member[],
 ): ApiReply | undefined {
   const { voters } = parts.settings;
-  const able = left.filter((one) => one.role === "lathe").length;
-  if (leaving?.role !== "lathe" || able >= voters) return undefined;
-  return atRisk(`only ${able} control nodes would be left, and the metadata store needs ${voters}`);
+  const controlNodesLeft = left.filter((member) => member.role === "lathe").length;
+  if (leaving?.role !== "lathe" || controlNodesLeft >= voters) return undefined;
+  return atRisk(`only ${controlNodesLeft} control nodes would be left, and the metadata store needs ${voters}`);
 }
 
 function zonesAtRisk({ configuration }: ClusterNode, left: readonly Member[]): ApiReply | undefined {
@@ -45,8 +45,8 @@
     configuration.configuration?.spaces.flatMap((space) =>
       space.program.map((rule) => ({ space: space.name, rule })),
     ) ?? [];
-  const bound = program.find(({ rule }) => rule.contract.keep > 0 && (rule.contract.fault_budget.zones ?? 0) > 0);
-  const zones = new Set(left.filter((one) => one.logDisk !== "").map((one) => one.zone)).size;
-  if (bound === undefined || zones >= 3) return undefined;
-  return atRisk(`space ${bound.space} must survive the loss of a zone, and machines would be left in only ${zones}`);
+  const zoneRule = program.find(({ rule }) => rule.contract.keep > 0 && (rule.contract.fault_budget.zones ?? 0) > 0);
+  const zones = new Set(left.filter((member) => member.logDisk !== "").map((member) => member.zone)).size;
+  if (zoneRule === undefined || zones >= 3) return undefined;
+  return atRisk(`space ${zoneRule.space} must survive the loss of a zone, and machines would be left in only ${zones}`);
 }
--- a/packages/control/src/drain/drainMachine.ts
+++ b/packages/control/src/drain/drainMachine.ts
@@ -8,10 +8,10 @@
 import { drainRefusal } from "./drainCapacity.js";
 
 /** What a confirmed read of the store says about drains and about what rests on machines. */
-interface Standing {
-  wishes: Kv[];
-  turn: number;
-  sets: Array<{ shard: number; names: string[] }>;
+interface DrainStatus {
+  requests: Kv[];
+  turnRevision: number;
+  replicaSets: Array<{ shard: number; names: string[] }>;
   leaders: Set<string>;
   /** Undefined where the leader is of a build that does not tell. */
   voters: string[] | undefined;
@@ -28,29 +28,29 @@
    * Wishes that are kept. Beyond, the oldest are dropped whose machines are gone and hold nothing, so that an order
    * is known again until so many later ones were taken.
    */
-  maxWishes: 256,
+  maxRequests: 256,
   /** How often a wish is judged anew because another was recorded meanwhile. */
   maxAttempts: 4,
 
   /** `rampSeconds`: how long the machine may take over it; kept with the wish. */
   async ask(node: ClusterNode, name: string, rampSeconds?: number): Promise<ApiReply> {
-    for (let tries = 0; tries < DrainMachine.maxAttempts; tries += 1) {
-      const standing = await readStanding(node);
-      if (standing === undefined) return unavailable();
-      if (isWished(standing, name)) return progressOf(standing, name);
+    for (let attempt = 0; attempt < DrainMachine.maxAttempts; attempt += 1) {
+      const status = await readDrainStatus(node);
+      if (status === undefined) return unavailable();
+      if (isRequested(status, name)) return progressOf(status, name);
       const refusal = drainRefusal(node, name, {
-        draining: new Set(standing.wishes.map((kv) => DrainKey.machineOf(kv.key)!)),
-        inUse: inUse(standing),
+        draining: new Set(status.requests.map((kv) => DrainKey.machineOf(kv.key)!)),
+        inUse: machinesInUse(status),
       });
       // Whoever is cut off, or has just started, knows too few machines to refuse anything.
       if (refusal !== undefined) return node.feed.isFresh ? refusal : unavailable();
       const { outcome } = await node.store.txn({
-        checks: [{ key: DrainKey.turn, revision: standing.turn }],
+        checks: [{ key: DrainKey.turn, revision: status.turnRevision }],
         puts: [
           { key: DrainKey.turn, value: Buffer.from(name) },
           { key: DrainKey.of(name), value: DrainKey.write(rampSeconds) },
         ],
-        deletes: outlived(node, standing),
+        deletes: requestsToForget(node, status),
       });
       if (outcome === "done") return DrainMachine.progress(node, name);
       if (outcome === "unsure")
@@ -68,15 +68,16 @@
   },
 
   async progress(node: ClusterNode, name: string): Promise<ApiReply> {
-    const standing = await readStanding(node);
-    return standing === undefined ? unavailable() : progressOf(standing, name);
+    const status = await readDrainStatus(node);
+    return status === undefined ? unavailable() : progressOf(status, name);
   },
 };
 
 const unavailable = (): ApiReply => ApiReplies.unavailable("no majority of the control nodes answers");
-const isWished = ({ wishes }: Standing, name: string): boolean => wishes.some((kv) => kv.key === DrainKey.of(name));
+const isRequested = ({ requests }: DrainStatus, name: string): boolean =>
+  requests.some((kv) => kv.key === DrainKey.of(name));
 
-async function readStanding(node: ClusterNode): Promise<Standing | undefined> {
+async function readDrainStatus(node: ClusterNode): Promise<DrainStatus | undefined> {
   const read = await node.store.read([MembersKey.name, DrainKey.turn], ["shards/", "machines/"]);
   if (read.outcome !== "done") return undefined;
   const kvs = read.kvs!;
@@ -84,28 +85,28 @@
   const leaders = kvs
     .filter((kv) => kv.key.startsWith("shards/") && kv.key.endsWith("/holder"))
     .map((kv) => ShardLeaderKey.read(kv.value)?.name ?? "");
-  const sets = kvs
+  const replicaSets = kvs
     .filter((kv) => kv.key.endsWith("/replicas"))
     .map((kv) => ({
       shard: Number(kv.key.split("/")[1]),
       names: (ReplicasKey.read(kv.value)?.members ?? []).map((member) => member.name),
     }));
   return {
-    wishes: kvs.filter((kv) => DrainKey.machineOf(kv.key) !== undefined),
-    turn: kvs.find((kv) => kv.key === DrainKey.turn)?.revision ?? 0,
-    sets,
+    requests: kvs.filter((kv) => DrainKey.machineOf(kv.key) !== undefined),
+    turnRevision: kvs.find((kv) => kv.key === DrainKey.turn)?.revision ?? 0,
+    replicaSets,
     leaders: new Set(leaders),
     voters: members === undefined ? undefined : MembersKey.read(members.value)?.voters,
   };
 }
 
-function inUse({ sets, leaders, voters }: Standing): Set<string> {
-  return new Set([...sets.flatMap((set) => set.names), ...leaders, ...(voters ?? [])]);
+function machinesInUse({ replicaSets, leaders, voters }: DrainStatus): Set<string> {
+  return new Set([...replicaSets.flatMap((set) => set.names), ...leaders, ...(voters ?? [])]);
 }
 
-function progressOf(standing: Standing, name: string): ApiReply {
-  const { sets, leaders, voters } = standing;
-  const left = sets
+function progressOf(status: DrainStatus, name: string): ApiReply {
+  const { replicaSets, leaders, voters } = status;
+  const left = replicaSets
     .filter((set) => set.names.includes(name))
     .map((set) => set.shard)
     .sort((a, b) => a - b);
@@ -113,10 +114,10 @@
   const isLeader = leaders.has(name);
   return ApiReplies.done({
     machine: name,
-    isAsked: isWished(standing, name),
+    isAsked: isRequested(status, name),
     isEmpty: left.length === 0 && !isLeader && !isVoter,
     shardsLeft: left.length,
-    of: sets.length,
+    of: replicaSets.length,
     left,
     isVoter,
     isHolder: isLeader,
@@ -124,11 +125,11 @@
 }
 
 /** The keys of the oldest wishes beyond the bound whose machines have left and hold nothing. */
-function outlived({ membership }: ClusterNode, standing: Standing): string[] {
-  const surplus = standing.wishes.length + 1 - DrainMachine.maxWishes;
-  if (surplus <= 0 || standing.voters === undefined) return [];
-  const used = inUse(standing);
-  return standing.wishes
+function requestsToForget({ membership }: ClusterNode, status: DrainStatus): string[] {
+  const surplus = status.requests.length + 1 - DrainMachine.maxRequests;
+  if (surplus <= 0 || status.voters === undefined) return [];
+  const used = machinesInUse(status);
+  return status.requests
     .filter((kv) => !used.has(DrainKey.machineOf(kv.key)!) && !membership.isAlive(DrainKey.machineOf(kv.key)!))
     .sort((a, b) => a.revision - b.revision)
     .slice(0, surplus)
--- a/packages/control/src/membership/diskWatch.ts
+++ b/packages/control/src/membership/diskWatch.ts
@@ -4,14 +4,14 @@
 export interface DiskRecords {
   all(): readonly Member[];
   isAlive(name: string): boolean;
-  on(event: "changed", heed: () => void): unknown;
+  on(event: "changed", listener: () => void): unknown;
 }
 
-interface Seen {
+interface SeenDisk {
   starts: number;
   processIncarnation: string;
   /** Two lives were said to be the same start of the disk. */
-  isTwofold: boolean;
+  isDuplicate: boolean;
 }
 
 /**
@@ -25,34 +25,35 @@
   static readonly maxDisks = 1024;
 
   readonly #membership: DiskRecords;
-  readonly #seen = new Map<string, Seen>();
+  readonly #seen = new Map<string, SeenDisk>();
 
   constructor(membership: DiskRecords) {
     this.#membership = membership;
-    membership.on("changed", () => this.#look());
+    membership.on("changed", () => this.#onMembershipChanged());
   }
 
   isTrusted(id: string): boolean {
     const seen = this.#seen.get(id);
     if (seen === undefined) return true;
-    const records = this.#membership.all().filter((one) => one.disk === id && one.diskStarts > 0);
-    const isOlder = records.some((one) => one.diskStarts < seen.starts);
-    const alive = records.filter((one) => this.#membership.isAlive(one.name));
-    return !seen.isTwofold && !isOlder && alive.length <= 1;
+    const records = this.#membership.all().filter((member) => member.disk === id && member.diskStarts > 0);
+    const isOlder = records.some((member) => member.diskStarts < seen.starts);
+    const alive = records.filter((member) => this.#membership.isAlive(member.name));
+    return !seen.isDuplicate && !isOlder && alive.length <= 1;
   }
 
-  #look(): void {
-    for (const member of this.#membership.all()) if (member.disk !== "" && member.diskStarts > 0) this.#note(member);
+  #onMembershipChanged(): void {
+    for (const member of this.#membership.all())
+      if (member.disk !== "" && member.diskStarts > 0) this.#noteStart(member);
     for (const id of this.#seen.keys()) {
       if (this.#seen.size <= DiskWatch.maxDisks) break;
       this.#seen.delete(id);
     }
   }
 
-  #note({ disk, diskStarts, processIncarnation }: Member): void {
+  #noteStart({ disk, diskStarts, processIncarnation }: Member): void {
     const seen = this.#seen.get(disk);
     if (seen === undefined || diskStarts > seen.starts)
-      this.#seen.set(disk, { starts: diskStarts, processIncarnation, isTwofold: false });
-    else if (diskStarts === seen.starts && processIncarnation !== seen.processIncarnation) seen.isTwofold = true;
+      this.#seen.set(disk, { starts: diskStarts, processIncarnation, isDuplicate: false });
+    else if (diskStarts === seen.starts && processIncarnation !== seen.processIncarnation) seen.isDuplicate = true;
   }
 }
--- a/packages/control/src/membership/handOverVote.ts
+++ b/packages/control/src/membership/handOverVote.ts
@@ -11,14 +11,14 @@
  * is then no loss, and the next one may come at once. Where nobody stands by it does not wait. One that is started
  * again stands by in its turn.
  */
-export async function handOverVote(node: ClusterNode): Promise<void> {
+export async function transferVote(node: ClusterNode): Promise<void> {
   const { clock } = node.parts;
   const end = clock.now() + maxMs;
   // One that is taken in says so before it votes.
-  const standbys = node.membership.alive("lathe").filter((one) => !one.isInStore && isStaying(node, one.name));
-  while (clock.now() < end && standbys.some((one) => isStaying(node, one.name))) {
+  const standbys = node.membership.alive("lathe").filter((member) => !member.isInStore && isStaying(node, member.name));
+  while (clock.now() < end && standbys.some((member) => isStaying(node, member.name))) {
     const read = await node.store.read([MembersKey.name], [], readMs);
-    const kv = read.kvs?.find((one) => one.key === MembersKey.name);
+    const kv = read.kvs?.find((member) => member.key === MembersKey.name);
     const voters = kv === undefined ? undefined : MembersKey.read(kv.value)?.voters;
     if (voters !== undefined && !voters.includes(node.rpc.name)) return;
     await new Promise<void>((resolve) => void clock.once(pauseMs, resolve));
--- a/packages/control/src/membership/memberChanges.ts
+++ b/packages/control/src/membership/memberChanges.ts
@@ -5,7 +5,7 @@
 import type { Outcome } from "@cranetrack/core/store/storeClient.js";
 import type { RaftNode } from "../consensus/raftNode.js";
 import { VoterSets } from "../consensus/voterSets.js";
-import { VoterPlan, type VoterFacts } from "./voterPlan.js";
+import { VoterChoice, type VoterInputs } from "./voterPlan.js";
 
 interface CatchUpRound {
   /** What an earlier leadership of this node saw says nothing of the learner now. */
@@ -31,11 +31,11 @@
    */
   static readonly catchUpMs = 1000;
   /** A control node that asked to join longer ago than this may be gone. */
-  static readonly askedMs = 1500;
+  static readonly joinRequestTtlMs = 1500;
   /** Who has answered within this is there. */
-  static readonly answeredMs = 500;
+  static readonly recentContactMs = 500;
   /** A joining replica starts its part of the store first, so it gets longer than a voter to be heard from. */
-  static readonly learnerMs = 3000;
+  static readonly learnerTimeoutMs = 3000;
 
   readonly #node: ClusterNode;
   readonly #raft: RaftNode;
@@ -47,7 +47,7 @@
   constructor(node: ClusterNode, raft: RaftNode) {
     this.#node = node;
     this.#raft = raft;
-    node.parts.clock.every(MemberChanges.tickIntervalMs, () => this.#tend());
+    node.parts.clock.every(MemberChanges.tickIntervalMs, () => this.#maintain());
   }
 
   /**
@@ -57,11 +57,11 @@
    */
   join({ id, name }: Join): Outcome {
     this.#joining.set(name, { id, at: this.#now });
-    this.#takeIn(id);
+    this.#admit(id);
     const { learners } = this.#raft.members;
-    const isMember = [...VoterSets.all(this.#raft.members), ...learners].some((one) => one.id === id);
+    const isMember = [...VoterSets.all(this.#raft.members), ...learners].some((member) => member.id === id);
     if (isMember) return { outcome: "done" };
-    return this.#places > 0 && !this.#isToLeave(name)
+    return this.#learnersWanted > 0 && !this.#isToLeave(name)
       ? { outcome: "away", reason: "joining" }
       : { outcome: "standby", reason: "enough control nodes vote" };
   }
@@ -70,43 +70,45 @@
     return this.#node.parts.clock.now();
   }
 
-  get #facts(): VoterFacts {
+  get #voterInputs(): VoterInputs {
     const { voters, learners } = this.#raft.members;
     return {
       voters,
-      ready: learners.filter((one) => this.#isReady(one)),
+      ready: learners.filter((member) => this.#isReady(member)),
       wanted: this.#node.parts.settings.voters,
       self: this.#raft.id,
-      isLost: (one) => this.#isLost(one) || this.#isBlank(one),
-      isToLeave: (one) => this.#isToLeave(one.name),
-      zoneOf: (one) => this.#zoneOf(one.name),
+      isLost: (member) => this.#isLost(member) || this.#isOnBlankDisk(member),
+      isToLeave: (member) => this.#isToLeave(member.name),
+      zoneOf: (member) => this.#zoneOf(member.name),
     };
   }
 
   /** How many learners are wanted beyond those that there are. */
-  get #places(): number {
-    const facts = this.#facts;
-    const room = Math.max(0, facts.wanted - facts.voters.length);
-    const surplus = Math.max(0, facts.voters.length - facts.wanted);
-    const unfit = Math.max(0, VoterPlan.unfit(facts).length - surplus);
-    return unfit + room - this.#raft.members.learners.length;
+  get #learnersWanted(): number {
+    const inputs = this.#voterInputs;
+    const missing = Math.max(0, inputs.wanted - inputs.voters.length);
+    const surplus = Math.max(0, inputs.voters.length - inputs.wanted);
+    const unfit = Math.max(0, VoterChoice.unfit(inputs).length - surplus);
+    return unfit + missing - this.#raft.members.learners.length;
   }
 
-  #tend(): void {
-    if (!this.#raft.isLeader || !this.#raft.hasSettledMembers) return;
-    this.#forget();
+  #maintain(): void {
+    if (!this.#raft.isLeader || !this.#raft.hasStableMembers) return;
+    this.#forgetStaleRequests();
     const { voters, learners } = this.#raft.members;
-    const next = VoterPlan.next(this.#facts);
-    const isOther = next.length !== voters.length || next.some((one) => !voters.includes(one));
+    const next = VoterChoice.next(this.#voterInputs);
+    const isOther = next.length !== voters.length || next.some((member) => !voters.includes(member));
     if (isOther && this.#hasLiveMajority(next)) {
-      const rest = learners.filter((one) => !next.includes(one));
+      const rest = learners.filter((member) => !next.includes(member));
       return this.#raft.changeMembers(next, rest);
     }
-    const out = learners.find((one) => this.#isGoneLearner(one)) ?? (this.#places < 0 ? learners.at(-1) : undefined);
-    if (out !== undefined)
+    const leaving =
+      learners.find((member) => this.#isGoneLearner(member)) ??
+      (this.#learnersWanted < 0 ? learners.at(-1) : undefined);
+    if (leaving !== undefined)
       this.#raft.changeMembers(
         voters,
-        learners.filter((one) => one !== out),
+        learners.filter((member) => member !== leaving),
       );
     this.#followRounds();
   }
@@ -114,9 +116,9 @@
   /** A round ends when the learner has what the leader had at its beginning; the next one begins with its end. */
   #followRounds(): void {
     const { learners } = this.#raft.members;
-    for (const id of this.#rounds.keys()) if (!learners.some((one) => one.id === id)) this.#rounds.delete(id);
+    for (const id of this.#rounds.keys()) if (!learners.some((member) => member.id === id)) this.#rounds.delete(id);
     for (const { id } of learners) {
-      const { match, behind } = this.#raft.matchOf(id);
+      const { match, behind } = this.#raft.progressOf(id);
       const round = this.#roundOf(id);
       if (round !== undefined && match < round.target) continue;
       const isCaughtUp = round !== undefined && this.#now - round.beganAt <= MemberChanges.catchUpMs;
@@ -129,62 +131,65 @@
     return round?.term === this.#raft.term ? round : undefined;
   }
 
-  #forget(): void {
-    for (const [name, { at }] of this.#joining) if (this.#now - at > MemberChanges.askedMs) this.#joining.delete(name);
+  #forgetStaleRequests(): void {
+    for (const [name, { at }] of this.#joining)
+      if (this.#now - at > MemberChanges.joinRequestTtlMs) this.#joining.delete(name);
   }
 
   /** Enlists the one that asks, if it is among the best of those that ask for as many places as there are. */
-  #takeIn(id: string): void {
-    if (!this.#raft.isLeader || !this.#raft.hasSettledMembers) return;
+  #admit(id: string): void {
+    if (!this.#raft.isLeader || !this.#raft.hasStableMembers) return;
     const { voters, learners } = this.#raft.members;
     const members = [...voters, ...learners];
-    const kept = voters.filter((one) => !this.#facts.isLost(one) && !this.#isToLeave(one.name));
-    const zones = new Set([...kept, ...learners].map((one) => this.#zoneOf(one.name)));
+    const kept = voters.filter((member) => !this.#voterInputs.isLost(member) && !this.#isToLeave(member.name));
+    const zones = new Set([...kept, ...learners].map((member) => this.#zoneOf(member.name)));
     const free = [...this.#joining.entries()]
-      .filter(([name, one]) => this.#isFree(name, one.id, members))
+      .filter(([name, member]) => this.#isFree(name, member.id, members))
       .map(([name]) => name);
     const ranked = Rendezvous.rank(RendezvousKeys.storeVoter, free);
     const first = [
       ...ranked.filter((name) => !zones.has(this.#zoneOf(name))),
       ...ranked.filter((name) => zones.has(this.#zoneOf(name))),
     ];
-    const chosen = first.slice(0, Math.max(0, this.#places)).find((name) => this.#joining.get(name)!.id === id);
+    const chosen = first.slice(0, Math.max(0, this.#learnersWanted)).find((name) => this.#joining.get(name)!.id === id);
     if (chosen === undefined) return;
     this.#raft.changeMembers(voters, [...learners, { id, name: chosen } as StoreMember]);
   }
 
   /** Whether a control node that asks may be enlisted: not the same machine as a member that is there. */
   #isFree(name: string, id: string, members: readonly StoreMember[]): boolean {
-    if (this.#isToLeave(name) || members.some((one) => one.id === id)) return false;
-    return members.every((one) => one.name !== name || this.#isBlank(one));
+    if (this.#isToLeave(name) || members.some((member) => member.id === id)) return false;
+    return members.every((member) => member.name !== name || this.#isOnBlankDisk(member));
   }
 
   #hasLiveMajority(voters: readonly StoreMember[]): boolean {
-    const alive = voters.filter((one) => this.#raft.matchOf(one.id).heardAgo < 2 * MemberChanges.answeredMs);
+    const alive = voters.filter(
+      (member) => this.#raft.progressOf(member.id).heardAgo < 2 * MemberChanges.recentContactMs,
+    );
     return alive.length * 2 > voters.length;
   }
 
-  #isReady(one: StoreMember): boolean {
-    const { heardAgo } = this.#raft.matchOf(one.id);
-    const isCaughtUp = this.#roundOf(one.id)?.isCaughtUp === true;
-    return isCaughtUp && heardAgo < MemberChanges.answeredMs && !this.#isToLeave(one.name);
+  #isReady(member: StoreMember): boolean {
+    const { heardAgo } = this.#raft.progressOf(member.id);
+    const isCaughtUp = this.#roundOf(member.id)?.isCaughtUp === true;
+    return isCaughtUp && heardAgo < MemberChanges.recentContactMs && !this.#isToLeave(member.name);
   }
 
-  #isLost(one: StoreMember): boolean {
-    return this.#raft.matchOf(one.id).heardAgo > this.#node.parts.settings.replaceVoterMs;
+  #isLost(member: StoreMember): boolean {
+    return this.#raft.progressOf(member.id).heardAgo > this.#node.parts.settings.replaceVoterMs;
   }
 
   /** Its machine came back under its name with another disk, and the disk that it voted by is not heard from. */
-  #isBlank(one: StoreMember): boolean {
-    const asked = this.#joining.get(one.name);
-    const isOther = asked !== undefined && asked.id !== one.id;
-    return isOther && this.#raft.matchOf(one.id).heardAgo > MemberChanges.answeredMs;
+  #isOnBlankDisk(member: StoreMember): boolean {
+    const request = this.#joining.get(member.name);
+    const isOther = request !== undefined && request.id !== member.id;
+    return isOther && this.#raft.progressOf(member.id).heardAgo > MemberChanges.recentContactMs;
   }
 
-  #isGoneLearner(one: StoreMember): boolean {
-    const { heardAgo } = this.#raft.matchOf(one.id);
-    const maxMs = Math.max(MemberChanges.learnerMs, this.#node.parts.settings.replaceVoterMs);
-    return heardAgo > maxMs || this.#isBlank(one) || this.#isToLeave(one.name);
+  #isGoneLearner(member: StoreMember): boolean {
+    const { heardAgo } = this.#raft.progressOf(member.id);
+    const maxMs = Math.max(MemberChanges.learnerTimeoutMs, this.#node.parts.settings.replaceVoterMs);
+    return heardAgo > maxMs || this.#isOnBlankDisk(member) || this.#isToLeave(member.name);
   }
 
   /** Its process is stopping, or operators want it drained, as the store itself says and not a feed of it. */
--- a/packages/control/src/membership/membershipStatus.ts
+++ b/packages/control/src/membership/membershipStatus.ts
@@ -9,23 +9,23 @@
 export class MembershipStatus {
   /** How often a control node that stands by asks again: it has to be known when a voter is lost. */
   static readonly tickIntervalMs = 500;
-  static readonly silentMs = 1500;
+  static readonly maxSilenceMs = 1500;
 
   readonly #node: ClusterNode;
   readonly #raft: RaftNode;
-  #inTouchAt: number;
-  #isAsking = false;
+  #lastContactAt: number;
+  #isRequesting = false;
 
   constructor(node: ClusterNode, raft: RaftNode) {
     this.#node = node;
     this.#raft = raft;
-    this.#inTouchAt = node.parts.clock.now();
-    this.#set(true);
+    this.#lastContactAt = node.parts.clock.now();
+    this.#setInStore(true);
     node.parts.clock.every(MembershipStatus.tickIntervalMs, () => void this.#tick());
   }
 
   /** Asks to be taken in, or kept in mind; returns what the store says. */
-  static async ask(node: ClusterNode, controlNode: string, id: string): Promise<string> {
+  static async requestJoin(node: ClusterNode, controlNode: string, id: string): Promise<string> {
     const join = { id, name: node.parts.settings.name };
     const call = { case: "join" as const, value: join };
     const body = await node.rpc.call(controlNode, { case: "storeCall", value: { call } }, 1000);
@@ -35,24 +35,24 @@
   async #tick(): Promise<void> {
     const { clock } = this.#node.parts;
     if (this.#raft.isInTouch) {
-      this.#inTouchAt = clock.now();
-      return this.#set(true);
+      this.#lastContactAt = clock.now();
+      return this.#setInStore(true);
     }
-    if (this.#isAsking || clock.now() - this.#inTouchAt < MembershipStatus.silentMs) return;
+    if (this.#isRequesting || clock.now() - this.#lastContactAt < MembershipStatus.maxSilenceMs) return;
     const { rpc, membership } = this.#node;
     const other = membership
       .alive("lathe")
-      .find((one) => one.isInStore && one.name !== rpc.name && !rpc.isUnresponsive(one.name));
+      .find((member) => member.isInStore && member.name !== rpc.name && !rpc.isUnresponsive(member.name));
     if (other === undefined) return;
-    this.#isAsking = true;
-    const outcome = await MembershipStatus.ask(this.#node, other.name, this.#raft.id);
-    this.#isAsking = false;
+    this.#isRequesting = true;
+    const outcome = await MembershipStatus.requestJoin(this.#node, other.name, this.#raft.id);
+    this.#isRequesting = false;
     if (outcome !== "standby" || this.#raft.isInTouch) return;
     this.#raft.standBy();
-    this.#set(false);
+    this.#setInStore(false);
   }
 
-  #set(isInStore: boolean): void {
+  #setInStore(isInStore: boolean): void {
     const { membership } = this.#node;
     if (membership.self.isInStore === isInStore) return;
     membership.self.isInStore = isInStore;
--- a/packages/control/src/membership/voterPlan.test.ts
+++ b/packages/control/src/membership/voterPlan.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import type { StoreMember } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { expect } from "earl";
-import { VoterPlan } from "./voterPlan.js";
+import { VoterChoice } from "./voterPlan.js";
 
 /** Members by letter; a capital letter is the same machine with another disk. */
 const list = (letters: string): StoreMember[] =>
@@ -40,14 +40,14 @@
 
 for (const { voters, ready = "", wanted = 3, lost = "", draining = "", zones = "", next } of cases)
   test(`${voters}, ready ${ready}, lost ${lost}, draining ${draining}: ${next}`, () => {
-    const planned = VoterPlan.next({
+    const planned = VoterChoice.next({
       voters: list(voters),
       ready: list(ready),
       wanted,
       self: "a",
-      isLost: (one) => lost.includes(one.id),
-      isToLeave: (one) => draining.includes(one.id),
-      zoneOf: (one) => (zones.includes(one.id) ? "shared" : one.name),
+      isLost: (member) => lost.includes(member.id),
+      isToLeave: (member) => draining.includes(member.id),
+      zoneOf: (member) => (zones.includes(member.id) ? "shared" : member.name),
     });
-    expect(planned.map((one) => one.id).join("")).toEqual(next);
+    expect(planned.map((member) => member.id).join("")).toEqual(next);
   });
--- a/packages/control/src/store/acceptedOrders.test.ts
+++ b/packages/control/src/store/acceptedOrders.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { create, toBinary } from "@bufbuild/protobuf";
 import { StoreCommandSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { expect } from "earl";
 import { Metadata } from "./metadata.js";
@@ -17,7 +17,7 @@
       key: ConfigurationKey.name,
       value: Buffer.from(JSON.stringify({ mark: version, spaces: [] })),
     };
-    const record = { key: AcceptedOrderKey.of(version), value: Buffer.from(content) };
+    const record = { key: AcceptedChangeKey.of(version), value: Buffer.from(content) };
     const puts = [...(what.isConfiguration ? [configuration] : []), ...(what.isRecorded ? [record] : [])];
     const checks = what.isRecorded ? [{ key: record.key, revision: this.metadata.get(record.key)?.revision ?? 0 }] : [];
     const command = create(StoreCommandSchema, { command: { case: "txn", value: { checks, puts } } });
@@ -30,11 +30,11 @@
   takeUnrecorded = (version: number): boolean => this.put(version, "a", { isConfiguration: true, isRecorded: false });
 
   get versions(): Array<number | undefined> {
-    return this.metadata.range(AcceptedOrderKey.prefix).map(({ key }) => AcceptedOrderKey.versionOf(key));
+    return this.metadata.range(AcceptedChangeKey.prefix).map(({ key }) => AcceptedChangeKey.versionOf(key));
   }
 
   get floor(): number {
-    return AcceptedOrderKey.readFloor(this.metadata.get(AcceptedOrderKey.floor)?.value);
+    return AcceptedChangeKey.readFloor(this.metadata.get(AcceptedChangeKey.floor)?.value);
   }
 
   /** Goes on from a snapshot, as a restarted or new member does. */
@@ -44,7 +44,7 @@
     this.metadata.install(snapshot);
   }
 }
-const most = AcceptedOrderKey.maxRecords;
+const most = AcceptedChangeKey.maxRecords;
 
 test("the highest versions are remembered, and what was dropped is never recorded again", () => {
   const machine = new Machine();
--- a/packages/control/src/store/acceptedOrders.ts
+++ b/packages/control/src/store/acceptedOrders.ts
@@ -1,6 +1,6 @@
 import { create } from "@bufbuild/protobuf";
 import { KvSchema, type Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 
@@ -15,36 +15,36 @@
  * Invariants: at most `mostRecords` are kept, the highest ones. Whatever has no record and was acknowledged once is
  * at or below the floor, and there no record is made any more: a version has one content in its whole life, or none.
  */
-export const AcceptedOrders = {
+export const AcceptedConfigurations = {
   /**
    * The version up to which it is not known which content was acknowledged: what was dropped, and what stands
    * at or below a configuration without a record, which an earlier release put.
    */
   floor(keys: KeyReader): number {
-    const kept = AcceptedOrderKey.readFloor(keys.get(AcceptedOrderKey.floor)?.value);
+    const kept = AcceptedChangeKey.readFloor(keys.get(AcceptedChangeKey.floor)?.value);
     return Math.max(kept, unrecordedVersion(keys));
   },
 
   /** Whether a transaction would record a version whose first content may be forgotten. */
   isTooOld(keys: KeyReader, puts: readonly Kv[]): boolean {
     const versions = versionsIn(puts);
-    return versions.length > 0 && Math.min(...versions) <= AcceptedOrders.floor(keys);
+    return versions.length > 0 && Math.min(...versions) <= AcceptedConfigurations.floor(keys);
   },
 
   /** What goes with a transaction's puts: the floor, where one that was only implied is lost with them. */
   withFloor(keys: KeyReader, puts: readonly Kv[]): Kv[] {
     const implied = puts.some(({ key }) => key === ConfigurationKey.name) ? unrecordedVersion(keys) : 0;
-    return implied === 0 ? [...puts] : [floorKv(AcceptedOrders.floor(keys)), ...puts];
+    return implied === 0 ? [...puts] : [floorKv(AcceptedConfigurations.floor(keys)), ...puts];
   },
 
   /** The records beyond the bound, lowest first, and the floor that stands for them. */
   surplus(keys: KeyReader, puts: readonly Kv[]): { floor: Kv; dropped: string[] } | undefined {
     if (versionsIn(puts).length === 0) return undefined;
-    const records = keys.range(AcceptedOrderKey.prefix);
-    const dropped = records.slice(0, Math.max(0, records.length - AcceptedOrderKey.maxRecords)).map(({ key }) => key);
+    const records = keys.range(AcceptedChangeKey.prefix);
+    const dropped = records.slice(0, Math.max(0, records.length - AcceptedChangeKey.maxRecords)).map(({ key }) => key);
     if (dropped.length === 0) return undefined;
-    const highest = AcceptedOrderKey.versionOf(dropped.at(-1)!) ?? 0;
-    return { floor: floorKv(Math.max(highest, AcceptedOrders.floor(keys))), dropped };
+    const highest = AcceptedChangeKey.versionOf(dropped.at(-1)!) ?? 0;
+    return { floor: floorKv(Math.max(highest, AcceptedConfigurations.floor(keys))), dropped };
   },
 };
 
@@ -52,13 +52,13 @@
 function unrecordedVersion(keys: KeyReader): number {
   const incarnations = keys.get(IncarnationsKey.name);
   const version = (incarnations === undefined ? undefined : IncarnationsKey.read(incarnations.value)?.version) ?? 0;
-  return version === 0 || keys.get(AcceptedOrderKey.of(version)) !== undefined ? 0 : version;
+  return version === 0 || keys.get(AcceptedChangeKey.of(version)) !== undefined ? 0 : version;
 }
 
 function versionsIn(puts: readonly Kv[]): number[] {
-  return puts.map(({ key }) => AcceptedOrderKey.versionOf(key)).filter((version) => version !== undefined);
+  return puts.map(({ key }) => AcceptedChangeKey.versionOf(key)).filter((version) => version !== undefined);
 }
 
 function floorKv(version: number): Kv {
-  return create(KvSchema, { key: AcceptedOrderKey.floor, value: AcceptedOrderKey.writeFloor(version) });
+  return create(KvSchema, { key: AcceptedChangeKey.floor, value: AcceptedChangeKey.writeFloor(version) });
 }
--- a/packages/control/src/store/metadata.ts
+++ b/packages/control/src/store/metadata.ts
@@ -11,7 +11,7 @@
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { PackedValue } from "@cranetrack/core/store/packedValue.js";
-import { AcceptedOrders } from "./acceptedOrders.js";
+import { AcceptedConfigurations } from "./acceptedOrders.js";
 
 const BTree = BTreeModule.default;
 
@@ -106,11 +106,12 @@
     if (txn.puts.some((kv) => kv.lease !== "" && !this.#leases.has(kv.lease)))
       return { outcome: "lost", revision: index, kvs: [], changes };
     if (!txn.puts.every((kv) => this.#unpack(kv))) return { outcome: "rebase", revision: index, kvs: [], changes };
-    if (AcceptedOrders.isTooOld(this, txn.puts)) return { outcome: "conflict", revision: index, kvs: [], changes };
-    const puts = this.#withIncarnations(AcceptedOrders.withFloor(this, txn.puts));
+    if (AcceptedConfigurations.isTooOld(this, txn.puts))
+      return { outcome: "conflict", revision: index, kvs: [], changes };
+    const puts = this.#withIncarnations(AcceptedConfigurations.withFloor(this, txn.puts));
     for (const key of txn.deletes) this.#remove(key, index, changes);
     this.#putAll(puts, index, changes);
-    const surplus = AcceptedOrders.surplus(this, puts);
+    const surplus = AcceptedConfigurations.surplus(this, puts);
     if (surplus !== undefined) {
       for (const key of surplus.dropped) this.#remove(key, index, changes);
       this.#putAll([surplus.floor], index, changes);
--- a/packages/control/src/store/storeService.ts
+++ b/packages/control/src/store/storeService.ts
@@ -135,7 +135,7 @@
     const single = keys
       .map((key) => metadata.get(key))
       .filter((kv) => kv !== undefined)
-      .map((kv) => (kv.lease === "" ? kv : create(KvSchema, { ...kv, leaseLeft: this.#leases.leftOf(kv.lease) })));
+      .map((kv) => (kv.lease === "" ? kv : create(KvSchema, { ...kv, leaseLeft: this.#leases.remainingMs(kv.lease) })));
     return {
       outcome: "done",
       kvs: this.#packed([...members, ...single, ...prefixes.flatMap((prefix) => metadata.range(prefix))], known),
@@ -144,7 +144,7 @@
   }
 
   #members(): Kv[] {
-    const voting = this.#raft.memberExchange.voting(this.#raft.commit);
+    const voting = this.#raft.membershipChange.voting(this.#raft.commit);
     const voters = [...new Set(voting.map((one) => one.name))];
     return [create(KvSchema, { key: MembersKey.name, value: MembersKey.write({ voters }) })];
   }
--- a/packages/core/src/configuration/configurationView.ts
+++ b/packages/core/src/configuration/configurationView.ts
@@ -67,7 +67,10 @@
     const incarnations = this.#nextIncarnations;
     if (next === undefined || incarnations?.version !== next.configuration.version) return;
     if (next.configuration.version < this.version)
-      this.#invariants?.violated("configurationVersion", { inForce: this.version, told: next.configuration.version });
+      this.#invariants?.violated("configurationVersion", {
+        inForce: this.version,
+        notified: next.configuration.version,
+      });
     if (next.configuration.version <= this.version) return;
     this.fault = "";
     this.configuration = next.configuration;
--- a/packages/core/src/configuration/contractRisks.ts
+++ b/packages/core/src/configuration/contractRisks.ts
@@ -32,11 +32,15 @@
     const machines = most("machines");
     const weak = sets.filter((set) => machines > 0 && !survivesLoss(set, machines)).map(({ shard }) => shard);
     const risks: ContractRisk[] = [];
-    const tell = (list: number[]): string => list.join(", ");
+    const describe = (list: number[]): string => list.join(", ");
     if (weak.length > 0)
-      risks.push({ space: name, budget: "machines", why: `shards ${tell(weak)} lack a live replica` });
+      risks.push({ space: name, budget: "machines", why: `shards ${describe(weak)} lack a live replica` });
     if (most("zones") > 0 && narrow.length > 0)
-      risks.push({ space: name, budget: "zones", why: `shards ${tell(narrow)} would not outlive the loss of a zone` });
+      risks.push({
+        space: name,
+        budget: "zones",
+        why: `shards ${describe(narrow)} would not outlive the loss of a zone`,
+      });
     return risks;
   });
 }
--- a/packages/core/src/keys/acceptedOrderKey.ts
+++ b/packages/core/src/keys/acceptedOrderKey.ts
@@ -4,7 +4,7 @@
  * Keys that say which content each acknowledged version of the configuration had, one key a version. They are
  * written in the transaction that takes the version (or that acknowledges a superseded one) and pushed to nobody.
  */
-export const AcceptedOrderKey = {
+export const AcceptedChangeKey = {
   prefix: "documents/orders/",
   /** Holds the highest version whose record may have been dropped; at or below it no record is made any more. */
   floor: "documents/orders-floor",
@@ -13,13 +13,13 @@
 
   /** Of equal length, so the order of the keys is that of the versions. */
   of(version: number): string {
-    return `${AcceptedOrderKey.prefix}${String(version).padStart(16, "0")}`;
+    return `${AcceptedChangeKey.prefix}${String(version).padStart(16, "0")}`;
   },
 
   /** Undefined where the key is of another kind. */
   versionOf(key: string): number | undefined {
-    if (!key.startsWith(AcceptedOrderKey.prefix)) return undefined;
-    const version = Number(key.slice(AcceptedOrderKey.prefix.length));
+    if (!key.startsWith(AcceptedChangeKey.prefix)) return undefined;
+    const version = Number(key.slice(AcceptedChangeKey.prefix.length));
     return Number.isSafeInteger(version) && version > 0 ? version : undefined;
   },
 
--- a/packages/core/src/membership/failureDetector.ts
+++ b/packages/core/src/membership/failureDetector.ts
@@ -57,7 +57,7 @@
   }
 
   /** The member was heard, here or by a helper. */
-  heard(name: string): void {
+  onContact(name: string): void {
     this.#deniedAt.delete(name);
     if (this.#watched.has(name)) this.#awaited.set(name, this.#parts.clock.now());
     else this.#awaited.delete(name);
@@ -85,15 +85,15 @@
   }
 
   /** Probes and suspects whoever has been silent for long enough. */
-  judge(): void {
+  evaluate(): void {
     for (const [name, since] of this.#awaited) {
       const member = this.#parts.find(name);
       if (member === undefined || !MemberTable.isUp(member)) this.#awaited.delete(name);
-      else this.#judge(member, since);
+      else this.#evaluate(member, since);
     }
   }
 
-  #judge(member: Member, since: number): void {
+  #evaluate(member: Member, since: number): void {
     const { times, clock } = this.#parts;
     const silentMs = clock.now() - since;
     const isDenied = (this.#deniedAt.get(member.name) ?? -Infinity) > since;
@@ -120,7 +120,7 @@
     const { rpc, times, clock } = this.#parts;
     const ping: BodyInit = { case: "ping", value: { about } };
     const answer = await rpc.call(helper.name, ping, times.helpMs);
-    if (answer?.case === "done") this.heard(about);
+    if (answer?.case === "done") this.onContact(about);
     else if (answer?.case === "fault") this.#deniedAt.set(about, clock.now());
   }
 
--- a/packages/core/src/membership/memberTable.ts
+++ b/packages/core/src/membership/memberTable.ts
@@ -1,14 +1,14 @@
 import { crc32 } from "node:zlib";
 import type { Member } from "../gen/cranetrack_pb.js";
 
-export interface Known {
+export interface KnownMember {
   member: Member;
   /** When the record changed last. */
   changedAt: number;
   /** When a frame of its own was heard last. */
-  heardAt: number;
+  lastContactAt: number;
   /** When it was told last that it is suspected. */
-  accusedAt: number;
+  suspicionSentAt: number;
   digest: number;
   bucket: number;
 }
@@ -23,7 +23,7 @@
   /** Whole numbers up to here can still rise. */
   static readonly maxVersion = 2 ** 52;
 
-  readonly #known = new Map<string, Known>();
+  readonly #known = new Map<string, KnownMember>();
   readonly #digests = new Uint32Array(MemberTable.buckets);
   #all: Member[] | undefined;
 
@@ -48,17 +48,17 @@
     return crc32(name) % MemberTable.buckets;
   }
 
-  find(name: string): Known | undefined {
+  find(name: string): KnownMember | undefined {
     return this.#known.get(name);
   }
 
-  put(member: Member, now: number): Known {
+  put(member: Member, now: number): KnownMember {
     const before = this.#known.get(member.name);
-    const known: Known = {
+    const known: KnownMember = {
       member,
       changedAt: now,
-      heardAt: before?.heardAt ?? -Infinity,
-      accusedAt: -Infinity,
+      lastContactAt: before?.lastContactAt ?? -Infinity,
+      suspicionSentAt: -Infinity,
       digest: crc32(`${member.name} ${member.incarnation} ${member.version} ${MemberTable.#rankOf(member)}`),
       bucket: MemberTable.bucketOf(member.name),
     };
@@ -83,7 +83,7 @@
       .sort((a, b) => (a.name < b.name ? -1 : 1)));
   }
 
-  entries(): IterableIterator<[string, Known]> {
+  entries(): IterableIterator<[string, KnownMember]> {
     return this.#known.entries();
   }
 
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -7,7 +7,7 @@
 import { FailureDetector } from "./failureDetector.js";
 import { MemberTable } from "./memberTable.js";
 import { Rendezvous, RendezvousKeys } from "./rendezvous.js";
-import { Rumours } from "./rumours.js";
+import { MembershipUpdates } from "./rumours.js";
 
 /**
  * Who is there, after SWIM: a node sends heartbeats to the few watchers that rendezvous hashing names for it, and in
@@ -33,7 +33,7 @@
   static readonly pingTimeoutMs = 350;
   /** A helper's word needs its own ping first. */
   static readonly helpTimeoutMs = 900;
-  static readonly spreadMs = 30;
+  static readonly changeDelayMs = 30;
   static readonly compareMs = 10_000;
   /** How soon tables are compared again after a comparison that brought news. */
   static readonly compareAgainMs = 1000;
@@ -43,18 +43,18 @@
   readonly #random: RandomSource;
   readonly #seeds: readonly string[];
   readonly #table = new MemberTable();
-  readonly #rumours = new Rumours();
+  readonly #updates = new MembershipUpdates();
   readonly #detector: FailureDetector;
   #peersOf: readonly Member[] | undefined;
   #peers: Member[] = [];
   #ownWatchers: Member[] = [];
   #ownPartners: Member[] = [];
-  #beats = 0;
+  #ticks = 0;
   #ownText = "";
-  #heardAt: number;
+  #lastContactAt: number;
   #heartbeatAt: number;
   #compareAt: number;
-  #isSpreading = false;
+  #isChangeScheduled = false;
   /** Whether another's whole table was ever received. */
   #isIntroduced = false;
   readonly self: Member;
@@ -75,13 +75,13 @@
     this.#rpc = rpc;
     this.#clock = clock;
     this.#random = random;
-    this.#heardAt = this.#heartbeatAt = clock.now();
+    this.#lastContactAt = this.#heartbeatAt = clock.now();
     this.#compareAt = clock.now() + Membership.compareMs * random.draw();
     this.#table.put(this.self, clock.now());
     rpc.addressOf = (name) => this.find(name)?.address;
     rpc.relaysFor = () => this.alive().map((member) => member.name);
-    rpc.serve("gossip", (gossip, frame) => this.#hear(gossip, frame.from, frame.fromAddress));
-    rpc.on("heard", (name) => this.#risen(name));
+    rpc.serve("gossip", (gossip, frame) => this.#handleGossip(gossip, frame.from, frame.fromAddress));
+    rpc.on("heard", (name) => this.#onContact(name));
     rpc.on("unresponsive", (name) => this.#detector.expect(name));
     this.#detector = this.#makeDetector();
   }
@@ -101,7 +101,7 @@
     const known = this.#table.find(name);
     if (known === undefined || known.member.state === "left") return false;
     const isLately = (at: number): boolean => this.#clock.now() - at < Membership.suspectMs;
-    return isLately(known.member.isSuspected ? known.heardAt : this.#heardAt);
+    return isLately(known.member.isSuspected ? known.lastContactAt : this.#lastContactAt);
   }
 
   all(): readonly Member[] {
@@ -116,7 +116,7 @@
   ageOf(name: string): number {
     const known = this.#table.find(name);
     if (known === undefined) return Infinity;
-    if (!this.isAlive(name)) return this.#clock.now() - known.heardAt;
+    if (!this.isAlive(name)) return this.#clock.now() - known.lastContactAt;
     const since = this.#detector.awaitedSince(name);
     return since === undefined ? 0 : this.#clock.now() - since;
   }
@@ -124,22 +124,22 @@
   /** The nodes that a member sends its beats to, as this node's table has it. */
   watchersOf(name: string): string[] {
     const others = this.all().filter((member) => member.name !== name && MemberTable.isUp(member));
-    return Rendezvous.spread(name, others, Membership.watchers);
+    return Rendezvous.choose(name, others, Membership.watchers);
   }
 
   /** Says that this node is going: to its watchers and some others, who tell the rest. */
   leave(): void {
     this.self.state = "left";
     this.#changeSelf();
-    const told = new Set(this.#watchers());
-    for (const member of this.#draw(Rumours.most)) told.add(member);
-    for (const member of told) this.#tell(member.address, member.name);
+    const recipients = new Set(this.#watchers());
+    for (const member of this.#draw(MembershipUpdates.maxPerFrame)) recipients.add(member);
+    for (const member of recipients) this.#sendGossip(member.address, member.name);
   }
 
   /** Tells what changed about this node without waiting for the next beat. */
   gossipNow(): void {
-    this.#notice();
-    this.#spread();
+    this.#publishOwnChanges();
+    this.#scheduleChanges();
   }
 
   #tick(): void {
@@ -147,11 +147,11 @@
     // Who slept itself knows nothing of the others' silence.
     if (now - this.#heartbeatAt > 2 * Membership.heartbeatIntervalMs) this.#detector.restart();
     this.#heartbeatAt = now;
-    this.#notice();
-    this.#detector.judge();
+    this.#publishOwnChanges();
+    this.#detector.evaluate();
     this.#forget();
-    this.#beats += 1;
-    if (this.#beats % 2 === 0) for (const member of this.#watchers()) this.#tell(member.address, member.name);
+    this.#ticks += 1;
+    if (this.#ticks % 2 === 0) for (const member of this.#watchers()) this.#sendGossip(member.address, member.name);
     else this.#askPartner();
     this.#introduce();
     if (now >= this.#compareAt) this.#compare();
@@ -162,23 +162,23 @@
     const drawn = partners[Math.floor(this.#random.draw() * partners.length)];
     if (drawn === undefined) return;
     this.#detector.expect(drawn.name);
-    this.#tell(drawn.address, drawn.name, { isAsking: true });
+    this.#sendGossip(drawn.address, drawn.name, { isAsking: true });
   }
 
   /** Asks seeds for everybody, until some table came; later only those seeds that no member is at. */
   #introduce(): void {
     if (this.#upPeers().length === 0) {
       for (const address of this.#firstAsked())
-        this.#tell(address, "", { isAsking: true, wantsAll: true, members: [this.self] });
+        this.#sendGossip(address, "", { isAsking: true, wantsAll: true, members: [this.self] });
       return;
     }
     const seed = this.#seeds[Math.floor(this.#random.draw() * this.#seeds.length)];
     if (seed === undefined || seed === this.self.address) return;
     const isStranger = !this.#upPeers().some((member) => member.address === seed);
     const isNew = !this.#isIntroduced || this.#upPeers().length < 3;
-    if (isNew) this.#tell(seed, "", { isAsking: true, wantsAll: true, members: [this.self] });
+    if (isNew) this.#sendGossip(seed, "", { isAsking: true, wantsAll: true, members: [this.self] });
     else if (isStranger && this.#random.draw() < 0.2)
-      this.#tell(seed, "", { isAsking: true, digests: this.#table.digests, members: [this.self] });
+      this.#sendGossip(seed, "", { isAsking: true, digests: this.#table.digests, members: [this.self] });
   }
 
   /** While nobody is known: all seeds, and a few of the addresses remembered, for any of them may be gone. */
@@ -191,24 +191,25 @@
   #compare(): void {
     this.#compareAt = this.#clock.now() + Membership.compareMs;
     const [drawn] = this.#draw(1);
-    if (drawn !== undefined) this.#tell(drawn.address, drawn.name, { isAsking: true, digests: this.#table.digests });
+    if (drawn !== undefined)
+      this.#sendGossip(drawn.address, drawn.name, { isAsking: true, digests: this.#table.digests });
   }
 
-  #tell(address: string, name: string, more: MessageInitShape<typeof GossipSchema> = {}): void {
-    const rumours = this.#rumours.take((one) => this.find(one));
-    const members = new Set([...((more.members ?? []) as Member[]), ...rumours]);
+  #sendGossip(address: string, name: string, more: MessageInitShape<typeof GossipSchema> = {}): void {
+    const updates = this.#updates.nextBatch((one) => this.find(one));
+    const members = new Set([...((more.members ?? []) as Member[]), ...updates]);
     const { incarnation, version } = this.self;
     const isWatched = name !== "" && this.#watchers().some((member) => member.name === name);
     const value = { ...more, members: [...members], incarnation, version, isWatched };
     this.#rpc.sendInBackground(address, { case: "gossip", value }, name);
   }
 
-  #hear(gossip: Gossip, from: string, address: string): undefined {
-    const isNews = gossip.members.map((member) => this.#learn(member)).includes(true);
+  #handleGossip(gossip: Gossip, from: string, address: string): undefined {
+    const isChanged = gossip.members.map((member) => this.#applyRecord(member)).includes(true);
     if (from === this.self.name) return undefined;
     const { isAsking, wantsAll, wantsSender, digests } = gossip;
     if (gossip.isAll) this.#isIntroduced = true;
-    if (isNews && digests.length > 0) this.#compareAt = this.#clock.now() + Membership.compareAgainMs;
+    if (isChanged && digests.length > 0) this.#compareAt = this.#clock.now() + Membership.compareAgainMs;
     this.#detector.watch(from, gossip.isWatched);
     if (address === "") return undefined;
 
@@ -222,7 +223,8 @@
     if (known !== undefined && MemberTable.isAbove(known, { ...known, ...stand })) answer.add(known);
     for (const member of gossip.members) {
       const better = this.find(member.name);
-      if (better !== undefined && answer.size < Rumours.most && MemberTable.isAbove(better, member)) answer.add(better);
+      if (better !== undefined && answer.size < MembershipUpdates.maxPerFrame && MemberTable.isAbove(better, member))
+        answer.add(better);
     }
     if (wantsSender) answer.add(this.self);
     if (wantsAll) for (const member of this.all()) answer.add(member);
@@ -230,7 +232,7 @@
     for (const member of differing) answer.add(member);
     const isDiffering = isAsking && differing.length > 0;
     if (isAsking || isUnknown || answer.size > 0)
-      this.#tell(address, from, {
+      this.#sendGossip(address, from, {
         members: [...answer],
         wantsSender: isUnknown,
         isAll: wantsAll,
@@ -240,35 +242,35 @@
   }
 
   /** Takes up a record that outranks the one known; true where it does. */
-  #learn(member: Member): boolean {
+  #applyRecord(member: Member): boolean {
     if (!MemberTable.isSound(member)) return false;
-    if (member.name === this.self.name) return this.#learnSelf(member);
+    if (member.name === this.self.name) return this.#refute(member);
     const before = this.#table.find(member.name)?.member;
     if (before === undefined ? !MemberTable.isUp(member) : !MemberTable.isAbove(member, before)) return false;
     this.#put(member);
-    if (before !== undefined && before.incarnation !== member.incarnation) this.#rpc.giveUp(member.name);
+    if (before !== undefined && before.incarnation !== member.incarnation) this.#rpc.abandonCallsTo(member.name);
     return true;
   }
 
   /** Refutes what is said of this node and is not so, or of an earlier life. */
-  #learnSelf(member: Member): boolean {
+  #refute(member: Member): boolean {
     if (!MemberTable.isAbove(member, this.self)) return false;
     if (member.incarnation > this.self.incarnation) this.self.incarnation = member.incarnation + 1;
     else this.self.version = member.version;
     this.#changeSelf();
-    this.#spread();
+    this.#scheduleChanges();
     return false;
   }
 
   #put(member: Member): void {
     this.#table.put(member, this.#clock.now());
-    this.#rumours.add(member.name, this.all().length);
-    this.#spread();
+    this.#updates.add(member.name, this.all().length);
+    this.#scheduleChanges();
     this.emit("changed");
   }
 
   /** Whoever set a field of this node's own record need not say so. */
-  #notice(): void {
+  #publishOwnChanges(): void {
     if (this.#ownText !== JSON.stringify(this.self)) this.#changeSelf();
   }
 
@@ -276,36 +278,36 @@
     this.self.version += 1;
     this.#ownText = JSON.stringify(this.self);
     this.#table.put(this.self, this.#clock.now());
-    this.#rumours.add(this.self.name, this.all().length);
+    this.#updates.add(this.self.name, this.all().length);
   }
 
   /** A change goes on at once to a few others; what comes within a moment goes together. */
-  #spread(): void {
-    if (this.#isSpreading) return;
-    this.#isSpreading = true;
-    this.#clock.once(Membership.spreadMs, () => {
-      this.#isSpreading = false;
-      if (this.#rumours.isEmpty) return;
+  #scheduleChanges(): void {
+    if (this.#isChangeScheduled) return;
+    this.#isChangeScheduled = true;
+    this.#clock.once(Membership.changeDelayMs, () => {
+      this.#isChangeScheduled = false;
+      if (this.#updates.isEmpty) return;
       for (const member of this.#draw(Membership.helpers, "", this.#partners()))
-        this.#tell(member.address, member.name);
+        this.#sendGossip(member.address, member.name);
     });
   }
 
-  #risen(name: string): void {
+  #onContact(name: string): void {
     const now = this.#clock.now();
-    this.#heardAt = now;
+    this.#lastContactAt = now;
     const known = this.#table.find(name);
-    if (known !== undefined) known.heardAt = now;
-    this.#detector.heard(name);
+    if (known !== undefined) known.lastContactAt = now;
+    this.#detector.onContact(name);
     // Whoever is heard though it is suspected is told so, and refutes it.
     if (
       known?.member.isSuspected !== true ||
       known.member.state === "left" ||
-      now - known.accusedAt < Membership.heartbeatIntervalMs
+      now - known.suspicionSentAt < Membership.heartbeatIntervalMs
     )
       return;
-    known.accusedAt = now;
-    this.#tell(known.member.address, name, { members: [known.member] });
+    known.suspicionSentAt = now;
+    this.#sendGossip(known.member.address, name, { members: [known.member] });
   }
 
   #makeDetector(): FailureDetector {
@@ -317,7 +319,7 @@
       times: { probeMs, suspectMs, pingMs: pingTimeoutMs, helpMs: helpTimeoutMs, helpers },
       find: (name) => this.find(name),
       draw: (count, except) => this.#draw(count, except),
-      ask: ({ address, name }) => this.#tell(address, name, { isAsking: true }),
+      ask: ({ address, name }) => this.#sendGossip(address, name, { isAsking: true }),
       suspect: (member) => this.#suspect(member),
     });
   }
@@ -344,7 +346,7 @@
       this.#peers = all.filter((member) => member.name !== this.self.name && MemberTable.isUp(member));
       const { name } = this.self;
       const chosen = (key: string, among: readonly Member[], count: number): Member[] =>
-        Rendezvous.spread(key, among, count).map((one) => this.find(one)!);
+        Rendezvous.choose(key, among, count).map((one) => this.find(one)!);
       this.#ownWatchers = chosen(name, this.#peers, Membership.watchers);
       const others = this.#peers.filter((member) => !this.#ownWatchers.includes(member));
       this.#ownPartners = chosen(RendezvousKeys.gossipPartners(name), others, Membership.partners);
--- a/packages/core/src/membership/rendezvous.ts
+++ b/packages/core/src/membership/rendezvous.ts
@@ -26,7 +26,7 @@
   },
 
   /** As many names as asked, best first, and from different zones as far as there are any. */
-  spread(key: string, nodes: ReadonlyArray<{ name: string; zone: string }>, count: number): string[] {
+  choose(key: string, nodes: ReadonlyArray<{ name: string; zone: string }>, count: number): string[] {
     const zones = new Map(nodes.map((node) => [node.name, node.zone]));
     const ranked = Rendezvous.rank(
       key,
--- a/packages/core/src/membership/rumours.ts
+++ b/packages/core/src/membership/rumours.ts
@@ -1,14 +1,14 @@
 import type { Member } from "../gen/cranetrack_pb.js";
 
 /** Changed records on their way through the fleet: each is told so many times, the least lately told first. */
-export class Rumours {
+export class MembershipUpdates {
   /** Records in one frame at most. */
-  static readonly most = 8;
+  static readonly maxPerFrame = 8;
 
   readonly #left = new Map<string, number>();
 
   /** Twice the logarithm of the fleet's size, and some: enough to reach everybody but for a vanishing rest. */
-  static tellings(size: number): number {
+  static transmissions(size: number): number {
     return 4 + 2 * Math.ceil(Math.log2(size + 1));
   }
 
@@ -18,26 +18,26 @@
 
   add(name: string, size: number): void {
     this.#left.delete(name);
-    this.#left.set(name, Rumours.tellings(size));
+    this.#left.set(name, MembershipUpdates.transmissions(size));
   }
 
-  take(find: (name: string) => Member | undefined): Member[] {
-    const taken: Member[] = [];
+  nextBatch(find: (name: string) => Member | undefined): Member[] {
+    const batch: Member[] = [];
     for (const [name, left] of [...this.#first()]) {
       this.#left.delete(name);
       const member = find(name);
       if (member === undefined) continue;
-      taken.push(member);
+      batch.push(member);
       if (left > 1) this.#left.set(name, left - 1);
     }
-    return taken;
+    return batch;
   }
 
   *#first(): Iterable<[string, number]> {
     let count = 0;
     for (const entry of this.#left) {
       yield entry;
-      if ((count += 1) === Rumours.most) return;
+      if ((count += 1) === MembershipUpdates.maxPerFrame) return;
     }
   }
 }
--- a/packages/core/src/replication/followerLog.test.ts
+++ b/packages/core/src/replication/followerLog.test.ts
@@ -238,10 +238,10 @@
     commit: 5,
     send: (_id, body) => void sent.push(body),
   });
-  replicator.enlist([["a", "b", "c"]], []);
+  replicator.setMembers([["a", "b", "c"]], []);
   for (now = 0; now < 5000; now += 500) replicator.sendHeartbeats();
   const refusal = { group: "g", sender: "b", receiver: "a", term: 2, isAccepted: false, match: 10, round: 0 };
-  replicator.take(create(AppendReplySchema, refusal));
+  replicator.handleReply(create(AppendReplySchema, refusal));
   expect(new Set(sent.map((body) => body.case))).toEqual(new Set(["append"]));
   const last = sent.at(-1)!;
   expect(last.case === "append" && [last.value.prevIndex, last.value.entries?.length]).toEqual([10, 10]);
--- a/packages/core/src/replication/logCompaction.test.ts
+++ b/packages/core/src/replication/logCompaction.test.ts
@@ -41,7 +41,7 @@
     const entry = entryOf(log.lastIndex + 1, bytes);
     await log.append([entry]);
     compaction.applied(entry);
-    if (compaction.isDue) await compaction.compact(entry.index, new Uint8Array(1000));
+    if (compaction.shouldCompact) await compaction.compact(entry.index, new Uint8Array(1000));
   }
 }
 
@@ -111,7 +111,7 @@
     const entry = entryOf(log.lastIndex + 1, 10_000);
     await log.append([entry]);
     compaction.applied(entry);
-    if (!compaction.isDue) continue;
+    if (!compaction.shouldCompact) continue;
     snapshots += 1;
     await compaction.compact(entry.index, new Uint8Array(500_000));
   }
--- a/packages/core/src/replication/logCompaction.ts
+++ b/packages/core/src/replication/logCompaction.ts
@@ -32,7 +32,7 @@
   }
 
   /** A snapshot that is itself longer than the bound is not written more often than its length of entries. */
-  get isDue(): boolean {
+  get shouldCompact(): boolean {
     return (
       this.#entries >= this.#bounds.entries || this.#bytes >= Math.max(this.#bounds.bytes, this.#log.snapshot.length)
     );
--- a/packages/core/src/replication/logReplicator.ts
+++ b/packages/core/src/replication/logReplicator.ts
@@ -10,7 +10,7 @@
   match: number;
   sentAt: number;
   /** The commit index it was last sent. */
-  told: number;
+  sentCommit: number;
   /** An append or a snapshot's piece is unanswered, and up to where its answer will tell of the log. */
   isWaiting: boolean;
   awaited: number;
@@ -19,7 +19,7 @@
   askedRound: number;
   answerMs: number;
   round: number;
-  heardAt: number;
+  lastContactAt: number;
   /** Set while it is sent a snapshot, because the entries that it lacks are not here any more. */
   transfer: SnapshotSender | undefined;
 }
@@ -36,7 +36,7 @@
   readonly #term: number;
   readonly #send: (id: string, body: BodyInit) => void;
   readonly #peers = new Map<string, Peer>();
-  readonly #rounds: Array<{ round: number; settle: (isConfirmed: boolean) => void }> = [];
+  readonly #rounds: Array<{ round: number; resolve: (isConfirmed: boolean) => void }> = [];
   /** One set, or two while a set is being swapped: both must agree. */
   #sets: string[][] = [];
   #round = 0;
@@ -63,7 +63,7 @@
   }
 
   /** Who counts, and who else gets a copy. */
-  enlist(sets: string[][], learners: readonly string[]): void {
+  setMembers(sets: string[][], learners: readonly string[]): void {
     this.#sets = sets.map((set) => [...set]);
     const wanted = new Set([...sets.flat(), ...learners]);
     wanted.delete(this.#self);
@@ -74,14 +74,14 @@
           next: this.#log.lastIndex + 1,
           match: 0,
           sentAt: -Infinity,
-          told: -1,
+          sentCommit: -1,
           isWaiting: false,
           awaited: 0,
           askedAt: undefined,
           askedRound: 0,
           answerMs: 0,
           round: 0,
-          heardAt: this.#clock.now(),
+          lastContactAt: this.#clock.now(),
           transfer: undefined,
         });
     }
@@ -92,15 +92,15 @@
     return id === this.#self ? this.#log.syncedIndex : (this.#peers.get(id)?.match ?? 0);
   }
 
-  heardAgo(id: string): number {
-    return id === this.#self ? 0 : this.#clock.now() - (this.#peers.get(id)?.heardAt ?? -Infinity);
+  sinceContactMs(id: string): number {
+    return id === this.#self ? 0 : this.#clock.now() - (this.#peers.get(id)?.lastContactAt ?? -Infinity);
   }
 
   /** Milliseconds since a majority of every set was last heard. */
-  majorityAgo(): number {
+  sinceMajorityContactMs(): number {
     return Math.max(
       ...this.#sets.map((set) => {
-        const ages = set.map((id) => this.heardAgo(id)).sort((a, b) => a - b);
+        const ages = set.map((id) => this.sinceContactMs(id)).sort((a, b) => a - b);
         return ages[Math.floor(set.length / 2)] ?? Infinity;
       }),
     );
@@ -122,7 +122,7 @@
   }
 
   /** Own entries were synced, or new ones are there to send. */
-  kick(): void {
+  sendNew(): void {
     this.#advance();
     for (const [id, peer] of this.#peers)
       if (!peer.isWaiting && peer.next <= this.#log.lastIndex) this.#sendTo(id, peer);
@@ -135,24 +135,24 @@
    */
   sendHeartbeats(idleMs = 0): void {
     for (const [id, peer] of this.#peers) {
-      const isTold = !peer.isWaiting && peer.next > this.#log.lastIndex && peer.told === this.commit;
-      if (isTold && this.#clock.now() - peer.sentAt < idleMs) continue;
+      const isUpToDate = !peer.isWaiting && peer.next > this.#log.lastIndex && peer.sentCommit === this.commit;
+      if (isUpToDate && this.#clock.now() - peer.sentAt < idleMs) continue;
       this.#sendTo(id, peer);
     }
   }
 
   /** Asks those who still owe the answer of a disk for one of the network. */
-  askWaiting(): void {
+  heartbeatWaiting(): void {
     this.#round += 1;
     for (const [id, peer] of this.#peers)
       if (peer.isWaiting && peer.transfer === undefined) this.#sendHeartbeat(id, peer);
   }
 
   /** Who has been sent all that is committed and not been told that it is: they count as told from now on. */
-  untold(): string[] {
+  takeUnnotified(): string[] {
     if (this.#isOver) return [];
-    const found = [...this.#peers].filter(([, peer]) => peer.told < this.commit && peer.next > this.commit);
-    for (const [, peer] of found) peer.told = this.commit;
+    const found = [...this.#peers].filter(([, peer]) => peer.sentCommit < this.commit && peer.next > this.commit);
+    for (const [, peer] of found) peer.sentCommit = this.commit;
     return found.map(([id]) => id);
   }
 
@@ -161,13 +161,13 @@
     if (this.#isOver) return Promise.resolve(false);
     return new Promise((resolve) => {
       const isFirst = this.#rounds.length === 0 || this.#rounds.at(-1)!.round <= this.#round;
-      this.#rounds.push({ round: this.#round + 1, settle: resolve });
+      this.#rounds.push({ round: this.#round + 1, resolve });
       if (isFirst && this.#rounds[0]!.round === this.#round + 1) this.#nextRound();
-      this.#settleRounds();
+      this.#resolveRounds();
     });
   }
 
-  take(reply: AppendReply): void {
+  handleReply(reply: AppendReply): void {
     const peer = this.#peers.get(reply.sender);
     if (peer === undefined || ![reply.term, reply.round, reply.match].every(Number.isSafeInteger)) return;
     if (reply.term > this.#term) {
@@ -175,13 +175,13 @@
       return;
     }
     if (reply.term !== this.#term || this.#isOver) return;
-    peer.heardAt = this.#clock.now();
+    peer.lastContactAt = this.#clock.now();
     this.#onRoundAnswered(peer, reply.round);
     if (!reply.isAccepted || reply.match >= peer.awaited) peer.isWaiting = false;
     const before = peer.next;
-    const isPieceTaken = LogReplicator.#learn(peer, reply);
+    const isPieceTaken = LogReplicator.#applyReply(peer, reply);
     this.#advance();
-    this.#settleRounds();
+    this.#resolveRounds();
     // A refusal that taught nothing new is not answered at once, or two nodes could keep each other busy for ever.
     const hasMore = reply.isAccepted ? peer.next <= this.#log.lastIndex : isPieceTaken || peer.next !== before;
     if (hasMore && !peer.isWaiting) this.#sendTo(reply.sender, peer);
@@ -195,7 +195,7 @@
   }
 
   /** Takes in what a reply says of a replica's log; true where the next piece of a snapshot may go. */
-  static #learn(peer: Peer, reply: AppendReply): boolean {
+  static #applyReply(peer: Peer, reply: AppendReply): boolean {
     if (reply.isAccepted) {
       peer.match = Math.max(peer.match, reply.match);
       peer.next = Math.max(peer.next, peer.match + 1);
@@ -209,7 +209,7 @@
 
   stop(): void {
     this.#isOver = true;
-    for (const { settle } of this.#rounds.splice(0)) settle(false);
+    for (const { resolve } of this.#rounds.splice(0)) resolve(false);
   }
 
   #nextRound(): void {
@@ -247,7 +247,7 @@
     const body = prevTerm === undefined ? this.#nextPiece(id, peer) : this.#nextAppend(id, peer, prevTerm);
     if (body === undefined) return;
     peer.sentAt = this.#clock.now();
-    peer.told = this.commit;
+    peer.sentCommit = this.commit;
     peer.isWaiting = true;
     this.#send(id, body);
   }
@@ -289,7 +289,7 @@
     return this.#image!;
   }
 
-  #settleRounds(): void {
+  #resolveRounds(): void {
     const confirmed = Math.min(
       ...this.#sets.map((set) => {
         const rounds = set
@@ -298,7 +298,7 @@
         return rounds[Math.floor(set.length / 2)] ?? 0;
       }),
     );
-    while (this.#rounds.length > 0 && this.#rounds[0]!.round <= confirmed) this.#rounds.shift()!.settle(true);
+    while (this.#rounds.length > 0 && this.#rounds[0]!.round <= confirmed) this.#rounds.shift()!.resolve(true);
     if (this.#rounds.length > 0 && confirmed >= this.#round) this.#nextRound();
   }
 
--- a/packages/core/src/replication/replication.test.ts
+++ b/packages/core/src/replication/replication.test.ts
@@ -58,9 +58,9 @@
   const disk = new HeldDisk();
   const log = new ReplicaLog(disk, "g");
   const replicator = replicatorOver(log, 2);
-  replicator.enlist([["a", "b", "c"]], []);
-  void log.append([entry(1, 2)]).then(() => replicator.kick());
-  replicator.take(reply("b", 1));
+  replicator.setMembers([["a", "b", "c"]], []);
+  void log.append([entry(1, 2)]).then(() => replicator.sendNew());
+  replicator.handleReply(reply("b", 1));
   expect(replicator.commit).toEqual(0);
   await disk.sync();
   expect(replicator.commit).toEqual(1);
@@ -72,13 +72,13 @@
   void log.append([entry(1, 1)]);
   await disk.sync();
   const replicator = replicatorOver(log, 2);
-  replicator.enlist([["a", "b", "c"]], []);
-  replicator.take(reply("b", 1));
-  replicator.take(reply("c", 1));
+  replicator.setMembers([["a", "b", "c"]], []);
+  replicator.handleReply(reply("b", 1));
+  replicator.handleReply(reply("c", 1));
   expect(replicator.commit).toEqual(0);
   void log.append([entry(2, 2)]);
   await disk.sync();
-  replicator.take(reply("b", 2));
+  replicator.handleReply(reply("b", 2));
   expect(replicator.commit).toEqual(2);
 });
 
@@ -86,7 +86,7 @@
   const disk = new HeldDisk();
   const log = new ReplicaLog(disk, "g");
   const replicator = replicatorOver(log, 2);
-  replicator.enlist(
+  replicator.setMembers(
     [
       ["a", "b", "c"],
       ["a", "b", "d"],
@@ -95,9 +95,9 @@
   );
   void log.append([entry(1, 2)]);
   await disk.sync();
-  replicator.take(reply("c", 1));
+  replicator.handleReply(reply("c", 1));
   expect(replicator.commit).toEqual(0);
-  replicator.take(reply("d", 1));
+  replicator.handleReply(reply("d", 1));
   expect(replicator.commit).toEqual(1);
 });
 
@@ -206,17 +206,17 @@
     replicator.sendHeartbeats(250);
     return sent.join();
   };
-  replicator.enlist([["a", "b", "c"]], []);
-  void log.append([entry(1, 2)]).then(() => replicator.kick());
+  replicator.setMembers([["a", "b", "c"]], []);
+  void log.append([entry(1, 2)]).then(() => replicator.sendNew());
   await disk.sync();
   expect(sent).toEqual(["b", "c"]);
-  replicator.take(reply("b", 1));
+  replicator.handleReply(reply("b", 1));
   expect(replicator.commit).toEqual(1);
   // One has not heard of the commit, the other has not answered.
   expect(beatAt(100)).toEqual("b,c");
-  replicator.take(reply("b", 1));
+  replicator.handleReply(reply("b", 1));
   expect(beatAt(200)).toEqual("c");
-  replicator.take(reply("c", 1));
+  replicator.handleReply(reply("c", 1));
   expect(beatAt(300)).toEqual("");
   expect(beatAt(400)).toEqual("b");
   expect(beatAt(500)).toEqual("b,c");
@@ -228,15 +228,15 @@
   const log = new ReplicaLog(new HeldDisk(), "g");
   const ticking = { ...clock, now: () => now };
   const replicator = new LogReplicator({ log, clock: ticking, self: "a", term: 2, commit: 0, send: () => undefined });
-  replicator.enlist([["a", "b", "c"]], []);
+  replicator.setMembers([["a", "b", "c"]], []);
   replicator.sendHeartbeats();
   now = 400;
   expect(replicator.answerMs).toEqual(400);
-  replicator.take(reply("b", 0));
+  replicator.handleReply(reply("b", 0));
   now = 500;
   expect(replicator.answerMs).toEqual(400);
   replicator.sendHeartbeats();
-  replicator.take(reply("c", 0));
+  replicator.handleReply(reply("c", 0));
   expect(replicator.answerMs).toEqual(400);
 });
 
@@ -262,10 +262,10 @@
     commit: 0,
     send,
   });
-  replicator.enlist([["a", "b", "c"]], []);
-  void log.append([entry(1, 2)]).then(() => replicator.kick());
+  replicator.setMembers([["a", "b", "c"]], []);
+  void log.append([entry(1, 2)]).then(() => replicator.sendNew());
   await disk.sync();
-  for (const id of ["b", "c"]) replicator.take(reply(id, 1));
+  for (const id of ["b", "c"]) replicator.handleReply(reply(id, 1));
   sent.length = 0;
   return { log, replicator, sent, at: (ms) => (now = ms) };
 }
@@ -281,10 +281,10 @@
 test("a read is confirmed by the others' word while their disks still write", async () => {
   const { log, replicator, sent } = await settledLeader();
   void log.append([entry(2, 2)]);
-  replicator.kick();
+  replicator.sendNew();
   let isConfirmed = false;
   void replicator.confirm().then((outcome) => (isConfirmed = outcome));
-  for (const answer of answersOf(sent, 1)) replicator.take(answer);
+  for (const answer of answersOf(sent, 1)) replicator.handleReply(answer);
   await new Promise((resolve) => setImmediate(resolve));
   expect([isConfirmed, replicator.commit]).toEqual([true, 1]);
 });
@@ -292,35 +292,35 @@
 test("a heartbeat's answer is not taken for the entries': nothing is sent again, or committed", async () => {
   const { log, replicator, sent } = await settledLeader();
   void log.append([entry(2, 2)]);
-  replicator.kick();
+  replicator.sendNew();
   void replicator.confirm();
   const before = sent.length;
-  for (const answer of answersOf(sent, 1)) replicator.take(answer);
+  for (const answer of answersOf(sent, 1)) replicator.handleReply(answer);
   expect([replicator.commit, sent.length]).toEqual([1, before]);
   void log.append([entry(3, 2)]);
-  replicator.kick();
+  replicator.sendNew();
   expect(sent.length).toEqual(before);
-  for (const answer of answersOf(sent, 2)) replicator.take(answer);
+  for (const answer of answersOf(sent, 2)) replicator.handleReply(answer);
   expect(sent.slice(before).map(({ entries }) => entries.map(({ index }) => index))).toEqual([[3], [3]]);
 });
 
 test("disks that take long make no slow leader, and others that answer late do", async () => {
   const { log, replicator, sent, at } = await settledLeader();
   void log.append([entry(2, 2)]);
-  replicator.kick();
+  replicator.sendNew();
   for (let ms = 75; ms <= 750; ms += 75) {
     at(ms);
     sent.length = 0;
-    replicator.askWaiting();
+    replicator.heartbeatWaiting();
     at(ms + 20);
-    for (const answer of answersOf(sent, 1)) replicator.take(answer);
+    for (const answer of answersOf(sent, 1)) replicator.handleReply(answer);
   }
   expect(replicator.answerMs).toEqual(20);
   sent.length = 0;
-  replicator.askWaiting();
+  replicator.heartbeatWaiting();
   at(1270);
   expect(replicator.answerMs).toEqual(500);
-  for (const answer of answersOf(sent, 1)) replicator.take(answer);
+  for (const answer of answersOf(sent, 1)) replicator.handleReply(answer);
   expect(replicator.answerMs).toEqual(500);
 });
 
@@ -357,16 +357,16 @@
   const disk = new HeldDisk();
   const log = new ReplicaLog(disk, "g");
   const replicator = new LogReplicator({ log, clock, self: "a", term: 2, commit: 0, send: () => undefined });
-  replicator.enlist([["a", "b", "c"]], []);
-  void log.append([entry(1, 2)]).then(() => replicator.kick());
+  replicator.setMembers([["a", "b", "c"]], []);
+  void log.append([entry(1, 2)]).then(() => replicator.sendNew());
   await disk.sync();
-  expect(replicator.untold()).toEqual([]);
-  replicator.take(reply("b", 1));
-  expect(replicator.untold()).toEqual(["b", "c"]);
-  expect(replicator.untold()).toEqual([]);
-  void log.append([entry(2, 2)]).then(() => replicator.kick());
+  expect(replicator.takeUnnotified()).toEqual([]);
+  replicator.handleReply(reply("b", 1));
+  expect(replicator.takeUnnotified()).toEqual(["b", "c"]);
+  expect(replicator.takeUnnotified()).toEqual([]);
+  void log.append([entry(2, 2)]).then(() => replicator.sendNew());
   await disk.sync();
-  replicator.take(reply("b", 2));
+  replicator.handleReply(reply("b", 2));
   replicator.sendHeartbeats();
-  expect(replicator.untold()).toEqual([]);
+  expect(replicator.takeUnnotified()).toEqual([]);
 });
--- a/packages/core/src/replication/snapshotPieces.test.ts
+++ b/packages/core/src/replication/snapshotPieces.test.ts
@@ -50,7 +50,7 @@
     const pair = new Pair();
     await pair.log.install(100, 1, snapshot);
     await pair.append(5);
-    pair.replicator.enlist([["a"]], ["b"]);
+    pair.replicator.setMembers([["a"]], ["b"]);
     return pair;
   }
 
@@ -98,7 +98,7 @@
       if (body.case === "append") answer = await this.follower.take(create(AppendSchema, body.value), this.commit);
       if (body.case === "snapshot")
         answer = await this.follower.takeSnapshot(create(SnapshotSchema, body.value), this.commit);
-      if (answer?.case === "appendReply") this.replicator.take(create(AppendReplySchema, answer.value));
+      if (answer?.case === "appendReply") this.replicator.handleReply(create(AppendReplySchema, answer.value));
       await turn();
     }
   }
--- a/packages/core/src/rpc/rpcEndpoint.ts
+++ b/packages/core/src/rpc/rpcEndpoint.ts
@@ -12,9 +12,9 @@
 type Values = { [K in Known as K["case"]]: K["value"] };
 type Served = BodyInit | undefined | Promise<BodyInit | undefined>;
 type Serve<C extends Case> = (value: Values[C], frame: Frame) => Served;
-interface Waiting {
+interface PendingCall {
   id: number;
-  settle: (body: Body | undefined) => void;
+  complete: (body: Body | undefined) => void;
   to: string;
   body: CallInit;
   /** It may not be repeated. */
@@ -70,7 +70,7 @@
   readonly #clock: Clock;
   readonly #random: RandomSource;
   readonly #served = new Map<string, (body: Body, frame: Frame) => Served>();
-  readonly #waiting = new Map<number, Waiting>();
+  readonly #pending = new Map<number, PendingCall>();
   /**
    * Invariant: a name is in here from an unanswered call, or a frame that came through another node, until it
    * answers a direct ping directly: only that shows that both ways are open. Never the node itself.
@@ -106,8 +106,8 @@
     this.#random = random;
     this.#incarnation = RpcEndpoint.#drawIncarnation(random);
     this.#incarnations.set(name, this.#incarnation);
-    transport.onFrame((frame) => void this.#take(frame));
-    transport.onLost((address) => this.#lost(address));
+    transport.onFrame((frame) => void this.#handleFrame(frame));
+    transport.onLost((address) => this.#onConnectionLost(address));
   }
 
   serve<C extends Case>(kind: C, handle: Serve<C>): void {
@@ -136,34 +136,34 @@
 
   call(to: string, body: CallInit, timeoutMs: number): Promise<Body | undefined> {
     return new Promise((resolve) => {
-      const settle = (reply: Body | undefined): void => {
+      const complete = (reply: Body | undefined): void => {
         timer.stop();
-        this.#waiting.delete(waiting.id);
+        this.#pending.delete(pending.id);
         resolve(reply);
       };
-      const waiting = { id: 0, settle, to, body, isOnce: !mayRepeat(body), calleeIncarnation: 0 };
-      const timer = this.#clock.once(timeoutMs, () => this.#silent(waiting));
-      this.#open(waiting);
+      const pending = { id: 0, complete, to, body, isOnce: !mayRepeat(body), calleeIncarnation: 0 };
+      const timer = this.#clock.once(timeoutMs, () => this.#onTimeout(pending));
+      this.#open(pending);
     });
   }
 
   /** Settles every open call to a node that is known to be gone, at once. */
-  giveUp(name: string): void {
+  abandonCallsTo(name: string): void {
     this.#incarnations.delete(name);
-    for (const waiting of [...this.#waiting.values()]) if (waiting.to === name) this.#silent(waiting);
+    for (const pending of [...this.#pending.values()]) if (pending.to === name) this.#onTimeout(pending);
   }
 
-  #open(waiting: Waiting): void {
-    waiting.id = ++this.#lastId;
-    waiting.calleeIncarnation = waiting.isOnce ? (this.#incarnations.get(waiting.to) ?? 0) : 0;
-    this.#waiting.set(waiting.id, waiting);
-    const { id, body, calleeIncarnation } = waiting;
-    this.#send(waiting.to, { id, isReply: false, body, callerIncarnation: this.#incarnation, calleeIncarnation });
+  #open(pending: PendingCall): void {
+    pending.id = ++this.#lastId;
+    pending.calleeIncarnation = pending.isOnce ? (this.#incarnations.get(pending.to) ?? 0) : 0;
+    this.#pending.set(pending.id, pending);
+    const { id, body, calleeIncarnation } = pending;
+    this.#send(pending.to, { id, isReply: false, body, callerIncarnation: this.#incarnation, calleeIncarnation });
   }
 
-  #silent(waiting: Waiting): void {
-    waiting.settle(undefined);
-    this.#unanswered(waiting.to);
+  #onTimeout(pending: PendingCall): void {
+    pending.complete(undefined);
+    this.#markUnresponsive(pending.to);
   }
 
   /** Not 0, and exact in a double. */
@@ -172,14 +172,14 @@
   }
 
   /** The connection to an address broke: whoever is there now may be in another life. */
-  #lost(address: string): void {
-    for (const waiting of [...this.#waiting.values()])
-      if (this.addressOf(waiting.to) === address) this.#silent(waiting);
+  #onConnectionLost(address: string): void {
+    for (const pending of [...this.#pending.values()])
+      if (this.addressOf(pending.to) === address) this.#onTimeout(pending);
     for (const name of [...this.#incarnations.keys()])
       if (this.addressOf(name) === address) this.#incarnations.delete(name);
   }
 
-  #unanswered(to: string): void {
+  #markUnresponsive(to: string): void {
     if (this.#unresponsive.has(to) || to === this.name) return;
     this.#unresponsive.add(to);
     this.emit("unresponsive", to);
@@ -193,17 +193,17 @@
   async #probe(name: string, isFirst = false): Promise<void> {
     const answer = await this.call(name, { case: "ping", value: {} }, RpcEndpoint.probeMs);
     if (answer !== undefined) {
-      this.#hearAgain(name);
+      this.#markResponsive(name);
       this.#proven.set(name, this.#clock.now());
       return;
     }
     const address = this.addressOf(name);
-    if (address === undefined) return this.#hearAgain(name);
+    if (address === undefined) return this.#markResponsive(name);
     if (isFirst) this.#transport.drop(address);
     this.#clock.once(RpcEndpoint.probeMs, () => void this.#probe(name));
   }
 
-  #hearAgain(name: string): void {
+  #markResponsive(name: string): void {
     this.#unresponsive.delete(name);
     this.#relays.delete(name);
   }
@@ -239,13 +239,13 @@
     return drawn;
   }
 
-  async #take(frame: Frame): Promise<void> {
+  async #handleFrame(frame: Frame): Promise<void> {
     if (frame.to !== "" && frame.to !== this.name) return;
     if (frame.hops === 0) this.emit("heard", frame.from);
     else if (this.#clock.now() - (this.#proven.get(frame.from) ?? -Infinity) > RpcEndpoint.provenMs)
-      this.#unanswered(frame.from);
-    if (frame.body.case === "relay") return this.#carry(frame.from, frame.body.value.to, frame.body.value.frame);
-    if (frame.isReply) return this.#settle(frame);
+      this.#markUnresponsive(frame.from);
+    if (frame.body.case === "relay") return this.#forwardFrame(frame.from, frame.body.value.to, frame.body.value.frame);
+    if (frame.isReply) return this.#handleReply(frame);
     if (isCall(frame.body) && frame.callerIncarnation !== 0)
       this.#incarnations.set(frame.from, frame.callerIncarnation);
     if (!isCall(frame.body) || mayRepeat(frame.body)) return this.#run(frame);
@@ -266,18 +266,19 @@
     this.#transport.send(fromAddress, this.#encode(from, part));
   }
 
-  #settle(frame: Frame): void {
-    const waiting = this.#waiting.get(frame.id);
+  #handleReply(frame: Frame): void {
+    const pending = this.#pending.get(frame.id);
     if (frame.callerIncarnation !== this.#incarnation) this.dropped.staleIncarnation += 1;
-    else if (waiting === undefined) this.dropped.unasked += 1;
-    else if (waiting.to !== frame.from || frame.to !== this.name) this.dropped.otherSender += 1;
-    else if (waiting.isOnce && frame.body.case === "staleIncarnation") this.#refused(waiting, frame.calleeIncarnation);
-    else if (waiting.calleeIncarnation !== 0 && waiting.calleeIncarnation !== frame.calleeIncarnation)
+    else if (pending === undefined) this.dropped.unasked += 1;
+    else if (pending.to !== frame.from || frame.to !== this.name) this.dropped.otherSender += 1;
+    else if (pending.isOnce && frame.body.case === "staleIncarnation")
+      this.#onStaleIncarnation(pending, frame.calleeIncarnation);
+    else if (pending.calleeIncarnation !== 0 && pending.calleeIncarnation !== frame.calleeIncarnation)
       this.dropped.staleIncarnation += 1;
-    else if (!isReplyTo(waiting.body.case, frame.body.case)) this.dropped.otherKind += 1;
+    else if (!isReplyTo(pending.body.case, frame.body.case)) this.dropped.otherKind += 1;
     else {
       this.#incarnations.set(frame.from, frame.calleeIncarnation);
-      waiting.settle(frame.body);
+      pending.complete(frame.body);
     }
   }
 
@@ -285,19 +286,19 @@
    * A life does not carry a call out. One that named no life was carried out by none and never will be: it is sent to
    * this one. One that named another life may have been carried out there.
    */
-  #refused(waiting: Waiting, incarnation: number): void {
-    this.#incarnations.set(waiting.to, incarnation);
-    if (waiting.calleeIncarnation !== 0 || incarnation === 0) return waiting.settle(undefined);
-    this.#waiting.delete(waiting.id);
-    this.#open(waiting);
+  #onStaleIncarnation(pending: PendingCall, incarnation: number): void {
+    this.#incarnations.set(pending.to, incarnation);
+    if (pending.calleeIncarnation !== 0 || incarnation === 0) return pending.complete(undefined);
+    this.#pending.delete(pending.id);
+    this.#open(pending);
   }
 
   /** Carries another's own frame one hop; what was carried once is not carried again. */
-  #carry(from: string, to: string, bytes: Uint8Array): void {
+  #forwardFrame(from: string, to: string, bytes: Uint8Array): void {
     const inner = Wire.decode(bytes);
     if (inner !== undefined && inner.from !== from) return void (this.dropped.forged += 1);
     const address = this.addressOf(to);
     if (inner === undefined || inner.hops > 0 || inner.to !== to || address === undefined) return;
-    this.#transport.send(address, Wire.again({ ...inner, hops: 1 }));
+    this.#transport.send(address, Wire.encodeFrame({ ...inner, hops: 1 }));
   }
 }
--- a/packages/core/src/rpc/servedCalls.ts
+++ b/packages/core/src/rpc/servedCalls.ts
@@ -9,15 +9,15 @@
   /** Lives remembered; the one that called longest ago is forgotten first. */
   static readonly maxIncarnations = 4096;
 
-  readonly #lives = new Map<string, { floor: number; begun: Set<number> }>();
+  readonly #callers = new Map<string, { floor: number; begun: Set<number> }>();
 
   /** True the first time that a call is seen; what comes too late to be told apart counts as seen. */
   begin(from: string, callerIncarnation: number, number: number): boolean {
     const key = `${callerIncarnation} ${from}`;
-    const incarnation = this.#lives.get(key) ?? { floor: 0, begun: new Set<number>() };
-    this.#lives.delete(key);
-    this.#lives.set(key, incarnation);
-    if (this.#lives.size > ServedCalls.maxIncarnations) this.#lives.delete(this.#lives.keys().next().value!);
+    const incarnation = this.#callers.get(key) ?? { floor: 0, begun: new Set<number>() };
+    this.#callers.delete(key);
+    this.#callers.set(key, incarnation);
+    if (this.#callers.size > ServedCalls.maxIncarnations) this.#callers.delete(this.#callers.keys().next().value!);
     if (number <= incarnation.floor || incarnation.begun.has(number)) return false;
     incarnation.begun.add(number);
     if (incarnation.begun.size > ServedCalls.maxNumbers) ServedCalls.#raiseFloor(incarnation);
--- a/packages/core/src/rpc/wire.test.ts
+++ b/packages/core/src/rpc/wire.test.ts
@@ -2,7 +2,7 @@
 import { create, toBinary, type MessageInitShape } from "@bufbuild/protobuf";
 import { expect } from "earl";
 import { FrameSchema } from "../gen/cranetrack_pb.js";
-import { Seal } from "./seal.js";
+import { Checksum } from "./seal.js";
 import { Wire } from "./wire.js";
 
 const frame = Wire.encode({ id: 7, from: "vise-1", to: "anvil-1", body: { case: "ping", value: { about: "x" } } });
@@ -45,7 +45,7 @@
   ];
   for (const one of frames)
     expect(Buffer.from(Wire.encode(one))).toEqual(
-      Buffer.from(Seal.close(toBinary(FrameSchema, create(FrameSchema, one)))),
+      Buffer.from(Checksum.prepend(toBinary(FrameSchema, create(FrameSchema, one)))),
     );
   for (const one of [frames[1]!, frames[3]!]) {
     const bytes = Wire.encode(one);
--- a/packages/core/src/rpc/wire.ts
+++ b/packages/core/src/rpc/wire.ts
@@ -1,7 +1,7 @@
 import { create, fromBinary, toBinary, type DescMessage, type MessageInitShape } from "@bufbuild/protobuf";
 import { BinaryWriter, WireType } from "@bufbuild/protobuf/wire";
 import { FrameSchema, type Frame } from "../gen/cranetrack_pb.js";
-import { Seal } from "./seal.js";
+import { Checksum } from "./seal.js";
 
 export type Body = Frame["body"];
 export type BodyInit = NonNullable<MessageInitShape<typeof FrameSchema>["body"]>;
@@ -41,17 +41,17 @@
       writer
         .tag(kind.number, WireType.LengthDelimited)
         .bytes(toBinary(kind.message, create(kind.message, body!.value as MessageInitShape<DescMessage>)));
-    return Seal.close(writer.finish());
+    return Checksum.prepend(writer.finish());
   },
 
   /** The bytes of a frame that was decoded before. */
-  again(frame: Frame): Uint8Array {
-    return Seal.close(toBinary(FrameSchema, frame));
+  encodeFrame(frame: Frame): Uint8Array {
+    return Checksum.prepend(toBinary(FrameSchema, frame));
   },
 
   /** With the envelope of an earlier frame where the bytes have none of their own. */
   decode(bytes: Uint8Array, envelope?: Envelope): Frame | undefined {
-    const opened = Seal.open(bytes);
+    const opened = Checksum.verify(bytes);
     if (opened === undefined) return undefined;
     try {
       const frame = fromBinary(FrameSchema, opened);
@@ -79,6 +79,6 @@
 
   /** A frame's bytes without the envelope. */
   shorten(bytes: Uint8Array, [start, end]: [number, number]): Uint8Array {
-    return Seal.close(bytes.subarray(4, start), bytes.subarray(end));
+    return Checksum.prepend(bytes.subarray(4, start), bytes.subarray(end));
   },
 };
--- a/packages/core/src/runtime/clock.ts
+++ b/packages/core/src/runtime/clock.ts
@@ -10,6 +10,6 @@
 export interface Clock {
   now(): number;
   /** After no time: once what came in together has been taken. */
-  once(ms: number, ring: () => void): TimerHandle;
-  every(ms: number, ring: () => void): TimerHandle;
+  once(ms: number, callback: () => void): TimerHandle;
+  every(ms: number, callback: () => void): TimerHandle;
 }
--- a/packages/core/src/runtime/hostClock.ts
+++ b/packages/core/src/runtime/hostClock.ts
@@ -5,17 +5,17 @@
     return performance.now();
   }
 
-  once(ms: number, ring: () => void): TimerHandle {
+  once(ms: number, callback: () => void): TimerHandle {
     if (ms <= 0) {
-      const turn = setImmediate(ring);
+      const turn = setImmediate(callback);
       return { stop: () => clearImmediate(turn) };
     }
-    const timer = setTimeout(ring, ms);
+    const timer = setTimeout(callback, ms);
     return { stop: () => clearTimeout(timer) };
   }
 
-  every(ms: number, ring: () => void): TimerHandle {
-    const timer = setInterval(ring, ms);
+  every(ms: number, callback: () => void): TimerHandle {
+    const timer = setInterval(callback, ms);
     return { stop: () => clearInterval(timer) };
   }
 }
--- a/packages/core/src/runtime/logBuffer.ts
+++ b/packages/core/src/runtime/logBuffer.ts
@@ -9,7 +9,7 @@
  */
 export class LogBuffer {
   readonly #name: string;
-  readonly #most: number;
+  readonly #maxLines: number;
   readonly #write: (text: string) => void;
   readonly #log: typeof Roarr;
   /** Invariant: never longer than #most; oldest first. */
@@ -17,9 +17,9 @@
   /** The last fault, as status shows it. */
   lastFault = "";
 
-  constructor(name: string, write: (text: string) => void = (text) => process.stderr.write(text), most = 400) {
+  constructor(name: string, write: (text: string) => void = (text) => process.stderr.write(text), maxLines = 400) {
     this.#name = name;
-    this.#most = most;
+    this.#maxLines = maxLines;
     this.#write = write;
     this.#log = Roarr.child({ program: name });
   }
@@ -41,9 +41,9 @@
   fault(text: string, context: Context = {}): void {
     this.#keep("fault", text, context);
     this.lastFault = text;
-    const ring = this.#lines;
+    const lines = this.#lines;
     this.#lines = [];
-    this.#write(ring.map((line) => `${line}\n`).join(""));
+    this.#write(lines.map((line) => `${line}\n`).join(""));
   }
 
   get lines(): readonly string[] {
@@ -53,7 +53,7 @@
   #keep(level: "note" | "warn" | "fault", text: string, context: Context): void {
     const line = { at: new Date().toISOString(), level, program: this.#name, text, ...context };
     this.#lines.push(JSON.stringify(line));
-    if (this.#lines.length > this.#most) this.#lines.shift();
+    if (this.#lines.length > this.#maxLines) this.#lines.shift();
     if (level === "fault") this.#log.error(context, text);
   }
 }
--- a/packages/core/src/runtime/programHost.ts
+++ b/packages/core/src/runtime/programHost.ts
@@ -6,13 +6,13 @@
 import { LogBuffer } from "./logBuffer.js";
 import { NodeStatus } from "./nodeStatus.js";
 import { Router } from "../http/router.js";
-import { SealedDisk } from "../storage/sealedDisk.js";
+import { ChecksummedDisk } from "../storage/sealedDisk.js";
 import type { Settings, SettingsRead } from "./settings.js";
 import { SettingsWatch } from "./settingsWatch.js";
 import { TcpTransport } from "../transport/tcpTransport.js";
 
 /** A server towards callers that a program opens besides the connection to its fellows. */
-export interface Front {
+export interface Listener {
   listen(): Promise<void>;
   close(): Promise<void>;
 }
@@ -23,9 +23,9 @@
   stop(): Promise<void>;
   status(): object;
   isReady(): boolean;
-  take?(settings: Settings): void;
+  applySettings?(settings: Settings): void;
   stream?: ConstructorParameters<typeof HttpServer>[1];
-  fronts?: readonly Front[];
+  listeners?: readonly Listener[];
 }
 export interface ProgramParts {
   node: ClusterNode;
@@ -67,13 +67,13 @@
     let router: Router;
     try {
       disk = await ProgramHost.#openDisk(settings, log);
-      const sealed = disk === undefined ? undefined : new SealedDisk(disk);
+      const checksummed = disk === undefined ? undefined : new ChecksummedDisk(disk);
       node = new ClusterNode(
-        { settings, clock, transport, disk: sealed, random: new HostRandom(), log, incarnation: Date.now() },
+        { settings, clock, transport, disk: checksummed, random: new HostRandom(), log, incarnation: Date.now() },
         this.#prefixes,
       );
       router = new Router(node);
-      built = this.#build({ node, disk: sealed, router });
+      built = this.#build({ node, disk: checksummed, router });
       const fault = built.load();
       if (fault !== undefined) return quit(ProgramHost.exits.data, fault);
     } catch (cause) {
@@ -86,7 +86,7 @@
       quit(ProgramHost.exits.fault, `a broken invariant: ${String((fault as Error)?.stack ?? fault)}`),
     );
     const watch = watched === undefined ? undefined : new SettingsWatch(watched.path, watched.read, settings, clock);
-    watch?.on("changed", (taken) => built.take?.(taken));
+    watch?.on("changed", (changed) => built.applySettings?.(changed));
     watch?.on("fault", (text) => log.fault(text));
     process.on("SIGHUP", () => watch?.look());
     new NodeStatus(node, router, {
@@ -95,11 +95,11 @@
       more: () => ({ ...built.status(), dataFolder: disk?.fault ?? "" }),
       isReady: () => built.isReady(),
     });
-    const fronts = [...(built.fronts ?? [])];
+    const listeners = [...(built.listeners ?? [])];
     try {
-      if (settings.http !== undefined) fronts.push(await ProgramHost.#httpFront(settings.http, router, built));
+      if (settings.http !== undefined) listeners.push(await ProgramHost.#httpListener(settings.http, router, built));
       await transport.listen();
-      for (const front of fronts) await front.listen();
+      for (const listener of listeners) await listener.listen();
     } catch (cause) {
       return quit(ProgramHost.exits.settings, `cannot listen: ${(cause as Error).message}`);
     }
@@ -116,7 +116,7 @@
       // The goodbye is given a moment to leave; then nothing may come in any more, and only then the disk closes.
       setTimeout(() => {
         transport.close();
-        void Promise.all(fronts.map((front) => front.close()))
+        void Promise.all(listeners.map((listener) => listener.close()))
           .then(() => disk?.close())
           .then(() => process.exit(0));
       }, 50);
@@ -136,9 +136,9 @@
     return new LmdbDisk(data);
   }
 
-  static async #httpFront(address: string, router: Router, built: Built): Promise<Front> {
+  static async #httpListener(address: string, router: Router, built: Built): Promise<Listener> {
     const { HttpServer } = await import("../http/httpServer.js");
-    const front = new HttpServer(router, built.stream);
-    return { listen: () => front.listen(address), close: () => front.close() };
+    const listener = new HttpServer(router, built.stream);
+    return { listen: () => listener.listen(address), close: () => listener.close() };
   }
 }
--- a/packages/core/src/runtime/settings.test.ts
+++ b/packages/core/src/runtime/settings.test.ts
@@ -55,7 +55,7 @@
   };
   const watch = new SettingsWatch(path, () => SettingsReader.fromFile(path), read.settings, clock);
   const taken: number[] = [];
-  watch.on("changed", (settings) => taken.push(settings.mostLinks));
+  watch.on("changed", (settings) => taken.push(settings.maxConnections));
   write({ ...good, mostLinks: 5 });
   beats[0]!();
   expect(taken).toEqual([5]);
--- a/packages/core/src/runtime/settings.ts
+++ b/packages/core/src/runtime/settings.ts
@@ -25,7 +25,7 @@
   "founders?": address.array().atLeastLength(1).atMostLength(9),
   /** False: never founds a store; joins one, or goes on with what its disk has. */
   mayFound: "boolean = true",
-  lathes: "1 <= number.integer <= 9",
+  controlNodes: "1 <= number.integer <= 9",
   /** How many control nodes are members of the store; without it as many as found it. Others stand by. */
   "voters?": "1 <= number.integer <= 9",
   /** A member gone for longer is replaced by a control node that stands by. */
@@ -45,9 +45,9 @@
   "diskMb?": "16 <= number.integer <= 1000000",
   "log?": "string > 0",
   edgeLeaseMs: "1000 <= number.integer <= 60000 = 1500",
-  holderLeaseMs: "1000 <= number.integer <= 60000 = 1500",
+  shardLeaseMs: "1000 <= number.integer <= 60000 = 1500",
   electionMs: "200 <= number.integer <= 10000 = 300",
-  mostLinks: "1 <= number.integer <= 100000 = 2000",
+  maxConnections: "1 <= number.integer <= 100000 = 2000",
   bufferBytes: "1024 <= number.integer <= 67108864 = 1048576",
 });
 
@@ -60,7 +60,7 @@
     const checked = settingsType(value);
     if (checked instanceof type.errors)
       return { problems: [...checked].map((fault) => `${fault.path.join(".") || "settings"}: ${fault.message}`) };
-    const voters = checked.voters ?? checked.founders?.length ?? checked.lathes;
+    const voters = checked.voters ?? checked.founders?.length ?? checked.controlNodes;
     const problems: string[] = [];
     if (checked.role !== "vise" && checked.data === undefined)
       problems.push(`data: a ${checked.role} needs a data folder`);
--- a/packages/core/src/runtime/settingsWatch.ts
+++ b/packages/core/src/runtime/settingsWatch.ts
@@ -40,11 +40,11 @@
     const fixed = keys.filter(
       (key) => !live.includes(key) && JSON.stringify(read.settings[key]) !== JSON.stringify(this.#settings[key]),
     );
-    const taken: Settings = { ...this.#settings };
-    for (const key of SettingsWatch.live) taken[key] = read.settings[key];
-    this.#settings = taken;
+    const applied: Settings = { ...this.#settings };
+    for (const key of SettingsWatch.live) applied[key] = read.settings[key];
+    this.#settings = applied;
     this.fault = "";
-    this.emit("changed", taken);
+    this.emit("changed", applied);
     if (fixed.length > 0) this.#refuse(`changed in the file and taken up only at the next start: ${fixed.join(", ")}`);
   }
 
--- a/packages/core/src/storage/journalDisk.ts
+++ b/packages/core/src/storage/journalDisk.ts
@@ -7,13 +7,13 @@
 import { JournalRecord, type ReadRecord } from "./journalRecord.js";
 import { NewFolder } from "./newFolder.js";
 
-interface Kept {
+interface ValueLocation {
   at: number;
   length: number;
   /** What the change takes in a record. */
   size: number;
 }
-interface Waiting {
+interface PendingWrite {
   changes: readonly DiskChange[];
   resolve: () => void;
   reject: (cause: unknown) => void;
@@ -42,14 +42,14 @@
   readonly #folder: string;
   readonly #options: Required<Omit<JournalOptions, "maxBytes">>;
   readonly #maxBytes: number;
-  readonly #index = new Map<string, Kept>();
+  readonly #index = new Map<string, ValueLocation>();
   #file: FileHandle;
   #end = JournalDisk.#head.length;
   /** After a compaction that found no room: how long the file may become before the next one. */
   #longFrom = 0;
   #sequence = 0;
   #liveBytes = 0;
-  #waiting: Waiting[] = [];
+  #pending: PendingWrite[] = [];
   #running: Promise<void> | undefined;
   #isClosed = false;
   /** Why writes wait, while the disk has no room; empty else. */
@@ -72,7 +72,7 @@
       NewFolder.make(folder);
       if (existsSync(join(folder, "data.mdb"))) throw new Error("it holds the data of another disk format");
       const path = join(folder, "journal");
-      JournalDisk.#settleCompaction(path, join(folder, "journal.new"));
+      JournalDisk.#finishCompaction(path, join(folder, "journal.new"));
       JournalDisk.#prepare(path);
       const disk = new JournalDisk(folder, await open(path, "r+"), options);
       disk.#load();
@@ -93,7 +93,7 @@
   write(changes: DiskChange[]): Promise<void> {
     return new Promise((resolve, reject) => {
       if (this.#isClosed) return;
-      this.#waiting.push({ changes, resolve, reject });
+      this.#pending.push({ changes, resolve, reject });
       this.#running ??= this.#run();
     });
   }
@@ -108,11 +108,11 @@
   async #run(): Promise<void> {
     // What is asked for in one go by the callers is one group.
     await Promise.resolve();
-    while (this.#waiting.length > 0) {
-      const group: Waiting[] = [];
+    while (this.#pending.length > 0) {
+      const group: PendingWrite[] = [];
       try {
         do {
-          group.push(...this.#waiting.splice(0));
+          group.push(...this.#pending.splice(0));
           if (await this.#commit(group.flatMap((one) => one.changes))) break;
           await new Promise((resolve) => setTimeout(resolve, this.#options.retryMs));
         } while (!this.#isClosed);
@@ -121,7 +121,7 @@
       } catch (cause) {
         // After a failed sync nobody knows what the file holds: only a new start may read it.
         this.#isClosed = true;
-        for (const one of [...group, ...this.#waiting.splice(0)]) one.reject(cause);
+        for (const one of [...group, ...this.#pending.splice(0)]) one.reject(cause);
       }
     }
     this.#running = undefined;
@@ -141,7 +141,7 @@
       const record = JournalRecord.encode(this.#sequence + 1, changes);
       await JournalDisk.#writeAt(this.#file, record, this.#end);
       await this.#options.sync(this.#file);
-      this.#take(JournalRecord.decode(record, 0) as ReadRecord);
+      this.#apply(JournalRecord.decode(record, 0) as ReadRecord);
     } catch (cause) {
       if (JournalDisk.#isRoomMissing(cause)) return this.#isFull((cause as Error).message);
       throw cause;
@@ -161,7 +161,7 @@
     return false;
   }
 
-  #take(record: ReadRecord): void {
+  #apply(record: ReadRecord): void {
     for (const { key, value } of record.changes) {
       this.#liveBytes -= this.#index.get(key)?.size ?? 0;
       if (value === undefined) this.#index.delete(key);
@@ -198,7 +198,7 @@
   async #compact(): Promise<void> {
     const path = join(this.#folder, "journal.new");
     const file = await open(path, "w+");
-    const kept: Array<[string, Kept]> = [];
+    const kept: Array<[string, ValueLocation]> = [];
     let end = JournalDisk.#head.length;
     let sequence = this.#sequence;
     try {
@@ -238,7 +238,7 @@
     await old.close();
   }
 
-  #value({ at, length }: Kept): Buffer {
+  #value({ at, length }: ValueLocation): Buffer {
     const value = Buffer.allocUnsafeSlow(length);
     if (readSync(this.#file.fd, value, 0, length, at) !== length) throw new Error("the journal became shorter");
     return value;
@@ -262,7 +262,7 @@
       }
       if (record === undefined) break;
       const next = record.end - start;
-      this.#take({ ...record, end: next });
+      this.#apply({ ...record, end: next });
       start += next;
     }
     if (this.#end >= size) return;
@@ -290,7 +290,7 @@
    * A new file is given the journal's name only when all of it is synced. So where it is there alone, a loss of power
    * kept one half of the renaming, and it has everything; beside a journal it may be unfinished, and is dropped.
    */
-  static #settleCompaction(path: string, successor: string): void {
+  static #finishCompaction(path: string, successor: string): void {
     if (!existsSync(path) && existsSync(successor)) renameSync(successor, path);
     else rmSync(successor, { force: true });
   }
--- a/packages/core/src/storage/lmdbDisk.test.ts
+++ b/packages/core/src/storage/lmdbDisk.test.ts
@@ -6,7 +6,7 @@
 import { open } from "lmdb";
 import { expect } from "earl";
 import { LmdbDisk } from "./lmdbDisk.js";
-import { SealedDisk } from "./sealedDisk.js";
+import { ChecksummedDisk } from "./sealedDisk.js";
 
 const folderOf = (name: string): string => join(mkdtempSync(join(tmpdir(), "cranetrack-disk-")), name);
 
@@ -62,10 +62,10 @@
 
     const folder = folderOf("damaged");
     const disk = new LmdbDisk(folder);
-    await new SealedDisk(disk).write([{ key: "log/1", value: Buffer.from("hello") }]);
+    await new ChecksummedDisk(disk).write([{ key: "log/1", value: Buffer.from("hello") }]);
     const { value } = disk.read("log/")[0]!;
     value[5]! ^= 1;
     await disk.write([{ key: "log/1", value }]);
-    expect(() => new SealedDisk(disk).read("log/")).toThrow(/damaged at log\/1/);
+    expect(() => new ChecksummedDisk(disk).read("log/")).toThrow(/damaged at log\/1/);
   },
 );
--- a/packages/core/src/store/storeClient.ts
+++ b/packages/core/src/store/storeClient.ts
@@ -15,7 +15,7 @@
 
 interface Asked {
   call: StoreChange;
-  settle: (reply: StoreReply | undefined) => void;
+  resolve: (reply: StoreReply | undefined) => void;
 }
 
 /** Calls on the metadata store. Any control node takes any call and passes it on. */
@@ -110,7 +110,7 @@
       });
     if (batch.length < StoreClient.maxBatch) this.#batches.set(key, batch);
     else this.#batches.delete(key);
-    return new Promise((resolve) => batch.push({ call, settle: resolve }));
+    return new Promise((resolve) => batch.push({ call, resolve }));
   }
 
   async #send(name: string, batch: readonly Asked[], timeoutMs: number): Promise<void> {
@@ -120,9 +120,9 @@
       calls.length === 1 ? { case: "storeCall", value: calls[0]! } : { case: "storeBatch", value: { calls } },
       timeoutMs,
     );
-    if (body?.case === "storeReply") return batch[0]!.settle(body.value);
+    if (body?.case === "storeReply") return batch[0]!.resolve(body.value);
     const replies = body?.case === "storeBatchReply" ? body.value.replies : [];
-    batch.forEach(({ settle }, i) => settle(replies[i]));
+    batch.forEach(({ resolve }, i) => resolve(replies[i]));
   }
 
   #order(): string[] {
--- a/packages/edge/src/cranetrack-edge.ts
+++ b/packages/edge/src/cranetrack-edge.ts
@@ -13,7 +13,7 @@
     stop: () => edge.drain(),
     isReady: () => edge.isReady,
     status: () => edge.status(),
-    take: ({ mostLinks: maxConnections, bufferBytes }) => Object.assign(edge.live, { maxConnections, bufferBytes }),
+    applySettings: ({ maxConnections, bufferBytes }) => Object.assign(edge.live, { maxConnections, bufferBytes }),
     stream: {
       pattern: EdgeCalls.connectionPath,
       open: (path, body, reply) =>
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -35,7 +35,7 @@
     const { settings, clock, random } = node.parts;
     this.node = node;
     this.router = router;
-    this.live = { maxConnections: settings.mostLinks, bufferBytes: settings.bufferBytes };
+    this.live = { maxConnections: settings.maxConnections, bufferBytes: settings.bufferBytes };
     this.lease = new LeaseKeepAlive(settings.name, settings.edgeLeaseMs, node.store, clock, random);
     this.sessions = new Sessions(node, this.lease);
     this.streams = new StreamTable(node);
--- a/packages/log-storage/src/follows/fetchFrom.ts
+++ b/packages/log-storage/src/follows/fetchFrom.ts
@@ -1,14 +1,14 @@
 import type { Fetch } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import type { StreamLog } from "../shards/streamLog.js";
-import { Follows } from "./follows.js";
+import { StreamFollowers } from "./follows.js";
 
 /** Messages of a committed log after a place, or what was trimmed after it. */
 export function fetchFrom(log: StreamLog, fetch: Fetch): BodyInit {
   const { incarnation, low, head } = log;
   if (incarnation !== fetch.incarnation)
     return { case: "fetchReply", value: { outcome: "another-birth", low, head, batch: { incarnation } } };
-  const messages = Follows.slice(log.messages, low, fetch.after, fetch.limit);
+  const messages = StreamFollowers.slice(log.messages, low, fetch.after, fetch.limit);
   const isTrimmed = fetch.after < low;
   const trims = isTrimmed
     ? [...log.trims].filter(([, seq]) => seq > fetch.after).map(([topic, seq]) => ({ topic, seq }))
--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -4,10 +4,10 @@
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import type { StreamLog } from "../shards/streamLog.js";
 import { fetchFrom } from "./fetchFrom.js";
-import { Follows } from "./follows.js";
-import type { PushTurn } from "./pushTurn.js";
+import { StreamFollowers } from "./follows.js";
+import type { PushBatcher } from "./pushTurn.js";
 import type { Replica } from "../replication/replica.js";
-import { StreamStandings } from "../shards/streamStandings.js";
+import { StreamStatuses } from "../shards/streamStandings.js";
 
 /**
  * Follower reads: a replica that does not hold its shard pushes what is committed to edges that are near it.
@@ -16,41 +16,41 @@
  * here: a stream that is not here in the incarnation that the edge has from the leader is left to the leader.
  */
 export class FollowerReads {
-  static readonly heardMs = 700;
-  static readonly behindMs = 300;
+  static readonly maxLeaderSilenceMs = 700;
+  static readonly maxLagMs = 300;
 
   readonly #node: ClusterNode;
   readonly #replica: Replica;
-  readonly #turn: PushTurn;
-  readonly #follows: Follows;
-  readonly #standings: StreamStandings;
+  readonly #pushBatcher: PushBatcher;
+  readonly #followers: StreamFollowers;
+  readonly #statuses: StreamStatuses;
   /** Streams with messages applied and not yet pushed; all that is followed is looked at where it is not only these. */
-  readonly #fresh = new Set<string>();
-  #isTurning = false;
-  #mustLookAtAll = false;
+  readonly #changed = new Set<string>();
+  #isPushScheduled = false;
+  #mayAllHaveChanged = false;
 
-  constructor(node: ClusterNode, replica: Replica, turn: PushTurn) {
+  constructor(node: ClusterNode, replica: Replica, pushBatcher: PushBatcher) {
     this.#node = node;
     this.#replica = replica;
-    this.#turn = turn;
-    this.#standings = new StreamStandings(node);
-    this.#follows = new Follows({
+    this.#pushBatcher = pushBatcher;
+    this.#statuses = new StreamStatuses(node);
+    this.#followers = new StreamFollowers({
       node,
       shard: replica.shard,
       epoch: 0,
-      turn,
+      pushBatcher,
       find: (stream) => this.#find(stream),
       isInMemory: () => false,
     });
     replica.on("applied", ({ verdict }) => {
-      if (this.#follows.count === 0) return;
-      if (verdict === undefined) return this.#heed("");
-      if (verdict.outcome === "accepted" && verdict.isFresh) this.#heed(verdict.stream);
+      if (this.#followers.count === 0) return;
+      if (verdict === undefined) return this.#onStreamChanged("");
+      if (verdict.kind === "accepted" && verdict.isFresh) this.#onStreamChanged(verdict.stream);
     });
-    replica.on("installed", () => this.#heed(""));
-    node.configuration.on("changed", () => this.#heed(""));
+    replica.on("installed", () => this.#onStreamChanged(""));
+    node.configuration.on("changed", () => this.#onStreamChanged(""));
     node.shards.on("changed", (shard) => {
-      if (shard === replica.shard) this.#closeWhereMustBe();
+      if (shard === replica.shard) this.#endIfClosed();
     });
   }
 
@@ -61,33 +61,33 @@
       leader !== "" &&
       leaderId !== id &&
       set?.members.some((member) => member.id === id) === true &&
-      this.#replica.heardAgo(epoch) < FollowerReads.heardMs &&
-      this.#replica.behindMs < FollowerReads.behindMs &&
+      this.#replica.leaderSilenceMs(epoch) < FollowerReads.maxLeaderSilenceMs &&
+      this.#replica.lagMs < FollowerReads.maxLagMs &&
       this.#node.feed.isFresh
     );
   }
 
   get count(): number {
-    return this.#follows.count;
+    return this.#followers.count;
   }
 
   /** Answers in the same event-loop turn, so that no push overtakes the answer. */
   follow(follow: Follow, edge: string): BodyInit {
     if (!this.isOpen) return { case: "followReply", value: { outcome: "away" } };
-    if (this.#follows.isLate(follow)) return { case: "followReply", value: { outcome: "resync" } };
-    const followed = follow.streams.filter((at) => this.#isHere(at));
-    const { heads, number } = this.#follows.admit(follow, followed, edge);
+    if (this.#followers.isStale(follow)) return { case: "followReply", value: { outcome: "resync" } };
+    const followed = follow.streams.filter((at) => this.#isServedHere(at));
+    const { heads, number } = this.#followers.admit(follow, followed, edge);
     const found = new Set(heads.map((head) => head.stream));
     const missing = follow.streams.flatMap(({ stream }) =>
       found.has(stream) ? [] : [create(StreamHeadSchema, { stream, fault: "behind" })],
     );
-    for (const stream of found) this.#heed(stream);
+    for (const stream of found) this.#onStreamChanged(stream);
     return { case: "followReply", value: { outcome: "done", heads: [...heads, ...missing], number } };
   }
 
   onHeartbeat(follow: Follow): string {
     if (!this.isOpen) return "away";
-    return this.#follows.onHeartbeat(follow) ? "done" : "resync";
+    return this.#followers.onHeartbeat(follow) ? "done" : "resync";
   }
 
   fetch(fetch: Fetch): BodyInit {
@@ -97,42 +97,42 @@
   }
 
   tick(): void {
-    if (this.#follows.count === 0) return;
-    this.#follows.forgetSilent();
-    this.#closeWhereMustBe();
+    if (this.#followers.count === 0) return;
+    this.#followers.dropUnresponsive();
+    this.#endIfClosed();
   }
 
-  #closeWhereMustBe(): void {
-    if (this.#follows.count > 0 && !this.isOpen) this.#follows.leaveAll();
+  #endIfClosed(): void {
+    if (this.#followers.count > 0 && !this.isOpen) this.#followers.endAll();
   }
 
   #find(stream: string): StreamLog | undefined {
     const log = this.#replica.state.streams.get(stream);
-    if (log === undefined || this.#standings.isInMemory(stream)) return undefined;
-    return this.#standings.of(stream, log.spaceIncarnation) === "ours" ? log : undefined;
+    if (log === undefined || this.#statuses.isInMemory(stream)) return undefined;
+    return this.#statuses.ofStream(stream, log.spaceIncarnation) === "ours" ? log : undefined;
   }
 
-  #isHere({ stream, incarnation, spaceIncarnation }: StreamAt): boolean {
+  #isServedHere({ stream, incarnation, spaceIncarnation }: StreamAt): boolean {
     const log = this.#find(stream);
     return log !== undefined && log.incarnation === incarnation && log.spaceIncarnation === spaceIncarnation;
   }
 
   /** A stream has news; or any may have, or be there no more in the incarnation that is followed, where it is none. */
-  #heed(stream: string): void {
-    if (this.#follows.count === 0) return;
-    if (stream === "") this.#mustLookAtAll = true;
-    else this.#fresh.add(stream);
-    if (this.#isTurning) return;
-    this.#isTurning = true;
-    this.#turn.atEnd(() => this.#push());
+  #onStreamChanged(stream: string): void {
+    if (this.#followers.count === 0) return;
+    if (stream === "") this.#mayAllHaveChanged = true;
+    else this.#changed.add(stream);
+    if (this.#isPushScheduled) return;
+    this.#isPushScheduled = true;
+    this.#pushBatcher.runAtTurnEnd(() => this.#push());
   }
 
   #push(): void {
-    const streams = this.#mustLookAtAll ? this.#follows.streams() : [...this.#fresh];
-    this.#fresh.clear();
-    this.#isTurning = this.#mustLookAtAll = false;
-    if (!this.isOpen) return this.#closeWhereMustBe();
-    this.#follows.askAgain(streams.filter((stream) => this.#follows.isOfAnotherIncarnation(stream)));
-    this.#follows.push(streams);
+    const streams = this.#mayAllHaveChanged ? this.#followers.streams() : [...this.#changed];
+    this.#changed.clear();
+    this.#isPushScheduled = this.#mayAllHaveChanged = false;
+    if (!this.isOpen) return this.#endIfClosed();
+    this.#followers.requestRefollow(streams.filter((stream) => this.#followers.isOtherIncarnation(stream)));
+    this.#followers.push(streams);
   }
 }
--- a/packages/log-storage/src/follows/follows.test.ts
+++ b/packages/log-storage/src/follows/follows.test.ts
@@ -4,20 +4,27 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { expect } from "earl";
 import { StreamLog } from "../shards/streamLog.js";
-import { Follows } from "./follows.js";
-import type { PushTurn } from "./pushTurn.js";
+import { StreamFollowers } from "./follows.js";
+import type { PushBatcher } from "./pushTurn.js";
 
 const stream = "6:notes/t1";
 const incarnation = "1-one";
 const say = (more: MessageInitShape<typeof FollowSchema>): ReturnType<typeof create<typeof FollowSchema>> =>
   create(FollowSchema, { follow: "edge/1", ...more });
 
-function follows(): { table: Follows; pushed: Push[]; add: () => void } {
+function follows(): { table: StreamFollowers; pushed: Push[]; add: () => void } {
   const log = new StreamLog(stream, incarnation);
   const pushed: Push[] = [];
   const node = { parts: { clock: { now: () => 0 } } } as ClusterNode;
-  const turn = { tell: (_edge: string, push: Push) => void pushed.push(push) } as PushTurn;
-  const table = new Follows({ node, shard: 0, epoch: 1, turn, find: () => log, isInMemory: () => false });
+  const pushBatcher = { send: (_edge: string, push: Push) => void pushed.push(push) } as PushBatcher;
+  const table = new StreamFollowers({
+    node,
+    shard: 0,
+    epoch: 1,
+    pushBatcher,
+    find: () => log,
+    isInMemory: () => false,
+  });
   const add = (): void => {
     log.head += 1;
     log.messages.push(create(StreamMessageSchema, { seq: log.head, topic: "notes/t1" }));
@@ -48,9 +55,9 @@
   expect(table.onHeartbeat(say({ serial: 3, seen: 0 }))).toEqual(true);
   expect(table.onHeartbeat(say({ serial: 2, seen: 0, quiet: [{ stream, incarnation }] }))).toEqual(false);
   expect(table.onHeartbeat(say({ serial: 3, seen: 0, left: [stream] }))).toEqual(false);
-  expect(table.isLate(say({ serial: 3, isFull: true }))).toEqual(true);
-  expect(table.isLate(say({ follow: "edge/2", serial: 1 }))).toEqual(true);
-  expect(table.isLate(say({ follow: "edge/2", serial: 1, isFull: true }))).toEqual(false);
+  expect(table.isStale(say({ serial: 3, isFull: true }))).toEqual(true);
+  expect(table.isStale(say({ follow: "edge/2", serial: 1 }))).toEqual(true);
+  expect(table.isStale(say({ follow: "edge/2", serial: 1, isFull: true }))).toEqual(false);
   add();
   expect(pushed.length).toEqual(1);
 });
--- a/packages/log-storage/src/follows/follows.ts
+++ b/packages/log-storage/src/follows/follows.ts
@@ -10,7 +10,7 @@
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { StreamLog } from "../shards/streamLog.js";
-import type { PushTurn } from "./pushTurn.js";
+import type { PushBatcher } from "./pushTurn.js";
 
 interface FollowedStream {
   incarnation: string;
@@ -20,20 +20,20 @@
   /** Pushed by a replica near the edge; followed here for what else there is to tell. */
   isQuiet: boolean;
 }
-interface Following {
+interface Follower {
   readonly follow: string;
   readonly edge: string;
   readonly streams: Map<string, FollowedStream>;
   number: number;
-  heardAt: number;
+  lastContactAt: number;
   /** Of the last that the edge said; what was delayed or doubled on its way could undo it. */
   serial: number;
 }
-interface FollowParts {
+interface StreamFollowersParts {
   node: ClusterNode;
   shard: number;
   epoch: number;
-  turn: PushTurn;
+  pushBatcher: PushBatcher;
   /** The stream as it is owed now, in the log or in memory. */
   find: (stream: string) => StreamLog | undefined;
   /** Streams in memory, of which an edge that knew an earlier incarnation is pushed all there is. */
@@ -45,22 +45,22 @@
  * follow; what an edge misses it sees by the numbers and asks for.
  * Invariant: only committed messages are pushed, each stream's in order.
  */
-export class Follows {
+export class StreamFollowers {
   static readonly maxMessages = 200;
   /** An edge that is further behind is not sent everything: its readers fetch what they need. */
   static readonly maxBehind = 400;
-  static readonly silentMs = 6000;
+  static readonly unresponsiveMs = 6000;
 
-  readonly #parts: FollowParts;
-  readonly #follows = new Map<string, Following>();
-  readonly #byStream = new Map<string, Set<Following>>();
+  readonly #parts: StreamFollowersParts;
+  readonly #followers = new Map<string, Follower>();
+  readonly #byStream = new Map<string, Set<Follower>>();
 
-  constructor(parts: FollowParts) {
+  constructor(parts: StreamFollowersParts) {
     this.#parts = parts;
   }
 
   get count(): number {
-    return this.#follows.size;
+    return this.#followers.size;
   }
 
   isFollowed(stream: string): boolean {
@@ -68,9 +68,9 @@
   }
 
   /** Said before something that was heard already; or an addition to a follow that is not here. */
-  isLate({ follow, serial, isFull }: Follow): boolean {
-    const following = this.#follows.get(follow);
-    return following === undefined ? !isFull : serial <= following.serial;
+  isStale({ follow, serial, isFull }: Follow): boolean {
+    const follower = this.#followers.get(follow);
+    return follower === undefined ? !isFull : serial <= follower.serial;
   }
 
   streams(): string[] {
@@ -78,7 +78,7 @@
   }
 
   /** Whether the stream is there no more in an incarnation that somebody follows. */
-  isOfAnotherIncarnation(stream: string): boolean {
+  isOtherIncarnation(stream: string): boolean {
     const incarnation = this.#parts.find(stream)?.incarnation;
     return [...(this.#byStream.get(stream) ?? [])].some((one) => one.streams.get(stream)?.incarnation !== incarnation);
   }
@@ -96,94 +96,107 @@
 
   /** True where the edge has seen all pushes; otherwise it must follow in full again. */
   onHeartbeat(follow: Follow): boolean {
-    const following = this.#follows.get(follow.follow);
-    if (following === undefined || this.isLate(follow)) return false;
-    following.serial = follow.serial;
-    following.heardAt = this.#now();
+    const follower = this.#followers.get(follow.follow);
+    if (follower === undefined || this.isStale(follow)) return false;
+    follower.serial = follow.serial;
+    follower.lastContactAt = this.#now();
     for (const { stream, topic, count } of follow.counts) {
-      const counts = following.streams.get(stream)?.counts;
+      const counts = follower.streams.get(stream)?.counts;
       if (count > 0) counts?.set(topic, count);
       else counts?.delete(topic);
     }
-    for (const stream of follow.left) this.#leave(following, stream);
+    for (const stream of follow.left) this.#unfollow(follower, stream);
     for (const { stream, incarnation } of follow.quiet) {
-      const at = following.streams.get(stream);
-      if (at?.incarnation === incarnation && !this.#parts.isInMemory(stream)) at.isQuiet = true;
+      const followed = follower.streams.get(stream);
+      if (followed?.incarnation === incarnation && !this.#parts.isInMemory(stream)) followed.isQuiet = true;
     }
-    return following.number === follow.seen;
+    return follower.number === follow.seen;
   }
 
   /** Enrols streams and returns their heads and the number the next push follows on. */
   admit(follow: Follow, followed: readonly StreamAt[], edge: string): { heads: StreamHead[]; number: number } {
-    let following = this.#follows.get(follow.follow);
-    if (follow.isFull || following === undefined) {
-      for (const old of [...this.#follows.values()]) if (old.edge === edge) this.#drop(old);
-      following = { follow: follow.follow, edge, streams: new Map(), number: 0, heardAt: 0, serial: 0 };
-      this.#follows.set(follow.follow, following);
+    let follower = this.#followers.get(follow.follow);
+    if (follow.isFull || follower === undefined) {
+      for (const old of [...this.#followers.values()]) if (old.edge === edge) this.#drop(old);
+      follower = { follow: follow.follow, edge, streams: new Map(), number: 0, lastContactAt: 0, serial: 0 };
+      this.#followers.set(follow.follow, follower);
     }
-    following.heardAt = this.#now();
-    following.serial = follow.serial;
+    follower.lastContactAt = this.#now();
+    follower.serial = follow.serial;
     const heads: StreamHead[] = [];
     for (const at of followed) {
       const { stream } = at;
       const log = this.#parts.find(stream);
       if (log === undefined) continue;
-      const sent = this.#sentTo(log, at);
+      const sent = this.#startFor(log, at);
       const isQuiet = at.isQuiet && at.incarnation === log.incarnation && !this.#parts.isInMemory(stream);
-      following.streams.set(stream, { incarnation: log.incarnation, sent, counts: Follows.#countsOf(at), isQuiet });
-      let followers = this.#byStream.get(stream);
-      if (followers === undefined) this.#byStream.set(stream, (followers = new Set()));
-      followers.add(following);
+      follower.streams.set(stream, {
+        incarnation: log.incarnation,
+        sent,
+        counts: StreamFollowers.#subscriberCounts(at),
+        isQuiet,
+      });
+      let ofStream = this.#byStream.get(stream);
+      if (ofStream === undefined) this.#byStream.set(stream, (ofStream = new Set()));
+      ofStream.add(follower);
       heads.push(create(StreamHeadSchema, { stream, incarnation: log.incarnation, from: sent, low: log.low }));
     }
-    return { heads, number: following.number };
+    return { heads, number: follower.number };
   }
 
   /** Sends whatever each follower of these streams has not been sent. */
   push(streams: Iterable<string>): void {
-    const batches = new Map<Following, StreamBatch[]>();
+    const batches = new Map<Follower, StreamBatch[]>();
     for (const stream of streams) {
-      for (const following of this.#byStream.get(stream) ?? []) {
-        const list = batches.get(following) ?? [];
+      for (const follower of this.#byStream.get(stream) ?? []) {
+        const pending = batches.get(follower) ?? [];
         // All of it: what is left over here would wait for somebody's next message.
-        for (let batch = this.#batch(following, stream); batch !== undefined; batch = this.#batch(following, stream))
-          list.push(batch);
-        if (list.length > 0) batches.set(following, list);
+        for (
+          let batch = this.#nextBatch(follower, stream);
+          batch !== undefined;
+          batch = this.#nextBatch(follower, stream)
+        )
+          pending.push(batch);
+        if (pending.length > 0) batches.set(follower, pending);
       }
     }
-    for (const [following, list] of batches) this.#send(following, list);
+    for (const [follower, pending] of batches) this.#send(follower, pending);
   }
 
   /** Tells the followers of streams that no configuration owes any more. */
   end(streams: Iterable<string>): void {
-    this.#dismiss(streams, "topic-gone");
+    this.#endStreams(streams, "topic-gone");
   }
 
   /** Streams that go on in another incarnation, in memory or in the log: a batch of none makes their followers ask. */
-  askAgain(streams: Iterable<string>): void {
-    this.#dismiss(streams, "");
+  requestRefollow(streams: Iterable<string>): void {
+    this.#endStreams(streams, "");
   }
 
   /** Tells all followers that nothing is pushed to them from here any more. */
-  leaveAll(): void {
-    for (const following of [...this.#follows.values()]) {
-      this.#drop(following);
-      const { turn, shard, epoch } = this.#parts;
-      turn.tell(following.edge, { shard, epoch, follow: following.follow, isUnavailable: true });
+  endAll(): void {
+    for (const follower of [...this.#followers.values()]) {
+      this.#drop(follower);
+      const { pushBatcher, shard, epoch } = this.#parts;
+      pushBatcher.send(follower.edge, { shard, epoch, follow: follower.follow, isUnavailable: true });
     }
   }
 
-  forgetSilent(): void {
+  dropUnresponsive(): void {
     const now = this.#now();
-    for (const following of [...this.#follows.values()])
-      if (now - following.heardAt > Follows.silentMs) this.#drop(following);
+    for (const follower of [...this.#followers.values()])
+      if (now - follower.lastContactAt > StreamFollowers.unresponsiveMs) this.#drop(follower);
   }
 
   /** Messages after a place, as many as fit one reply. */
-  static slice(messages: readonly StreamMessage[], low: number, after: number, most: number): StreamMessage[] {
+  static slice(messages: readonly StreamMessage[], low: number, after: number, maxCount: number): StreamMessage[] {
     const found: StreamMessage[] = [];
     let size = 0;
-    for (let i = Math.max(0, after - low); i < messages.length && found.length < most && size < 1024 * 1024; i += 1) {
+    for (
+      let i = Math.max(0, after - low);
+      i < messages.length && found.length < maxCount && size < 1024 * 1024;
+      i += 1
+    ) {
       found.push(messages[i]!);
       size += messages[i]!.payload.length + 64;
     }
@@ -194,57 +207,58 @@
     return this.#parts.node.parts.clock.now();
   }
 
-  #sentTo(log: StreamLog, { stream, incarnation, after }: StreamAt): number {
-    if (incarnation === log.incarnation && log.head - after <= Follows.maxBehind) return Math.max(after, log.low);
+  #startFor(log: StreamLog, { stream, incarnation, after }: StreamAt): number {
+    if (incarnation === log.incarnation && log.head - after <= StreamFollowers.maxBehind)
+      return Math.max(after, log.low);
     return incarnation !== "" && incarnation !== log.incarnation && this.#parts.isInMemory(stream) ? log.low : log.head;
   }
 
-  #dismiss(streams: Iterable<string>, fault: string): void {
+  #endStreams(streams: Iterable<string>, fault: string): void {
     for (const stream of streams) {
-      for (const following of this.#byStream.get(stream) ?? []) {
-        following.streams.delete(stream);
-        this.#send(following, [create(StreamBatchSchema, { stream, fault })]);
+      for (const follower of this.#byStream.get(stream) ?? []) {
+        follower.streams.delete(stream);
+        this.#send(follower, [create(StreamBatchSchema, { stream, fault })]);
       }
       this.#byStream.delete(stream);
     }
   }
 
-  #batch(following: Following, stream: string): StreamBatch | undefined {
-    const at = following.streams.get(stream);
+  #nextBatch(follower: Follower, stream: string): StreamBatch | undefined {
+    const followed = follower.streams.get(stream);
     const log = this.#parts.find(stream);
     if (
-      at === undefined ||
-      at.isQuiet ||
+      followed === undefined ||
+      followed.isQuiet ||
       log === undefined ||
-      at.incarnation !== log.incarnation ||
-      at.sent >= log.head
+      followed.incarnation !== log.incarnation ||
+      followed.sent >= log.head
     )
       return undefined;
-    const messages = Follows.slice(log.messages, log.low, at.sent, Follows.maxMessages);
+    const messages = StreamFollowers.slice(log.messages, log.low, followed.sent, StreamFollowers.maxMessages);
     const prev = (messages[0]?.seq ?? log.head + 1) - 1;
-    at.sent = messages.at(-1)?.seq ?? log.head;
+    followed.sent = messages.at(-1)?.seq ?? log.head;
     return create(StreamBatchSchema, { stream, incarnation: log.incarnation, prev, messages });
   }
 
-  #send(following: Following, batches: StreamBatch[]): void {
-    following.number += 1;
-    const { turn, shard, epoch } = this.#parts;
-    turn.tell(following.edge, { shard, epoch, follow: following.follow, number: following.number, batches });
+  #send(follower: Follower, batches: StreamBatch[]): void {
+    follower.number += 1;
+    const { pushBatcher, shard, epoch } = this.#parts;
+    pushBatcher.send(follower.edge, { shard, epoch, follow: follower.follow, number: follower.number, batches });
   }
 
-  #drop(following: Following): void {
-    this.#follows.delete(following.follow);
-    for (const stream of [...following.streams.keys()]) this.#leave(following, stream);
+  #drop(follower: Follower): void {
+    this.#followers.delete(follower.follow);
+    for (const stream of [...follower.streams.keys()]) this.#unfollow(follower, stream);
   }
 
-  #leave(following: Following, stream: string): void {
-    following.streams.delete(stream);
-    const followers = this.#byStream.get(stream);
-    followers?.delete(following);
-    if (followers?.size === 0) this.#byStream.delete(stream);
+  #unfollow(follower: Follower, stream: string): void {
+    follower.streams.delete(stream);
+    const ofStream = this.#byStream.get(stream);
+    ofStream?.delete(follower);
+    if (ofStream?.size === 0) this.#byStream.delete(stream);
   }
 
-  static #countsOf({ count, counts }: StreamAt): Map<string, number> {
+  static #subscriberCounts({ count, counts }: StreamAt): Map<string, number> {
     const all = [["", count] as const, ...counts.map((one) => [one.topic, one.count] as const)];
     return new Map(all.filter(([, number]) => number > 0));
   }
--- a/packages/log-storage/src/follows/pushTurn.ts
+++ b/packages/log-storage/src/follows/pushTurn.ts
@@ -8,10 +8,10 @@
  * What all shards held here push in one event-loop turn: one frame to each edge.
  * Invariant: pushes of one follow leave in their order.
  */
-export class PushTurn {
+export class PushBatcher {
   readonly #node: ClusterNode;
-  readonly #gathered = new Map<string, PushInit[]>();
-  #acts: Array<() => void> = [];
+  readonly #byEdge = new Map<string, PushInit[]>();
+  #tasks: Array<() => void> = [];
   #isRunning = false;
 
   constructor(node: ClusterNode) {
@@ -19,28 +19,28 @@
   }
 
   /** Runs at the end of this turn, with all others' acts. */
-  atEnd(act: () => void): void {
-    if (this.#acts.length === 0) this.#node.parts.clock.once(0, () => this.#run());
-    this.#acts.push(act);
+  runAtTurnEnd(task: () => void): void {
+    if (this.#tasks.length === 0) this.#node.parts.clock.once(0, () => this.#runTurn());
+    this.#tasks.push(task);
   }
 
-  tell(edge: string, push: PushInit): void {
+  send(edge: string, push: PushInit): void {
     if (!this.#isRunning) return this.#node.rpc.send(edge, { case: "push", value: push });
-    const list = this.#gathered.get(edge);
-    if (list === undefined) this.#gathered.set(edge, [push]);
-    else list.push(push);
+    const pushes = this.#byEdge.get(edge);
+    if (pushes === undefined) this.#byEdge.set(edge, [push]);
+    else pushes.push(push);
   }
 
-  #run(): void {
-    const acts = this.#acts;
-    this.#acts = [];
+  #runTurn(): void {
+    const tasks = this.#tasks;
+    this.#tasks = [];
     this.#isRunning = true;
-    for (const act of acts) act();
+    for (const task of tasks) task();
     this.#isRunning = false;
-    for (const [edge, pushes] of this.#gathered) {
-      if (pushes.length === 1) this.tell(edge, pushes[0]!);
+    for (const [edge, pushes] of this.#byEdge) {
+      if (pushes.length === 1) this.send(edge, pushes[0]!);
       else this.#node.rpc.send(edge, { case: "pushes", value: { pushes } });
     }
-    this.#gathered.clear();
+    this.#byEdge.clear();
   }
 }
--- a/packages/log-storage/src/repair/placement.test.ts
+++ b/packages/log-storage/src/repair/placement.test.ts
@@ -43,6 +43,6 @@
   expect(Placement.next("k", [north!, west!], [secondNorth, secondSouth])).toEqual(secondSouth);
   expect(Placement.next("k", [north!, west!], [secondNorth])).toEqual(secondNorth);
   expect(Placement.next("k", [north!, west!], [west!])).toEqual(undefined);
-  expect(Placement.isBetterSpread([north!, south!, west!], [north!, secondNorth, west!])).toEqual(true);
+  expect(Placement.isBetterDistributed([north!, south!, west!], [north!, secondNorth, west!])).toEqual(true);
   expect(Placement.survivesZoneLoss([north!, secondNorth, west!])).toEqual(false);
 });
--- a/packages/log-storage/src/repair/placement.ts
+++ b/packages/log-storage/src/repair/placement.ts
@@ -8,7 +8,7 @@
 }
 
 /** How crowded the most crowded zone and region of a set are; the zone counts first. */
-interface Crowding {
+interface Concentration {
   readonly zone: number;
   readonly region: number;
 }
@@ -20,13 +20,13 @@
 export const Placement = {
   /** As many as asked, or as there are. */
   pick<T extends Location>(key: string, candidates: readonly T[], count: number): T[] {
-    const taken: T[] = [];
-    while (taken.length < count) {
-      const next = Placement.next(key, taken, candidates);
+    const chosen: T[] = [];
+    while (chosen.length < count) {
+      const next = Placement.next(key, chosen, candidates);
       if (next === undefined) break;
-      taken.push(next);
+      chosen.push(next);
     }
-    return taken;
+    return chosen;
   },
 
   /** The best candidate to join those that stay; undefined where there is none. */
@@ -41,13 +41,13 @@
   },
 
   /** Whether the first set is less crowded than the second. */
-  isBetterSpread(one: readonly Location[], other: readonly Location[]): boolean {
-    return isLess(crowdingOf(one), crowdingOf(other));
+  isBetterDistributed(one: readonly Location[], other: readonly Location[]): boolean {
+    return isLess(concentrationOf(one), concentrationOf(other));
   },
 
   /** Whether a majority of the set is left wherever one zone is lost. */
   survivesZoneLoss(set: readonly Location[]): boolean {
-    return set.length - crowdingOf(set).zone >= Placement.majorityOf(set.length);
+    return set.length - concentrationOf(set).zone >= Placement.majorityOf(set.length);
   },
 
   majorityOf(size: number): number {
@@ -56,14 +56,14 @@
 };
 
 /** How many of the set share the candidate's zone, and its region. */
-function domainsOf(set: readonly Location[], candidate: Location): Crowding {
+function domainsOf(set: readonly Location[], candidate: Location): Concentration {
   return {
     zone: set.filter((one) => one.zone === candidate.zone).length,
     region: set.filter((one) => one.region === candidate.region).length,
   };
 }
 
-function crowdingOf(set: readonly Location[]): Crowding {
+function concentrationOf(set: readonly Location[]): Concentration {
   const domains = set.map((one) => domainsOf(set, one));
   return {
     zone: Math.max(0, ...domains.map((one) => one.zone)),
@@ -71,6 +71,6 @@
   };
 }
 
-function isLess(one: Crowding, other: Crowding): boolean {
+function isLess(one: Concentration, other: Concentration): boolean {
   return one.zone < other.zone || (one.zone === other.zone && one.region < other.region);
 }
