--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -3,22 +3,22 @@
 import { RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { ShardLeader } from "../shards/shardLeader.js";
-import type { Newcomers } from "./newcomers.js";
+import type { RecentJoins } from "./newcomers.js";
 import { Placement, type Location } from "./placement.js";
 
-export type Place = ShardSet["members"][number];
+export type SetMember = ShardSet["members"][number];
 
 /** One member less, one more, or one for another. */
 export interface ReplicaChange {
-  readonly out: Place | undefined;
-  readonly in: Place | undefined;
+  readonly out: SetMember | undefined;
+  readonly in: SetMember | undefined;
   readonly why: string;
   /** The set stands one loss nearer to losing its majority, or an operator waits: not put off behind other copying. */
   readonly isUrgent: boolean;
 }
 
 interface Vacancy {
-  readonly out: Place | undefined;
+  readonly out: SetMember | undefined;
   readonly why: string;
   readonly isUrgent: boolean;
   /** Nobody has to leave or is gone: what the contracts promise must hold after the change too. */
@@ -38,55 +38,56 @@
  */
 export class ReplicaChoice {
   /** A member that has left the membership or is suspected there is silent once it answered nothing for this long. */
-  static readonly confirmMs = 300;
+  static readonly minSilenceMs = 300;
   /** Every member answered within this time: the set is well, and may be changed for the better. */
-  static readonly wellMs = 1000;
+  static readonly healthyMs = 1000;
 
   readonly #node: ClusterNode;
   readonly #replica: { readonly shard: number; readonly id: string };
   readonly #leader: ShardLeader;
-  readonly #newcomers: Newcomers;
+  readonly #recentJoins: RecentJoins;
 
   constructor(
     node: ClusterNode,
     replica: { readonly shard: number; readonly id: string },
     leader: ShardLeader,
-    newcomers: Newcomers,
+    recentJoins: RecentJoins,
   ) {
     this.#node = node;
     this.#replica = replica;
     this.#leader = leader;
-    this.#newcomers = newcomers;
+    this.#recentJoins = recentJoins;
   }
 
   /** Undefined where nothing is to be done, or nobody is there to do it with. */
   next(isUrgentOnly: boolean): ReplicaChange | undefined {
     const { members } = this.#leader.set;
-    if (members.length > this.#wanted) return this.#shrink(members);
-    for (const vacancy of this.#urgent(members)) {
+    if (members.length > this.#targetSize) return this.#shrink(members);
+    for (const vacancy of this.#urgentVacancies(members)) {
       const change = this.#fill(vacancy, members);
       if (change !== undefined) return change;
     }
-    if (isUrgentOnly || !members.every((member) => this.#heardAgo(member) < ReplicaChoice.wellMs)) return undefined;
+    if (isUrgentOnly || !members.every((member) => this.#msSinceContact(member) < ReplicaChoice.healthyMs))
+      return undefined;
     return this.#improvement(members);
   }
 
-  get #wanted(): number {
+  get #targetSize(): number {
     return this.#node.parts.settings.replicas;
   }
 
-  *#urgent(members: readonly Place[]): Generator<Vacancy> {
+  *#urgentVacancies(members: readonly SetMember[]): Generator<Vacancy> {
     const { settings } = this.#node.parts;
     for (const out of members.filter((member) => this.#isBlank(member)))
-      yield this.#lost(out, "the machine came back with a blank disk", this.#free(out));
+      yield this.#vacancyOfLost(out, "the machine came back with a blank disk", this.#freeCandidates(out));
     for (const out of members) {
-      const silentMs = this.#silentMs(out);
-      if (silentMs <= settings.replaceByNewcomerMs) continue;
-      const isLong = silentMs > settings.replaceReplicaMs;
-      const candidates = this.#free(out).filter(
-        (one) => isLong || (one.isStorage && this.#newcomers.isSuccessor(one.disk, silentMs)),
+      const unresponsiveMs = this.#unresponsiveMs(out);
+      if (unresponsiveMs <= settings.replaceByNewcomerMs) continue;
+      const isLongGone = unresponsiveMs > settings.replaceReplicaMs;
+      const candidates = this.#freeCandidates(out).filter(
+        (one) => isLongGone || (one.isStorage && this.#recentJoins.isSuccessor(one.disk, unresponsiveMs)),
       );
-      yield this.#lost(out, "the replica is gone", candidates);
+      yield this.#vacancyOfLost(out, "the replica is gone", candidates);
     }
     for (const out of members.filter((member) => this.#node.machines.isDraining(member.name)))
       yield {
@@ -94,20 +95,20 @@
         why: "the machine is being emptied",
         isUrgent: true,
         isVoluntary: true,
-        candidates: this.#free(out),
+        candidates: this.#freeCandidates(out),
       };
   }
 
-  #lost(out: Place, why: string, candidates: readonly Candidate[]): Vacancy {
+  #vacancyOfLost(out: SetMember, why: string, candidates: readonly Candidate[]): Vacancy {
     return { out, why, isUrgent: true, isVoluntary: false, candidates };
   }
 
   /** What is not needed to keep a promise through one more loss of what is there. */
-  #improvement(members: readonly Place[]): ReplicaChange | undefined {
-    const storage = this.#free(undefined).filter((one) => one.isStorage);
+  #improvement(members: readonly SetMember[]): ReplicaChange | undefined {
+    const storage = this.#freeCandidates(undefined).filter((one) => one.isStorage);
     if (storage.length === 0) return undefined;
     const better = { isUrgent: false, isVoluntary: true, candidates: storage };
-    if (members.length < this.#wanted)
+    if (members.length < this.#targetSize)
       return this.#fill({ ...better, out: undefined, why: "the set is too small", isVoluntary: false }, members);
     const spare = members.find((member) => this.#node.membership.find(member.name)?.isStorage === false);
     if (spare !== undefined)
@@ -115,29 +116,29 @@
     const set = members.map((member) => this.#locate(member));
     for (const out of members) {
       const change = this.#fill({ ...better, out, why: "the set is spread better so" }, members);
-      if (change !== undefined && Placement.isBetterSpread(this.#after(change, members), set)) return change;
+      if (change !== undefined && Placement.isBetterDistributed(this.#after(change, members), set)) return change;
     }
     return undefined;
   }
 
   /** The lost go first, then who is to be emptied, then who stands closest to others; this disk last. */
-  #shrink(members: readonly Place[]): ReplicaChange | undefined {
+  #shrink(members: readonly SetMember[]): ReplicaChange | undefined {
     const others = members.filter((member) => member.id !== this.#replica.id);
-    const isCrowded = (member: Place): boolean => {
+    const isClusteredWithOthers = (member: SetMember): boolean => {
       const rest = members.filter((one) => one !== member).map((one) => this.#locate(one));
       const locations = members.map((one) => this.#locate(one));
-      return Placement.isBetterSpread(rest, locations);
+      return Placement.isBetterDistributed(rest, locations);
     };
     const out =
-      others.find((member) => this.#isBlank(member) || this.#silentMs(member) > ReplicaChoice.wellMs) ??
+      others.find((member) => this.#isBlank(member) || this.#unresponsiveMs(member) > ReplicaChoice.healthyMs) ??
       others.find((member) => this.#node.machines.isDraining(member.name)) ??
-      others.find(isCrowded) ??
+      others.find(isClusteredWithOthers) ??
       others.at(-1);
     if (out === undefined) return undefined;
     return { out, in: undefined, why: "the set is larger than wanted", isUrgent: false };
   }
 
-  #fill(vacancy: Vacancy, members: readonly Place[]): ReplicaChange | undefined {
+  #fill(vacancy: Vacancy, members: readonly SetMember[]): ReplicaChange | undefined {
     const staying = members.filter((member) => member !== vacancy.out).map((member) => this.#locate(member));
     const storage = vacancy.candidates.filter((one) => one.isStorage);
     const pool = storage.length > 0 ? storage : vacancy.candidates;
@@ -149,7 +150,7 @@
   }
 
   /** Whether a contract asks for a zone's loss to be survived, the set does so now, and would no longer. */
-  #breaksContract(change: ReplicaChange, members: readonly Place[]): boolean {
+  #breaksContract(change: ReplicaChange, members: readonly SetMember[]): boolean {
     const needsZones = (this.#node.configuration.configuration?.spaces ?? []).some(({ program }) =>
       program.some(({ contract }) => contract.keep > 0 && (contract.fault_budget.zones ?? 0) > 0),
     );
@@ -157,14 +158,14 @@
     return !Placement.survivesZoneLoss(this.#after(change, members));
   }
 
-  #after(change: ReplicaChange, members: readonly Place[]): Location[] {
+  #after(change: ReplicaChange, members: readonly SetMember[]): Location[] {
     const staying = members.filter((member) => member !== change.out);
     const next = change.in === undefined ? staying : [...staying, change.in];
     return next.map((member) => this.#locate(member));
   }
 
   /** Live machines with a disk for topic logs that are not in the set, and are not to be emptied. */
-  #free(out: Place | undefined): Candidate[] {
+  #freeCandidates(out: SetMember | undefined): Candidate[] {
     const { membership, machines } = this.#node;
     const staying = this.#leader.set.members.filter((member) => member !== out);
     const isFree = (member: Member): boolean =>
@@ -179,7 +180,7 @@
       .map(({ name, zone, region, logDisk, isStorage }) => ({ name, zone, region, disk: logDisk, isStorage }));
   }
 
-  #isBlank(member: Place): boolean {
+  #isBlank(member: SetMember): boolean {
     const { membership } = this.#node;
     const present = membership.find(member.name);
     return (
@@ -191,18 +192,18 @@
   }
 
   /** A leader of a new epoch has heard nobody for long: then the membership tells how long the silence is. */
-  #silentMs(member: Place): number {
+  #unresponsiveMs(member: SetMember): number {
     const { membership } = this.#node;
-    const heardAgo = this.#heardAgo(member);
-    if (membership.isAlive(member.name) || heardAgo < ReplicaChoice.confirmMs) return heardAgo;
-    return Math.max(heardAgo, membership.ageOf(member.name));
+    const sinceContactMs = this.#msSinceContact(member);
+    if (membership.isAlive(member.name) || sinceContactMs < ReplicaChoice.minSilenceMs) return sinceContactMs;
+    return Math.max(sinceContactMs, membership.ageOf(member.name));
   }
 
-  #heardAgo(member: Place): number {
-    return this.#leader.replicator?.heardAgo(member.id) ?? 0;
+  #msSinceContact(member: SetMember): number {
+    return this.#leader.replicator?.sinceContactMs(member.id) ?? 0;
   }
 
-  #locate({ name, zone }: Place): Location {
+  #locate({ name, zone }: SetMember): Location {
     const { membership } = this.#node;
     const region = membership.find(name)?.region ?? membership.all().find((one) => one.zone === zone)?.region ?? "";
     return { name, zone, region };
--- a/packages/log-storage/src/repair/replicaRepair.ts
+++ b/packages/log-storage/src/repair/replicaRepair.ts
@@ -4,7 +4,7 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { ShardLeader } from "../shards/shardLeader.js";
 import type { Replica } from "../replication/replica.js";
-import type { Newcomers } from "./newcomers.js";
+import type { RecentJoins } from "./newcomers.js";
 import { ReplicaChoice, type ReplicaChange } from "./replicaChoice.js";
 import { isSafeToDecide } from "./setChange.js";
 
@@ -17,7 +17,7 @@
   readonly startedAt: number;
 }
 /** The set that the store has taken, and the epoch under which this disk holds it; 0 where it is out. */
-export interface Swap {
+export interface InstalledSet {
   set: ShardSet;
   epoch: number;
 }
@@ -33,11 +33,11 @@
  */
 export class ReplicaRepair {
   /** A change that has not come to its decision by then is dropped and chosen anew. */
-  static readonly giveUpMs = 60_000;
+  static readonly changeTimeoutMs = 60_000;
   /** A joining replica that has answered nothing for so long is gone. */
-  static readonly newcomerLostMs = 3000;
+  static readonly joiningLostMs = 3000;
   /** A joining replica that lacks no more than so many entries is near enough for commits to wait for it. */
-  static readonly nearly = 20;
+  static readonly maxCatchUpEntries = 20;
 
   readonly #node: ClusterNode;
   readonly #replica: Replica;
@@ -47,12 +47,12 @@
   #move: Move | undefined;
   #isWriting = false;
 
-  constructor(node: ClusterNode, replica: Replica, leader: ShardLeader, lease: string, newcomers: Newcomers) {
+  constructor(node: ClusterNode, replica: Replica, leader: ShardLeader, lease: string, recentJoins: RecentJoins) {
     this.#node = node;
     this.#replica = replica;
     this.#leader = leader;
     this.#lease = lease;
-    this.#choice = new ReplicaChoice(node, replica, leader, newcomers);
+    this.#choice = new ReplicaChoice(node, replica, leader, recentJoins);
   }
 
   get progress(): { out: string; in: string; step: string; why: string } | undefined {
@@ -67,16 +67,16 @@
   }
 
   /** One step further; a set that the store has taken is handed back to be held under its new epoch. */
-  async tick(isUrgentOnly: boolean): Promise<Swap | undefined> {
+  async tick(isUrgentOnly: boolean): Promise<InstalledSet | undefined> {
     if (!this.#leader.isServing || this.#isWriting) return undefined;
     if (this.#move === undefined) this.#begin(isUrgentOnly);
     const move = this.#move;
     const { replicator } = this.#leader;
     if (move === undefined || replicator === undefined) return undefined;
-    if (move.step === "copying" && this.#isNear(move)) this.#joinIn(move);
-    const joined = { set: move.set, newcomer: move.change.in?.id, joinedAt: move.joinedAt };
+    if (move.step === "copying" && this.#isCaughtUp(move)) this.#startJoint(move);
+    const joined = { set: move.set, joiningReplica: move.change.in?.id, joinedAt: move.joinedAt };
     if (move.step !== "copying" && isSafeToDecide(joined, replicator)) return this.#decide(move);
-    if (move.step !== "deciding" && this.#isLost(move)) this.#drop();
+    if (move.step !== "deciding" && this.#hasFailed(move)) this.#abandon();
     return undefined;
   }
 
@@ -92,7 +92,7 @@
       joinedAt: 0,
       startedAt: this.#node.parts.clock.now(),
     };
-    this.#leader.enlist([this.#leader.set], change.in === undefined ? [] : [change.in.id]);
+    this.#leader.setQuorums([this.#leader.set], change.in === undefined ? [] : [change.in.id]);
     this.#leader.replicator?.sendHeartbeats(Number.POSITIVE_INFINITY);
     this.#node.parts.log.note("changes a replica set", {
       shard: this.#replica.shard,
@@ -102,30 +102,30 @@
     });
   }
 
-  #isNear({ change }: Move): boolean {
+  #isCaughtUp({ change }: Move): boolean {
     if (change.in === undefined) return true;
     const match = this.#leader.replicator!.matchOf(change.in.id);
-    return match > 0 && this.#replica.log.lastIndex - match <= ReplicaRepair.nearly;
+    return match > 0 && this.#replica.log.lastIndex - match <= ReplicaRepair.maxCatchUpEntries;
   }
 
-  #joinIn(move: Move): void {
+  #startJoint(move: Move): void {
     move.step = "joining";
     move.joinedAt = this.#replica.log.lastIndex;
-    this.#leader.enlist([this.#leader.set, move.set], []);
+    this.#leader.setQuorums([this.#leader.set, move.set], []);
   }
 
-  #isLost({ change, startedAt }: Move): boolean {
-    const isSilent =
-      change.in !== undefined && this.#leader.replicator!.heardAgo(change.in.id) > ReplicaRepair.newcomerLostMs;
-    return isSilent || this.#node.parts.clock.now() - startedAt > ReplicaRepair.giveUpMs;
+  #hasFailed({ change, startedAt }: Move): boolean {
+    const isUnresponsive =
+      change.in !== undefined && this.#leader.replicator!.sinceContactMs(change.in.id) > ReplicaRepair.joiningLostMs;
+    return isUnresponsive || this.#node.parts.clock.now() - startedAt > ReplicaRepair.changeTimeoutMs;
   }
 
-  #drop(): void {
+  #abandon(): void {
     this.#move = undefined;
-    this.#leader.enlist([this.#leader.set], []);
+    this.#leader.setQuorums([this.#leader.set], []);
   }
 
-  async #decide(move: Move): Promise<Swap | undefined> {
+  async #decide(move: Move): Promise<InstalledSet | undefined> {
     move.step = "deciding";
     this.#isWriting = true;
     const { shard, id } = this.#replica;
--- a/packages/log-storage/src/repair/setChange.test.ts
+++ b/packages/log-storage/src/repair/setChange.test.ts
@@ -5,14 +5,14 @@
 /** How far each member's log is, and how long ago it answered. */
 type Progress = Record<string, readonly [match: number, heardAgo?: number]>;
 
-function isSafe(ids: string, newcomer: string | undefined, commit: number, progress: Progress): boolean {
+function isSafe(ids: string, joiningReplica: string | undefined, commit: number, progress: Progress): boolean {
   const members = [...ids].map((id) => ({ id, name: id, zone: id }));
   return isSafeToDecide(
-    { set: { members }, newcomer, joinedAt: 10 },
+    { set: { members }, joiningReplica, joinedAt: 10 },
     {
       commit,
       matchOf: (id) => progress[id]?.[0] ?? 0,
-      heardAgo: (id) => progress[id]?.[1] ?? 0,
+      sinceContactMs: (id) => progress[id]?.[1] ?? 0,
     },
   );
 }
--- a/packages/log-storage/src/repair/setChange.ts
+++ b/packages/log-storage/src/repair/setChange.ts
@@ -5,12 +5,12 @@
 /** A new set that counts, beside the one in force, since the log had `joinedAt` entries. */
 export interface JoinedSet {
   readonly set: ShardSet;
-  readonly newcomer: string | undefined;
+  readonly joiningReplica: string | undefined;
   readonly joinedAt: number;
 }
 
 /** Whoever has not answered for so long is not counted on when a set is put in force. */
-export const answeringMs = 700;
+export const maxSilenceMs = 700;
 
 /**
  * Whether the new set may be put in force by itself. What was committed before it counted may stand on a majority of
@@ -18,12 +18,12 @@
  * must have all of that. Everything later is committed on a majority of both.
  */
 export function isSafeToDecide(
-  { set, newcomer, joinedAt }: JoinedSet,
-  progress: Pick<LogReplicator, "commit" | "matchOf" | "heardAgo">,
+  { set, joiningReplica, joinedAt }: JoinedSet,
+  progress: Pick<LogReplicator, "commit" | "matchOf" | "sinceContactMs">,
 ): boolean {
   if (progress.commit < joinedAt) return false;
-  if (newcomer !== undefined && progress.matchOf(newcomer) < joinedAt) return false;
-  const isAnswering = (id: string): boolean => progress.heardAgo(id) < answeringMs;
-  const having = set.members.filter(({ id }) => isAnswering(id) && progress.matchOf(id) >= joinedAt);
-  return having.length >= Placement.majorityOf(set.members.length);
+  if (joiningReplica !== undefined && progress.matchOf(joiningReplica) < joinedAt) return false;
+  const isResponsive = (id: string): boolean => progress.sinceContactMs(id) < maxSilenceMs;
+  const upToDate = set.members.filter(({ id }) => isResponsive(id) && progress.matchOf(id) >= joinedAt);
+  return upToDate.length >= Placement.majorityOf(set.members.length);
 }
--- a/packages/log-storage/src/replication/commitNotices.ts
+++ b/packages/log-storage/src/replication/commitNotices.ts
@@ -5,7 +5,7 @@
 type Commit = MessageInitShape<typeof CommitSchema>;
 
 /** A replica that has all that is committed and was not told so. */
-export interface UntoldReplica {
+export interface UnnotifiedReplica {
   /** Its disk's identity, and the name of its machine. */
   readonly id: string;
   readonly name: string;
@@ -15,7 +15,7 @@
 /** A shard's log whose replicas are told of commits. */
 export interface CommitSource {
   /** Each replica is listed once a commit: it counts as told from then on. */
-  untold(): readonly UntoldReplica[];
+  unnotified(): readonly UnnotifiedReplica[];
 }
 
 /**
@@ -32,21 +32,21 @@
   }
 
   add(source: CommitSource): void {
-    if (this.#sources.size === 0) this.#node.parts.clock.once(0, () => this.#run());
+    if (this.#sources.size === 0) this.#node.parts.clock.once(0, () => this.#sendAll());
     this.#sources.add(source);
   }
 
-  #run(): void {
-    const gathered = new Map<string, { name: string; commits: Commit[] }>();
+  #sendAll(): void {
+    const byReplica = new Map<string, { name: string; commits: Commit[] }>();
     for (const source of this.#sources) {
-      for (const { id, name, commit } of source.untold()) {
-        const found = gathered.get(id);
-        if (found === undefined) gathered.set(id, { name, commits: [commit] });
+      for (const { id, name, commit } of source.unnotified()) {
+        const found = byReplica.get(id);
+        if (found === undefined) byReplica.set(id, { name, commits: [commit] });
         else found.commits.push(commit);
       }
     }
     this.#sources.clear();
-    for (const [receiver, { name, commits }] of gathered)
+    for (const [receiver, { name, commits }] of byReplica)
       this.#node.rpc.send(name, { case: "commits", value: { receiver, commits } });
   }
 }
--- a/packages/log-storage/src/replication/replica.ts
+++ b/packages/log-storage/src/replication/replica.ts
@@ -45,7 +45,7 @@
   };
 
   /** Entries in one reply to a pull: well below what may wait on a connection. */
-  static readonly pullBytes = 4 * 1024 * 1024;
+  static readonly maxPullReplyBytes = 4 * 1024 * 1024;
 
   readonly shard: number;
   readonly id: string;
@@ -56,11 +56,11 @@
   readonly #node: ReplicaNode;
   applied = 0;
   /** When a leader was last heard, of which epoch, and how far it said the log is committed. */
-  #heard = { term: 0, at: -Infinity, commit: 0 };
+  #lastLeaderContact = { term: 0, at: -Infinity, commit: 0 };
   /** Since when something is committed that is not applied here; 0 while all is. */
-  #behindSince = 0;
+  #laggingSince = 0;
   /** The snapshot that was last asked for in pieces. */
-  #pulled: { snapshot: Uint8Array; checksum: number } | undefined;
+  #pulledSnapshot: { snapshot: Uint8Array; checksum: number } | undefined;
   /** Set while this replica spreads its own log. */
   replicator: LogReplicator | undefined;
 
@@ -84,16 +84,18 @@
     node.groups.enlist(this.log.group, {
       append: (append, from) =>
         append.receiver === this.id
-          ? this.#take(append.term, append.commit, from, () => this.#followerLog.take(append, this.applied))
+          ? this.#handleLeaderMessage(append.term, append.commit, from, () =>
+              this.#followerLog.take(append, this.applied),
+            )
           : undefined,
       snapshot: (snapshot, from) =>
         snapshot.receiver === this.id
-          ? this.#take(snapshot.term, snapshot.index, from, () =>
+          ? this.#handleLeaderMessage(snapshot.term, snapshot.index, from, () =>
               this.#followerLog.takeSnapshot(snapshot, this.applied),
             )
           : undefined,
       onReply: (reply) => {
-        if (reply.receiver === this.id) this.replicator?.take(reply);
+        if (reply.receiver === this.id) this.replicator?.handleReply(reply);
       },
     });
   }
@@ -108,31 +110,33 @@
       const verdict = entry.kind === 0 ? this.state.apply(entry.data) : undefined;
       this.emit("applied", { entry, verdict });
     }
-    if (this.#compaction.isDue) void this.#compaction.compact(this.applied, this.state.snapshot());
+    if (this.#compaction.shouldCompact) void this.#compaction.compact(this.applied, this.state.snapshot());
   }
 
   /** The leader of an epoch says how far the log is committed. */
-  committed(epoch: number, index: number): void {
+  onCommitNotice(epoch: number, index: number): void {
     if (epoch !== this.log.term || !Number.isSafeInteger(index)) return;
     this.#followerLog.onHeartbeatReply(epoch, index);
-    this.#hear(epoch, index);
+    this.#recordLeaderContact(epoch, index);
   }
 
   /** Milliseconds since the leader of an epoch was last heard. */
-  heardAgo(epoch: number): number {
-    return this.#heard.term === epoch ? this.#node.parts.clock.now() - this.#heard.at : Infinity;
+  leaderSilenceMs(epoch: number): number {
+    return this.#lastLeaderContact.term === epoch
+      ? this.#node.parts.clock.now() - this.#lastLeaderContact.at
+      : Infinity;
   }
 
   /** For how long something that is known to be committed has not been applied. */
-  get behindMs(): number {
-    return this.#behindSince === 0 ? 0 : this.#node.parts.clock.now() - this.#behindSince;
+  get lagMs(): number {
+    return this.#laggingSince === 0 ? 0 : this.#node.parts.clock.now() - this.#laggingSince;
   }
 
   /** A claimant asks for the promise to refuse all lower epochs. */
   async prepare(prepare: Prepare): Promise<BodyInit> {
     if (prepare.epoch < this.log.term || !Number.isSafeInteger(prepare.epoch))
       return { case: "prepareReply", value: { isPromised: false, epoch: this.log.term } };
-    this.#outbid(prepare.epoch);
+    this.#reportHigherEpoch(prepare.epoch);
     if (prepare.epoch > this.log.term) await this.log.promise(prepare.epoch, "");
     else await this.log.append([]);
     return {
@@ -152,8 +156,11 @@
     const { baseIndex, snapshotIndex, snapshotTerm, snapshot } = this.log;
     const isWhole = pull.after < baseIndex || this.log.termAt(pull.after) === undefined;
     if (!isWhole)
-      return { case: "shardPullReply", value: { isWhole, entries: this.log.after(pull.after, Replica.pullBytes) } };
-    if (this.#pulled?.snapshot !== snapshot) this.#pulled = { snapshot, checksum: crc32(snapshot) };
+      return {
+        case: "shardPullReply",
+        value: { isWhole, entries: this.log.after(pull.after, Replica.maxPullReplyBytes) },
+      };
+    if (this.#pulledSnapshot?.snapshot !== snapshot) this.#pulledSnapshot = { snapshot, checksum: crc32(snapshot) };
     return {
       case: "shardPullReply",
       value: {
@@ -162,13 +169,13 @@
         baseTerm: snapshotTerm,
         snapshot: snapshot.subarray(pull.offset, pull.offset + SnapshotSender.pieceBytes),
         size: snapshot.length,
-        checksum: this.#pulled.checksum,
+        checksum: this.#pulledSnapshot.checksum,
       },
     };
   }
 
   /** Takes a better log's entries in place of what this one has after its applied part. */
-  async takePulled(entries: readonly Entry[]): Promise<void> {
+  async replaceWithPulled(entries: readonly Entry[]): Promise<void> {
     if (entries[0] !== undefined) await this.log.agree(entries[0].index - 1, entries);
   }
 
@@ -196,22 +203,27 @@
     this.emit("installed");
   }
 
-  #hear(term: number, commit: number): void {
+  #recordLeaderContact(term: number, commit: number): void {
     const at = this.#node.parts.clock.now();
-    this.#heard = { term, at, commit };
-    if (this.applied >= commit) this.#behindSince = 0;
-    else if (this.#behindSince === 0) this.#behindSince = at;
+    this.#lastLeaderContact = { term, at, commit };
+    if (this.applied >= commit) this.#laggingSince = 0;
+    else if (this.#laggingSince === 0) this.#laggingSince = at;
   }
 
-  #outbid(term: number): void {
+  #reportHigherEpoch(term: number): void {
     if (this.replicator !== undefined && term > this.log.term) this.emit("deposed", term);
   }
 
-  async #take(term: number, commit: number, from: string, take: () => Promise<BodyInit>): Promise<undefined> {
-    this.#outbid(term);
-    const taken = take();
-    if (term === this.log.term) this.#hear(term, commit);
-    const reply = await taken;
+  async #handleLeaderMessage(
+    term: number,
+    commit: number,
+    from: string,
+    handle: () => Promise<BodyInit>,
+  ): Promise<undefined> {
+    this.#reportHigherEpoch(term);
+    const handled = handle();
+    if (term === this.log.term) this.#recordLeaderContact(term, commit);
+    const reply = await handled;
     this.emit("appended");
     this.#node.rpc.send(from, reply);
     return undefined;
--- a/packages/log-storage/src/shards/heldBack.ts
+++ b/packages/log-storage/src/shards/heldBack.ts
@@ -1,4 +1,4 @@
-interface Held {
+interface AwaitedRetry {
   number: number;
   until: number;
 }
@@ -7,31 +7,31 @@
  * Numbers that were sent away for now, of clients that send several without waiting: what a client sent behind one
  * is sent away as well, for a while, or the one that comes again would be below it and refused for good.
  */
-export class HeldBack {
-  static readonly holdMs = 1000;
-  static readonly most = 10_000;
+export class AwaitedRetries {
+  static readonly retryWindowMs = 1000;
+  static readonly maxEntries = 10_000;
 
-  readonly #held = new Map<string, Held>();
+  readonly #awaited = new Map<string, AwaitedRetry>();
 
   /** Whether an earlier number of the sender in the topic is still to come again. */
-  isBehind(topic: string, session: string, number: number, now: number): boolean {
-    const held = this.#held.get(HeldBack.#key(topic, session));
-    return held !== undefined && number > held.number && now < held.until;
+  isBehindAwaitedRetry(topic: string, session: string, number: number, now: number): boolean {
+    const awaited = this.#awaited.get(AwaitedRetries.#key(topic, session));
+    return awaited !== undefined && number > awaited.number && now < awaited.until;
   }
 
-  note(topic: string, session: string, number: number, isUnavailable: boolean, now: number): void {
-    const key = HeldBack.#key(topic, session);
-    const held = this.#held.get(key);
-    const isHeld = held !== undefined && now < held.until;
+  recordOutcome(topic: string, session: string, number: number, isUnavailable: boolean, now: number): void {
+    const key = AwaitedRetries.#key(topic, session);
+    const awaited = this.#awaited.get(key);
+    const isAwaited = awaited !== undefined && now < awaited.until;
     if (!isUnavailable) {
-      if (held !== undefined && (number >= held.number || !isHeld)) this.#held.delete(key);
+      if (awaited !== undefined && (number >= awaited.number || !isAwaited)) this.#awaited.delete(key);
       return;
     }
-    if (isHeld && held.number < number) return;
-    this.#held.delete(key);
-    this.#held.set(key, { number, until: now + HeldBack.holdMs });
-    if (this.#held.size > HeldBack.most)
-      for (const [one, { until }] of this.#held) if (until <= now) this.#held.delete(one);
+    if (isAwaited && awaited.number < number) return;
+    this.#awaited.delete(key);
+    this.#awaited.set(key, { number, until: now + AwaitedRetries.retryWindowMs });
+    if (this.#awaited.size > AwaitedRetries.maxEntries)
+      for (const [one, { until }] of this.#awaited) if (until <= now) this.#awaited.delete(one);
   }
 
   /** Neither part has a blank. */
--- a/packages/log-storage/src/shards/memoryStreams.test.ts
+++ b/packages/log-storage/src/shards/memoryStreams.test.ts
@@ -11,18 +11,18 @@
 const made = (): MemoryStreams => new MemoryStreams(() => (drawn += 1).toString(16).padStart(10, "0"));
 
 function say(streams: MemoryStreams, number: number, at = 0, bytes = 1): string {
-  const log = streams.take(stream, 1, at)!;
+  const log = streams.findOrCreate(stream, 1, at)!;
   const accept = { topic: stream, stream, incarnation: log.incarnation, session: "pen", number, at };
-  return streams.accept(create(AcceptSchema, { ...accept, payload: new Uint8Array(bytes) })).outcome;
+  return streams.accept(create(AcceptSchema, { ...accept, payload: new Uint8Array(bytes) })).kind;
 }
 
 test("a stream is one incarnation as long as its space is, and never one of an earlier incarnation", () => {
   const streams = made();
-  const first = streams.take(stream, 1, 0)!;
-  expect(streams.take(stream, 1, 0)).toEqual(first);
-  const second = streams.take(stream, 2, 0)!;
+  const first = streams.findOrCreate(stream, 1, 0)!;
+  expect(streams.findOrCreate(stream, 1, 0)).toEqual(first);
+  const second = streams.findOrCreate(stream, 2, 0)!;
   expect(second.incarnation === first.incarnation).toEqual(false);
-  expect(streams.take(stream, 1, 0)).toEqual(undefined);
+  expect(streams.findOrCreate(stream, 1, 0)).toEqual(undefined);
 });
 
 test("only a bounded tail stays, and nothing goes before it was pushed", () => {
@@ -32,7 +32,7 @@
   streams.trim([stream]);
   const log = streams.find(stream)!;
   expect([log.messages.length, log.low, log.head]).toEqual([MemoryStreams.maxKept, 800, 1000]);
-  streams.tend(MemoryStreams.retentionMs + 1, forgetMs, () => true);
+  streams.expire(MemoryStreams.retentionMs + 1, forgetMs, () => true);
   expect([log.messages.length, log.low, log.head]).toEqual([0, 1000, 1000]);
   for (let number = 1001; number <= 1100; number += 1) say(streams, number, 20_000, 65_536);
   streams.trim([stream]);
@@ -43,11 +43,11 @@
   const streams = made();
   expect([say(streams, 7), say(streams, 7), say(streams, 6)]).toEqual(["accepted", "accepted", "refused"]);
   expect(streams.find(stream)!.head).toEqual(1);
-  streams.tend(forgetMs, forgetMs, () => false);
+  streams.expire(forgetMs, forgetMs, () => false);
   expect(say(streams, 6, forgetMs)).toEqual("refused");
-  streams.tend(2 * forgetMs + 1, forgetMs, () => true);
+  streams.expire(2 * forgetMs + 1, forgetMs, () => true);
   expect([streams.find(stream)?.knownCount, streams.count]).toEqual([0, 1]);
-  streams.tend(2 * forgetMs + 1, forgetMs, () => false);
+  streams.expire(2 * forgetMs + 1, forgetMs, () => false);
   expect(streams.count).toEqual(0);
 });
 
--- a/packages/log-storage/src/shards/memoryStreams.ts
+++ b/packages/log-storage/src/shards/memoryStreams.ts
@@ -2,10 +2,10 @@
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 import { StreamLog, type Verdict } from "./streamLog.js";
 
-interface Kept {
+interface MemoryStream {
   log: StreamLog;
   /** Shard time at which this leader made it. */
-  bornAt: number;
+  createdAt: number;
   /** Shard time of the last use. */
   usedAt: number;
 }
@@ -24,11 +24,11 @@
   /** A publisher repeats a number for no longer than this after it first sent it. */
   static readonly repeatMs = 12_000;
 
-  readonly #identity: () => string;
-  readonly #streams = new Map<string, Kept>();
+  readonly #randomIdentity: () => string;
+  readonly #streams = new Map<string, MemoryStream>();
 
-  constructor(identity: () => string) {
-    this.#identity = identity;
+  constructor(randomIdentity: () => string) {
+    this.#randomIdentity = randomIdentity;
   }
 
   get count(): number {
@@ -44,11 +44,11 @@
   }
 
   /** The stream, made where there was none of this incarnation of its space; undefined where there is a later one. */
-  take(stream: string, spaceIncarnation: number, at: number): StreamLog | undefined {
+  findOrCreate(stream: string, spaceIncarnation: number, at: number): StreamLog | undefined {
     let kept = this.#streams.get(stream);
     if (kept === undefined || kept.log.spaceIncarnation < spaceIncarnation) {
-      const log = new StreamLog(stream, Streams.incarnation(spaceIncarnation, this.#identity()));
-      kept = { log, bornAt: at, usedAt: at };
+      const log = new StreamLog(stream, Streams.incarnation(spaceIncarnation, this.#randomIdentity()));
+      kept = { log, createdAt: at, usedAt: at };
       this.#streams.set(stream, kept);
     }
     kept.usedAt = Math.max(kept.usedAt, at);
@@ -61,13 +61,13 @@
    */
   mayHavePredecessor(stream: string, at: number): boolean {
     const kept = this.#streams.get(stream);
-    return kept !== undefined && at - kept.bornAt < MemoryStreams.repeatMs;
+    return kept !== undefined && at - kept.createdAt < MemoryStreams.repeatMs;
   }
 
   accept(accept: Accept): Verdict {
     const log = this.find(accept.stream);
     if (log === undefined || log.incarnation !== accept.incarnation)
-      return { outcome: "refused", code: "topic-gone", reason: "the topic was removed meanwhile" };
+      return { kind: "refused", code: "topic-gone", reason: "the topic was removed meanwhile" };
     return log.accept(accept);
   }
 
@@ -77,15 +77,15 @@
       const log = this.find(stream);
       // In steps, so that a busy stream is not copied at every message.
       if (log !== undefined && (log.messages.length > 2 * MemoryStreams.maxKept || MemoryStreams.#isLarge(log)))
-        MemoryStreams.#cut(log, -Infinity);
+        MemoryStreams.#trimTail(log, -Infinity);
     }
   }
 
   /** Drops what is old, and streams that nobody has used for long. */
-  tend(at: number, forgetMs: number, isFollowed: (stream: string) => boolean): void {
+  expire(at: number, forgetMs: number, isFollowed: (stream: string) => boolean): void {
     for (const [stream, { log, usedAt }] of this.#streams) {
-      MemoryStreams.#cut(log, at - MemoryStreams.retentionMs);
-      if (log.hasOlder(at - forgetMs)) log.forget(at - forgetMs);
+      MemoryStreams.#trimTail(log, at - MemoryStreams.retentionMs);
+      if (log.hasSessionsBefore(at - forgetMs)) log.forgetSessions(at - forgetMs);
       if (log.knownCount === 0 && at - usedAt > forgetMs && !isFollowed(stream)) this.#streams.delete(stream);
     }
   }
@@ -94,7 +94,7 @@
     this.#streams.delete(stream);
   }
 
-  static #cut(log: StreamLog, before: number): void {
+  static #trimTail(log: StreamLog, before: number): void {
     const { messages } = log;
     let kept = 0;
     let bytes = 0;
--- a/packages/log-storage/src/shards/publishOutcomes.ts
+++ b/packages/log-storage/src/shards/publishOutcomes.ts
@@ -15,7 +15,7 @@
   },
 
   of(verdict: Verdict): PublishOutcome {
-    if (verdict.outcome === "refused") return PublishOutcomes.refused(verdict.code, verdict.reason);
+    if (verdict.kind === "refused") return PublishOutcomes.refused(verdict.code, verdict.reason);
     return { case: "publishReply", value: { outcome: "accepted", incarnation: verdict.incarnation, seq: verdict.seq } };
   },
 };
--- a/packages/log-storage/src/shards/shardLeader.ts
+++ b/packages/log-storage/src/shards/shardLeader.ts
@@ -6,7 +6,7 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { Verdict } from "./streamLog.js";
 import { LogPull } from "./logPull.js";
-import type { CommitNotices, CommitSource, UntoldReplica } from "../replication/commitNotices.js";
+import type { CommitNotices, CommitSource, UnnotifiedReplica } from "../replication/commitNotices.js";
 import type { AppliedEntry, Replica } from "../replication/replica.js";
 
 type CommandInit = NonNullable<MessageInitShape<typeof ShardCommandSchema>["command"]>;
@@ -23,11 +23,11 @@
  * Invariant: once over, it never serves again; the next claim makes another leader.
  */
 export class ShardLeader extends EventEmitter<ShardLeaderEvents> implements CommitSource {
-  static readonly silentMs = 700;
+  static readonly maxMajoritySilenceMs = 700;
   /** Replicas that have heard everything are told so this often, and their answers show that they are there. */
   static readonly idleHeartbeatMs = 250;
   /** How long a question for a part of a better log may take. */
-  static readonly pullMs = 1500;
+  static readonly pullTimeoutMs = 1500;
 
   readonly epoch: number;
   readonly #replica: Replica;
@@ -39,9 +39,9 @@
   #set: ShardSet;
   #replicator: LogReplicator | undefined;
   #isServing = false;
-  #isOver = false;
-  readonly #heed = (applied: AppliedEntry): void => this.#applied(applied);
-  readonly #outbid = (): void => this.stop("a higher epoch");
+  #isStopped = false;
+  readonly #onReplicaApplied = (applied: AppliedEntry): void => this.#handleApplied(applied);
+  readonly #onReplicaDeposed = (): void => this.stop("a higher epoch");
 
   constructor(replica: Replica, set: ShardSet, epoch: number, node: ClusterNode, commits: CommitNotices) {
     super();
@@ -55,14 +55,14 @@
   }
 
   get isServing(): boolean {
-    return this.#isServing && !this.#isOver;
+    return this.#isServing && !this.#isStopped;
   }
 
-  get isOver(): boolean {
-    return this.#isOver;
+  get isStopped(): boolean {
+    return this.#isStopped;
   }
 
-  get occupancy(): number {
+  get pendingCount(): number {
     return this.#pending.size;
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** Shard time now; it goes on from the last entry's and never runs faster than the monotonic clock. */
-  get at(): number {
+  get shardTime(): number {
     return this.#timeBase + this.#node.parts.clock.now() - this.#startedAt;
   }
 
@@ -85,7 +85,7 @@
     const others = this.#set.members.filter((member) => member.id !== replica.id);
     if (this.epoch < replica.log.term) return false;
     const own = replica.log.promise(this.epoch, "");
-    const asked = others.map(async (member) => {
+    const requests = others.map(async (member) => {
       const body = await this.#node.rpc.call(
         member.name,
         { case: "prepare", value: { group: replica.log.group, epoch: this.epoch, receiver: member.id } },
@@ -94,9 +94,9 @@
       return body?.case === "prepareReply" && body.value.isPromised ? { member, ...body.value } : undefined;
     });
     await own;
-    const promise = await this.#enough(asked, Math.floor(this.#set.members.length / 2));
-    if (promise === undefined || this.#isOver) return false;
-    const best = promise.reduce(
+    const promise = await this.#firstReplies(requests, Math.floor(this.#set.members.length / 2));
+    if (promise === undefined || this.#isStopped) return false;
+    const longest = promise.reduce(
       (a, b) => (b.lastTerm > a.lastTerm || (b.lastTerm === a.lastTerm && b.lastIndex > a.lastIndex) ? b : a),
       {
         member: undefined as unknown,
@@ -104,15 +104,15 @@
         lastIndex: replica.log.lastIndex,
       } as (typeof promise)[number],
     );
-    if (best.member !== undefined && !(await this.#pullFrom(best.member, best.lastIndex))) return false;
-    if (this.#isOver || replica.log.term !== this.epoch) return false;
-    this.#begin();
+    if (longest.member !== undefined && !(await this.#pullMissingLog(longest.member, longest.lastIndex))) return false;
+    if (this.#isStopped || replica.log.term !== this.epoch) return false;
+    this.#startReplicating();
     return true;
   }
 
   /** Appends a command; settles with its verdict once committed, or undefined: it may yet be committed. */
   propose(command: CommandInit): Promise<Verdict | undefined> {
-    if (this.#isOver) return Promise.resolve(undefined);
+    if (this.#isStopped) return Promise.resolve(undefined);
     const { log } = this.#replica;
     const data = toBinary(ShardCommandSchema, create(ShardCommandSchema, { command }));
     return this.#append(create(EntrySchema, { index: log.lastIndex + 1, term: this.epoch, kind: 0, data }));
@@ -120,13 +120,14 @@
 
   tick(): void {
     if (this.#replicator === undefined) return;
-    if (this.#replicator.majorityAgo() > ShardLeader.silentMs) return this.stop("no majority of the replicas answers");
+    if (this.#replicator.sinceMajorityContactMs() > ShardLeader.maxMajoritySilenceMs)
+      return this.stop("no majority of the replicas answers");
     this.#replicator.sendHeartbeats(ShardLeader.idleHeartbeatMs);
   }
 
   /** Whom entries must be synced on from now on: one set, or the old and the new one. */
-  enlist(sets: ShardSet[], learners: string[]): void {
-    this.#replicator?.enlist(
+  setQuorums(sets: ShardSet[], learners: string[]): void {
+    this.#replicator?.setMembers(
       sets.map((set) => set.members.map((member) => member.id)),
       learners,
     );
@@ -138,24 +139,24 @@
   }
 
   /** Which replicas have all that is committed and were not told so; they count as told from now on. */
-  untold(): UntoldReplica[] {
+  unnotified(): UnnotifiedReplica[] {
     const commit = { shard: this.#replica.shard, term: this.epoch, index: this.#replicator?.commit ?? 0 };
-    return (this.#replicator?.untold() ?? []).map((id) => ({ id, name: this.#nameOf(id), commit }));
+    return (this.#replicator?.takeUnnotified() ?? []).map((id) => ({ id, name: this.#nameOf(id), commit }));
   }
 
   stop(why: string): void {
-    if (this.#isOver) return;
-    this.#isOver = true;
+    if (this.#isStopped) return;
+    this.#isStopped = true;
     this.#replicator?.stop();
     if (this.#replica.replicator === this.#replicator) this.#replica.replicator = undefined;
-    this.#replica.off("applied", this.#heed);
-    this.#replica.off("deposed", this.#outbid);
-    for (const settle of [...this.#pending.values()]) settle(undefined);
+    this.#replica.off("applied", this.#onReplicaApplied);
+    this.#replica.off("deposed", this.#onReplicaDeposed);
+    for (const resolve of [...this.#pending.values()]) resolve(undefined);
     this.#pending.clear();
     this.emit("over", why);
   }
 
-  #begin(): void {
+  #startReplicating(): void {
     const replica = this.#replica;
     this.#timeBase = replica.state.at;
     const replicator = new LogReplicator({
@@ -167,16 +168,16 @@
       send: (id, body) => this.#node.rpc.send(this.#nameOf(id), body),
     });
     this.#replicator = replica.replicator = replicator;
-    replica.on("applied", this.#heed);
-    replica.on("deposed", this.#outbid);
+    replica.on("applied", this.#onReplicaApplied);
+    replica.on("deposed", this.#onReplicaDeposed);
     replicator.on("committed", (index) => {
       replica.advance(index);
       this.#commits.add(this);
     });
     replicator.on("deposed", () => this.stop("a higher epoch"));
-    replicator.enlist([this.#set.members.map((member) => member.id)], []);
+    replicator.setMembers([this.#set.members.map((member) => member.id)], []);
     void this.#append(create(EntrySchema, { index: replica.log.lastIndex + 1, term: this.epoch, kind: 1 })).then(() => {
-      if (this.#isOver) return;
+      if (this.#isStopped) return;
       this.#timeBase = replica.state.at - (this.#node.parts.clock.now() - this.#startedAt);
       this.#isServing = true;
       this.emit("serving");
@@ -193,44 +194,44 @@
   }
 
   #append(entry: ReturnType<typeof create<typeof EntrySchema>>): Promise<Verdict | undefined> {
-    const settled = new Promise<Verdict | undefined>((resolve) => this.#pending.set(entry.index, resolve));
-    void this.#replica.log.append([entry]).then(() => this.#replicator?.kick());
-    this.#replicator?.kick();
-    return settled;
+    const verdict = new Promise<Verdict | undefined>((resolve) => this.#pending.set(entry.index, resolve));
+    void this.#replica.log.append([entry]).then(() => this.#replicator?.sendNew());
+    this.#replicator?.sendNew();
+    return verdict;
   }
 
-  #applied(applied: AppliedEntry): void {
-    const settle = this.#pending.get(applied.entry.index);
+  #handleApplied(applied: AppliedEntry): void {
+    const resolve = this.#pending.get(applied.entry.index);
     this.#pending.delete(applied.entry.index);
-    settle?.(applied.verdict);
+    resolve?.(applied.verdict);
     this.emit("applied", applied);
   }
 
-  #pullFrom(member: ShardSet["members"][number], lastIndex: number): Promise<boolean> {
+  #pullMissingLog(member: ShardSet["members"][number], lastIndex: number): Promise<boolean> {
     const { log } = this.#replica;
     const pull = new LogPull(this.#replica, this.epoch, async (after, offset) => {
-      if (this.#isOver) return undefined;
+      if (this.#isStopped) return undefined;
       const body = await this.#node.rpc.call(
         member.name,
         { case: "shardPull", value: { group: log.group, epoch: this.epoch, after, offset, receiver: member.id } },
-        ShardLeader.pullMs,
+        ShardLeader.pullTimeoutMs,
       );
-      return body?.case === "shardPullReply" && !this.#isOver ? body.value : undefined;
+      return body?.case === "shardPullReply" && !this.#isStopped ? body.value : undefined;
     });
     return pull.run(lastIndex);
   }
 
-  #enough<T>(asked: Array<Promise<T | undefined>>, count: number): Promise<T[] | undefined> {
-    const got: T[] = [];
-    let left = asked.length;
-    if (count === 0) return Promise.resolve(got);
+  #firstReplies<T>(requests: Array<Promise<T | undefined>>, count: number): Promise<T[] | undefined> {
+    const replies: T[] = [];
+    let outstanding = requests.length;
+    if (count === 0) return Promise.resolve(replies);
     return new Promise((resolve) => {
-      for (const one of asked) {
+      for (const one of requests) {
         void one.then((value) => {
-          left -= 1;
-          if (value !== undefined) got.push(value);
-          if (got.length >= count) resolve(got);
-          else if (got.length + left < count) resolve(undefined);
+          outstanding -= 1;
+          if (value !== undefined) replies.push(value);
+          if (replies.length >= count) resolve(replies);
+          else if (replies.length + outstanding < count) resolve(undefined);
         });
       }
     });
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -21,17 +21,17 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { Rendezvous } from "@cranetrack/core/membership/rendezvous.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
-import { HeldBack } from "./heldBack.js";
+import { AwaitedRetries } from "./heldBack.js";
 import { PublishOutcomes, type PublishOutcome } from "./publishOutcomes.js";
-import { startInMemory, startOf } from "./startOf.js";
+import { startInMemory, startInLog } from "./startOf.js";
 import { StreamLog, type Verdict } from "./streamLog.js";
 import { fetchFrom } from "../follows/fetchFrom.js";
-import { Follows } from "../follows/follows.js";
+import { StreamFollowers } from "../follows/follows.js";
 import type { ShardLeader } from "./shardLeader.js";
 import { MemoryStreams } from "./memoryStreams.js";
-import type { PushTurn } from "../follows/pushTurn.js";
+import type { PushBatcher } from "../follows/pushTurn.js";
 import type { Replica } from "../replication/replica.js";
-import { StreamStandings } from "./streamStandings.js";
+import { StreamStatuses } from "./streamStandings.js";
 
 /**
  * What a shard's leader does for edges: judges publishes against the configuration, incarnations streams, answers
@@ -48,57 +48,63 @@
   readonly #node: ClusterNode;
   readonly #replica: Replica;
   readonly #leader: ShardLeader;
-  readonly #follows: Follows;
-  readonly #standings: StreamStandings;
-  readonly #isHeld: () => boolean;
+  readonly #followers: StreamFollowers;
+  readonly #statuses: StreamStatuses;
+  readonly #isLeaseHeld: () => boolean;
   readonly #incarnations = new Map<string, Promise<void>>();
   readonly #memory: MemoryStreams;
-  readonly #heldBack = new HeldBack();
-  readonly #turn: PushTurn;
+  readonly #awaitedRetries = new AwaitedRetries();
+  readonly #pushBatcher: PushBatcher;
   /** Streams with messages committed and not yet pushed; and whoever waits for the push. */
-  readonly #fresh = new Set<string>();
+  readonly #unpushed = new Set<string>();
   #pushed: Promise<boolean> | undefined;
   #trimmedAt = 0;
-  #tendedAt = 0;
+  #expiredAt = 0;
   #servesSince = Infinity;
   #isTrimming = false;
 
-  constructor(node: ClusterNode, replica: Replica, leader: ShardLeader, turn: PushTurn, isHeld: () => boolean) {
-    this.#turn = turn;
+  constructor(
+    node: ClusterNode,
+    replica: Replica,
+    leader: ShardLeader,
+    pushBatcher: PushBatcher,
+    isLeaseHeld: () => boolean,
+  ) {
+    this.#pushBatcher = pushBatcher;
     this.#node = node;
     this.#replica = replica;
     this.#leader = leader;
-    this.#isHeld = isHeld;
-    this.#standings = new StreamStandings(node);
+    this.#isLeaseHeld = isLeaseHeld;
+    this.#statuses = new StreamStatuses(node);
     this.#memory = new MemoryStreams(() => node.parts.random.identity());
-    this.#follows = new Follows({
+    this.#followers = new StreamFollowers({
       node,
       shard: replica.shard,
       epoch: leader.epoch,
-      turn,
+      pushBatcher,
       find: (stream) => this.#find(stream),
-      isInMemory: (stream) => this.#standings.isInMemory(stream),
+      isInMemory: (stream) => this.#statuses.isInMemory(stream),
     });
     leader.on("applied", ({ verdict }) => {
-      if (verdict?.outcome === "accepted" && verdict.isFresh) void this.#push(verdict.stream);
+      if (verdict?.kind === "accepted" && verdict.isFresh) void this.#push(verdict.stream);
     });
     leader.on("serving", () => (this.#servesSince = node.parts.clock.now()));
   }
 
   /** Whether claims, configuration and epoch may be acted on now. */
   get isOpen(): boolean {
-    return this.#leader.isServing && this.#isHeld() && this.#node.feed.isFresh;
+    return this.#leader.isServing && this.#isLeaseHeld() && this.#node.feed.isFresh;
   }
 
   /** Numbers of one sender in one topic keep the order in which they come, whatever each waits for. */
   async publish(publish: Publish): Promise<PublishOutcome> {
     const { topic, session, number } = publish;
     const now = this.#node.parts.clock.now();
-    if (this.#heldBack.isBehind(topic, session, number, now))
+    if (this.#awaitedRetries.isBehindAwaitedRetry(topic, session, number, now))
       return this.#unavailable("an earlier number is to be sent again", 0.2);
     const reply = await this.#judge(publish);
     const isUnavailable = reply.value.outcome === "away" || reply.value.outcome === "busy";
-    this.#heldBack.note(topic, session, number, isUnavailable, now);
+    this.#awaitedRetries.recordOutcome(topic, session, number, isUnavailable, now);
     return reply;
   }
 
@@ -107,10 +113,10 @@
     const { topic, session, number, spaceIncarnation } = publish;
     const { configuration } = this.#node.configuration;
     const route = this.#node.configuration.route(topic);
-    const standing = this.#standings.ofIncarnation(route?.spaceIncarnation, spaceIncarnation);
+    const status = this.#statuses.ofIncarnation(route?.spaceIncarnation, spaceIncarnation);
     // One of the two has not heard of the newest configuration yet; a space that this node has seen removed may be
     // back.
-    if (route === undefined || standing !== "ours") return this.#unavailable("the topic's space is changing", 0.2);
+    if (route === undefined || status !== "ours") return this.#unavailable("the topic's space is changing", 0.2);
     const contract = Configurations.contractFor(configuration, topic);
     if (contract === undefined)
       return PublishOutcomes.refused("unknown-topic", `the plan in force has no rule for ${topic}`);
@@ -119,8 +125,8 @@
       return PublishOutcomes.refused("malformed", "the topic is another shard's, or the number is none");
     const known = this.#knownNow(stream, spaceIncarnation, publish);
     if (known !== undefined)
-      return this.#standings.isInMemory(stream) ? this.#inMemory(stream, known) : PublishOutcomes.of(known);
-    if (this.#leader.occupancy > ShardService.maxPending)
+      return this.#statuses.isInMemory(stream) ? this.#inMemory(stream, known) : PublishOutcomes.of(known);
+    if (this.#leader.pendingCount > ShardService.maxPending)
       return {
         case: "publishReply",
         value: {
@@ -141,10 +147,10 @@
       number,
       ownerEpoch: publish.ownerEpoch,
       payload: refusal === undefined ? publish.payload : new Uint8Array(),
-      at: this.#leader.at,
+      at: this.#leader.shardTime,
       isVoid: refusal !== undefined,
     });
-    if (this.#standings.isInMemory(stream)) {
+    if (this.#statuses.isInMemory(stream)) {
       if (publish.mayBeRepeat && this.#wouldReorder(stream, contract))
         return PublishOutcomes.unknown("an earlier holder may have accepted this number, in another order");
       return this.#acceptInMemory(accept, refusal);
@@ -152,7 +158,7 @@
     const verdict = await this.#leader.propose({ case: "accept", value: accept });
     if (verdict === undefined)
       return PublishOutcomes.unknown("the holder lost its claim before the message was committed");
-    if (verdict.outcome === "refused" && refusal !== undefined)
+    if (verdict.kind === "refused" && refusal !== undefined)
       return PublishOutcomes.refused(refusal.code, refusal.reason);
     return PublishOutcomes.of(verdict);
   }
@@ -162,13 +168,13 @@
    * there: one order for all is promised, and the earlier one died with its leader.
    */
   #wouldReorder(stream: string, { order }: TopicContract): boolean {
-    return order !== "sender" && this.#memory.mayHavePredecessor(stream, this.#leader.at);
+    return order !== "sender" && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime);
   }
 
   /** Sequences in memory. */
   #acceptInMemory(accept: Accept, refusal: { code: string; reason: string } | undefined): Promise<PublishOutcome> {
     const verdict = this.#memory.accept(accept);
-    if (verdict.outcome === "accepted" || refusal === undefined) return this.#inMemory(accept.stream, verdict);
+    if (verdict.kind === "accepted" || refusal === undefined) return this.#inMemory(accept.stream, verdict);
     return Promise.resolve(PublishOutcomes.refused(refusal.code, refusal.reason));
   }
 
@@ -177,10 +183,10 @@
    * is not refused: a refusal promises that it never was and never will be delivered.
    */
   async #inMemory(stream: string, verdict: Verdict): Promise<PublishOutcome> {
-    const isUntaken = verdict.outcome === "refused" && verdict.code === StreamLog.wentBackwards;
-    if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.at))
+    const isUntaken = verdict.kind === "refused" && verdict.code === StreamLog.numberWentBackwards;
+    if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime))
       return PublishOutcomes.unknown("an earlier holder may have accepted this number");
-    if (verdict.outcome === "accepted" && !(await this.#push(stream)))
+    if (verdict.kind === "accepted" && !(await this.#push(stream)))
       return PublishOutcomes.unknown("the holder lost its claim before the message was pushed");
     return PublishOutcomes.of(verdict);
   }
@@ -188,7 +194,7 @@
   /** Beats of one edge for this shard. */
   onHeartbeat(follow: Follow): string {
     if (!this.isOpen) return "away";
-    return this.#follows.onHeartbeat(follow) ? "done" : "resync";
+    return this.#followers.onHeartbeat(follow) ? "done" : "resync";
   }
 
   count({ topics }: CountRequest): BodyInit {
@@ -197,7 +203,7 @@
     const counts = topics.map((topic) => {
       const route = this.#node.configuration.route(topic);
       if (route === undefined) return create(TopicCountSchema, { topic, fault: "behind" });
-      return create(TopicCountSchema, { topic, count: this.#follows.countOf(route.stream, topic) });
+      return create(TopicCountSchema, { topic, count: this.#followers.countOf(route.stream, topic) });
     });
     return { case: "countReply", value: { outcome: "done", counts } };
   }
@@ -206,24 +212,24 @@
     if (!this.isOpen) return { case: "followReply", value: { outcome: "away" } };
     if (follow.streams.length === 0 && !follow.isFull)
       return { case: "followReply", value: { outcome: this.onHeartbeat(follow), epoch: this.#leader.epoch } };
-    const standings = follow.streams.map(({ stream, spaceIncarnation }) =>
-      this.#standings.of(stream, spaceIncarnation),
+    const statuses = follow.streams.map(({ stream, spaceIncarnation }) =>
+      this.#statuses.ofStream(stream, spaceIncarnation),
     );
-    const followed = follow.streams.filter((_, i) => standings[i] === "ours");
+    const followed = follow.streams.filter((_, i) => statuses[i] === "ours");
     await Promise.all(followed.map(({ stream, spaceIncarnation }) => this.#incarnationOf(stream, spaceIncarnation)));
     // A head may become somebody's start only if nobody has taken over meanwhile.
     if (!this.isOpen || !(await this.#leader.confirm()) || !this.isOpen)
       return { case: "followReply", value: { outcome: "away" } };
-    if (this.#follows.isLate(follow)) return { case: "followReply", value: { outcome: "resync" } };
-    const { heads, number } = this.#follows.admit(follow, followed, edge);
+    if (this.#followers.isStale(follow)) return { case: "followReply", value: { outcome: "resync" } };
+    const { heads, number } = this.#followers.admit(follow, followed, edge);
     const found = new Set(heads.map((head) => head.stream));
     const missing = follow.streams.flatMap(({ stream }, i) =>
       found.has(stream)
         ? []
-        : [create(StreamHeadSchema, { stream, fault: standings[i] === "gone" ? "unknown-topic" : "behind" })],
+        : [create(StreamHeadSchema, { stream, fault: statuses[i] === "gone" ? "unknown-topic" : "behind" })],
     );
     this.#node.parts.clock.once(0, () => {
-      if (this.isOpen) this.#follows.push(found);
+      if (this.isOpen) this.#followers.push(found);
     });
     return {
       case: "followReply",
@@ -237,10 +243,10 @@
     if (!this.isOpen) return unavailable;
     const asked = ask.cursors.map((cursor) => {
       const route = this.#node.configuration.route(cursor.topic);
-      const standing = this.#standings.ofIncarnation(route?.spaceIncarnation, cursor.spaceIncarnation);
+      const status = this.#statuses.ofIncarnation(route?.spaceIncarnation, cursor.spaceIncarnation);
       const contract = Configurations.contractFor(this.#node.configuration.configuration, cursor.topic);
       const stream = route?.stream ?? "";
-      const fault = standing !== "ours" ? "behind" : contract === undefined ? "unknown-topic" : "";
+      const fault = status !== "ours" ? "behind" : contract === undefined ? "unknown-topic" : "";
       return { cursor, stream, fault: fault === "" && !this.#isOurs(stream) ? "behind" : fault };
     });
     const good = new Map(
@@ -253,7 +259,7 @@
       if (fault !== "") return create(TopicStartSchema, { topic: cursor.topic, outcome: fault });
       if (log?.spaceIncarnation !== cursor.spaceIncarnation)
         return create(TopicStartSchema, { topic: cursor.topic, outcome: "behind" });
-      return this.#standings.isInMemory(stream) ? startInMemory(log, cursor) : startOf(log, cursor);
+      return this.#statuses.isInMemory(stream) ? startInMemory(log, cursor) : startInLog(log, cursor);
     });
     return { case: "startReply", value: { outcome: "done", starts } };
   }
@@ -261,7 +267,7 @@
   fetch(fetch: Fetch): BodyInit {
     if (!this.isOpen) return { case: "fetchReply", value: { outcome: "away" } };
     const log = this.#find(fetch.stream);
-    if (log === undefined || this.#standings.of(fetch.stream, log.spaceIncarnation) !== "ours")
+    if (log === undefined || this.#statuses.ofStream(fetch.stream, log.spaceIncarnation) !== "ours")
       return { case: "fetchReply", value: { outcome: "unknown-topic" } };
     return fetchFrom(log, fetch);
   }
@@ -270,23 +276,25 @@
   configurationChanged(): void {
     const logs = [...this.#replica.state.streams.values()];
     const inMemory = this.#memory.all();
-    const isGone = (log: StreamLog): boolean => this.#standings.of(log.stream, log.spaceIncarnation) === "gone";
+    const isGone = (log: StreamLog): boolean => this.#statuses.ofStream(log.stream, log.spaceIncarnation) === "gone";
     const gone = logs.filter(isGone);
     // A stream that moved between log and memory goes on in another incarnation.
-    const left = inMemory.filter((log) => !this.#standings.isInMemory(log.stream));
-    const moved = logs.filter((log) => this.#standings.isInMemory(log.stream));
-    this.#follows.end([...gone, ...inMemory.filter(isGone)].map((log) => log.stream));
-    this.#follows.askAgain([...left, ...moved].map((log) => log.stream));
+    const left = inMemory.filter((log) => !this.#statuses.isInMemory(log.stream));
+    const moved = logs.filter((log) => this.#statuses.isInMemory(log.stream));
+    this.#followers.end([...gone, ...inMemory.filter(isGone)].map((log) => log.stream));
+    this.#followers.requestRefollow([...left, ...moved].map((log) => log.stream));
     for (const log of [...left, ...inMemory.filter(isGone)]) this.#memory.remove(log.stream);
     if (gone.length + moved.length > 0) void this.#trim();
   }
 
   tick(): void {
-    this.#follows.forgetSilent();
+    this.#followers.dropUnresponsive();
     const now = this.#node.parts.clock.now();
-    if (now - this.#tendedAt >= 1000) {
-      this.#tendedAt = now;
-      this.#memory.tend(this.#leader.at, ShardService.forgetMs, (stream) => this.#follows.isFollowed(stream));
+    if (now - this.#expiredAt >= 1000) {
+      this.#expiredAt = now;
+      this.#memory.expire(this.#leader.shardTime, ShardService.forgetMs, (stream) =>
+        this.#followers.isFollowed(stream),
+      );
     }
     if (now - this.#trimmedAt < 5000) return;
     this.#trimmedAt = now;
@@ -296,19 +304,19 @@
   async #trim(): Promise<void> {
     if (!this.isOpen || this.#isTrimming) return;
     const { state } = this.#replica;
-    const at = this.#leader.at;
+    const at = this.#leader.shardTime;
     const streams = [...state.streams.values()].flatMap((log): Array<MessageInitShape<typeof TrimStreamSchema>> => {
       const { stream, incarnation } = log;
-      const standing = this.#standings.of(stream, log.spaceIncarnation);
+      const status = this.#statuses.ofStream(stream, log.spaceIncarnation);
       // Nothing of it is owed any more; should it be kept again, that is another incarnation.
-      if (standing === "ours" && this.#standings.isInMemory(stream)) return [{ stream, incarnation, isRemoved: true }];
-      if (standing !== "ours") return standing === "gone" ? [{ stream, incarnation, isRemoved: true }] : [];
+      if (status === "ours" && this.#statuses.isInMemory(stream)) return [{ stream, incarnation, isRemoved: true }];
+      if (status !== "ours") return status === "gone" ? [{ stream, incarnation, isRemoved: true }] : [];
       const old = log.messages.findIndex((message) => message.at >= at - this.#retentionMs(message.topic));
       const low = old === -1 ? log.head : log.messages[old]!.seq - 1;
       return low > log.low ? [{ stream, incarnation, low }] : [];
     });
     const forgetBefore = Math.max(0, at - ShardService.forgetMs);
-    if (streams.length === 0 && !state.hasOlder(forgetBefore)) return;
+    if (streams.length === 0 && !state.hasSessionsBefore(forgetBefore)) return;
     this.#isTrimming = true;
     await this.#leader.propose({ case: "trim", value: { streams, at, forgetBefore } });
     this.#isTrimming = false;
@@ -320,7 +328,7 @@
   }
 
   #find(stream: string): StreamLog | undefined {
-    return this.#standings.isInMemory(stream) ? this.#memory.find(stream) : this.#replica.state.streams.get(stream);
+    return this.#statuses.isInMemory(stream) ? this.#memory.find(stream) : this.#replica.state.streams.get(stream);
   }
 
   /**
@@ -328,15 +336,15 @@
    * be.
    */
   async #incarnationOf(stream: string, spaceIncarnation: number): Promise<string | undefined> {
-    if (this.#standings.isInMemory(stream))
-      return this.#memory.take(stream, spaceIncarnation, this.#leader.at)?.incarnation;
+    if (this.#statuses.isInMemory(stream))
+      return this.#memory.findOrCreate(stream, spaceIncarnation, this.#leader.shardTime)?.incarnation;
     const { streams } = this.#replica.state;
     let incarnation = this.#incarnations.get(stream);
     if (incarnation === undefined && (streams.get(stream)?.spaceIncarnation ?? 0) < spaceIncarnation) {
       const value = {
         stream,
         incarnation: Streams.incarnation(spaceIncarnation, this.#node.parts.random.identity()),
-        at: this.#leader.at,
+        at: this.#leader.shardTime,
       };
       // Who comes when it was just made still waits behind those that have waited for it: in a stream's order of
       // arrival.
@@ -362,16 +370,16 @@
 
   /** Pushes at the end of this event-loop turn what the followers lack; false where that may not be done any more. */
   #push(stream: string): Promise<boolean> {
-    this.#fresh.add(stream);
+    this.#unpushed.add(stream);
     this.#pushed ??= new Promise((resolve) => {
-      this.#turn.atEnd(() => {
-        const streams = [...this.#fresh];
-        this.#fresh.clear();
+      this.#pushBatcher.runAtTurnEnd(() => {
+        const streams = [...this.#unpushed];
+        this.#unpushed.clear();
         this.#pushed = undefined;
         const { isOpen } = this;
         if (isOpen)
-          this.#follows.push(
-            streams.filter((one) => this.#standings.of(one, this.#find(one)?.spaceIncarnation ?? 0) === "ours"),
+          this.#followers.push(
+            streams.filter((one) => this.#statuses.ofStream(one, this.#find(one)?.spaceIncarnation ?? 0) === "ours"),
           );
         if (isOpen) this.#memory.trim(streams);
         resolve(isOpen);
--- a/packages/log-storage/src/shards/shardState.ts
+++ b/packages/log-storage/src/shards/shardState.ts
@@ -50,8 +50,8 @@
   }
 
   /** Whether there is something to forget of before a shard time; for the trimming beat. */
-  hasOlder(at: number): boolean {
-    for (const log of this.streams.values()) if (log.hasOlder(at)) return true;
+  hasSessionsBefore(at: number): boolean {
+    for (const log of this.streams.values()) if (log.hasSessionsBefore(at)) return true;
     return false;
   }
 
@@ -74,7 +74,7 @@
     this.at = Math.max(this.at, accept.at);
     const log = this.streams.get(accept.stream);
     if (log === undefined || log.incarnation !== accept.incarnation)
-      return { outcome: "refused", code: "topic-gone", reason: "the topic was removed meanwhile" };
+      return { kind: "refused", code: "topic-gone", reason: "the topic was removed meanwhile" };
     return log.accept(accept);
   }
 
@@ -86,7 +86,7 @@
       if (isRemoved) this.streams.delete(stream);
       else log.trim(low);
     }
-    for (const log of this.streams.values()) log.forget(trim.forgetBefore);
+    for (const log of this.streams.values()) log.forgetSessions(trim.forgetBefore);
     return undefined;
   }
 }
--- a/packages/log-storage/src/shards/startOf.ts
+++ b/packages/log-storage/src/shards/startOf.ts
@@ -4,17 +4,17 @@
 import type { StreamLog } from "./streamLog.js";
 
 /** Where a topic's subscription starts, judged by the committed log. Without a place it is the head. */
-export function startOf(log: StreamLog, { topic, incarnation, seq, spaceIncarnation }: TopicCursor): TopicStart {
-  const answer = (outcome: string, at: number, reason = ""): TopicStart =>
+export function startInLog(log: StreamLog, { topic, incarnation, seq, spaceIncarnation }: TopicCursor): TopicStart {
+  const reply = (outcome: string, at: number, reason = ""): TopicStart =>
     create(TopicStartSchema, { topic, outcome, incarnation: log.incarnation, seq: at, reason });
-  if (incarnation === "") return answer("known", log.head);
-  const isNone =
+  if (incarnation === "") return reply("known", log.head);
+  const isUnknownCursor =
     Streams.spaceIncarnationOf(incarnation) === 0 || Streams.spaceIncarnationOf(incarnation) > spaceIncarnation;
-  if (isNone || (incarnation === log.incarnation && seq > log.head))
-    return answer("unknown-place", 0, "there is no such place");
-  if (incarnation !== log.incarnation) return answer("expired", log.low, "the place is of another birth of the topic");
+  if (isUnknownCursor || (incarnation === log.incarnation && seq > log.head))
+    return reply("unknown-place", 0, "there is no such place");
+  if (incarnation !== log.incarnation) return reply("expired", log.low, "the place is of another birth of the topic");
   const isTrimmed = (log.trims.get(topic) ?? 0) > seq;
-  return isTrimmed ? answer("expired", log.low, "older messages were trimmed") : answer("known", seq);
+  return isTrimmed ? reply("expired", log.low, "older messages were trimmed") : reply("known", seq);
 }
 
 /**
@@ -22,11 +22,11 @@
  * for nothing older is owed; one in the tail goes on from there.
  */
 export function startInMemory(log: StreamLog, { topic, incarnation, seq }: TopicCursor): TopicStart {
-  const isHere = incarnation === log.incarnation && seq <= log.head;
+  const isInTail = incarnation === log.incarnation && seq <= log.head;
   return create(TopicStartSchema, {
     topic,
     outcome: "known",
     incarnation: log.incarnation,
-    seq: isHere ? Math.max(seq, log.low) : log.head,
+    seq: isInTail ? Math.max(seq, log.low) : log.head,
   });
 }
--- a/packages/log-storage/src/shards/streamLog.ts
+++ b/packages/log-storage/src/shards/streamLog.ts
@@ -7,15 +7,15 @@
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 
-interface Known {
+interface SessionRecord {
   at: number;
   ownerEpoch: number;
   numbers: number[];
   seqs: number[];
 }
 export type Verdict =
-  | { outcome: "accepted"; stream: string; incarnation: string; seq: number; isFresh: boolean }
-  | { outcome: "refused"; code: string; reason: string };
+  | { kind: "accepted"; stream: string; incarnation: string; seq: number; isFresh: boolean }
+  | { kind: "refused"; code: string; reason: string };
 
 /**
  * One stream's part of a shard's log: its messages in their order, and what was sent before.
@@ -24,15 +24,15 @@
  * was trimmed.
  */
 export class StreamLog {
-  static readonly window = 128;
+  static readonly maxKnownNumbers = 128;
   /** The code of a refusal of a number below the last one taken, which this log itself never took. */
-  static readonly wentBackwards = "number-went-backwards";
+  static readonly numberWentBackwards = "number-went-backwards";
 
   readonly stream: string;
   readonly incarnation: string;
   readonly trims = new Map<string, number>();
   /** By topic, then by session. */
-  readonly #known = new Map<string, Map<string, Known>>();
+  readonly #known = new Map<string, Map<string, SessionRecord>>();
   head = 0;
   low = 0;
   messages: StreamMessage[] = [];
@@ -60,11 +60,10 @@
     const seq = record.seqs[record.numbers.indexOf(number)];
     if (seq === undefined) {
       const reason = `number ${number} is below ${record.numbers.at(-1)} and was never taken`;
-      return { outcome: "refused", code: StreamLog.wentBackwards, reason };
+      return { kind: "refused", code: StreamLog.numberWentBackwards, reason };
     }
-    if (seq === 0)
-      return { outcome: "refused", code: "refused-before", reason: `number ${number} was refused for good` };
-    return { outcome: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: false };
+    if (seq === 0) return { kind: "refused", code: "refused-before", reason: `number ${number} was refused for good` };
+    return { kind: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: false };
   }
 
   accept(accept: Accept): Verdict {
@@ -73,7 +72,7 @@
     if (known !== undefined) return known;
     const record = this.#sessions(topic).get(session) ?? { at: 0, ownerEpoch: 0, numbers: [], seqs: [] };
     if (accept.ownerEpoch < record.ownerEpoch)
-      return { outcome: "refused", code: "stale-owner", reason: "the session has moved to another node" };
+      return { kind: "refused", code: "stale-owner", reason: "the session has moved to another node" };
     const seq = accept.isVoid ? 0 : this.head + 1;
     if (!accept.isVoid) {
       this.head = seq;
@@ -83,31 +82,31 @@
     record.ownerEpoch = accept.ownerEpoch;
     record.numbers.push(number);
     record.seqs.push(seq);
-    if (record.numbers.length > StreamLog.window) {
+    if (record.numbers.length > StreamLog.maxKnownNumbers) {
       record.numbers.shift();
       record.seqs.shift();
     }
     this.#sessions(topic).set(session, record);
-    if (accept.isVoid) return { outcome: "refused", code: "refused", reason: "refused for good" };
-    return { outcome: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: true };
+    if (accept.isVoid) return { kind: "refused", code: "refused", reason: "refused for good" };
+    return { kind: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: true };
   }
 
   trim(low: number): void {
     if (low <= this.low) return;
-    const cut = Math.min(low, this.head) - this.low;
-    for (const { topic, seq } of this.messages.slice(0, cut)) this.trims.set(topic, seq);
-    this.messages = this.messages.slice(cut);
-    this.low += cut;
+    const trimmedCount = Math.min(low, this.head) - this.low;
+    for (const { topic, seq } of this.messages.slice(0, trimmedCount)) this.trims.set(topic, seq);
+    this.messages = this.messages.slice(trimmedCount);
+    this.low += trimmedCount;
   }
 
   /** Known sessions last heard of before a shard time. */
-  hasOlder(at: number): boolean {
+  hasSessionsBefore(at: number): boolean {
     for (const sessions of this.#known.values())
       for (const record of sessions.values()) if (record.at < at) return true;
     return false;
   }
 
-  forget(before: number): void {
+  forgetSessions(before: number): void {
     for (const [topic, sessions] of this.#known) {
       for (const [session, record] of sessions) if (record.at < before) sessions.delete(session);
       if (sessions.size === 0) this.#known.delete(topic);
@@ -134,7 +133,7 @@
     return log;
   }
 
-  #sessions(topic: string): Map<string, Known> {
+  #sessions(topic: string): Map<string, SessionRecord> {
     let sessions = this.#known.get(topic);
     if (sessions === undefined) this.#known.set(topic, (sessions = new Map()));
     return sessions;
--- a/packages/log-storage/src/shards/streamStandings.ts
+++ b/packages/log-storage/src/shards/streamStandings.ts
@@ -4,7 +4,7 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
 /** What the configuration that this node has taken up says of streams and of incarnations of their spaces. */
-export class StreamStandings {
+export class StreamStatuses {
   readonly #node: ClusterNode;
 
   constructor(node: ClusterNode) {
@@ -29,13 +29,13 @@
   }
 
   /** The same for a stream, which is gone too where no rule owes its topic, or another space or order has it. */
-  of(stream: string, spaceIncarnation: number): "ours" | "behind" | "gone" {
+  ofStream(stream: string, spaceIncarnation: number): "ours" | "behind" | "gone" {
     const { configuration } = this.#node.configuration;
-    const standing = this.ofIncarnation(this.#node.configuration.spaceIncarnationOf(stream), spaceIncarnation);
-    if (standing === "older") return "gone";
-    if (standing !== "ours") return standing;
-    const isWhole = Configurations.orderOf(configuration, Streams.spaceOf(stream)) === "space";
-    return isWhole || Configurations.contractFor(configuration, Streams.topicOf(stream)) !== undefined
+    const status = this.ofIncarnation(this.#node.configuration.spaceIncarnationOf(stream), spaceIncarnation);
+    if (status === "older") return "gone";
+    if (status !== "ours") return status;
+    const isSpaceOrdered = Configurations.orderOf(configuration, Streams.spaceOf(stream)) === "space";
+    return isSpaceOrdered || Configurations.contractFor(configuration, Streams.topicOf(stream)) !== undefined
       ? "ours"
       : "gone";
   }
--- a/packages/testkit/src/callers/caller.ts
+++ b/packages/testkit/src/callers/caller.ts
@@ -1,10 +1,10 @@
 import type { TimerHandle, Clock } from "@cranetrack/core/runtime/clock.js";
-import type { CallerPort, PortConnection, PortReply } from "./callerPort.js";
+import type { ClientPort, PortConnection, PortReply } from "./callerPort.js";
 import type { History } from "../checker/history.js";
 
-interface CallerParts {
+interface ClientParts {
   session: string;
-  port: CallerPort;
+  port: ClientPort;
   clock: Clock;
   draw: () => number;
   history: History;
@@ -15,12 +15,12 @@
  * One caller: holds one long connection, comes back with its last places, publishes under rising numbers and
  * tries a number again until it has a final reply.
  */
-export class Caller {
+export class Client {
   /** A connection that stays silent for so many of its beats is given up. */
   static readonly missedHeartbeats = 3;
 
   readonly session: string;
-  readonly #parts: CallerParts;
+  readonly #parts: ClientParts;
   /** Topics asked for and the last place known in each. */
   readonly #places = new Map<string, string | undefined>();
   readonly #numbers = new Map<string, number>();
@@ -33,7 +33,7 @@
   /** Publishes that wait for a connection. */
   #whenOpen: Array<() => void> = [];
   /** Publishes that wait for a reply over the present connection. */
-  #whenCut: Array<() => void> = [];
+  #disconnectWaiters: Array<() => void> = [];
   #heartbeatIntervalMs = 2000;
   #waiting: TimerHandle | undefined;
   #silence: TimerHandle | undefined;
@@ -41,7 +41,7 @@
   open = 0;
   reconnects = 0;
 
-  constructor(parts: CallerParts) {
+  constructor(parts: ClientParts) {
     this.session = parts.session;
     this.#parts = parts;
   }
@@ -115,7 +115,7 @@
       history.add({ kind: "tried", at: this.#now, sender: this.session, topic, number, payload });
       const body = JSON.stringify({ topic, number, payload });
       const asked = port.call(node, "POST", `/v1/sessions/${this.session}/messages`, body);
-      const reply = await Promise.race([asked, this.#cutConnection()]);
+      const reply = await Promise.race([asked, this.#whenDisconnected()]);
       const about = { at: this.#now, sender: this.session, topic, number };
       if (reply.status === 200) {
         history.add({ kind: "accepted", ...about, place: String(reply.body["place"]) });
@@ -140,10 +140,10 @@
   /**
    * Settles when the present connection breaks: what was asked over it is asked again on the next, under its number.
    */
-  #cutConnection(): Promise<PortReply> {
+  #whenDisconnected(): Promise<PortReply> {
     return new Promise((resolve) => {
-      this.#whenCut.push(() => resolve({ status: 0, body: {}, retryAfterSeconds: 0 }));
-      if (this.#whenCut.length > 200) this.#whenCut.shift();
+      this.#disconnectWaiters.push(() => resolve({ status: 0, body: {}, retryAfterSeconds: 0 }));
+      if (this.#disconnectWaiters.length > 200) this.#disconnectWaiters.shift();
     });
   }
 
@@ -186,7 +186,7 @@
     const topic = String(line["topic"]);
     const about = { at: this.#now, subscriber: this.session, topic };
     if (line["kind"] === "open") this.#heartbeatIntervalMs = Number(line["beatMs"]);
-    this.#hush();
+    this.#restartHeartbeatTimeout();
     switch (line["kind"]) {
       case "open":
         this.#isOpen = true;
@@ -213,10 +213,10 @@
         this.#places.set(topic, undefined);
         this.#confirmed.delete(topic);
         history.add({ kind: "ended", ...about });
-        return this.#subscribeAgain(topic);
+        return this.#resubscribe(topic);
       case "fault":
         history.add({ kind: "faulted", ...about, code: String(line["code"]) });
-        return this.#subscribeAgain(topic);
+        return this.#resubscribe(topic);
       case "goodbye":
         this.#cut();
         return this.#again(Number(line["comeBack"] ?? 0) * 1000 + this.#parts.draw() * 100);
@@ -225,7 +225,7 @@
   }
 
   /** Asks for one topic again on the connection that is there. */
-  #subscribeAgain(topic: string): void {
+  #resubscribe(topic: string): void {
     const attempt = this.#attempt;
     this.#parts.clock.once(300 + this.#parts.draw() * 700, () => {
       if (attempt !== this.#attempt || !this.#isOpen || this.#confirmed.has(topic)) return;
@@ -238,21 +238,21 @@
           JSON.stringify(after === undefined ? { topic } : { topic, after }),
         )
         .then(({ status }) => {
-          if (status !== 200) this.#subscribeAgain(topic);
+          if (status !== 200) this.#resubscribe(topic);
         });
     });
   }
 
   /** Silence is counted from the last line, whatever it said. */
-  #hush(): void {
+  #restartHeartbeatTimeout(): void {
     this.#silence?.stop();
-    this.#silence = this.#parts.clock.once(this.#heartbeatIntervalMs * Caller.missedHeartbeats, () =>
-      this.#elsewhere(),
+    this.#silence = this.#parts.clock.once(this.#heartbeatIntervalMs * Client.missedHeartbeats, () =>
+      this.#onHeartbeatTimeout(),
     );
   }
 
   /** The node has fallen silent. */
-  #elsewhere(): void {
+  #onHeartbeatTimeout(): void {
     this.#cut();
     this.#again(0);
   }
@@ -261,7 +261,7 @@
     this.#silence?.stop();
     if (this.#isOpen) this.#parts.history.add({ kind: "closed", at: this.#now, subscriber: this.session, isOwn });
     this.#isOpen = false;
-    for (const giveUp of this.#whenCut.splice(0)) giveUp();
+    for (const giveUp of this.#disconnectWaiters.splice(0)) giveUp();
     this.#attempt += 1;
     this.#connection?.close();
     this.#connection = undefined;
--- a/packages/testkit/src/callers/callerPort.ts
+++ b/packages/testkit/src/callers/callerPort.ts
@@ -8,7 +8,7 @@
 }
 
 /** How a stand-in reaches nodes: over HTTP in a real fleet, through virtual wires in the simulator. */
-export interface CallerPort {
+export interface ClientPort {
   /** Opens a connection; resolves with the reply where it was refused. */
   connection(
     node: string,
--- a/packages/testkit/src/callers/httpPort.ts
+++ b/packages/testkit/src/callers/httpPort.ts
@@ -1,8 +1,8 @@
 import { Agent, request } from "undici";
-import type { CallerPort, PortConnection, PortReply } from "./callerPort.js";
+import type { ClientPort, PortConnection, PortReply } from "./callerPort.js";
 
 /** Calls over HTTP/1.1, as a caller of the service makes them. */
-export class HttpPort implements CallerPort {
+export class HttpPort implements ClientPort {
   readonly #addressOf: (node: string) => string;
   readonly #agent = new Agent({ connections: null, bodyTimeout: 0, headersTimeout: 8000, connect: { timeout: 1500 } });
 
--- a/packages/testkit/src/callers/pipelinedPublisher.ts
+++ b/packages/testkit/src/callers/pipelinedPublisher.ts
@@ -1,12 +1,12 @@
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
 import type { History } from "../checker/history.js";
-import type { Caller } from "./caller.js";
-import type { CallerPort, PortReply } from "./callerPort.js";
+import type { Client } from "./caller.js";
+import type { ClientPort, PortReply } from "./callerPort.js";
 
 interface PublisherParts {
   /** Whose session it publishes under, and at whose node. */
-  caller: Caller;
-  port: CallerPort;
+  client: Client;
+  port: ClientPort;
   clock: Clock;
   history: History;
 }
@@ -40,27 +40,27 @@
   }
 
   publish(topic: string): void {
-    const { caller, clock } = this.#parts;
+    const { client, clock } = this.#parts;
     const open = this.#open.get(topic) ?? 0;
-    if (!caller.isConnected || open >= PipelinedPublisher.maxOpen) return;
+    if (!client.isConnected || open >= PipelinedPublisher.maxOpen) return;
     this.#open.set(topic, open + 1);
     const number = ++this.#number;
     const end = clock.now() + PipelinedPublisher.deadlineMs;
-    void this.#settle({ topic, number, payload: `${caller.session} ${number}`, end }).then(() =>
+    void this.#settle({ topic, number, payload: `${client.session} ${number}`, end }).then(() =>
       this.#open.set(topic, this.#open.get(topic)! - 1),
     );
   }
 
   async #settle(message: Message): Promise<void> {
-    const { clock, caller, history } = this.#parts;
+    const { clock, client, history } = this.#parts;
     const { topic, number } = message;
     while (clock.now() < message.end) {
-      if (!caller.isConnected) {
+      if (!client.isConnected) {
         await this.#wait();
         continue;
       }
       const reply = await this.#try(message);
-      const about = { at: clock.now(), sender: caller.session, topic, number };
+      const about = { at: clock.now(), sender: client.session, topic, number };
       if (reply.status === 200) return history.add({ kind: "accepted", ...about, place: "" });
       if (reply.status !== 0 && reply.status !== 504)
         return history.add({ kind: "refused", ...about, code: codeOf(reply) });
@@ -70,8 +70,8 @@
   }
 
   #try({ topic, number, payload }: Message): Promise<PortReply> {
-    const { caller, port, history, clock } = this.#parts;
-    const { session, node } = caller;
+    const { client, port, history, clock } = this.#parts;
+    const { session, node } = client;
     history.add({ kind: "tried", at: clock.now(), sender: session, topic, number, payload });
     return port.call(node, "POST", `/v1/sessions/${session}/messages`, JSON.stringify({ topic, number, payload }));
   }
--- a/packages/testkit/src/capacity/capacity.ts
+++ b/packages/testkit/src/capacity/capacity.ts
@@ -93,7 +93,7 @@
       gossipTraffic: gossip * assumed.gossipSteps.value,
       gossipChosen: gossip * assumed.gossipSteps.value * assumed.gossipBeat.value,
       tellings: 4 + 2 * Math.log2(size.nodes),
-      rumour: (4 + 2 * Math.log2(size.nodes)) * at("memberTable"),
+      membershipUpdate: (4 + 2 * Math.log2(size.nodes)) * at("memberTable"),
       followToday: size.nodes * 2 * assumed.followBeatBytes.value,
       followChosen: edgesAZone * assumed.followBeats.value * assumed.followBeatBytes.value,
       replicaTraffic: assumed.replicaBeats.value * assumed.followBeatBytes.value,
@@ -248,8 +248,13 @@
           "not by nodes at rest",
           `${bytes(f.gossipChosen)}/s`,
         ],
-        ["one change told on, a node", bytes(f.rumour), "", "the same"],
-        ["a zone's loss told on, a node", bytes((f.rumour * size.nodes) / size.zones), "", "one record for the zone"],
+        ["one change told on, a node", bytes(f.membershipUpdate), "", "the same"],
+        [
+          "a zone's loss told on, a node",
+          bytes((f.membershipUpdate * size.nodes) / size.zones),
+          "",
+          "one record for the zone",
+        ],
       ]),
       role("operators", [
         [
--- a/packages/testkit/src/capacity/slopes.ts
+++ b/packages/testkit/src/capacity/slopes.ts
@@ -23,8 +23,8 @@
   fit(points: ReadonlyArray<readonly [number, number]>): Line {
     const mean = (values: readonly number[]): number => values.reduce((sum, one) => sum + one, 0) / values.length;
     const [x, y] = [mean(points.map(([size]) => size)), mean(points.map(([, value]) => value))];
-    const spread = points.reduce((sum, [size]) => sum + (size - x) ** 2, 0);
-    const slope = points.reduce((sum, [size, value]) => sum + (size - x) * (value - y), 0) / spread;
+    const variance = points.reduce((sum, [size]) => sum + (size - x) ** 2, 0);
+    const slope = points.reduce((sum, [size, value]) => sum + (size - x) * (value - y), 0) / variance;
     const base = y - slope * x;
     const largest = Math.max(...points.map(([, value]) => Math.abs(value)));
     const strays = points.map(([size, value]) => Math.abs(base + slope * size - value));
--- a/packages/testkit/src/checker/checker.test.ts
+++ b/packages/testkit/src/checker/checker.test.ts
@@ -66,7 +66,7 @@
   reason: "older messages were trimmed",
 });
 const rulesOf = (...seen: Array<Seen | Seen[]>): string[] => [
-  ...new Set(Checker.judge(seen.flat(), 200_000).map((breach) => breach.rule)),
+  ...new Set(Checker.check(seen.flat(), 200_000).map((breach) => breach.rule)),
 ];
 
 test("a history in which all went well has no breach", () => {
--- a/packages/testkit/src/checker/checker.ts
+++ b/packages/testkit/src/checker/checker.ts
@@ -60,17 +60,17 @@
     this.#configurations = new ConfigurationHistory(seen);
   }
 
-  static judge(seen: readonly Seen[], endAt: number): Breach[] {
-    return new Checker(seen, endAt).#judge();
+  static check(seen: readonly Seen[], endAt: number): Breach[] {
+    return new Checker(seen, endAt).#check();
   }
 
-  #judge(): Breach[] {
+  #check(): Breach[] {
     for (const one of this.#seen)
       if (one.kind === "tried" || one.kind === "accepted" || one.kind === "refused" || one.kind === "unsure")
         this.#note(one);
     for (const one of this.#seen) this.#step(one);
     this.#missing();
-    this.#judgeOrders();
+    this.#checkOrders();
     return this.#breaches;
   }
 
@@ -319,7 +319,7 @@
     }
   }
 
-  #judgeOrders(): void {
+  #checkOrders(): void {
     for (const [stream, orders] of this.#orders) {
       const graph = new OrderGraph();
       for (const order of orders.values()) graph.add(order);
--- a/packages/testkit/src/checker/configurationHistory.ts
+++ b/packages/testkit/src/checker/configurationHistory.ts
@@ -56,18 +56,18 @@
    * every one that was sent since. Undefined where none was in force for sure.
    */
   between(from: number, to: number): Configuration[] | undefined {
-    const settled = this.#accepted
+    const lastResolved = this.#accepted
       .filter((put) => put.at <= from - ConfigurationHistory.takeUpMs)
       .reduce<Put | undefined>(
         (a, b) => (a === undefined || b.configuration.version > a.configuration.version ? b : a),
         undefined,
       );
-    if (settled === undefined) return undefined;
+    if (lastResolved === undefined) return undefined;
     const later = [...this.#tried.values(), ...this.#accepted].filter(
       ({ configuration, at }) =>
-        configuration.version > settled.configuration.version && at <= to + ConfigurationHistory.acknowledgementMs,
+        configuration.version > lastResolved.configuration.version && at <= to + ConfigurationHistory.acknowledgementMs,
     );
-    return [settled.configuration, ...later.map((put) => put.configuration)];
+    return [lastResolved.configuration, ...later.map((put) => put.configuration)];
   }
 
   /** What every configuration that may have been in force then owed the topic; undefined where none was for sure. */
--- a/packages/testkit/src/checker/configurationReads.ts
+++ b/packages/testkit/src/checker/configurationReads.ts
@@ -17,7 +17,7 @@
  * Judges reads of the configuration at any node at any moment: none gives an older version than what was accepted
  * before it was asked, or than another read gave before that.
  */
-export function judgeReads(accepted: readonly AcceptedChange[], reads: readonly ConfigurationRead[]): Breach[] {
+export function checkReads(accepted: readonly AcceptedChange[], reads: readonly ConfigurationRead[]): Breach[] {
   const known = [
     ...accepted.map(({ version, at }) => ({ version, at, how: "accepted" })),
     ...reads.map(({ version, answeredAt, node }) => ({ version, at: answeredAt, how: `read at ${node}` })),
--- a/packages/testkit/src/checker/orderRules.test.ts
+++ b/packages/testkit/src/checker/orderRules.test.ts
@@ -1,11 +1,11 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import type { Seen } from "./history.js";
-import { judgeOrders } from "./orderRules.js";
+import { checkOrders } from "./orderRules.js";
 
 const seen = (kind: "planTaken" | "planSuperseded" | "planRefused", version: number, text: string): Seen =>
   ({ kind, at: version, version, text }) as Seen;
-const rules = (...history: Seen[]): string[] => judgeOrders(history).map(({ rule }) => rule);
+const rules = (...history: Seen[]): string[] => checkOrders(history).map(({ rule }) => rule);
 
 test("what was acknowledged may be acknowledged again, and never be refused, also where nobody heard of it", () => {
   const taken = seen("planTaken", 1, "a");
--- a/packages/testkit/src/checker/orderRules.ts
+++ b/packages/testkit/src/checker/orderRules.ts
@@ -5,7 +5,7 @@
  * Judges what operators were told: what a node has acknowledged is acknowledged again or left without a clear
  * answer, whether the operator heard of it or not, and no version is acknowledged with two contents.
  */
-export function judgeOrders(seen: readonly Seen[]): Breach[] {
+export function checkOrders(seen: readonly Seen[]): Breach[] {
   const breaches: Breach[] = [];
   const taken = new Set<string>();
   const contents = new Map<number, string>();
--- a/packages/testkit/src/checker/passingRules.ts
+++ b/packages/testkit/src/checker/passingRules.ts
@@ -13,7 +13,7 @@
  * twice,
  * nothing comes that nobody sent, and nothing of which every try was refused for good.
  */
-export function judgePassing(seen: readonly Seen[]): Breach[] {
+export function checkEphemeralTopics(seen: readonly Seen[]): Breach[] {
   const breaches: Breach[] = [];
   const fates = fatesOf(seen);
   /** By subscriber, then by topic and publisher: the last number on the present connection. */
--- a/packages/testkit/src/checker/soakRules.test.ts
+++ b/packages/testkit/src/checker/soakRules.test.ts
@@ -1,8 +1,8 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { judgeReads } from "./configurationReads.js";
+import { checkReads } from "./configurationReads.js";
 import type { Seen } from "./history.js";
-import { judgePassing } from "./passingRules.js";
+import { checkEphemeralTopics } from "./passingRules.js";
 
 const tried = (number: number, at = 0): Seen => {
   return { kind: "tried", at, sender: "pen", topic: "p/t", number, payload: `p${number}` };
@@ -13,7 +13,7 @@
 const got = (number: number, payload = `p${number}`): Seen => {
   return { kind: "received", at: 1, subscriber: "desk", topic: "p/t", sender: "pen", number, payload };
 };
-const rulesOf = (...seen: Seen[]): string[] => judgePassing(seen).map(({ rule }) => rule);
+const rulesOf = (...seen: Seen[]): string[] => checkEphemeralTopics(seen).map(({ rule }) => rule);
 
 test("on one connection numbers rise, and none comes twice; a new connection begins anew", () => {
   const sent = [tried(1), tried(2), tried(3), connectedEvent];
@@ -31,14 +31,14 @@
 });
 
 test("a read is as new as what was accepted, or read elsewhere, before it was asked", () => {
-  const read = (version: number, askedAt: number, answeredAt = askedAt + 10): Parameters<typeof judgeReads>[1][0] => {
+  const read = (version: number, askedAt: number, answeredAt = askedAt + 10): Parameters<typeof checkReads>[1][0] => {
     return { node: "lathe-1", askedAt, answeredAt, version };
   };
   const accepted = [
     { version: 3, at: 100 },
     { version: 5, at: 200 },
   ];
-  expect(judgeReads(accepted, [read(3, 150), read(3, 199), read(5, 201), read(7, 210), read(7, 230)])).toEqual([]);
-  expect(judgeReads(accepted, [read(3, 201)]).length).toEqual(1);
-  expect(judgeReads(accepted, [read(7, 210), read(5, 230)]).length).toEqual(1);
+  expect(checkReads(accepted, [read(3, 150), read(3, 199), read(5, 201), read(7, 210), read(7, 230)])).toEqual([]);
+  expect(checkReads(accepted, [read(3, 201)]).length).toEqual(1);
+  expect(checkReads(accepted, [read(7, 210), read(5, 230)]).length).toEqual(1);
 });
--- a/packages/testkit/src/cranetrack-lab.ts
+++ b/packages/testkit/src/cranetrack-lab.ts
@@ -4,12 +4,12 @@
 import { join } from "node:path";
 import { cac } from "cac";
 import { fileURLToPath } from "node:url";
-import { sabotages } from "./sabotage/sabotages.js";
-import { Saboteur } from "./sabotage/saboteur.js";
+import { mutants } from "./sabotage/sabotages.js";
+import { MutantRunner } from "./sabotage/saboteur.js";
 import { explore, type ExploreOptions } from "./explore/exploreCommand.js";
 import { Deployments } from "./fleet/deployments.js";
 import { Cost } from "./slopes/cost.js";
-import { Drill } from "./fleet/drill.js";
+import { ChaosDrill } from "./fleet/drill.js";
 import { Fleet } from "./fleet/fleet.js";
 import { Load } from "./fleet/load.js";
 import { Soak, type SoakProfile, type SoakReport } from "./fleet/soak.js";
@@ -106,18 +106,18 @@
   .option("--targets <list>", "Only on these: edge, holder, proposer")
   .action((name: string, options: PlayOptions & { only?: string; targets?: string }) => {
     // Wires that can be cut run through this very process, which has the callers too: only where they are needed.
-    const names = options.only?.split(",") ?? Drill.names;
+    const names = options.only?.split(",") ?? ChaosDrill.names;
     const needsWires = names.includes("cut") || names.includes("slow");
     const relayed = needsWires ? Deployments.machines(Deployments.find(name)).map((machine) => machine.name) : [];
     return play(name, options, relayed, async (fleet, load) => {
-      const drill = new Drill(fleet, load, ({ what, readyMs, backMs }) =>
+      const drill = new ChaosDrill(fleet, load, ({ what, readyMs, backMs }) =>
         process.stderr.write(`${what}: ready after ${readyMs}, service back after ${backMs} ms\n`),
       );
       const targets = options.targets?.split(",") as Array<"edge" | "holder" | "proposer"> | undefined;
       await drill.run(names, targets);
       const steps = drill.delays(load.history.seen);
       for (const step of steps) process.stderr.write(`${JSON.stringify(step)}\n`);
-      return { isGood: drill.steps.every((step) => step.backMs <= Drill.backMs), steps };
+      return { isGood: drill.steps.every((step) => step.backMs <= ChaosDrill.backMs), steps };
     });
   });
 
@@ -160,13 +160,12 @@
     if (options.profile !== "any" && options.profile !== "disks") throw new Error("--profile: must be any or disks");
     let failed = 0;
     for (let seed = options.from; seed < options.from + options.seeds; seed += 1) {
-      const { breaches, troubles, ...figures } = await soakOnce(name, seed, options);
+      const { breaches, faults, ...figures } = await soakOnce(name, seed, options);
       if (breaches.length > 0) failed += 1;
-      process.stdout.write(`${JSON.stringify({ ...figures, troubles: troubles.length, breaches: breaches.length })}\n`);
+      process.stdout.write(`${JSON.stringify({ ...figures, troubles: faults.length, breaches: breaches.length })}\n`);
       for (const { rule, text } of breaches.slice(0, 10)) process.stdout.write(`  ${rule}: ${text}\n`);
       if (breaches.length > 0)
-        for (const { kind, name: at, from, to } of troubles)
-          process.stdout.write(`  ${from} to ${to}: ${kind} ${at}\n`);
+        for (const { kind, name: at, from, to } of faults) process.stdout.write(`  ${from} to ${to}: ${kind} ${at}\n`);
     }
     process.stdout.write(`${options.seeds - failed} passed, ${failed} failed\n`);
     process.exitCode = failed === 0 ? 0 : 1;
@@ -291,9 +290,9 @@
   .option("--only <text>", "Only guards whose name has this text", { default: "" })
   .action(async (options: { atOnce: number; only: string }) => {
     const root = fileURLToPath(new URL("../../..", import.meta.url));
-    const chosen = sabotages.filter(({ name }) => name.includes(options.only));
+    const chosen = mutants.filter(({ name }) => name.includes(options.only));
     if (chosen.length === 0) throw new Error(`no guard's name has "${options.only}"`);
-    const reports = await new Saboteur(root).run(chosen, options.atOnce, (report) =>
+    const reports = await new MutantRunner(root).run(chosen, options.atOnce, (report) =>
       process.stdout.write(`${report.outcome}: ${report.name} (${report.failed} tests failed)\n`),
     );
     const caught = reports.filter((report) => report.outcome === "caught").length;
--- a/packages/testkit/src/explore/action.ts
+++ b/packages/testkit/src/explore/action.ts
@@ -42,7 +42,7 @@
   readonly nth: number;
 }
 
-export function act(kind: ActionKind, member: number, other = 0, nth = 0): Action {
+export function step(kind: ActionKind, member: number, other = 0, nth = 0): Action {
   return { kind, member, other, nth };
 }
 
--- a/packages/testkit/src/explore/callers.ts
+++ b/packages/testkit/src/explore/callers.ts
@@ -10,7 +10,7 @@
  * Who asks for changes and reads, at whichever member, and what was answered to them.
  * All keys are changed through one log, so an answer is in order where its revision is.
  */
-export class Callers {
+export class ModelClients {
   /** The key that orders replace, each naming the revision it replaces, as operators' orders do. */
   static readonly orderKey = "order";
   static readonly bigBytes = 1024 * 1024;
@@ -33,12 +33,12 @@
 
   /** Puts a key of its own, whatever is there. A big one fills a frame, so that what follows comes in another. */
   propose(member: ModelMember, isBig: boolean): void {
-    this.#put(member, `key-${member.name}`, undefined, isBig ? Callers.bigBytes : 0);
+    this.#put(member, `key-${member.name}`, undefined, isBig ? ModelClients.bigBytes : 0);
   }
 
   /** Replaces the order in force at this member, if it still is then. */
   order(member: ModelMember): void {
-    this.#put(member, Callers.orderKey, member.raft.metadata.get(Callers.orderKey)?.revision ?? 0);
+    this.#put(member, ModelClients.orderKey, member.raft.metadata.get(ModelClients.orderKey)?.revision ?? 0);
   }
 
   read(member: ModelMember): void {
--- a/packages/testkit/src/explore/choices.ts
+++ b/packages/testkit/src/explore/choices.ts
@@ -1,4 +1,4 @@
-import { act, type Action, type ActionKind } from "./action.js";
+import { step, type Action, type ActionKind } from "./action.js";
 import type { ModelWorld } from "./modelWorld.js";
 
 /** Kinds of actions that are about two machines. */
@@ -34,7 +34,7 @@
     const count = world.machines.length;
     for (let member = 0; member < count; member += 1)
       for (let other = 0; other < (paired.has(kind) ? count : 1); other += 1) {
-        const action = act(kind, member, other);
+        const action = step(kind, member, other);
         if (world.isEnabled(action)) found.push(action);
       }
     return found;
--- a/packages/testkit/src/explore/contactWatch.ts
+++ b/packages/testkit/src/explore/contactWatch.ts
@@ -14,7 +14,7 @@
   readonly #member: ModelMember;
   #currentAt = -Infinity;
   /** What arrived in this step. */
-  #word: { at: number; commit: number } | undefined;
+  #lastContact: { at: number; commit: number } | undefined;
   /** When each other member last answered, or began to count. */
   readonly #answeredAt = new Map<string, number>();
   #ledTerm = 0;
@@ -27,7 +27,7 @@
   take({ body }: Frame): void {
     const { raft, clock } = this.#member;
     if (body.case === "append" && body.value.term >= raft.term)
-      this.#word = { at: clock.now(), commit: body.value.commit };
+      this.#lastContact = { at: clock.now(), commit: body.value.commit };
     if (body.case === "appendReply" && body.value.term === raft.term)
       this.#answeredAt.set(body.value.sender, clock.now());
   }
@@ -35,8 +35,9 @@
   check(): void {
     const { raft, clock, name } = this.#member;
     if (this.#member.isActingLeader) this.#lead();
-    if (this.#word !== undefined && raft.commit >= this.#word.commit) this.#currentAt = this.#word.at;
-    this.#word = undefined;
+    if (this.#lastContact !== undefined && raft.commit >= this.#lastContact.commit)
+      this.#currentAt = this.#lastContact.at;
+    this.#lastContact = undefined;
     if (!raft.isInTouch) return;
     const ago = this.#member.isActingLeader ? this.#majorityAgo() : clock.now() - this.#currentAt;
     if (ago >= ContactWatch.inTouchMs)
--- a/packages/testkit/src/explore/exploreCommand.ts
+++ b/packages/testkit/src/explore/exploreCommand.ts
@@ -46,7 +46,7 @@
     `seed ${seed}: ${report.walks} walks, ${report.states} states, ${perSecond(report)}, longest ${report.longest}\n`,
   );
   say(report.coverage.lines.map((line) => `  ${line}\n`).join(""));
-  return tell(world, report, say);
+  return reportViolation(world, report, say);
 }
 
 async function search(options: ExploreOptions, ignored: PropertyName[], say: Say): Promise<boolean> {
@@ -62,7 +62,7 @@
     const extent = report.isWhole ? "all of it" : "not all of the next level";
     say(`${scenario.name}: depth ${report.depth}, ${extent}, ${report.states} states, ${perSecond(report)}\n`);
     say(report.coverage.lines.map((line) => `  ${line}\n`).join(""));
-    isGood = tell(world, report, say) && isGood;
+    isGood = reportViolation(world, report, say) && isGood;
   }
   return isGood;
 }
@@ -78,7 +78,7 @@
   return `${Math.round((states * 1000) / ms)} a second`;
 }
 
-function tell(world: WorldSettings, { violation, trace }: Partial<FoundTrace>, say: Say): boolean {
+function reportViolation(world: WorldSettings, { violation, trace }: Partial<FoundTrace>, say: Say): boolean {
   if (violation === undefined || trace === undefined) return true;
   say(`BROKEN ${violation.message}\n\n${Trace.test(world, { violation, trace })}\n`);
   say(`${JSON.stringify({ settings: world, trace })}\n`);
--- a/packages/testkit/src/explore/memberSteps.ts
+++ b/packages/testkit/src/explore/memberSteps.ts
@@ -35,7 +35,7 @@
       case "addLearner":
         return !isMember && learners.length === 0;
       case "promote":
-        return learners.some((one) => one.id === diskId) && raft.matchOf(diskId).match > 0;
+        return learners.some((one) => one.id === diskId) && raft.progressOf(diskId).match > 0;
       case "removeVoter": {
         const rest = voters.filter((one) => one.name !== other);
         const isMeant = other !== name && rest.length > 1 && rest.length < voters.length;
@@ -105,9 +105,9 @@
   #next(raft: ModelMember["raft"]): (() => void) | undefined {
     const { voters, learners } = raft.members;
     const out = voters.find((one) => this.#leaving.has(one.id));
-    if (out === undefined || !raft.hasSettledMembers) return undefined;
+    if (out === undefined || !raft.hasStableMembers) return undefined;
     const rest = MemberSteps.#without(voters, out.id);
-    const ready = learners.find((one) => raft.matchOf(one.id).match > 0);
+    const ready = learners.find((one) => raft.progressOf(one.id).match > 0);
     const next = voters.length > this.#wanted || ready === undefined ? rest : [...rest, ready];
     if (next.length >= this.#wanted && MemberSteps.#isMajority(this.#machines, next)) {
       return () => {
--- a/packages/testkit/src/explore/modelClock.ts
+++ b/packages/testkit/src/explore/modelClock.ts
@@ -30,11 +30,11 @@
   }
 
   /** Rings what is due by now; true where anything was. */
-  fireDue(): boolean {
-    const due = this.#timers.filter((timer) => timer.at <= this.#now);
-    due.sort((a, b) => a.at - b.at || a.order - b.order);
-    for (const timer of due) this.#fire(timer);
-    return due.length > 0;
+  fireExpired(): boolean {
+    const expired = this.#timers.filter((timer) => timer.at <= this.#now);
+    expired.sort((a, b) => a.at - b.at || a.order - b.order);
+    for (const timer of expired) this.#fire(timer);
+    return expired.length > 0;
   }
 
   /** Moves on to the next timer and rings all that is due then. */
@@ -42,13 +42,13 @@
     const next = Math.min(...this.#timers.map((timer) => timer.at));
     if (!Number.isFinite(next)) return;
     this.#now = Math.max(this.#now, next);
-    this.fireDue();
+    this.fireExpired();
   }
 
   /** The process did not run for a while. */
   jump(ms: number): void {
     this.#now += ms;
-    this.fireDue();
+    this.fireExpired();
   }
 
   #add(timer: Timer): TimerHandle {
--- a/packages/testkit/src/explore/modelMachine.ts
+++ b/packages/testkit/src/explore/modelMachine.ts
@@ -8,7 +8,7 @@
   readonly disk = new ModelDisk();
   /** The process that runs now. */
   member: ModelMember | undefined;
-  lives = 0;
+  incarnations = 0;
   #disks = 0;
   /** Stands for all that the process has taken in since its start, and for its disk before: same text, same state. */
   history = "";
--- a/packages/testkit/src/explore/modelMember.ts
+++ b/packages/testkit/src/explore/modelMember.ts
@@ -30,7 +30,7 @@
 
   readonly name: string;
   readonly id: string;
-  readonly life: number;
+  readonly incarnation: number;
   readonly clock = new ModelClock();
   readonly log: ReplicaLog;
   readonly raft: RaftNode;
@@ -40,20 +40,25 @@
   isUp = true;
   isFrozen = false;
 
-  constructor(machine: ModelMachine, network: ModelNetwork, life: number, tended: { voters: number } | undefined) {
+  constructor(
+    machine: ModelMachine,
+    network: ModelNetwork,
+    incarnation: number,
+    maintenance: { voters: number } | undefined,
+  ) {
     this.name = machine.name;
     this.id = machine.diskId;
-    this.life = life;
+    this.incarnation = incarnation;
     const isUp = (): boolean => this.isUp;
     const node = new ClusterNode(
       {
-        settings: ModelMember.#settings(machine, tended?.voters ?? 1),
+        settings: ModelMember.#settings(machine, maintenance?.voters ?? 1),
         clock: this.clock,
         transport: network.attach(this.name, isUp),
         disk: undefined,
-        random: new SimRandom(machine.place * 1000 + life),
+        random: new SimRandom(machine.place * 1000 + incarnation),
         log: new LogBuffer(this.name, () => undefined),
-        incarnation: life,
+        incarnation: incarnation,
       },
       [],
     );
@@ -75,7 +80,7 @@
       compaction: ModelMember.#compaction(machine),
       isTrusted: () => true,
     });
-    if (tended !== undefined) this.changes = new MemberChanges(node, this.raft);
+    if (maintenance !== undefined) this.changes = new MemberChanges(node, this.raft);
   }
 
   get isRunning(): boolean {
@@ -100,7 +105,7 @@
       address: `${name}:1`,
       seeds: [],
       mayFound: true,
-      lathes: voters,
+      controlNodes: voters,
       voters,
       replaceVoterMs: modelBounds.replaceVoterMs,
       replicas: 3,
@@ -109,9 +114,9 @@
       stores: false,
       shards: 1,
       edgeLeaseMs: 1500,
-      holderLeaseMs: 1500,
+      shardLeaseMs: 1500,
       electionMs: modelBounds.electionMs,
-      mostLinks: 1,
+      maxConnections: 1,
       bufferBytes: 1024,
     };
   }
--- a/packages/testkit/src/explore/modelWorld.ts
+++ b/packages/testkit/src/explore/modelWorld.ts
@@ -4,14 +4,14 @@
 import { EntrySchema, MembersSchema, type StoreMember } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import type { Action } from "./action.js";
-import { Callers } from "./callers.js";
+import { ModelClients } from "./callers.js";
 import { Coverage } from "./coverage.js";
 import { MemberSteps } from "./memberSteps.js";
 import { ModelMachine } from "./modelMachine.js";
 import { ModelMember, modelBounds } from "./modelMember.js";
 import { ModelNetwork } from "./modelNetwork.js";
 import { Observer } from "./observer.js";
-import { TendedSteps } from "./tendedSteps.js";
+import { MaintenanceSteps } from "./tendedSteps.js";
 import { Violation, type PropertyName } from "./violation.js";
 
 export interface WorldSettings {
@@ -37,9 +37,9 @@
   readonly machines: ModelMachine[];
   readonly network: ModelNetwork;
   readonly observer: Observer;
-  readonly callers: Callers;
+  readonly clients: ModelClients;
   readonly steps: MemberSteps;
-  readonly tendedSteps: TendedSteps;
+  readonly maintenanceSteps: MaintenanceSteps;
   /** Whose writes are not synced at once. */
   readonly #held = new Set<ModelMachine>();
   /** All actions that were carried out. */
@@ -50,9 +50,9 @@
     this.coverage = coverage;
     this.machines = Array.from({ length: settings.machines }, (_, i) => new ModelMachine(i));
     this.observer = new Observer(this.machines, coverage, settings.ignored);
-    this.callers = new Callers(this.observer, coverage);
+    this.clients = new ModelClients(this.observer, coverage);
     this.steps = new MemberSteps(this.machines, this.observer, coverage, settings.voters);
-    this.tendedSteps = new TendedSteps(this.machines, settings.voters);
+    this.maintenanceSteps = new MaintenanceSteps(this.machines, settings.voters);
     this.network = new ModelNetwork((from, to, frame) => {
       const machine = this.machines.find((one) => one.name === from)!;
       this.observer.sent(machine, to, frame);
@@ -73,7 +73,7 @@
       disk.sync();
     }
     for (const machine of world.machines) world.#boot(machine);
-    await world.#settle();
+    await world.#runUntilIdle();
     return world;
   }
 
@@ -140,8 +140,8 @@
     this.taken.push(action);
     this.coverage.count(`action: ${action.kind}`);
     this.observer.keep(() => this.#carryOut(action));
-    await this.#settle();
-    this.observer.keep(() => this.callers.check());
+    await this.#runUntilIdle();
+    this.observer.keep(() => this.clients.check());
     this.observer.check();
     return true;
   }
@@ -153,7 +153,7 @@
         `${history},${disk.pending},${member?.isUp},${member?.isFrozen},${diskId},${disk.text()}`,
     );
     const held = this.machines.map((machine) => this.#held.has(machine)).join();
-    const text = [machines.join("\n"), held, this.network.text(), this.observer.text(), this.callers.text()];
+    const text = [machines.join("\n"), held, this.network.text(), this.observer.text(), this.clients.text()];
     return createHash("sha1")
       .update(`${text.join("\n")}\n${this.steps.text()}`)
       .digest("base64");
@@ -205,27 +205,27 @@
         return this.network.mend(machine.name, second.name);
       case "propose":
         this.#remember(machine, kind);
-        return this.callers.propose(member, nth > 0);
+        return this.clients.propose(member, nth > 0);
       case "order":
         this.#remember(machine, kind);
-        return this.callers.order(member);
+        return this.clients.order(member);
       case "read":
         this.#remember(machine, kind);
-        return this.callers.read(member);
+        return this.clients.read(member);
       case "call":
         this.#remember(machine, `call ${other}`);
-        return this.callers.call(member, second.name);
+        return this.clients.call(member, second.name);
       default:
         this.#remember(machine, `${kind} ${second.diskId}`);
         return this.#memberSteps.take(kind, member, second);
     }
   }
 
-  get #memberSteps(): MemberSteps | TendedSteps {
-    return this.settings.isTended === true ? this.tendedSteps : this.steps;
+  get #memberSteps(): MemberSteps | MaintenanceSteps {
+    return this.settings.isTended === true ? this.maintenanceSteps : this.steps;
   }
 
-  get #tended(): { voters: number } | undefined {
+  get #maintenance(): { voters: number } | undefined {
     return this.settings.isTended === true ? this.settings : undefined;
   }
 
@@ -246,12 +246,12 @@
   }
 
   #boot(machine: ModelMachine): void {
-    machine.lives += 1;
-    this.#remember(machine, `start ${machine.lives} from ${machine.diskId} ${machine.disk.text()}`);
+    machine.incarnations += 1;
+    this.#remember(machine, `start ${machine.incarnations} from ${machine.diskId} ${machine.disk.text()}`);
     try {
-      const member = new ModelMember(machine, this.network, machine.lives, this.#tended);
+      const member = new ModelMember(machine, this.network, machine.incarnations, this.#maintenance);
       machine.member = member;
-      this.callers.serve(member);
+      this.clients.serve(member);
       this.observer.watch(member);
     } catch (cause) {
       throw new Violation("no fault thrown", (cause as Error).message);
@@ -263,7 +263,7 @@
   }
 
   /** All promises settle, and what is to be done after no time is done; where writes sync at once, they do. */
-  async #settle(): Promise<void> {
+  async #runUntilIdle(): Promise<void> {
     for (let isOver = false; !isOver;) {
       await new Promise<void>((resolve) => void setImmediate(resolve));
       isOver = true;
@@ -271,7 +271,7 @@
         const { member } = machine;
         if (member?.isRunning !== true) continue;
         this.observer.keep(() => {
-          if (member.clock.fireDue()) isOver = false;
+          if (member.clock.fireExpired()) isOver = false;
         });
         if (!this.settings.syncsAtOnce || this.#held.has(machine) || machine.disk.pending === 0) continue;
         machine.disk.sync();
--- a/packages/testkit/src/explore/observer.ts
+++ b/packages/testkit/src/explore/observer.ts
@@ -24,7 +24,7 @@
   readonly #lastIndexes = new WeakMap<ReplicaLog, number>();
   readonly #contacts = new Map<ModelMember, ContactWatch>();
   /** The last commit whose disks were looked at as it came about. */
-  #judged = 0;
+  #checkedIndex = 0;
   readonly #durable = new Map<ModelMachine, { version: number; log: ReplicaLog }>();
   /** Found where it must not be thrown: in the middle of the code under test. */
   #found: Error | undefined;
@@ -76,10 +76,10 @@
 
   /** Promises are judged as they are sent. */
   sent(machine: ModelMachine, to: string, frame: Frame): void {
-    this.keep(() => this.#judge(machine, to, frame));
+    this.keep(() => this.#checkFrame(machine, to, frame));
   }
 
-  #judge(machine: ModelMachine, to: string, { body }: Frame): void {
+  #checkFrame(machine: ModelMachine, to: string, { body }: Frame): void {
     const disk = this.durable(machine);
     if (body.case === "vote" && !body.value.isPre) {
       const isKept = disk.term === body.value.term && disk.vote === machine.diskId;
@@ -215,8 +215,8 @@
     for (const members of this.relevantMembers())
       if (MemberSets.of(members).every((voters) => Observer.#isMajority(voters, lacking)))
         throw new Violation("commits on enough disks", Observer.#missing(last, lacking, members));
-    if (last > this.#judged) this.#countMembers();
-    this.#judged = last;
+    if (last > this.#checkedIndex) this.#countMembers();
+    this.#checkedIndex = last;
   }
 
   /** A leader takes an entry for committed: by every set of voters in force there, and in its own term. */
--- a/packages/testkit/src/explore/recovery.ts
+++ b/packages/testkit/src/explore/recovery.ts
@@ -1,4 +1,4 @@
-import { act } from "./action.js";
+import { step } from "./action.js";
 import { Choices } from "./choices.js";
 import type { ModelWorld } from "./modelWorld.js";
 import { Violation } from "./violation.js";
@@ -19,7 +19,7 @@
       // The clocks of different machines differ: somebody asks for votes first.
       for (let at = 0; at < world.machines.length; at += 1)
         if (at === round % world.machines.length || world.machines[at]!.member?.isActingLeader === true)
-          await world.take(act("tick", at));
+          await world.take(step("tick", at));
     }
     const states = world.machines.map(({ member }) => `${member?.name} ${member?.raft.term}/${member?.raft.commit}`);
     throw new Violation("all catch up", `not after ${Recovery.rounds} rounds without troubles: ${states.join(", ")}`);
@@ -41,9 +41,9 @@
 async function isCaughtUp(world: ModelWorld): Promise<boolean> {
   const at = world.machines.findIndex(({ member }) => member?.raft.isLeader === true);
   if (at === -1) return false;
-  await world.take(act("propose", at));
+  await world.take(step("propose", at));
   await calm(world);
-  await world.take(act("tick", at));
+  await world.take(step("tick", at));
   await calm(world);
   const { raft } = world.machines[at]!.member!;
   if (!raft.isLeader) return false;
--- a/packages/testkit/src/explore/scenarios.ts
+++ b/packages/testkit/src/explore/scenarios.ts
@@ -1,4 +1,4 @@
-import { act, type Action, type ActionKind } from "./action.js";
+import { step, type Action, type ActionKind } from "./action.js";
 import { Choices } from "./choices.js";
 import type { SearchSettings } from "./exhaustiveSearch.js";
 import { ModelWorld, type WorldSettings } from "./modelWorld.js";
@@ -37,9 +37,9 @@
 }
 
 const elect: Prepare = async (world, deliver) => {
-  await world.take(act("tick", 0));
+  await world.take(step("tick", 0));
   await deliver();
-  await world.take(act("tick", 0));
+  await world.take(step("tick", 0));
   await deliver();
 };
 
@@ -50,13 +50,13 @@
     world: withSpare,
     prepare: async (world, deliver) => {
       await elect(world, deliver);
-      await world.take(act("addLearner", 0, 3));
+      await world.take(step("addLearner", 0, 3));
       await deliver();
-      await world.take(act("tick", 0));
+      await world.take(step("tick", 0));
       await deliver();
-      await world.take(act("drain", 0, 2));
+      await world.take(step("drain", 0, 2));
     },
-    limits: { deliver: Infinity, tend: 1, tick: 1, crash: 1, propose: 1 },
+    limits: { deliver: Infinity, maintain: 1, tick: 1, crash: 1, propose: 1 },
     depth: 3,
   },
   {
@@ -79,14 +79,14 @@
     prepare: async (world, deliver) => {
       await elect(world, deliver);
       for (let i = 0; i < 3; i += 1) {
-        await world.take(act("propose", 0));
+        await world.take(step("propose", 0));
         await deliver(2);
       }
       // One entry more than the others have, so that its first append is refused.
-      await world.take(act("propose", 0));
+      await world.take(step("propose", 0));
       await dropAll(world);
-      for (const at of [0, 1, 2]) await world.take(act("crash", at));
-      for (const at of [0, 1, 2]) await world.take(act("restart", at));
+      for (const at of [0, 1, 2]) await world.take(step("crash", at));
+      for (const at of [0, 1, 2]) await world.take(step("restart", at));
     },
     limits: { deliver: Infinity, tick: 2, propose: 1 },
     depth: 9,
@@ -96,9 +96,9 @@
     world: withSpare,
     prepare: async (world, deliver) => {
       await elect(world, deliver);
-      await world.take(act("addLearner", 0, 3));
+      await world.take(step("addLearner", 0, 3));
       await deliver();
-      await world.take(act("tick", 0));
+      await world.take(step("tick", 0));
       await deliver();
     },
     limits: { deliver: Infinity, promote: 1, removeVoter: 1, tick: 1, propose: 1, crash: 1 },
--- a/packages/testkit/src/explore/tendedSteps.ts
+++ b/packages/testkit/src/explore/tendedSteps.ts
@@ -10,7 +10,7 @@
  * What happens around the code that tends the members in production: machines ask to join, operators want machines
  * drained, and change their minds. What is done about it that code decides.
  */
-export class TendedSteps {
+export class MaintenanceSteps {
   readonly #machines: readonly ModelMachine[];
   readonly #wanted: number;
 
@@ -25,9 +25,11 @@
       case "join":
         return this.#mayJoin(member, other);
       case "drain":
-        return member.raft.isLeader && !TendedSteps.#isDrained(member, other) && this.#drainedBy(member) < this.#most;
+        return (
+          member.raft.isLeader && !MaintenanceSteps.#isDrained(member, other) && this.#drainedBy(member) < this.#most
+        );
       case "undrain":
-        return member.raft.isLeader && TendedSteps.#isDrained(member, other);
+        return member.raft.isLeader && MaintenanceSteps.#isDrained(member, other);
       default:
         return false;
     }
@@ -36,7 +38,7 @@
   take(kind: ActionKind, member: ModelMember, other: ModelMachine): void {
     const key = DrainKey.of(other.name);
     const put = { key, value: DrainKey.write() } as Partial<Kv> as Kv;
-    if (kind === "join") return TendedSteps.#join(member, other.member!);
+    if (kind === "join") return MaintenanceSteps.#join(member, other.member!);
     const txn = { checks: [], puts: kind === "drain" ? [put] : [], deletes: kind === "drain" ? [] : [key] };
     const command = create(StoreCommandSchema, { command: { case: "txn", value: txn } });
     void member.raft.propose(toBinary(StoreCommandSchema, command));
@@ -61,7 +63,7 @@
   }
 
   #drainedBy(leader: ModelMember): number {
-    return this.#machines.filter((machine) => TendedSteps.#isDrained(leader, machine)).length;
+    return this.#machines.filter((machine) => MaintenanceSteps.#isDrained(leader, machine)).length;
   }
 
   static #isDrained({ raft }: ModelMember, { name }: ModelMachine): boolean {
--- a/packages/testkit/src/fleet/drill.ts
+++ b/packages/testkit/src/fleet/drill.ts
@@ -4,7 +4,7 @@
 import type { Load } from "./load.js";
 import type { Probe } from "./probe.js";
 
-export interface DrillStep {
+export interface ChaosDrillStep {
   what: string;
   /** When it was caused, and when service was back. */
   from: number;
@@ -25,7 +25,7 @@
 type Target = "edge" | "holder" | "proposer";
 
 /** Causes failures on a real fleet under load, one after the other, and measures how long service takes to be back. */
-export class Drill {
+export class ChaosDrill {
   static readonly backMs = 12_000;
   static readonly names = [
     "kill",
@@ -43,10 +43,10 @@
   ];
   readonly #fleet: Fleet;
   readonly #load: Load;
-  readonly #say: (step: DrillStep) => void;
-  readonly steps: DrillStep[] = [];
+  readonly #say: (step: ChaosDrillStep) => void;
+  readonly steps: ChaosDrillStep[] = [];
 
-  constructor(fleet: Fleet, load: Load, say: (step: DrillStep) => void = () => undefined) {
+  constructor(fleet: Fleet, load: Load, say: (step: ChaosDrillStep) => void = () => undefined) {
     this.#say = say;
     this.#fleet = fleet;
     this.#load = load;
@@ -76,7 +76,7 @@
     };
     for (const name of names) {
       const drill = drills[name];
-      if (drill === undefined) throw new Error(`there is no drill ${name}: ${Drill.names.join(", ")}`);
+      if (drill === undefined) throw new Error(`there is no drill ${name}: ${ChaosDrill.names.join(", ")}`);
       await drill();
     }
   }
@@ -174,7 +174,7 @@
     if (target === "edge")
       return most(
         this.#fleet.withRole("vise"),
-        this.#load.callers.map((caller) => caller.node),
+        this.#load.clients.map((client) => client.node),
       );
     if (target === "holder") return most(this.#fleet.withRole("anvil"), await this.#fleet.leaders());
     for (;;) {
@@ -194,7 +194,7 @@
     const returnedAt = this.#load.now;
     let probe: Probe | undefined;
     const isBack = (): boolean => {
-      if (this.#load.callers.every((caller) => caller.isSettled)) probe ??= this.#load.probe();
+      if (this.#load.clients.every((client) => client.isSettled)) probe ??= this.#load.probe();
       return probe?.isBack === true;
     };
     const ready = this.#fleet.ready().then((ms) => Math.round(ms));
--- a/packages/testkit/src/fleet/fleet.test.ts
+++ b/packages/testkit/src/fleet/fleet.test.ts
@@ -6,7 +6,7 @@
 import { expect } from "earl";
 import { Deployments } from "./deployments.js";
 import type { PortReply } from "../callers/callerPort.js";
-import { Drill } from "./drill.js";
+import { ChaosDrill } from "./drill.js";
 import { Fleet } from "./fleet.js";
 import { Load } from "./load.js";
 import { programOf } from "./programOf.js";
@@ -232,14 +232,14 @@
     try {
       await load.begin();
       load.play();
-      const drill = new Drill(fleet, load);
+      const drill = new ChaosDrill(fleet, load);
       await drill.run(["kill", "freeze", "cycle"], ["edge", "holder", "proposer"]);
       await drill.run(["cut"], ["holder"]);
       await drill.run(["reset", "wipe", "settings", "changeConfiguration", "blackout"], ["holder", "proposer"]);
       const report = await load.end();
       expect(report.breaches).toEqual([]);
       expect(fleet.fallen).toEqual([]);
-      expect(drill.steps.filter((step) => step.backMs > Drill.backMs)).toEqual([]);
+      expect(drill.steps.filter((step) => step.backMs > ChaosDrill.backMs)).toEqual([]);
       expect(report.accepted).toEqual(report.sent);
       expect(report.deliveries > report.accepted).toEqual(true);
     } finally {
--- a/packages/testkit/src/fleet/fleet.ts
+++ b/packages/testkit/src/fleet/fleet.ts
@@ -90,7 +90,7 @@
         address,
         http,
         seeds,
-        lathes: machines.filter((one) => one.role === "lathe").length,
+        controlNodes: machines.filter((one) => one.role === "lathe").length,
         log: join(this.#folder, `${machine.name}.log`),
         ...(relayed(machine.name) ? { listen: addresses[2 * machines.length + i]! } : {}),
         ...machine.settings,
--- a/packages/testkit/src/fleet/load.ts
+++ b/packages/testkit/src/fleet/load.ts
@@ -4,7 +4,7 @@
 import { Lateness } from "../checker/lateness.js";
 import { History } from "../checker/history.js";
 import { Deployments } from "./deployments.js";
-import { Caller } from "../callers/caller.js";
+import { Client } from "../callers/caller.js";
 import { Probe } from "./probe.js";
 import type { Fleet } from "./fleet.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
@@ -29,7 +29,7 @@
   readonly #clock = new HostClock();
   readonly #random = new HostRandom();
   readonly history = new History();
-  readonly callers: Caller[] = [];
+  readonly clients: Client[] = [];
   readonly #zoneOf = new Map<string, string>();
   /** No caller drops off of its own accord, so that a recovery can be timed. */
   isCalm = false;
@@ -60,7 +60,7 @@
     for (let i = 0; i < deployment.connections * share; i += 1) {
       const session = i < broadcast.senders ? `sender-${i + 1}` : `caller-${i + 1}`;
       this.#zoneOf.set(session, deployment.zones[i % deployment.zones.length]!);
-      const caller = new Caller({
+      const client = new Client({
         session,
         port: this.#fleet.port,
         clock: this.#clock,
@@ -68,14 +68,14 @@
         history: this.history,
         nodes: () => this.#nodes(session),
       });
-      this.callers.push(caller);
+      this.clients.push(client);
       const topics = new Set([...this.#topics(shared), ...this.#topics(broadcast)]);
-      caller.start([...topics]);
+      client.start([...topics]);
       if (i % 20 === 19) await this.#wait(20);
     }
-    for (let tries = 0; tries < 300 && !this.callers.every((caller) => caller.isSettled); tries += 1)
+    for (let tries = 0; tries < 300 && !this.clients.every((client) => client.isSettled); tries += 1)
       await this.#wait(100);
-    const unsettled = this.callers.filter((caller) => !caller.isSettled).length;
+    const unsettled = this.clients.filter((client) => !client.isSettled).length;
     if (unsettled > 0) throw new Error(`${unsettled} callers have no confirmed link after 30 s`);
   }
 
@@ -110,17 +110,17 @@
   play(share = 1): void {
     const { shared, broadcast } = this.#fleet.deployment;
     this.#every(1000 / (shared.perSecond * share), () =>
-      this.#publish(this.#any(this.callers), shared.space, shared.topics),
+      this.#publish(this.#any(this.clients), shared.space, shared.topics),
     );
     this.#every(1000 / (broadcast.perSecond * share), () =>
       this.#publish(
-        this.callers[Math.floor(this.#random.draw() * broadcast.senders)]!,
+        this.clients[Math.floor(this.#random.draw() * broadcast.senders)]!,
         broadcast.space,
         broadcast.topics,
       ),
     );
-    this.#every(700, () => this.isCalm || this.#any(this.callers).dropOff(200 + this.#random.draw() * 3000));
-    this.#every(2500, () => this.isCalm || this.#move(this.#any(this.callers)));
+    this.#every(700, () => this.isCalm || this.#any(this.clients).dropOff(200 + this.#random.draw() * 3000));
+    this.#every(2500, () => this.isCalm || this.#move(this.#any(this.clients)));
   }
 
   /** Operators send several configurations at once, at different nodes; one is stale and one is broken. */
@@ -137,21 +137,21 @@
   /** Everybody comes to one zone, and stays there until moved again. */
   moveAll(): void {
     const zone = this.#any(this.#fleet.deployment.zones);
-    for (const caller of this.callers) {
-      this.#zoneOf.set(caller.session, zone);
-      caller.dropOff(this.#random.draw() * 500);
+    for (const client of this.clients) {
+      this.#zoneOf.set(client.session, zone);
+      client.dropOff(this.#random.draw() * 500);
     }
   }
 
   /** Nearly all at once. */
   resetAll(): void {
-    for (const caller of this.callers) if (this.#random.draw() < 0.95) caller.dropOff(this.#random.draw() * 500);
+    for (const client of this.clients) if (this.#random.draw() < 0.95) client.dropOff(this.#random.draw() * 500);
   }
 
   /** Ends everything at once, whatever state it is in. */
   halt(): void {
     for (const stop of this.#stops.splice(0)) stop();
-    for (const caller of this.callers) caller.stop();
+    for (const client of this.clients) client.stop();
   }
 
   /** Stops sending, waits until everything is settled and delivered, and judges. */
@@ -159,7 +159,7 @@
     for (const stop of this.#stops.splice(0)) stop();
     for (
       let tries = 0;
-      tries < 250 && !this.callers.every((caller) => caller.isSettled && caller.open === 0);
+      tries < 250 && !this.clients.every((client) => client.isSettled && client.open === 0);
       tries += 1
     )
       await this.#wait(100);
@@ -169,20 +169,20 @@
     if (read.status === 200) this.history.add({ kind: "planRead", at: endAt, text: String(read.body["raw"]) });
     else this.history.add({ kind: "planLost", at: endAt, why: `reading the plan back gave ${read.status}` });
     this.halt();
-    return Load.report(this.history, endAt, this.callers);
+    return Load.report(this.history, endAt, this.clients);
   }
 
-  static report(history: History, endAt: number, callers: readonly Caller[]): LoadReport {
+  static report(history: History, endAt: number, clients: readonly Client[]): LoadReport {
     const { seen } = history;
     const delays = Lateness.deliveries(seen).map(({ delay }) => delay);
     const sent = seen.flatMap((one) => (one.kind === "tried" ? [`${one.sender} ${one.topic} ${one.number}`] : []));
     return {
       sent: new Set(sent).size,
       accepted: seen.filter((one) => one.kind === "accepted").length,
-      reconnects: callers.reduce((sum, caller) => sum + caller.reconnects, 0),
+      reconnects: clients.reduce((sum, client) => sum + client.reconnects, 0),
       ...Lateness.figures(delays),
       above333: delays.filter((delay) => delay > Lateness.aimMs).length,
-      breaches: Checker.judge(seen, endAt),
+      breaches: Checker.check(seen, endAt),
     };
   }
 
@@ -195,16 +195,16 @@
     const { space } = this.#fleet.deployment.shared;
     return new Probe({
       history: this.history,
-      callers: this.callers,
+      clients: this.clients,
       draw: () => this.#random.draw(),
       now: () => this.#clock.now(),
-      topicsFor: (caller) => caller.topics.filter((topic) => topic.startsWith(`${space}/`)),
+      topicsFor: (client) => client.topics.filter((topic) => topic.startsWith(`${space}/`)),
     });
   }
 
-  #publish(caller: Caller, space: string, topics: number): void {
+  #publish(client: Client, space: string, topics: number): void {
     const topic = `${space}/t${Math.floor(this.#random.draw() * topics)}`;
-    void caller.publish(topic, `${caller.session} ${this.#random.identity()}`);
+    void client.publish(topic, `${client.session} ${this.#random.identity()}`);
   }
 
   #topics({ space, topics, reads }: { space: string; topics: number; reads: number }): string[] {
@@ -217,20 +217,20 @@
     return near.length > 0 ? near : edges;
   }
 
-  #move(caller: Caller): void {
-    this.#zoneOf.set(caller.session, this.#any(this.#fleet.deployment.zones));
-    caller.dropOff(100);
+  #move(client: Client): void {
+    this.#zoneOf.set(client.session, this.#any(this.#fleet.deployment.zones));
+    client.dropOff(100);
   }
 
   #any<T>(list: readonly T[]): T {
     return list[Math.floor(this.#random.draw() * list.length)]!;
   }
 
-  #every(ms: number, act: () => unknown): void {
+  #every(ms: number, action: () => unknown): void {
     const startedAt = this.#clock.now();
     let count = 0;
     const timer = this.#clock.every(Math.max(5, ms), () => {
-      for (; count < (this.#clock.now() - startedAt) / ms; count += 1) act();
+      for (; count < (this.#clock.now() - startedAt) / ms; count += 1) action();
     });
     this.#stops.push(() => timer.stop());
   }
--- a/packages/testkit/src/fleet/probe.ts
+++ b/packages/testkit/src/fleet/probe.ts
@@ -1,13 +1,13 @@
 import type { History, Seen } from "../checker/history.js";
-import type { Caller } from "../callers/caller.js";
+import type { Client } from "../callers/caller.js";
 
 interface ProbeParts {
   history: History;
-  callers: readonly Caller[];
+  clients: readonly Client[];
   draw: () => number;
   now: () => number;
   /** The topics that a caller may publish on. */
-  topicsFor: (caller: Caller) => readonly string[];
+  topicsFor: (client: Client) => readonly string[];
 }
 
 /**
@@ -24,34 +24,34 @@
   readonly startedAt: number;
   doneAt = Infinity;
 
-  constructor({ history, callers, draw, now, topicsFor }: ProbeParts) {
+  constructor({ history, clients, draw, now, topicsFor }: ProbeParts) {
     this.#history = history;
     this.#now = now;
     this.startedAt = now();
     this.#read = history.seen.length;
-    for (const caller of callers) {
-      const topics = topicsFor(caller);
+    for (const client of clients) {
+      const topics = topicsFor(client);
       const topic = topics[Math.floor(draw() * topics.length)];
       if (topic === undefined) continue;
-      const payload = `probe ${caller.session} ${Math.floor(draw() * 1e9)}`;
-      const readers = callers.filter((one) => one.topics.includes(topic)).map((one) => one.session);
+      const payload = `probe ${client.session} ${Math.floor(draw() * 1e9)}`;
+      const readers = clients.filter((one) => one.topics.includes(topic)).map((one) => one.session);
       if (readers.length > 0) this.#missing.set(payload, new Set(readers));
-      this.#openCalls.add(caller.session);
-      void this.#publish(caller, topic, payload);
+      this.#openCalls.add(client.session);
+      void this.#publish(client, topic, payload);
     }
   }
 
   /** A refusal under a configuration that is being replaced just now does not end it. */
-  async #publish(caller: Caller, topic: string, payload: string): Promise<void> {
+  async #publish(client: Client, topic: string, payload: string): Promise<void> {
     let isAccepted = false;
-    for (let tries = 0; tries < 20 && !isAccepted; tries += 1) isAccepted = await caller.publish(topic, payload);
-    if (isAccepted) this.#openCalls.delete(caller.session);
+    for (let tries = 0; tries < 20 && !isAccepted; tries += 1) isAccepted = await client.publish(topic, payload);
+    if (isAccepted) this.#openCalls.delete(client.session);
   }
 
   /** Looks at what came since the last look. */
   get isBack(): boolean {
     const { seen } = this.#history;
-    for (; this.#read < seen.length; this.#read += 1) this.#heed(seen[this.#read]!);
+    for (; this.#read < seen.length; this.#read += 1) this.#handleSeen(seen[this.#read]!);
     const isBack = this.#openCalls.size === 0 && this.#missing.size === 0;
     if (isBack && this.doneAt === Infinity) this.doneAt = this.#now();
     return isBack;
@@ -63,7 +63,7 @@
     return [`receipts of ${[...this.#openCalls].join(" ") || "none"}`, ...waiting].slice(0, 8).join("; ");
   }
 
-  #heed(one: Seen): void {
+  #handleSeen(one: Seen): void {
     if (one.kind !== "received") return;
     const readers = this.#missing.get(one.payload);
     readers?.delete(one.subscriber);
--- a/packages/testkit/src/fleet/soak.test.ts
+++ b/packages/testkit/src/fleet/soak.test.ts
@@ -24,7 +24,7 @@
       const report = await soak.run(seconds);
       expect(report.breaches).toEqual([]);
       // It had something to judge.
-      expect(report.troubles.length >= 3).toEqual(true);
+      expect(report.faults.length >= 3).toEqual(true);
       expect([report.received > report.accepted, report.passed > 0]).toEqual([true, true]);
       expect([report.changes > 0, report.reads > 0]).toEqual([true, true]);
     } finally {
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -1,22 +1,22 @@
 import { HostClock } from "@cranetrack/core/runtime/hostClock.js";
 import { InvariantMonitor } from "@cranetrack/core/runtime/invariantMonitor.js";
-import { Caller } from "../callers/caller.js";
-import { PassingCallers } from "../callers/passingCallers.js";
+import { Client } from "../callers/caller.js";
+import { EphemeralClients } from "../callers/passingCallers.js";
 import type { Breach } from "../checker/checker.js";
-import { judgeReads } from "../checker/configurationReads.js";
+import { checkReads } from "../checker/configurationReads.js";
 import { SimRandom } from "../sim/simRandom.js";
 import type { Deployment } from "./deployments.js";
 import type { Fleet } from "./fleet.js";
 import { Load } from "./load.js";
 import { SoakOperators } from "./soakOperators.js";
-import { SoakTroubles, type Trouble } from "./soakTroubles.js";
+import { SoakFaultInjector, type Trouble } from "./soakTroubles.js";
 
 /** Any troubles, or disks lost one after the other as soon as the users may. */
 export type SoakProfile = "any" | "disks";
 export interface SoakReport {
   seed: number;
   breaches: Breach[];
-  troubles: readonly Trouble[];
+  faults: readonly Trouble[];
   accepted: number;
   received: number;
   passed: number;
@@ -56,8 +56,8 @@
     // A store that was founded once is not founded anew, however many disks were lost: that would hide the loss.
     for (const name of this.#fleet.withRole("lathe")) this.#fleet.changeSettings(name, { mayFound: false });
     await this.#load.begin();
-    const passing = this.#passing(this.#fleet.deployment);
-    passing?.begin();
+    const ephemeralClients = this.#ephemeralClients(this.#fleet.deployment);
+    ephemeralClients?.begin();
     this.#load.play();
     const operators = new SoakOperators(
       this.#fleet,
@@ -68,28 +68,28 @@
     );
     const operating = operators.run();
     const prober = this.#beginProbing();
-    const troubles = new SoakTroubles(this.#fleet, this.#random.fork(), now);
+    const faults = new SoakFaultInjector(this.#fleet, this.#random.fork(), now);
     const until = now() + seconds * 1000;
-    await (profile === "any" ? troubles.rage(until) : troubles.loseDisks(until));
+    await (profile === "any" ? faults.rage(until) : faults.loseDisks(until));
     const backMs = await this.#back();
     operators.stop();
     await operating;
     await this.#readBack(operators);
     prober.stop();
-    passing?.end();
+    ephemeralClients?.end();
     const report = await this.#load.end();
-    this.#breaches.push(...report.breaches, ...judgeReads(operators.accepted, operators.reads));
-    this.#breaches.push(...(passing?.judge() ?? []));
+    this.#breaches.push(...report.breaches, ...checkReads(operators.accepted, operators.reads));
+    this.#breaches.push(...(ephemeralClients?.judge() ?? []));
     for (const text of operators.refused) this.#breach("change-refused", text);
     for (const text of this.#fleet.fallen) this.#breach("process-ended", text);
     for (const text of this.#fleet.logLines(InvariantMonitor.logText)) this.#breach("invariant", text);
     return {
       seed: this.#seed,
       breaches: this.#breaches,
-      troubles: troubles.done,
+      faults: faults.done,
       accepted: report.accepted,
       received: report.deliveries,
-      passed: passing?.received ?? 0,
+      passed: ephemeralClients?.received ?? 0,
       changes: operators.accepted.length,
       reads: operators.reads.length,
       unknown: operators.unknown,
@@ -109,8 +109,8 @@
   async #back(): Promise<number> {
     const from = this.#clock.now();
     this.#load.isCalm = true;
-    const isSettled = (): boolean => this.#load.callers.every((caller) => caller.isSettled);
-    while (!isSettled() && this.#clock.now() - from < Soak.backMs) await this.#wait(20);
+    const isStable = (): boolean => this.#load.clients.every((client) => client.isSettled);
+    while (!isStable() && this.#clock.now() - from < Soak.backMs) await this.#wait(20);
     const probe = this.#load.probe();
     while (!probe.isBack && this.#clock.now() - from < Soak.backMs) await this.#wait(20);
     if (!probe.isBack)
@@ -128,7 +128,7 @@
 
   /** Publishes in spaces that come and go: what is refused and accepted there is judged by the versions in force. */
   #beginProbing(): { stop(): void } {
-    const caller = new Caller({
+    const client = new Client({
       session: "prober",
       port: this.#fleet.port,
       clock: this.#clock,
@@ -136,23 +136,23 @@
       history: this.#load.history,
       nodes: () => this.#edges(),
     });
-    caller.start([]);
+    client.start([]);
     const timer = this.#clock.every(Soak.probeMs, () => {
-      if (caller.isConnected && caller.open < Soak.maxProbes)
-        void caller.publish(`${this.#random.pick(SoakOperators.addedSpaces)}/t0`, `probe ${this.#random.identity()}`);
+      if (client.isConnected && client.open < Soak.maxProbes)
+        void client.publish(`${this.#random.pick(SoakOperators.addedSpaces)}/t0`, `probe ${this.#random.identity()}`);
     });
     return {
       stop: () => {
         timer.stop();
-        caller.stop();
+        client.stop();
       },
     };
   }
 
-  #passing({ passing }: Deployment): PassingCallers | undefined {
-    if (passing === undefined) return undefined;
-    const { space, topics, readers, senders, perSecond } = passing;
-    return new PassingCallers({
+  #ephemeralClients({ passing: ephemeralClients }: Deployment): EphemeralClients | undefined {
+    if (ephemeralClients === undefined) return undefined;
+    const { space, topics, readers, senders, perSecond } = ephemeralClients;
+    return new EphemeralClients({
       port: this.#fleet.port,
       clock: this.#clock,
       random: this.#random.fork(),
--- a/packages/testkit/src/fleet/soakTroubles.ts
+++ b/packages/testkit/src/fleet/soakTroubles.ts
@@ -3,19 +3,19 @@
 
 /** What was done to a process, from when to when, in milliseconds since the soak began. */
 export interface Trouble {
-  readonly kind: TroubleKind;
+  readonly kind: SoakFaultKind;
   readonly name: string;
   readonly from: number;
   readonly to: number;
 }
-export const troubleKinds = ["kill", "pause", "cut", "lostAnswers", "slow", "reset", "restart", "wipe"] as const;
-export type TroubleKind = (typeof troubleKinds)[number];
+export const soakFaultKinds = ["kill", "pause", "cut", "lostAnswers", "slow", "reset", "restart", "wipe"] as const;
+export type SoakFaultKind = (typeof soakFaultKinds)[number];
 
 /**
  * Random troubles of real processes and of the wires between them, up to three at a time. A disk is lost only once
  * every machine with one has been well for the time that the users give a successor; all other losses may overlap.
  */
-export class SoakTroubles {
+export class SoakFaultInjector {
   static readonly maxConcurrent = 3;
   static readonly minPauseMs = 200;
   static readonly maxPauseMs = 2500;
@@ -47,12 +47,12 @@
     this.#wellSince = this.#now();
     const open = new Set<Promise<void>>();
     while (this.#now() < until) {
-      await this.#wait(this.#random.between(SoakTroubles.minPauseMs, SoakTroubles.maxPauseMs));
-      if (open.size >= SoakTroubles.maxConcurrent) continue;
-      const trouble = this.#begin();
-      if (trouble === undefined) continue;
-      open.add(trouble);
-      void trouble.finally(() => open.delete(trouble));
+      await this.#wait(this.#random.between(SoakFaultInjector.minPauseMs, SoakFaultInjector.maxPauseMs));
+      if (open.size >= SoakFaultInjector.maxConcurrent) continue;
+      const fault = this.#begin();
+      if (fault === undefined) continue;
+      open.add(fault);
+      void fault.finally(() => open.delete(fault));
     }
     await Promise.all(open);
   }
@@ -68,7 +68,7 @@
       const name = this.#random.pick(disks);
       await this.#run("wipe", name);
       await this.#fleet.up(name);
-      const nextAt = this.#now() + SoakTroubles.successorMs - SoakTroubles.startMs;
+      const nextAt = this.#now() + SoakFaultInjector.successorMs - SoakFaultInjector.startMs;
       while (this.#now() < nextAt) {
         await this.#wait(Math.min(this.#random.between(200, 1500), Math.max(1, nextAt - this.#now())));
         if (this.#now() < nextAt) await this.#run("reset", this.#random.pick(this.#fleet.names));
@@ -80,7 +80,7 @@
     const free = this.#fleet.names.filter((name) => !this.#busy.has(name));
     if (free.length === 0) return undefined;
     const name = this.#random.pick(free);
-    const kind = this.#mayWipe(name) && this.#random.draw() < 0.4 ? "wipe" : this.#random.pick(troubleKinds);
+    const kind = this.#mayWipe(name) && this.#random.draw() < 0.4 ? "wipe" : this.#random.pick(soakFaultKinds);
     if (kind === "wipe" && !this.#mayWipe(name)) return undefined;
     return this.#run(kind, name);
   }
@@ -91,10 +91,10 @@
 
   #mayWipe(name: string): boolean {
     const isAnyTroubled = [...this.#busy].some((one) => this.#hasDisk(one));
-    return this.#hasDisk(name) && !isAnyTroubled && this.#now() - this.#wellSince > SoakTroubles.syncMs;
+    return this.#hasDisk(name) && !isAnyTroubled && this.#now() - this.#wellSince > SoakFaultInjector.syncMs;
   }
 
-  async #run(kind: TroubleKind, name: string): Promise<void> {
+  async #run(kind: SoakFaultKind, name: string): Promise<void> {
     const from = this.#now();
     this.#busy.add(name);
     const ms = this.#random.between(300, 4000);
@@ -104,7 +104,7 @@
     this.done.push({ kind, name, from: Math.round(from), to: Math.round(this.#now()) });
   }
 
-  async #act(kind: TroubleKind, name: string, ms: number): Promise<void> {
+  async #act(kind: SoakFaultKind, name: string, ms: number): Promise<void> {
     const fleet = this.#fleet;
     switch (kind) {
       case "kill":
@@ -140,7 +140,7 @@
   }
 
   #isReady(name: string): Promise<boolean> {
-    return this.#fleet.ready([name], SoakTroubles.readyMs).then(
+    return this.#fleet.ready([name], SoakFaultInjector.readyMs).then(
       () => true,
       () => false,
     );
--- a/packages/testkit/src/golden/adapter.ts
+++ b/packages/testkit/src/golden/adapter.ts
@@ -4,7 +4,7 @@
  */
 import { create, fromBinary, toBinary, type DescMessage, type Message } from "@bufbuild/protobuf";
 import { entryKind } from "@cranetrack/control/consensus/entryKind.js";
-import { digestOf } from "@cranetrack/control/configuration/judgeOrder.js";
+import { contentDigestOf } from "@cranetrack/control/configuration/judgeOrder.js";
 import { ConfigurationArchive } from "@cranetrack/control/configuration/configurationArchive.js";
 import { contentDigest, contentKind } from "@cranetrack/core/configuration/contentDigest.js";
 import { ConfigurationReader } from "@cranetrack/core/configuration/configurationReader.js";
@@ -13,7 +13,7 @@
 import { ChangeJournal } from "@cranetrack/core/feeds/changeJournal.js";
 import type { Change } from "@cranetrack/core/feeds/feedFollower.js";
 import * as messages from "@cranetrack/core/gen/cranetrack_pb.js";
-import { AcceptedOrderKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
+import { AcceptedChangeKey } from "@cranetrack/core/keys/acceptedOrderKey.js";
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
@@ -55,7 +55,7 @@
 
 /** The same for a frame that was decoded before and is forwarded. */
 export function encodeForwardedFrame(frame: Message): Uint8Array {
-  return Wire.again(frame as Frame);
+  return Wire.encodeFrame(frame as Frame);
 }
 
 /** Undefined where the bytes are no frame. */
@@ -125,16 +125,17 @@
     },
   },
   "accepted versions floor": {
-    encode: ({ version }: { version: number }) => AcceptedOrderKey.writeFloor(version),
-    decode: (bytes) => ({ version: AcceptedOrderKey.readFloor(bytes) }),
+    encode: ({ version }: { version: number }) => AcceptedChangeKey.writeFloor(version),
+    decode: (bytes) => ({ version: AcceptedChangeKey.readFloor(bytes) }),
   },
   "accepted configuration": {
-    encode: ({ text }: { text: string }) => digestOf({ version: 7, body: Buffer.from(text), document: undefined }),
+    encode: ({ text }: { text: string }) =>
+      contentDigestOf({ version: 7, body: Buffer.from(text), document: undefined }),
     decode: (bytes) => Buffer.from(bytes).toString("hex"),
   },
   "accepted document": {
     encode: ({ text }: { text: string }) =>
-      digestOf({ version: 7, body: Buffer.from("{}"), document: Buffer.from(text) }),
+      contentDigestOf({ version: 7, body: Buffer.from("{}"), document: Buffer.from(text) }),
     decode: (bytes) => Buffer.from(bytes).toString("hex"),
   },
   "drain request": {
@@ -224,12 +225,12 @@
   configuration: ConfigurationKey.name,
   incarnations: IncarnationsKey.name,
   document: DocumentKey.name,
-  acceptedPrefix: AcceptedOrderKey.prefix,
-  acceptedFloor: AcceptedOrderKey.floor,
+  acceptedPrefix: AcceptedChangeKey.prefix,
+  acceptedFloor: AcceptedChangeKey.floor,
   drainTurn: DrainKey.turn,
   storeVoters: MembersKey.name,
-  accepted: (version: number): string => AcceptedOrderKey.of(version),
-  versionOfAccepted: (key: string): number | undefined => AcceptedOrderKey.versionOf(key),
+  accepted: (version: number): string => AcceptedChangeKey.of(version),
+  versionOfAccepted: (key: string): number | undefined => AcceptedChangeKey.versionOf(key),
   drain: (machine: string): string => DrainKey.of(machine),
   machineOfDrain: (key: string): string | undefined => DrainKey.machineOf(key),
   shardLeader: (shard: number): string => ShardLeaderKey.of(shard),
@@ -298,7 +299,7 @@
       const incarnations = IncarnationsKey.write({ version, spaces: {} });
       journal.append({ key: IncarnationsKey.name, value: incarnations, revision: version });
       journal.append({ key: ConfigurationKey.name, value: Buffer.from(text), revision: version });
-      await archive.settled();
+      await archive.whenIdle();
     },
     versions: () => archive.versions(),
   };
@@ -322,7 +323,7 @@
   nearest: (key: string, zone: string, nodes: ReadonlyArray<{ name: string; zone: string }>): string[] =>
     Rendezvous.nearest(key, zone, nodes),
   acrossZones: (key: string, nodes: ReadonlyArray<{ name: string; zone: string }>, count: number): string[] =>
-    Rendezvous.spread(key, nodes, count),
+    Rendezvous.choose(key, nodes, count),
   shardOf: (stream: string, shards: number): number => Rendezvous.shardOf(stream, shards),
 };
 
--- a/packages/testkit/src/golden/diskAdapter.ts
+++ b/packages/testkit/src/golden/diskAdapter.ts
@@ -6,12 +6,12 @@
 import { storeCompaction } from "@cranetrack/control/consensus/storeCompaction.js";
 import { Replica } from "@cranetrack/log-storage/replication/replica.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
-import { Seal } from "@cranetrack/core/rpc/seal.js";
+import { Checksum } from "@cranetrack/core/rpc/seal.js";
 import type { Disk, DiskChange } from "@cranetrack/core/storage/disk.js";
 import { JournalDisk } from "@cranetrack/core/storage/journalDisk.js";
 import { JournalRecord } from "@cranetrack/core/storage/journalRecord.js";
 import { LmdbDisk } from "@cranetrack/core/storage/lmdbDisk.js";
-import { SealedDisk } from "@cranetrack/core/storage/sealedDisk.js";
+import { ChecksummedDisk } from "@cranetrack/core/storage/sealedDisk.js";
 
 /** How a data folder is kept; the values of the setting `disk`. */
 export type DiskKind = "lmdb" | "journal";
@@ -127,12 +127,12 @@
 
 /** The values without their checksums; fails where one of them does not fit. */
 export function withoutChecksums(records: readonly DiskRecord[]): DiskRecord[] {
-  return new SealedDisk(memoryDisk(records)).read("");
+  return new ChecksummedDisk(memoryDisk(records)).read("");
 }
 
 /** A value behind its checksum, as it lies on the disk. */
 export function withChecksum(value: Uint8Array): Uint8Array {
-  return Seal.close(value);
+  return Checksum.prepend(value);
 }
 
 /** The group commit that begins at a byte of a journal; undefined where there is none. */
--- a/packages/testkit/src/sabotage/callSabotages.ts
+++ b/packages/testkit/src/sabotage/callSabotages.ts
@@ -1,11 +1,11 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 const sim = "testkit/dist/sim";
 const endpoint = "core/dist/rpc/rpcEndpoint.js";
 const endpointTest = "core/dist/rpc/rpcEndpoint.test.js";
 
 /** The guards around calls: whose reply settles what, and what may run or be sent twice. */
-export const callSabotages: readonly Sabotage[] = [
+export const callMutants: readonly Mutant[] = [
   {
     name: "a reply to an earlier life of the caller settles a call",
     file: endpoint,
@@ -16,21 +16,21 @@
   {
     name: "a reply of whoever was not asked settles a call",
     file: endpoint,
-    find: "else if (waiting.to !== frame.from || frame.to !== this.name)",
+    find: "else if (pending.to !== frame.from || frame.to !== this.name)",
     put: "else if (frame.to !== this.name)",
     test: endpointTest,
   },
   {
     name: "a reply to nobody by name settles a call",
     file: endpoint,
-    find: "else if (waiting.to !== frame.from || frame.to !== this.name)",
-    put: "else if (waiting.to !== frame.from)",
+    find: "else if (pending.to !== frame.from || frame.to !== this.name)",
+    put: "else if (pending.to !== frame.from)",
     test: endpointTest,
   },
   {
     name: "a reply of any kind settles a call",
     file: endpoint,
-    find: "else if (!isReplyTo(waiting.body.case, frame.body.case))",
+    find: "else if (!isReplyTo(pending.body.case, frame.body.case))",
     put: "else if (false)",
     test: endpointTest,
   },
@@ -65,14 +65,14 @@
   {
     name: "a call that another life may have carried out is sent again",
     file: endpoint,
-    find: "if (waiting.calleeIncarnation !== 0 || incarnation === 0)",
+    find: "if (pending.calleeIncarnation !== 0 || incarnation === 0)",
     put: "if (incarnation === 0)",
     test: endpointTest,
   },
   {
     name: "a reply of any life of the asked process settles a call",
     file: endpoint,
-    find: "else if (waiting.calleeIncarnation !== 0 && waiting.calleeIncarnation !== frame.calleeIncarnation)",
+    find: "else if (pending.calleeIncarnation !== 0 && pending.calleeIncarnation !== frame.calleeIncarnation)",
     put: "else if (false)",
     test: endpointTest,
   },
--- a/packages/testkit/src/sabotage/configurationSabotages.ts
+++ b/packages/testkit/src/sabotage/configurationSabotages.ts
@@ -1,9 +1,9 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 const storm = "testkit/dist/sim/configurationStorm.test.js";
 
 /** Guards of how configurations travel. */
-export const configurationSabotages: readonly Sabotage[] = [
+export const configurationMutants: readonly Mutant[] = [
   {
     name: "a value left out is any version's",
     file: "core/dist/store/packedValue.js",
--- a/packages/testkit/src/sabotage/cutOffSabotages.ts
+++ b/packages/testkit/src/sabotage/cutOffSabotages.ts
@@ -1,9 +1,9 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 const test = "testkit/dist/sim/freshness.test.js";
 
 /** Guards of members that are cut off, behind or just awake. */
-export const cutOffSabotages: readonly Sabotage[] = [
+export const cutOffMutants: readonly Mutant[] = [
   {
     name: "whoever hears the leader counts as current",
     file: "control/dist/consensus/raftNode.js",
--- a/packages/testkit/src/sabotage/diskSabotages.ts
+++ b/packages/testkit/src/sabotage/diskSabotages.ts
@@ -1,9 +1,9 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 const test = "core/dist/storage/newFolder.test.js";
 
 /** Guards of names in folders, which last only once their folder was synced. */
-export const diskSabotages: readonly Sabotage[] = [
+export const diskMutants: readonly Mutant[] = [
   {
     name: "a folder that is made has its name synced by nobody",
     file: "core/dist/storage/newFolder.js",
--- a/packages/testkit/src/sabotage/electionSabotages.ts
+++ b/packages/testkit/src/sabotage/electionSabotages.ts
@@ -1,10 +1,10 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 const file = "control/dist/consensus/raftNode.js";
 const test = "testkit/dist/sim/elections.test.js";
 
 /** What keeps an election from being undone by what was asked before it. */
-export const electionSabotages: readonly Sabotage[] = [
+export const electionMutants: readonly Mutant[] = [
   {
     name: "who has voted goes on asking for votes itself",
     file,
--- a/packages/testkit/src/sabotage/exploreSabotages.ts
+++ b/packages/testkit/src/sabotage/exploreSabotages.ts
@@ -1,4 +1,4 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 const test = "testkit/dist/explore/explore.test.js";
 /** Traces for what the bounded part hardly comes by. */
@@ -9,7 +9,7 @@
 const raftNode = "control/dist/consensus/raftNode.js";
 
 /** Guards of the replicated log that the explorer must miss, by its bounded part alone. */
-export const exploreSabotages: readonly Sabotage[] = [
+export const exploreMutants: readonly Mutant[] = [
   {
     name: "explorer: a promise resolves before its sync",
     file: replicaLog,
@@ -132,8 +132,8 @@
   {
     name: "explorer: members are looked for only after the disk has them",
     file: raftNode,
-    find: "const taken = take();",
-    put: "const taken = take(); await taken;",
+    find: "const taken = handleReply();",
+    put: "const taken = handleReply(); await taken;",
     test: traces,
   },
   {
--- a/packages/testkit/src/sabotage/incidentSabotages.ts
+++ b/packages/testkit/src/sabotage/incidentSabotages.ts
@@ -1,10 +1,10 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 const sim = "testkit/dist/sim";
 const service = "log-storage/dist/shards/shardService.js";
 
 /** Guards that came of the incident "Order and configuration", and the invariants that watch them. */
-export const incidentSabotages: readonly Sabotage[] = [
+export const incidentMutants: readonly Mutant[] = [
   {
     name: "what a subscription was handed on is not remembered over a change of holder",
     file: "edge/dist/subscriptions/streamCursor.js",
@@ -22,7 +22,7 @@
   {
     name: "a young holder refuses what an earlier one may have taken",
     file: service,
-    find: "if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.at))",
+    find: "if (isUntaken && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime))",
     put: "if (false)",
     test: `${sim}/memory.test.js`,
   },
--- a/packages/testkit/src/sabotage/logSabotages.ts
+++ b/packages/testkit/src/sabotage/logSabotages.ts
@@ -1,7 +1,7 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 /** Guards of replicated logs, their snapshots and their compaction. */
-export const logSabotages: readonly Sabotage[] = [
+export const logMutants: readonly Mutant[] = [
   {
     name: "a snapshot takes away the entries behind it",
     file: "core/dist/replication/followerLog.js",
@@ -166,21 +166,21 @@
   {
     name: "an unanswered pull is not asked again",
     file: "log-storage/dist/shards/logPull.js",
-    find: "static tries = 3",
-    put: "static tries = 1",
+    find: "static maxAttempts = 3",
+    put: "static maxAttempts = 1",
     test: "log-storage/dist/replication/replica.test.js",
   },
   {
     name: "the archive of plans grows for ever",
     file: "control/dist/configuration/configurationArchive.js",
-    find: "await this.#turnWhenFull();",
+    find: "await this.#rotateWhenFull();",
     put: "",
     test: "control/dist/configuration/configurationArchive.test.js",
   },
   {
     name: "any number of plans wait for the archive",
     file: "control/dist/configuration/configurationArchive.js",
-    find: "if (this.#waiting.length > _a.maxWaiting)",
+    find: "if (this.#pending.length > _a.maxPending)",
     put: "if (false)",
     test: "control/dist/configuration/configurationArchive.test.js",
   },
--- a/packages/testkit/src/sabotage/membershipSabotages.ts
+++ b/packages/testkit/src/sabotage/membershipSabotages.ts
@@ -1,9 +1,9 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 const sim = "testkit/dist/sim";
 
 /** Guards of the store's membership and of drains. */
-export const membershipSabotages: readonly Sabotage[] = [
+export const membershipMutants: readonly Mutant[] = [
   {
     name: "elections in a joint configuration count one set",
     file: "control/dist/consensus/voterSets.js",
@@ -35,8 +35,8 @@
   {
     name: "a blank disk's machine is waited for like a silent one",
     file: "control/dist/membership/memberChanges.js",
-    find: "this.#isLost(one) || this.#isBlank(one)",
-    put: "this.#isLost(one)",
+    find: "this.#isLost(member) || this.#isOnBlankDisk(member)",
+    put: "this.#isLost(member)",
     test: `${sim}/memberChanges.test.js`,
   },
   {
@@ -49,14 +49,14 @@
   {
     name: "a drain that was taken is judged anew",
     file: "control/dist/drain/drainMachine.js",
-    find: "if (isWished(standing, name))",
+    find: "if (isRequested(status, name))",
     put: "if (false)",
     test: `${sim}/drains.test.js`,
   },
   {
     name: "drains are judged against the same machines",
     file: "control/dist/drain/drainMachine.js",
-    find: "checks: [{ key: DrainKey.turn, revision: standing.turn }],",
+    find: "checks: [{ key: DrainKey.turnRevision, revision: status.turnRevision }],",
     put: "",
     test: `${sim}/drains.test.js`,
   },
@@ -98,14 +98,14 @@
   {
     name: "both copies of a disk count",
     file: "control/dist/membership/diskWatch.js",
-    find: "!seen.isTwofold && ",
+    find: "!seen.isDuplicate && ",
     put: "",
     test: "control/dist/membership/diskWatch.test.js",
   },
   {
     name: "a disk votes in another machine",
     file: "control/dist/controlNode.js",
-    find: " ?? this.founding.fault()",
+    find: " ?? this.founding.foreignDiskError()",
     put: "",
     test: `${sim}/disks.test.js`,
   },
--- a/packages/testkit/src/sabotage/orderSabotages.ts
+++ b/packages/testkit/src/sabotage/orderSabotages.ts
@@ -1,13 +1,13 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 const sim = "testkit/dist/sim";
 
 /** Guards of operators' orders: what was acknowledged, under which version, with which content. */
-export const orderSabotages: readonly Sabotage[] = [
+export const orderMutants: readonly Mutant[] = [
   {
     name: "a plan needs no rising mark",
     file: "control/dist/configuration/judgeOrder.js",
-    find: "order.version > versionInForce",
+    find: "change.version > versionInForce",
     put: "true",
     test: `${sim}/store.test.js`,
   },
@@ -21,15 +21,15 @@
   {
     name: "an acknowledged version's content is not recorded",
     file: "control/dist/configuration/judgeOrder.js",
-    find: "facts.record !== undefined",
+    find: "inputs.record !== undefined",
     put: "false",
     test: `${sim}/orders.test.js`,
   },
   {
     name: "a superseded order is acknowledged before its record is committed",
     file: "control/dist/configuration/proposeConfiguration.js",
-    find: "return settled(order, await node.store.txn({ checks: [check]",
-    put: "return accepted(order.version, 0); settled(order, await node.store.txn({ checks: [check]",
+    find: "return replyToWrite(change, await node.store.txn({ checks: [check]",
+    put: "return accepted(change.version, 0); replyToWrite(change, await node.store.txn({ checks: [check]",
     test: `${sim}/orders.test.js`,
   },
   {
@@ -63,14 +63,14 @@
   {
     name: "records of versions have no bound",
     file: "control/dist/store/acceptedOrders.js",
-    find: "records.length - AcceptedOrderKey.maxRecords",
+    find: "records.length - AcceptedChangeKey.maxRecords",
     put: "0",
     test: "control/dist/store/acceptedOrders.test.js",
   },
   {
     name: "a version is recorded again once its record was dropped",
     file: "control/dist/store/acceptedOrders.js",
-    find: "Math.min(...versions) <= AcceptedOrders.floor(keys)",
+    find: "Math.min(...versions) <= AcceptedConfigurations.floor(keys)",
     put: "false",
     test: "control/dist/store/acceptedOrders.test.js",
   },
@@ -84,14 +84,14 @@
   {
     name: "histories: contents are not recorded",
     file: "control/dist/configuration/judgeOrder.js",
-    find: "facts.record !== undefined",
+    find: "inputs.record !== undefined",
     put: "false",
     test: `${sim}/orderHistories.test.js`,
   },
   {
     name: "histories: a configuration is put over whatever came between",
     file: "control/dist/configuration/proposeConfiguration.js",
-    find: "checks: [{ key: ConfigurationKey.name, revision: facts.configuration?.revision ?? 0 }]",
+    find: "checks: [{ key: ConfigurationKey.name, revision: inputs.configuration?.revision ?? 0 }]",
     put: "checks: []",
     test: `${sim}/orderHistories.test.js`,
   },
@@ -105,8 +105,8 @@
   {
     name: "histories: a lost answer of the store is a refusal",
     file: "control/dist/configuration/proposeConfiguration.js",
-    find: 'return ApiReplies.unknown("the lathes did not answer',
-    put: 'return stale(order.version, 0, "the lathes did not answer',
+    find: 'return ApiReplies.unknown("the controlNodes did not answer',
+    put: 'return stale(change.version, 0, "the controlNodes did not answer',
     test: `${sim}/orderHistories.test.js`,
   },
   {
--- a/packages/testkit/src/sabotage/repairSabotages.ts
+++ b/packages/testkit/src/sabotage/repairSabotages.ts
@@ -1,9 +1,9 @@
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
 const sim = "testkit/dist/sim";
 
 /** Guards of replica sets: where they are placed, when they are changed, and when a change may be decided. */
-export const repairSabotages: readonly Sabotage[] = [
+export const repairMutants: readonly Mutant[] = [
   {
     name: "lost replicas are never replaced",
     file: "log-storage/dist/repair/replicaRepair.js",
@@ -14,29 +14,29 @@
   {
     name: "a set is put in force before its majority has everything",
     file: "log-storage/dist/repair/setChange.js",
-    find: "having.length >= Placement.majorityOf(set.members.length)",
-    put: "having.length >= 1",
+    find: "upToDate.length >= Placement.majorityOf(set.members.length)",
+    put: "upToDate.length >= 1",
     test: "log-storage/dist/repair/setChange.test.js",
   },
   {
     name: "a replica that may have lost its disk is counted on",
     file: "log-storage/dist/repair/setChange.js",
-    find: "progress.heardAgo(id) < answeringMs",
+    find: "progress.sinceContactMs(id) < maxSilenceMs",
     put: "true",
     test: "log-storage/dist/repair/setChange.test.js",
   },
   {
     name: "a successor is not told from any free machine",
     file: "log-storage/dist/repair/newcomers.js",
-    find: "seenAt !== undefined && seenAt >",
-    put: "false && seenAt >",
+    find: "joinedAt !== undefined && joinedAt >",
+    put: "false && joinedAt >",
     test: `${sim}/replicaSets.test.js`,
   },
   {
     name: "any free machine is taken for a successor",
     file: "log-storage/dist/repair/newcomers.js",
-    find: "seenAt !== undefined && seenAt >",
-    put: "true || seenAt >",
+    find: "joinedAt !== undefined && joinedAt >",
+    put: "true || joinedAt >",
     test: `${sim}/replicaSets.test.js`,
   },
   {
--- a/packages/testkit/src/sabotage/sabotage.ts
+++ b/packages/testkit/src/sabotage/sabotage.ts
@@ -1,5 +1,5 @@
 /** A guard to be taken out of the built project, and the test that must notice. */
-export interface Sabotage {
+export interface Mutant {
   name: string;
   /** Built file below packages/, and what to put in place of what. */
   file: string;
--- a/packages/testkit/src/sabotage/sabotages.test.ts
+++ b/packages/testkit/src/sabotage/sabotages.test.ts
@@ -2,12 +2,12 @@
 import { test } from "node:test";
 import { fileURLToPath } from "node:url";
 import { expect } from "earl";
-import { sabotages } from "./sabotages.js";
+import { mutants } from "./sabotages.js";
 
 const pathOf = (name: string): string => fileURLToPath(new URL(`../../../${name}`, import.meta.url));
 
 test("each guard on the list is there to be taken out, and so is the test that should notice", () => {
-  const gone = sabotages.filter(({ file, find, test: noticing }) => {
+  const gone = mutants.filter(({ file, find, test: noticing }) => {
     const isThere = existsSync(pathOf(file)) && readFileSync(pathOf(file), "utf8").includes(find);
     return !isThere || !existsSync(pathOf(noticing));
   });
@@ -15,6 +15,6 @@
 });
 
 test("no two guards have one name", () => {
-  const names = sabotages.map(({ name }) => name);
+  const names = mutants.map(({ name }) => name);
   expect(names.filter((name, i) => names.indexOf(name) !== i)).toEqual([]);
 });
--- a/packages/testkit/src/sabotage/sabotages.ts
+++ b/packages/testkit/src/sabotage/sabotages.ts
@@ -1,23 +1,23 @@
-import { callSabotages } from "./callSabotages.js";
-import { configurationSabotages } from "./configurationSabotages.js";
-import { cutOffSabotages } from "./cutOffSabotages.js";
-import { diskSabotages } from "./diskSabotages.js";
-import { electionSabotages } from "./electionSabotages.js";
-import { exploreSabotages } from "./exploreSabotages.js";
-import { incidentSabotages } from "./incidentSabotages.js";
-import { logSabotages } from "./logSabotages.js";
-import { repairSabotages } from "./repairSabotages.js";
-import type { Sabotage } from "./sabotage.js";
-import { membershipSabotages } from "./membershipSabotages.js";
-import { orderSabotages } from "./orderSabotages.js";
+import { callMutants } from "./callSabotages.js";
+import { configurationMutants } from "./configurationSabotages.js";
+import { cutOffMutants } from "./cutOffSabotages.js";
+import { diskMutants } from "./diskSabotages.js";
+import { electionMutants } from "./electionSabotages.js";
+import { exploreMutants } from "./exploreSabotages.js";
+import { incidentMutants } from "./incidentSabotages.js";
+import { logMutants } from "./logSabotages.js";
+import { repairMutants } from "./repairSabotages.js";
+import type { Mutant } from "./sabotage.js";
+import { membershipMutants } from "./membershipSabotages.js";
+import { orderMutants } from "./orderSabotages.js";
 
 const sim = "testkit/dist/sim";
 
 /** Guards taken out on purpose; for each a test must fail. */
-export const sabotages: readonly Sabotage[] = [
-  ...configurationSabotages,
-  ...membershipSabotages,
-  ...incidentSabotages,
+export const mutants: readonly Mutant[] = [
+  ...configurationMutants,
+  ...membershipMutants,
+  ...incidentMutants,
   {
     name: "a replica answers before its disk",
     file: "core/dist/replication/followerLog.js",
@@ -161,7 +161,7 @@
   {
     name: "receipts do not go back the way a frame came",
     file: "core/dist/rpc/rpcEndpoint.js",
-    find: "this.#unanswered(frame.from);",
+    find: "this.#markUnresponsive(frame.from);",
     put: ";",
     test: `${sim}/sessions.test.js`,
   },
@@ -217,7 +217,7 @@
   {
     name: "a living space may change its order",
     file: "control/dist/configuration/proposeConfiguration.js",
-    find: "if (turned.length > 0)",
+    find: "if (orderFaults.length > 0)",
     put: "if (false)",
     test: `${sim}/streams.test.js`,
   },
@@ -245,7 +245,7 @@
   {
     name: "a push sends no more than one batch",
     file: "log-storage/dist/follows/follows.js",
-    find: "batch = this.#batch(following, stream))",
+    find: "batch = this.#nextBatch(follower, stream))",
     put: "batch = undefined)",
     test: `${sim}/streams.test.js`,
   },
@@ -280,8 +280,8 @@
   {
     name: "a holder refuses what it has seen removed",
     file: "log-storage/dist/shards/shardService.js",
-    find: 'if (route === undefined || standing !== "ours")',
-    put: 'if (standing === "behind" || standing === "older")',
+    find: 'if (route === undefined || status !== "ours")',
+    put: 'if (status === "behind" || status === "older")',
     test: `${sim}/streams.test.js`,
   },
   {
@@ -326,12 +326,12 @@
     put: "this.head = from;",
     test: "edge/dist/fanout/streamTail.test.js",
   },
-  ...exploreSabotages,
-  ...logSabotages,
-  ...cutOffSabotages,
-  ...diskSabotages,
-  ...orderSabotages,
-  ...repairSabotages,
-  ...callSabotages,
-  ...electionSabotages,
+  ...exploreMutants,
+  ...logMutants,
+  ...cutOffMutants,
+  ...diskMutants,
+  ...orderMutants,
+  ...repairMutants,
+  ...callMutants,
+  ...electionMutants,
 ];
--- a/packages/testkit/src/sabotage/saboteur.ts
+++ b/packages/testkit/src/sabotage/saboteur.ts
@@ -3,49 +3,45 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import PQueue from "p-queue";
-import type { Sabotage } from "./sabotage.js";
+import type { Mutant } from "./sabotage.js";
 
-export interface SabotageReport {
+export interface MutantReport {
   name: string;
   outcome: "caught" | "not caught" | "cannot be done";
   failed: number;
 }
 
 /** Takes one guard at a time out of a copy of the built project and sees whether its test notices. */
-export class Saboteur {
+export class MutantRunner {
   readonly #root: string;
 
   constructor(root: string) {
     this.#root = root;
   }
 
-  async run(
-    sabotages: readonly Sabotage[],
-    atOnce: number,
-    say: (report: SabotageReport) => void,
-  ): Promise<SabotageReport[]> {
+  async run(mutants: readonly Mutant[], atOnce: number, say: (report: MutantReport) => void): Promise<MutantReport[]> {
     const queue = new PQueue({ concurrency: atOnce });
     return queue.addAll(
-      sabotages.map((sabotage) => async () => {
-        const report = await this.#try(sabotage);
+      mutants.map((mutant) => async () => {
+        const report = await this.#try(mutant);
         say(report);
         return report;
       }),
     );
   }
 
-  async #try(sabotage: Sabotage): Promise<SabotageReport> {
+  async #try(mutant: Mutant): Promise<MutantReport> {
     const copy = this.#copy();
     try {
-      const file = join(copy, "packages", sabotage.file);
+      const file = join(copy, "packages", mutant.file);
       const before = readFileSync(file, "utf8");
-      if (!before.includes(sabotage.find)) return { name: sabotage.name, outcome: "cannot be done", failed: 0 };
+      if (!before.includes(mutant.find)) return { name: mutant.name, outcome: "cannot be done", failed: 0 };
       writeFileSync(
         file,
-        before.replace(sabotage.find, () => sabotage.put),
+        before.replace(mutant.find, () => mutant.put),
       );
-      const failed = await Saboteur.#failures(join(copy, "packages", sabotage.test));
-      return { name: sabotage.name, outcome: failed > 0 ? "caught" : "not caught", failed };
+      const failed = await MutantRunner.#failures(join(copy, "packages", mutant.test));
+      return { name: mutant.name, outcome: failed > 0 ? "caught" : "not caught", failed };
     } finally {
       rmSync(copy, { recursive: true, force: true });
     }
--- a/packages/testkit/src/sim/acts.ts
+++ b/packages/testkit/src/sim/acts.ts
@@ -3,10 +3,10 @@
 import type { SimRandom } from "./simRandom.js";
 
 /** Given a machine and a length, both drawn; returns after how many milliseconds the failure is over, -1 for never. */
-export type Act = (name: string, ms: number) => number;
+export type InjectFault = (name: string, ms: number) => number;
 
 /** What all kinds of failures work with. */
-export abstract class Acts {
+export abstract class FaultInjector {
   /** A failure that needs a moment or a state does not come about where neither comes. */
   static readonly notNow = -1;
 
--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -8,7 +8,7 @@
 import { StreamTail } from "@cranetrack/edge/fanout/streamTail.js";
 import { OwnerKey } from "@cranetrack/edge/sessions/ownerKey.js";
 import { expect } from "earl";
-import { Hand, served } from "./hand.js";
+import { TestClient, served } from "./hand.js";
 
 const incarnation = "1-0123456789";
 
@@ -16,15 +16,15 @@
   const log = new StreamLog("notes/t1", incarnation);
   for (let number = 1; number <= 1000; number += 1) {
     const accept = { topic: "notes/t1", session: `s${number % 3}`, number, ownerEpoch: 1, at: number };
-    expect(log.accept(create(AcceptSchema, accept)).outcome).toEqual("accepted");
+    expect(log.accept(create(AcceptSchema, accept)).kind).toEqual("accepted");
   }
   expect(log.knownCount).toEqual(3);
-  const verdicts = Array.from({ length: 1000 }, (_, i) => log.known("notes/t1", `s${(i + 1) % 3}`, i + 1)?.outcome);
-  expect(verdicts.filter((outcome) => outcome === "accepted").length).toEqual(3 * StreamLog.window);
-  expect(verdicts.filter((outcome) => outcome === "refused").length).toEqual(1000 - 3 * StreamLog.window);
+  const verdicts = Array.from({ length: 1000 }, (_, i) => log.known("notes/t1", `s${(i + 1) % 3}`, i + 1)?.kind);
+  expect(verdicts.filter((outcome) => outcome === "accepted").length).toEqual(3 * StreamLog.maxKnownNumbers);
+  expect(verdicts.filter((outcome) => outcome === "refused").length).toEqual(1000 - 3 * StreamLog.maxKnownNumbers);
   log.trim(990);
   expect([log.messages.length, log.low, log.trims.get("notes/t1")]).toEqual([10, 990, 990]);
-  log.forget(1001);
+  log.forgetSessions(1001);
   expect(log.knownCount).toEqual(0);
 });
 
@@ -51,14 +51,14 @@
 
 test("sessions without a connection are given back, and states that were shipped are forgotten", async () => {
   const { fleet } = await served(64);
-  const wish = { subscriptions: [{ topic: "notes/t1" }] };
-  const hands = Array.from({ length: 8 }, (_, i) => new Hand(fleet, "vise-1", `desk-${i}`, wish));
-  expect(await fleet.until(() => hands.every((hand) => hand.of("confirmed").length === 1), 6000)).toEqual(true);
-  const moved = hands.map((_, i) => new Hand(fleet, "vise-2", `desk-${i}`, wish));
-  expect(await fleet.until(() => moved.every((hand) => hand.of("confirmed").length === 1), 6000)).toEqual(true);
+  const request = { subscriptions: [{ topic: "notes/t1" }] };
+  const clients = Array.from({ length: 8 }, (_, i) => new TestClient(fleet, "vise-1", `desk-${i}`, request));
+  expect(await fleet.until(() => clients.every((client) => client.of("confirmed").length === 1), 6000)).toEqual(true);
+  const moved = clients.map((_, i) => new TestClient(fleet, "vise-2", `desk-${i}`, request));
+  expect(await fleet.until(() => moved.every((client) => client.of("confirmed").length === 1), 6000)).toEqual(true);
   const [old, young] = ["vise-1", "vise-2"].map((name) => fleet.find(name)!.edge!.sessions);
   expect([old!.table.size, old!.keptPulls, young!.table.size]).toEqual([0, 8, 8]);
-  for (const hand of moved) hand.close();
+  for (const client of moved) client.close();
   await fleet.run(Sessions.keepIdleMs + 2500);
   expect([old!.keptPulls, young!.table.size]).toEqual([0, 0]);
   await fleet.run(Sessions.keepShippedMs + 2500);
--- a/packages/testkit/src/sim/callModel.ts
+++ b/packages/testkit/src/sim/callModel.ts
@@ -5,7 +5,7 @@
 import { SimWires } from "./simTransport.js";
 import { SimWorld } from "./simWorld.js";
 
-interface Life {
+interface ProcessIncarnation {
   body: SimBody;
   endpoint: RpcEndpoint;
   /** Which life of its name. */
@@ -35,7 +35,7 @@
 
   readonly world: SimWorld;
   readonly #wires: SimWires;
-  readonly #lives = new Map<string, Life>();
+  readonly #incarnations = new Map<string, ProcessIncarnation>();
   readonly #starts = new Map<string, number>();
   readonly #runs = new Map<string, number>();
   #asked = 0;
@@ -84,13 +84,13 @@
       this.#ran(path);
       return { case: "forwardReply", value: { body: Buffer.from(`${path} ${name}`) } };
     });
-    this.#lives.set(name, { body, endpoint, number });
+    this.#incarnations.set(name, { body, endpoint, number });
     clock.every(CallModel.callEveryMs, () => void this.#call(name, number, endpoint));
   }
 
-  async #call(name: string, life: number, endpoint: RpcEndpoint): Promise<void> {
+  async #call(name: string, incarnation: number, endpoint: RpcEndpoint): Promise<void> {
     const to = this.world.random.pick(CallModel.names.filter((one) => one !== name));
-    const text = `${name}${life}/${(this.#asked += 1)}`;
+    const text = `${name}${incarnation}/${(this.#asked += 1)}`;
     const isOnce = this.world.random.draw() < 0.5;
     const reply = await endpoint.call(
       to,
@@ -134,7 +134,7 @@
     const name = random.pick(CallModel.names);
     const other = random.pick(CallModel.names.filter((one) => one !== name));
     const dice = random.draw();
-    if (dice < 0.3) this.#lives.get(name)!.body.pausedUntil = this.world.now + random.between(50, 1500);
+    if (dice < 0.3) this.#incarnations.get(name)!.body.pausedUntil = this.world.now + random.between(50, 1500);
     else if (dice < 0.6) this.#restart(name);
     else if (dice < 0.8) this.#wires.cut(`${name}:1`, `${other}:1`);
     else for (const one of CallModel.names) this.#wires.mend(`${name}:1`, `${one}:1`);
@@ -143,19 +143,20 @@
 
   /** Sometimes at once, so that nobody hears that a connection broke. */
   #restart(name: string): void {
-    const life = this.#lives.get(name)!;
-    if (life.body.isDead) return;
+    const incarnation = this.#incarnations.get(name)!;
+    if (incarnation.body.isDead) return;
     this.#count(name);
-    life.body.isDead = true;
+    incarnation.body.isDead = true;
     this.#wires.detach(`${name}:1`);
     this.counts.restarts += 1;
-    const isFrozen = (one: Life): boolean => one.body.pausedUntil > this.world.now;
-    if ([...this.#lives.values()].some((one) => one !== life && isFrozen(one))) this.counts.restartsBesideFrozen += 1;
+    const isFrozen = (one: ProcessIncarnation): boolean => one.body.pausedUntil > this.world.now;
+    if ([...this.#incarnations.values()].some((one) => one !== incarnation && isFrozen(one)))
+      this.counts.restartsBesideFrozen += 1;
     this.world.at(this.world.now + this.world.random.pick([0, 5, 200]), () => this.#start(name));
   }
 
   #count(name: string): void {
-    const { endpoint, body } = this.#lives.get(name)!;
+    const { endpoint, body } = this.#incarnations.get(name)!;
     if (body.isDead) return;
     for (const [reason, count] of Object.entries(endpoint.dropped) as Array<[keyof DroppedFrames, number]>)
       this.counts[reason] += count;
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -5,7 +5,7 @@
 import { Sessions } from "@cranetrack/edge/sessions/sessions.js";
 import { expect } from "earl";
 import { CallModel, type CallCounts } from "./callModel.js";
-import { Hand, served } from "./hand.js";
+import { TestClient, served } from "./hand.js";
 import { SimLoad } from "./simLoad.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
@@ -86,9 +86,9 @@
   const { rpc } = fleet.find("vise-1")!.node;
   const outcomes: string[] = [];
   const ask = (call: StoreChange): void => {
-    const heed = (body: Body | undefined): void =>
+    const handlers = (body: Body | undefined): void =>
       void outcomes.push(`${call.case} ${body?.case === "storeReply" ? body.value.outcome : "silent"}`);
-    void rpc.call(other, { case: "storeCall", value: { call } }, 3000).then(heed);
+    void rpc.call(other, { case: "storeCall", value: { call } }, 3000).then(handlers);
   };
   await fleet.run(20);
   passed.length = 0;
@@ -104,7 +104,7 @@
 
 test("a session pulled again after its state was forgotten is not taken for whole", async () => {
   const { fleet, publish } = await served(9103);
-  const first = new Hand(fleet, "vise-1", "desk", { subscriptions: [{ topic: "notes/t1" }] });
+  const first = new TestClient(fleet, "vise-1", "desk", { subscriptions: [{ topic: "notes/t1" }] });
   expect(await fleet.until(() => first.of("confirmed").length === 1, 5000)).toEqual(true);
   expect((await publish("desk", 1))["receipt"]).toEqual("accepted");
   // An asker that never hears the reply, nor writes the key.
@@ -112,7 +112,7 @@
   const pull = { session: "desk", ownerRevision: epoch, asker: "vise-3" };
   void fleet.find("vise-3")!.node.rpc.call("vise-1", { case: "pull", value: pull }, 500);
   await fleet.run(Sessions.keepShippedMs + 2000);
-  const second = new Hand(fleet, "vise-2", "desk", { subscriptions: [{ topic: "notes/t1" }] });
+  const second = new TestClient(fleet, "vise-2", "desk", { subscriptions: [{ topic: "notes/t1" }] });
   expect(await fleet.until(() => second.of("confirmed").length === 1, 5000)).toEqual(true);
   expect(fleet.find("vise-2")!.edge!.sessions.table.get("desk")!.isWhole).toEqual(false);
 });
--- a/packages/testkit/src/sim/catchUp.ts
+++ b/packages/testkit/src/sim/catchUp.ts
@@ -53,7 +53,7 @@
   private constructor(options: CatchUpOptions) {
     this.#options = options;
     this.#fleet = new SimFleet(options.seed, Scenario.machines(4, 3, 1));
-    for (const name of this.#fleet.names) this.#fleet.configure(name, { lathes: 3, voters: 3 });
+    for (const name of this.#fleet.names) this.#fleet.configure(name, { controlNodes: 3, voters: 3 });
     this.#load = new SimLoad(this.#fleet);
   }
 
@@ -64,12 +64,12 @@
   async #run(): Promise<CatchUpReport> {
     const fleet = this.#fleet;
     if (!(await this.#load.begin(0, 6, ["lathe-4"]))) throw new Error("the fleet did not begin");
-    const away = fleet.withRole("lathe").find((name) => name !== "lathe-4" && name !== fleet.leader)!;
-    this.#leave(away);
+    const unreachableMachines = fleet.withRole("lathe").find((name) => name !== "lathe-4" && name !== fleet.leader)!;
+    this.#leave(unreachableMachines);
     void this.#change();
     if (!(await fleet.until(() => this.#made >= this.#options.changes, this.#options.changes * 2000)))
       throw new Error("the changes were not taken");
-    const back = this.#options.comeback === "new" ? "lathe-4" : away;
+    const back = this.#options.comeback === "new" ? "lathe-4" : unreachableMachines;
     this.#countBytesTo(fleet.addressOf(back));
     const startedAt = fleet.world.now;
     fleet.start(back);
@@ -86,10 +86,10 @@
     };
   }
 
-  #leave(away: string): void {
-    if (this.#options.comeback === "restarted") return this.#fleet.kill(away);
-    if (this.#options.comeback === "new") return this.#fleet.retire(away);
-    this.#fleet.wipe(away);
+  #leave(unreachableMachines: string): void {
+    if (this.#options.comeback === "restarted") return this.#fleet.kill(unreachableMachines);
+    if (this.#options.comeback === "new") return this.#fleet.retire(unreachableMachines);
+    this.#fleet.wipe(unreachableMachines);
   }
 
   #raftOf(name: string): RaftNode | undefined {
--- a/packages/testkit/src/sim/configurationStorm.test.ts
+++ b/packages/testkit/src/sim/configurationStorm.test.ts
@@ -44,7 +44,7 @@
   return [...counted].reduce((sum, [kind, bytes]) => (carriers.has(kind) ? sum + bytes : sum), 0);
 }
 
-async function settled<T>(fleet: SimFleet, asked: Promise<T>): Promise<T> {
+async function resultOf<T>(fleet: SimFleet, asked: Promise<T>): Promise<T> {
   let got: { value: T } | undefined;
   void asked.then((value) => (got = { value }));
   while (got === undefined) {
@@ -60,7 +60,7 @@
   const controlNodes = fleet.withRole("lathe").filter((name) => fleet.find(name) !== undefined);
   for (let tries = 0; tries < 30; tries += 1) {
     const { node } = fleet.find(controlNodes[(version + tries) % controlNodes.length]!)!;
-    const reply = await settled(
+    const reply = await resultOf(
       fleet,
       proposeConfiguration(node, Buffer.from(written.sent), Buffer.from(written.document)),
     );
@@ -102,7 +102,7 @@
   for (const name of fleet.names) expect(keptBytes(fleet, name) < last.sent.length).toEqual(true);
   expect(new Set(versions(fleet))).toEqual(new Set([201]));
   for (const name of fleet.names) expect(fleet.find(name)!.node.configuration.text).toEqual(last.sent);
-  const read = await settled(fleet, readDocument(fleet.find("lathe-1")!.node));
+  const read = await resultOf(fleet, readDocument(fleet.find("lathe-1")!.node));
   expect(read.outcome === "done" ? Buffer.from(read.document).toString() : read.outcome).toEqual(last.document);
   const whole = last.sent.length + last.document.length;
   const times = carried(counted) / whole / 200;
@@ -115,12 +115,12 @@
   fleet: SimFleet,
   from: number,
   to: number,
-  acts: Readonly<Record<number, () => void>> = {},
+  faults: Readonly<Record<number, () => void>> = {},
   routes = 300,
 ): Promise<Written> {
   let last = configuration(from, routes);
   for (let version = from; version <= to; version += 1) {
-    acts[version]?.();
+    faults[version]?.();
     const began = fleet.world.now;
     last = await put(fleet, version, routes);
     await fleet.run(Math.max(0, 100 - (fleet.world.now - began)));
@@ -135,7 +135,7 @@
     expect([name, node.configuration.text === sent, node.configuration.fault]).toEqual([name, true, ""]);
   }
   for (const name of fleet.withRole("lathe")) {
-    const read = await settled(fleet, readDocument(fleet.find(name)!.node));
+    const read = await resultOf(fleet, readDocument(fleet.find(name)!.node));
     expect(read.outcome === "done" && Buffer.from(read.document).toString() === document).toEqual(true);
   }
 }
@@ -153,7 +153,7 @@
     if (changed === undefined) return undefined;
     spoiled += 1;
     changed.baseRevision -= 1;
-    return [{ bytes: Wire.again(frame), delay: 0 }];
+    return [{ bytes: Wire.encodeFrame(frame), delay: 0 }];
   };
   const last = await put(fleet, 2, 300);
   await fleet.run(700);
@@ -171,7 +171,7 @@
     if (frame?.body.case === "feedOpen" && frame.from === "vise-1") opens += 1;
     if (to !== fleet.addressOf("vise-1") || frame?.body.case !== "feedPush") return undefined;
     for (const kv of frame.body.value.kvs) kv.packing = 9;
-    return [{ bytes: Wire.again(frame), delay: 0 }];
+    return [{ bytes: Wire.encodeFrame(frame), delay: 0 }];
   };
   const last = await put(fleet, 2, 300);
   await fleet.run(3000);
@@ -220,12 +220,12 @@
     const value = Buffer.from(configuration(version, 300).document);
     whole += value.length;
     const puts = [{ key: "documents/other", value }];
-    const written = await settled(fleet, writers[version % writers.length]!.store.txn({ puts }));
+    const written = await resultOf(fleet, writers[version % writers.length]!.store.txn({ puts }));
     expect(written.outcome).toEqual("done");
   }
   // Three of the writes are the first of their writers: the value goes deflated, and to two replicas.
   expect(carried(counted) / whole < 0.05).toEqual(true);
-  const read = await settled(fleet, writers[0]!.store.read(["documents/other"]));
+  const read = await resultOf(fleet, writers[0]!.store.read(["documents/other"]));
   expect(Buffer.from(read.kvs![0]!.value).toString()).toEqual(configuration(60, 300).document);
 });
 
@@ -257,7 +257,7 @@
     [long, Buffer.from("{}")],
     [Buffer.from(sent), long],
   ] as const) {
-    const reply = await settled(fleet, proposeConfiguration(node, body, document));
+    const reply = await resultOf(fleet, proposeConfiguration(node, body, document));
     expect([reply.status, JSON.stringify(reply.body).includes(String(Configurations.maxBytes))]).toEqual([413, true]);
   }
   await expectInForce(fleet, configuration(1, 10));
@@ -271,10 +271,10 @@
     const { sent, document } = configuration(version, 300);
     return [Buffer.from(sent), Buffer.from(document)];
   };
-  expect((await settled(fleet, proposeConfiguration(first!, ...calls(3)))).status).toEqual(200);
-  expect((await settled(fleet, proposeConfiguration(second!, calls(4)[0]))).status).toEqual(200);
-  expect((await settled(fleet, readDocument(first!))).outcome).toEqual("none");
-  expect((await settled(fleet, proposeConfiguration(first!, ...calls(5)))).status).toEqual(200);
+  expect((await resultOf(fleet, proposeConfiguration(first!, ...calls(3)))).status).toEqual(200);
+  expect((await resultOf(fleet, proposeConfiguration(second!, calls(4)[0]))).status).toEqual(200);
+  expect((await resultOf(fleet, readDocument(first!))).outcome).toEqual("none");
+  expect((await resultOf(fleet, proposeConfiguration(first!, ...calls(5)))).status).toEqual(200);
   await fleet.run(700);
   await expectInForce(fleet, configuration(5, 300));
 });
