--- a/packages/testkit/src/sim/connections.test.ts
+++ b/packages/testkit/src/sim/connections.test.ts
@@ -34,7 +34,7 @@
 }
 
 /** Runs the fleet until a call has its answer. */
-async function settled<T>(fleet: SimFleet, call: Promise<T>): Promise<T> {
+async function resultOf<T>(fleet: SimFleet, call: Promise<T>): Promise<T> {
   let answer: { value: T } | undefined;
   void call.then((value) => (answer = { value }));
   expect(await fleet.until(() => answer !== undefined, 6000)).toEqual(true);
@@ -47,13 +47,13 @@
   session: string,
 ): Promise<{ wire: Wire; connection: SessionEndpoint }> {
   const wire = new Wire();
-  const answer = await settled(fleet, new EdgeClientEndpoint(fleet.find(edge)!.edge!).connect(session, wire));
+  const answer = await resultOf(fleet, new EdgeClientEndpoint(fleet.find(edge)!.edge!).connect(session, wire));
   if (answer.outcome !== "open") throw new Error(`not connected: ${JSON.stringify(answer)}`);
   return { wire, connection: answer.connection };
 }
 
 async function place(fleet: SimFleet, connection: SessionEndpoint, after?: string): Promise<string> {
-  const answer = await settled(fleet, connection.subscribe("notes/t1", after));
+  const answer = await resultOf(fleet, connection.subscribe("notes/t1", after));
   return answer.outcome === "confirmed" ? answer.cursor : answer.outcome;
 }
 
@@ -61,7 +61,7 @@
   const { fleet } = await served(71);
   const first = await open(fleet, "vise-1", "desk");
   const start = await place(fleet, first.connection);
-  expect((await settled(fleet, first.connection.publish("notes/t1", 1, "one"))).outcome).toEqual("accepted");
+  expect((await resultOf(fleet, first.connection.publish("notes/t1", 1, "one"))).outcome).toEqual("accepted");
   expect(await fleet.until(() => first.wire.numbers().length === 1, 2000)).toEqual(true);
 
   const steps: string[] = [];
@@ -70,10 +70,10 @@
   const second = await open(fleet, "vise-2", "desk");
   expect(steps).toEqual(["pull", "stopped", "shipped", "owner-written"]);
   expect([first.wire.isClosed, first.wire.lines.at(-1)!["kind"]]).toEqual([true, "goodbye"]);
-  expect((await settled(fleet, first.connection.subscribe("notes/t2"))).outcome).toEqual("moved");
+  expect((await resultOf(fleet, first.connection.subscribe("notes/t2"))).outcome).toEqual("moved");
 
   // Nothing is delivered that this connection did not ask for, and the place decides where it goes on.
-  expect((await settled(fleet, second.connection.publish("notes/t1", 2, "two"))).outcome).toEqual("accepted");
+  expect((await resultOf(fleet, second.connection.publish("notes/t1", 2, "two"))).outcome).toEqual("accepted");
   await fleet.run(500);
   expect(second.wire.lines).toEqual([]);
   let linesBefore = -1;
@@ -81,11 +81,11 @@
     linesBefore = second.wire.lines.length;
     return answer;
   });
-  expect(await settled(fleet, confirmed)).toEqual({ outcome: "confirmed", cursor: start });
+  expect(await resultOf(fleet, confirmed)).toEqual({ outcome: "confirmed", cursor: start });
   expect(linesBefore).toEqual(0);
   expect(await fleet.until(() => second.wire.numbers().length === 2, 2000)).toEqual(true);
   expect(second.wire.numbers()).toEqual([1, 2]);
-  expect((await settled(fleet, second.connection.publish("notes/t1", 1, "one"))).outcome).toEqual("accepted");
+  expect((await resultOf(fleet, second.connection.publish("notes/t1", 1, "one"))).outcome).toEqual("accepted");
   expect(await place(fleet, second.connection, "no place")).toEqual(start.replace(/\d+$/, "2"));
 });
 
@@ -95,24 +95,24 @@
   const asked = ["notes/t1", "nowhere/t1", "notes/t2", "a blank/t"].map((topic) =>
     connection.subscribe(topic, topic === "notes/t2" ? "malformed" : undefined),
   );
-  const outcomes = (await settled(fleet, Promise.all(asked))).map(({ outcome }) => outcome);
+  const outcomes = (await resultOf(fleet, Promise.all(asked))).map(({ outcome }) => outcome);
   expect(outcomes).toEqual(["confirmed", "unknown-topic", "malformed-place", "malformed"]);
-  expect((await settled(fleet, connection.unsubscribe("notes/t1"))).outcome).toEqual("done");
-  expect((await settled(fleet, connection.publish("notes/t1", 1, "one"))).outcome).toEqual("accepted");
+  expect((await resultOf(fleet, connection.unsubscribe("notes/t1"))).outcome).toEqual("done");
+  expect((await resultOf(fleet, connection.publish("notes/t1", 1, "one"))).outcome).toEqual("accepted");
   await fleet.run(1000);
   expect(wire.numbers()).toEqual([]);
-  const refused = await settled(fleet, connection.publish("nowhere/t1", 2, "two"));
+  const refused = await resultOf(fleet, connection.publish("nowhere/t1", 2, "two"));
   expect([refused.outcome, "code" in refused && refused.code]).toEqual(["refused", "unknown-topic"]);
 });
 
 test("a publish that no leader took is away; one whose earlier try may have been taken is never promised", async () => {
   const { fleet } = await served(73);
   const { connection } = await open(fleet, "vise-1", "desk");
-  expect((await settled(fleet, connection.publish("notes/t1", 1, "one"))).outcome).toEqual("accepted");
+  expect((await resultOf(fleet, connection.publish("notes/t1", 1, "one"))).outcome).toEqual("accepted");
   // Both ways to the leaders go while the edge's own lease holds.
   fleet.isolate("vise-1", ["anvil-1", "anvil-2", "anvil-3", "lathe-1", "lathe-2", "lathe-3"], "in");
-  expect((await settled(fleet, connection.publish("notes/t1", 2, "two"))).outcome).toEqual("unsure");
-  expect((await settled(fleet, connection.publish("notes/t1", 2, "two"))).outcome).toEqual("unsure");
+  expect((await resultOf(fleet, connection.publish("notes/t1", 2, "two"))).outcome).toEqual("unsure");
+  expect((await resultOf(fleet, connection.publish("notes/t1", 2, "two"))).outcome).toEqual("unsure");
 });
 
 test("a client that comes before its edge has a lease waits for it, and is not sent away over and over", async () => {
@@ -121,7 +121,7 @@
   await fleet.run(100);
   const { edge } = fleet.start("vise-1");
   expect(edge!.lease.isHeld).toEqual(false);
-  const answer = await settled(fleet, new EdgeClientEndpoint(edge!).connect("desk", new Wire()));
+  const answer = await resultOf(fleet, new EdgeClientEndpoint(edge!).connect("desk", new Wire()));
   expect(answer.outcome).toEqual("open");
 });
 
@@ -130,7 +130,7 @@
   const pen = await open(fleet, "vise-1", "pen");
   const start = await place(fleet, pen.connection);
   for (const number of [1, 2, 3])
-    expect((await settled(fleet, pen.connection.publish("notes/t1", number, "x"))).outcome).toEqual("accepted");
+    expect((await resultOf(fleet, pen.connection.publish("notes/t1", number, "x"))).outcome).toEqual("accepted");
   const { wire, connection } = await open(fleet, "vise-2", "desk");
   const later = start.replace(/\d+$/, "3");
   const again = connection.subscribe("notes/t1", start).then(async (first) => {
@@ -138,8 +138,8 @@
     await connection.unsubscribe("notes/t1");
     return connection.subscribe("notes/t1", later);
   });
-  expect(await settled(fleet, again)).toEqual({ outcome: "confirmed", cursor: later });
-  expect((await settled(fleet, pen.connection.publish("notes/t1", 4, "x"))).outcome).toEqual("accepted");
+  expect(await resultOf(fleet, again)).toEqual({ outcome: "confirmed", cursor: later });
+  expect((await resultOf(fleet, pen.connection.publish("notes/t1", 4, "x"))).outcome).toEqual("accepted");
   expect(await fleet.until(() => wire.numbers().includes(4), 2000)).toEqual(true);
   expect(wire.numbers()).toEqual([4]);
 });
--- a/packages/testkit/src/sim/cutOff.test.ts
+++ b/packages/testkit/src/sim/cutOff.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import type { Settings } from "@cranetrack/core/runtime/settings.js";
 import { expect } from "earl";
-import { served, type Served } from "./hand.js";
+import { served, type TestFleet } from "./hand.js";
 import { Scenario } from "./scenario.js";
 import { SimLoad } from "./simLoad.js";
 import { accepted, actingOnOld, boundMs } from "./staleNodes.js";
@@ -24,7 +24,7 @@
   ]),
 ];
 
-interface Told {
+interface Answer {
   isCutOff: boolean;
   what: string;
   status: number;
@@ -37,19 +37,19 @@
 
 /** Operators on both sides of a cut, and what they and everybody else see. */
 class Sides {
-  readonly told: Told[] = [];
+  readonly answers: Answer[] = [];
   readonly wrong: string[] = [];
   readonly #highest = new Map<string, number>();
-  readonly #all: Served;
+  readonly #all: TestFleet;
   readonly #first: number;
 
-  constructor(all: Served, first: number) {
+  constructor(all: TestFleet, first: number) {
     this.#all = all;
     this.#first = first;
   }
 
   acknowledgedBy(at: number): number {
-    const taken = this.told.filter((one) => one.what === "order" && one.status === 200 && one.at <= at);
+    const taken = this.answers.filter((one) => one.what === "order" && one.status === 200 && one.at <= at);
     return Math.max(this.#first, ...taken.map((one) => one.version));
   }
 
@@ -61,7 +61,7 @@
       const isRead = method === "GET" && path === "/v1/plan" && status === 200;
       const version = isRead ? (JSON.parse(String(got["raw"])) as { mark: number }).mark : (order ?? 0);
       const what = order === undefined ? `${method} ${path}` : "order";
-      this.told.push({ isCutOff, what, status, version, after, at: fleet.world.now });
+      this.answers.push({ isCutOff, what, status, version, after, at: fleet.world.now });
       if (isRead && version < after) this.wrong.push(`${node} read ${version} after ${after} was acknowledged`);
     });
   }
@@ -95,7 +95,7 @@
 type Meanwhile = "nothing" | "both" | "seeds" | "blank";
 
 /** Cuts members and an edge off from everybody else for 20 s, with operators on both sides. */
-async function played(cut: Cut, meanwhile: Meanwhile): Promise<{ all: Served; sides: Sides; off: string[] }> {
+async function played(cut: Cut, meanwhile: Meanwhile): Promise<{ all: TestFleet; sides: Sides; off: string[] }> {
   const all = await served(cut.seed, Scenario.machines(cut.controlCount));
   const { fleet, load } = all;
   const sides = new Sides(all, await accepted(all, fleet.leader!));
@@ -157,15 +157,15 @@
       const { all, sides } = await played(cut, meanwhile);
       const { fleet } = all;
       expect(sides.wrong).toEqual([]);
-      const ofCutOff = sides.told.filter((one) => one.isCutOff);
+      const ofCutOff = sides.answers.filter((one) => one.isCutOff);
       // One way only, others may carry it on; then an order may be taken, and be behind a later one.
       const isOpen = cut.ways !== "both";
-      const isSettled = ({ what, status }: Told): boolean =>
+      const isFinal = ({ what, status }: Answer): boolean =>
         status === 200 || (status >= 400 && status < 500 && !(isOpen && what === "order" && status === 409));
-      const during = ofCutOff.filter((one) => isSettled(one) && !(isOpen && one.status === 200));
+      const during = ofCutOff.filter((one) => isFinal(one) && !(isOpen && one.status === 200));
       expect(during).toEqual([]);
       const best = sides.acknowledgedBy(fleet.world.now);
-      expect(sides.told.filter((one) => !one.isCutOff && one.status === 200).length > 5).toEqual(true);
+      expect(sides.answers.filter((one) => !one.isCutOff && one.status === 200).length > 5).toEqual(true);
       for (const name of fleet.names) {
         const { feed, configuration } = fleet.find(name)!.node;
         expect([name, feed.isFresh, configuration.version >= best]).toEqual([name, true, true]);
--- a/packages/testkit/src/sim/drains.test.ts
+++ b/packages/testkit/src/sim/drains.test.ts
@@ -4,7 +4,7 @@
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { expect } from "earl";
 import type { Machine } from "../fleet/deployments.js";
-import { served, type Served } from "./hand.js";
+import { served, type TestFleet } from "./hand.js";
 import { Scenario } from "./scenario.js";
 import type { SimFleet } from "./simFleet.js";
 
@@ -29,13 +29,13 @@
 
 /** Asks one node after the other until the machine is empty. */
 async function emptied(
-  { fleet, ask }: Served,
+  { fleet, ask }: TestFleet,
   name: string,
   at: readonly string[],
   timeoutMs = 40_000,
 ): Promise<boolean> {
-  const due = fleet.world.now + timeoutMs;
-  for (let i = 0; fleet.world.now < due; i += 1) {
+  const deadline = fleet.world.now + timeoutMs;
+  for (let i = 0; fleet.world.now < deadline; i += 1) {
     if ((await ask(at[i % at.length]!, "GET", path(name)))["isEmpty"] === true) return true;
     await fleet.run(50);
   }
@@ -43,10 +43,11 @@
 }
 
 /** A configuration with the next version is taken, and read back. */
-async function isServed({ fleet, load, ask }: Served, node: string): Promise<boolean> {
+async function isServed({ fleet, load, ask }: TestFleet, node: string): Promise<boolean> {
   let status = 0;
-  const due = fleet.world.now + 6000;
-  while (status !== 200 && fleet.world.now < due) status = (await ask(node, "GET", "/v1/plan"))["status"] as number;
+  const deadline = fleet.world.now + 6000;
+  while (status !== 200 && fleet.world.now < deadline)
+    status = (await ask(node, "GET", "/v1/plan"))["status"] as number;
   if (status !== 200) return false;
   let put = 0;
   void load.proposeConfiguration({ version: load.nextVersion, spaces: [] }).then((got) => (put = got));
@@ -202,13 +203,13 @@
   };
   // A machine that is there, then as many that have left as are kept.
   await write("vise-2");
-  const gone = Array.from({ length: DrainMachine.maxWishes }, (_, i) => `gone-${i}`);
+  const gone = Array.from({ length: DrainMachine.maxRequests }, (_, i) => `gone-${i}`);
   await write(gone[0]!, gone[1]!);
   await write(...gone.slice(2));
   expect((await ask("lathe-2", "PUT", path("lathe-1")))["status"]).toEqual(200);
   const { metadata } = fleet.find(fleet.leader!)!.control!.raft!;
   const kept = metadata.range("machines/").map((kv) => kv.key.split("/")[1]!);
-  expect(kept.length).toEqual(DrainMachine.maxWishes);
+  expect(kept.length).toEqual(DrainMachine.maxRequests);
   expect(["vise-2", "lathe-1", gone[0]!, gone[1]!, gone[2]!].map((name) => kept.includes(name))).toEqual([
     true,
     true,
--- a/packages/testkit/src/sim/faults.ts
+++ b/packages/testkit/src/sim/faults.ts
@@ -1,9 +1,9 @@
-import type { Act } from "./acts.js";
-import { CutActs } from "./cutActs.js";
-import { DiskActs } from "./diskActs.js";
-import { FaultActs } from "./faultActs.js";
-import { MachineActs } from "./machineActs.js";
-import { OrderActs } from "./orderActs.js";
+import type { InjectFault } from "./acts.js";
+import { PartitionInjector } from "./cutActs.js";
+import { DiskFaultInjector } from "./diskActs.js";
+import { GeneralFaultInjector } from "./faultActs.js";
+import { MachineFaultInjector } from "./machineActs.js";
+import { ChangeFaultInjector } from "./orderActs.js";
 import type { SimRandom } from "./simRandom.js";
 import type { SimFleet } from "./simFleet.js";
 import type { SimLoad } from "./simLoad.js";
@@ -101,7 +101,7 @@
   readonly #load: SimLoad;
   readonly #names: readonly FaultName[];
   readonly #random: SimRandom;
-  readonly #acts: Record<FaultName, Act>;
+  readonly #injectors: Record<FaultName, InjectFault>;
   /** Kinds still to be drawn before any comes again; empty where each draw is by itself. */
   #deck: FaultName[] = [];
   closing: Closing | undefined;
@@ -113,13 +113,13 @@
     this.#names = chosen;
     this.#random = fleet.world.random.fork();
     const { first, orders, machines, cuts, disks } = {
-      first: new FaultActs(fleet, load, this.#random),
-      orders: new OrderActs(fleet, load, this.#random),
-      machines: new MachineActs(fleet, load, this.#random),
-      cuts: new CutActs(fleet, load, this.#random),
-      disks: new DiskActs(fleet, load, this.#random),
+      first: new GeneralFaultInjector(fleet, load, this.#random),
+      orders: new ChangeFaultInjector(fleet, load, this.#random),
+      machines: new MachineFaultInjector(fleet, load, this.#random),
+      cuts: new PartitionInjector(fleet, load, this.#random),
+      disks: new DiskFaultInjector(fleet, load, this.#random),
     };
-    this.#acts = { ...first, ...orders, ...machines, ...cuts, ...disks };
+    this.#injectors = { ...first, ...orders, ...machines, ...cuts, ...disks };
   }
 
   /** One fault after the other, some while the last still lasts. */
@@ -200,7 +200,7 @@
     const { world } = this.#fleet;
     const name = this.#random.pick(this.#fleet.names.filter((one) => this.#fleet.isUsed(one)));
     const from = world.now;
-    const ms = this.#acts[what](name, this.#random.between(300, 9000));
+    const ms = this.#injectors[what](name, this.#random.between(300, 9000));
     if (ms >= 0) this.spans.push({ what, name, from, to: from + ms });
     return ms >= 0;
   }
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -3,18 +3,18 @@
 import type { Frame } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { expect } from "earl";
-import { Hand, served, type Served } from "./hand.js";
+import { TestClient, served, type TestFleet } from "./hand.js";
 import type { SimFleet } from "./simFleet.js";
 
 const topic = "notes/t1";
 
-interface Scene extends Served {
+interface Scene extends TestFleet {
   shard: number;
   leaderName: string;
   /** The shard's replica in the reader's region, which is not the leader's. */
   replica: string;
   edge: string;
-  reader: Hand;
+  reader: TestClient;
   /** A message every 50 ms for a while, each sent until it is accepted; then the longest wait from a reply on. */
   play(ms: number): Promise<number>;
 }
@@ -37,8 +37,8 @@
   const edge = fleet.withRole("vise").find((name) => fleet.zoneOf(name) !== fleet.zoneOf(leaderName))!;
   const near = fleet.withRole("vise").find((name) => fleet.zoneOf(name) === fleet.zoneOf(leaderName))!;
   const replica = set!.members.find((member) => member.zone === fleet.zoneOf(edge))!.name;
-  const reader = new Hand(fleet, edge, "desk", { subscriptions: [{ topic }] });
-  const pen = new Hand(fleet, near, "pen", { subscriptions: [] });
+  const reader = new TestClient(fleet, edge, "desk", { subscriptions: [{ topic }] });
+  const pen = new TestClient(fleet, near, "pen", { subscriptions: [] });
   expect(await fleet.until(() => reader.of("confirmed").length === 1 && pen.of("open").length === 1, 5000)).toEqual(
     true,
   );
@@ -108,13 +108,13 @@
   expect((await all.play(4000)) <= 50).toEqual(true);
   expectWhole(all);
   expect([...counts.keys()]).toEqual([replica]);
-  expect(fleet.find(replica)!.storage!.reads[shard]!.count).toEqual(1);
-  const { service } = fleet.find(leaderName)!.storage!.claims!.find(shard)!;
+  expect(fleet.find(replica)!.storage!.followerReads[shard]!.count).toEqual(1);
+  const { service } = fleet.find(leaderName)!.storage!.leadership!.find(shard)!;
   const reply = service.count({ $typeName: "cranetrack.v1.CountRequest", shard, topics: [topic] });
   expect(reply.case === "countReply" && reply.value.counts?.map(({ count }) => count)).toEqual([1]);
 });
 
-interface Trouble {
+interface FollowerFault {
   what: string;
   seed: number;
   /** From a reply to the reader, in ms. */
@@ -122,7 +122,7 @@
   begin: (scene: Scene) => void;
   end?: (scene: Scene) => void;
 }
-const troubles: Trouble[] = [
+const faults: FollowerFault[] = [
   {
     what: "the replica hears nothing from its holder any more",
     seed: 902,
@@ -176,7 +176,7 @@
   },
 ];
 
-for (const { what, seed, maxMs, begin, end } of troubles) {
+for (const { what, seed, maxMs, begin, end } of faults) {
   test(`${what}: nothing is lost, doubled or out of order, and deliveries go on within ${maxMs} ms`, async () => {
     const all = await scene(seed);
     const { fleet, leaderName } = all;
@@ -207,12 +207,12 @@
     const frame = Wire.decode(bytes);
     const { body } = frame!;
     if (body.case === "follow" && body.value.isAtReplica && body.value.isFull) follows += 1;
-    const isDeaf = fleet.world.now % 3000 < FollowerReads.heardMs + 800;
+    const isDeaf = fleet.world.now % 3000 < FollowerReads.maxLeaderSilenceMs + 800;
     return isDeaf && isOfLog(frame) ? [] : undefined;
   };
   await all.play(24_000);
   fleet.wires.mutate = undefined;
   expectWhole(all);
   expect(follows <= 8).toEqual(true);
-  expect(fleet.find(replica)!.storage!.reads[shard]!.isOpen).toEqual(true);
+  expect(fleet.find(replica)!.storage!.followerReads[shard]!.isOpen).toEqual(true);
 });
--- a/packages/testkit/src/sim/founding.test.ts
+++ b/packages/testkit/src/sim/founding.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import type { Machine } from "../fleet/deployments.js";
-import { Hand, served } from "./hand.js";
+import { TestClient, served } from "./hand.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 
@@ -21,12 +21,12 @@
 
 test("named founders found the store, all of them and nobody else; a fourth control node only joins", async () => {
   const founders = addresses(3);
-  const fleet = new SimFleet(71, withControlNodes(Array.from({ length: 4 }, () => ({ founders, lathes: 3 }))));
+  const fleet = new SimFleet(71, withControlNodes(Array.from({ length: 4 }, () => ({ founders, controlNodes: 3 }))));
   for (const name of ["lathe-1", "lathe-2", "lathe-4", "vise-1"]) fleet.start(name);
   await fleet.run(6000);
   expect(fleet.withRole("lathe").filter((name) => isFounded(fleet, name))).toEqual([]);
-  expect(fleet.find("lathe-1")!.control!.founding.missing).toEqual(expect.includes("2 of 3 blank lathes"));
-  expect(fleet.find("lathe-4")!.control!.founding.missing).toEqual(expect.includes("founds none itself"));
+  expect(fleet.find("lathe-1")!.control!.founding.waitingFor).toEqual(expect.includes("2 of 3 blank lathes"));
+  expect(fleet.find("lathe-4")!.control!.founding.waitingFor).toEqual(expect.includes("founds none itself"));
   fleet.start("lathe-3");
   expect(await fleet.until(() => voters(fleet).length >= 3, 4000)).toEqual(true);
   expect(voters(fleet)).toEqual(["lathe-1", "lathe-2", "lathe-3"]);
@@ -178,13 +178,13 @@
     for (let ms = 0; ms < 10_000 && !isAt(); ms += 1) await fleet.run(1);
     expect(isAt()).toEqual(true);
     fleet.start("lathe-3");
-    const isSettled = (): boolean => {
+    const isStable = (): boolean => {
       const { learners, oldVoters } = members() ?? {};
       return voters(fleet).length === 3 && learners!.length === 0 && oldVoters!.length === 0;
     };
-    expect(await fleet.until(isSettled, 6000)).toEqual(true);
+    expect(await fleet.until(isStable, 6000)).toEqual(true);
     await fleet.run(5000);
-    expect(isSettled()).toEqual(true);
+    expect(isStable()).toEqual(true);
     expect(await written(fleet, "later")).toEqual("done");
   });
 
@@ -196,7 +196,7 @@
       2,
     ),
   );
-  new Hand(fleet, "vise-1", "s1", { subscriptions: [{ topic: "notes/t1" }] });
+  new TestClient(fleet, "vise-1", "s1", { subscriptions: [{ topic: "notes/t1" }] });
   await fleet.run(1000);
   expect((await publish("s1", 1))["status"]).toEqual(200);
   const leaders = fleet
--- a/packages/testkit/src/sim/hand.ts
+++ b/packages/testkit/src/sim/hand.ts
@@ -8,7 +8,7 @@
 export type Line = Record<string, unknown>;
 
 /** A client by hand: one connection and the lines it gave. */
-export class Hand {
+export class TestClient {
   readonly lines: Line[] = [];
   isClosed = false;
   reply: Line | undefined;
@@ -34,7 +34,7 @@
   }
 }
 
-export interface Served {
+export interface TestFleet {
   fleet: SimFleet;
   load: SimLoad;
   /** Any call at any node; awaited under virtual time. */
@@ -48,7 +48,7 @@
 }
 
 /** A simulated fleet that serves, for tests that act by hand. */
-export async function served(seed: number, machines = Scenario.machines()): Promise<Served> {
+export async function served(seed: number, machines = Scenario.machines()): Promise<TestFleet> {
   const fleet = new SimFleet(seed, machines);
   const load = new SimLoad(fleet);
   expect(await load.begin(0)).toEqual(true);
@@ -56,7 +56,7 @@
   const isHeld = (): boolean => shards.all().length === 4 && shards.all().every(([, route]) => route.leader !== "");
   expect(await fleet.until(isHeld, 10_000)).toEqual(true);
   await fleet.run(1000);
-  const ask: Served["ask"] = async (node, method, path, body) => {
+  const ask: TestFleet["ask"] = async (node, method, path, body) => {
     let reply: Line | undefined;
     void fleet.port
       .call(node, method, path, body)
@@ -64,11 +64,11 @@
     expect(await fleet.until(() => reply !== undefined, 6000)).toEqual(true);
     return reply!;
   };
-  const publish: Served["publish"] = (session, number, node = "vise-1", topic = "notes/t1") => {
+  const publish: TestFleet["publish"] = (session, number, node = "vise-1", topic = "notes/t1") => {
     const body = JSON.stringify({ topic, number, payload: `p${number}` });
     return ask(node, "POST", `/v1/sessions/${session}/messages`, body);
   };
-  const configuration: Served["configuration"] = (names, change) => {
+  const configuration: TestFleet["configuration"] = (names, change) => {
     const spaces = SimConfigurations.usual();
     change?.(spaces);
     return ask("lathe-2", "PUT", "/v1/plan", documentTextOf(SimConfigurations.write(load.nextVersion, spaces, names)));
--- a/packages/testkit/src/sim/hostile.test.ts
+++ b/packages/testkit/src/sim/hostile.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { create, ScalarType, type DescMessage, type Message, type MessageInitShape } from "@bufbuild/protobuf";
 import { FrameSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
-import { Seal } from "@cranetrack/core/rpc/seal.js";
+import { Checksum } from "@cranetrack/core/rpc/seal.js";
 import { Wire, type BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { expect } from "earl";
 import { Checker } from "../checker/checker.js";
@@ -123,12 +123,12 @@
       if (i % 10 === 0)
         stranger.send(
           fleet.addressOf(random.pick(fleet.names)),
-          Seal.close(Uint8Array.from({ length: 30 }, () => Math.floor(random.draw() * 256))),
+          Checksum.prepend(Uint8Array.from({ length: 30 }, () => Math.floor(random.draw() * 256))),
         );
       if (i % 10 === 0) await fleet.run(30);
     }
-    expect(await load.settle(12_000)).toEqual(true);
+    expect(await load.finishPublishes(12_000)).toEqual(true);
     await load.readConfiguration();
-    expect(Checker.judge(load.history.seen, fleet.world.now)).toEqual([]);
+    expect(Checker.check(load.history.seen, fleet.world.now)).toEqual([]);
   },
 );
--- a/packages/testkit/src/sim/journalGrowth.ts
+++ b/packages/testkit/src/sim/journalGrowth.ts
@@ -6,7 +6,7 @@
 import { LogCompaction } from "@cranetrack/core/replication/logCompaction.js";
 import { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import { JournalDisk } from "@cranetrack/core/storage/journalDisk.js";
-import { SealedDisk } from "@cranetrack/core/storage/sealedDisk.js";
+import { ChecksummedDisk } from "@cranetrack/core/storage/sealedDisk.js";
 import { storeCompaction } from "@cranetrack/control/consensus/storeCompaction.js";
 
 export interface JournalGrowthReport {
@@ -32,13 +32,13 @@
   let maxResidentBytes = 0;
   const journal = await JournalDisk.open(folder, { maxBytes, onFull: () => (wasFull = true) });
   try {
-    const log = new ReplicaLog(new SealedDisk(journal), "store");
+    const log = new ReplicaLog(new ChecksummedDisk(journal), "store");
     const compaction = new LogCompaction(log, storeCompaction);
     for (let index = 1; index <= changes && !wasFull; index += 1) {
       const entry = create(EntrySchema, { index, term: 1, data: Buffer.alloc(changeBytes, index % 256) });
       await log.append([entry]);
       compaction.applied(entry);
-      if (compaction.isDue) await compaction.compact(index, Buffer.alloc(changeBytes));
+      if (compaction.shouldCompact) await compaction.compact(index, Buffer.alloc(changeBytes));
       maxJournalBytes = Math.max(maxJournalBytes, statSync(join(folder, "journal")).size);
       maxResidentBytes = Math.max(maxResidentBytes, process.memoryUsage().rss - residentAtFirst);
     }
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -2,12 +2,12 @@
 import type { SessionEndpoint, Published } from "@cranetrack/edge/connections/clientEndpoint.js";
 import { EdgeClientEndpoint } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
 import { expect } from "earl";
-import { Hand, served, type Served } from "./hand.js";
+import { TestClient, served, type TestFleet } from "./hand.js";
 import type { SimFleet } from "./simFleet.js";
 import { SimConfigurations } from "./simConfigurations.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
-async function settled<T>(fleet: SimFleet, call: Promise<T>): Promise<T> {
+async function resultOf<T>(fleet: SimFleet, call: Promise<T>): Promise<T> {
   let answer: { value: T } | undefined;
   void call.then((value) => (answer = { value }));
   expect(await fleet.until(() => answer !== undefined, 6000)).toEqual(true);
@@ -17,14 +17,14 @@
 async function open(fleet: SimFleet): Promise<SessionEndpoint> {
   const connection = { waitingBytes: 0, isClosed: false, send: () => undefined, close: () => undefined };
   const connections = new EdgeClientEndpoint(fleet.find("vise-1")!.edge!);
-  const answer = await settled(fleet, connections.connect("desk", { ...connection, onClose: () => undefined }));
+  const answer = await resultOf(fleet, connections.connect("desk", { ...connection, onClose: () => undefined }));
   if (answer.outcome !== "open") throw new Error(`not connected: ${JSON.stringify(answer)}`);
   return answer.connection;
 }
 
 /** The usual configuration with changes of all its spaces and of itself, taken up by the edge. */
 async function change(
-  { fleet, load, ask }: Served,
+  { fleet, load, ask }: TestFleet,
   space: object,
   limits: object,
   contract: object = {},
@@ -46,20 +46,20 @@
   await change(place, {}, { subscriptions: 2 });
   const connection = await open(fleet);
   const subscribe = async (topic: string): Promise<string> =>
-    (await settled(fleet, connection.subscribe(`notes/${topic}`))).outcome;
+    (await resultOf(fleet, connection.subscribe(`notes/${topic}`))).outcome;
   expect([await subscribe("t1"), await subscribe("t2"), await subscribe("t3")]).toEqual([
     "confirmed",
     "confirmed",
     "too-many",
   ]);
-  await settled(fleet, connection.unsubscribe("notes/t1"));
+  await resultOf(fleet, connection.unsubscribe("notes/t1"));
   expect(await subscribe("t3")).toEqual("confirmed");
 
   const topics = ["notes/t1", "notes/t2", "notes/t3"];
-  const hand = new Hand(fleet, "vise-2", "other", { subscriptions: topics.map((topic) => ({ topic })) });
+  const client = new TestClient(fleet, "vise-2", "other", { subscriptions: topics.map((topic) => ({ topic })) });
   await fleet.run(1500);
-  expect(hand.of("confirmed").map(({ topic }) => topic)).toEqual(topics.slice(0, 2));
-  expect(hand.of("fault").map(({ topic, code }) => [topic, code])).toEqual([["notes/t3", "too-many"]]);
+  expect(client.of("confirmed").map(({ topic }) => topic)).toEqual(topics.slice(0, 2));
+  expect(client.of("fault").map(({ topic, code }) => [topic, code])).toEqual([["notes/t3", "too-many"]]);
   const one = (): Promise<Record<string, unknown>> =>
     ask("vise-2", "POST", "/v1/sessions/other/subscriptions", JSON.stringify({ topic: "notes/t3" }));
   expect((await one())["status"]).toEqual(409);
@@ -72,7 +72,7 @@
   await change(place, {}, { payloadBytes: 8 }, { maxBytes: 100 });
   const connection = await open(place.fleet);
   const publish = (number: number, length: number): Promise<Published> =>
-    settled(place.fleet, connection.publish("notes/t1", number, "x".repeat(length)));
+    resultOf(place.fleet, connection.publish("notes/t1", number, "x".repeat(length)));
   expect((await publish(1, 8)).outcome).toEqual("accepted");
   expect(await publish(2, 9)).toEqual(expect.subset({ outcome: "refused", code: "too-large" }));
   await change(place, {}, { payloadBytes: 1000 }, { maxBytes: 100 });
@@ -92,7 +92,7 @@
       took = fleet.world.now - began;
       return published.outcome;
     });
-    return [await settled(fleet, answer), took <= 200];
+    return [await resultOf(fleet, answer), took <= 200];
   };
   expect(await publish(1)).toEqual(["accepted", true]);
   const leaders = fleet.names.filter((name) => !name.startsWith("vise"));
--- a/packages/testkit/src/sim/lossBudget.ts
+++ b/packages/testkit/src/sim/lossBudget.ts
@@ -10,22 +10,22 @@
 
   readonly #fleet: SimFleet;
   readonly #syncMs: number;
-  #troubleAt: number;
+  #lastFaultAt: number;
 
   constructor(fleet: SimFleet, syncMs: number) {
     this.#fleet = fleet;
     this.#syncMs = syncMs;
-    this.#troubleAt = fleet.world.now;
+    this.#lastFaultAt = fleet.world.now;
     this.#look();
   }
 
   get isFree(): boolean {
-    return this.#fleet.world.now - this.#troubleAt >= this.#syncMs;
+    return this.#fleet.world.now - this.#lastFaultAt >= this.#syncMs;
   }
 
   #look(): void {
     const { world } = this.#fleet;
-    if (this.#isTroubled) this.#troubleAt = world.now;
+    if (this.#isTroubled) this.#lastFaultAt = world.now;
     world.at(world.now + LossBudget.lookMs, () => this.#look());
   }
 
@@ -34,8 +34,8 @@
     const counted = [...this.#fleet.withRole("lathe"), ...this.#fleet.withRole("anvil")];
     const used = counted.filter((name) => this.#fleet.isUsed(name));
     const isBad = (name: string): boolean => {
-      const life = this.#fleet.find(name);
-      return life === undefined || life.body.pausedUntil > world.now || this.#fleet.diskOf(name).isTroubled;
+      const running = this.#fleet.find(name);
+      return running === undefined || running.body.pausedUntil > world.now || this.#fleet.diskOf(name).isTroubled;
     };
     return wires.isTroubled || used.some(isBad);
   }
--- a/packages/testkit/src/sim/machineActs.ts
+++ b/packages/testkit/src/sim/machineActs.ts
@@ -1,8 +1,8 @@
 import type { Machine } from "../fleet/deployments.js";
-import { Acts, type Act } from "./acts.js";
+import { FaultInjector, type InjectFault } from "./acts.js";
 
 /** Machines that come, go and are replaced, and whole groups that fall. */
-export class MachineActs extends Acts {
+export class MachineFaultInjector extends FaultInjector {
   static readonly share = 0.6;
   static readonly stepMs = 2000;
   /** Within which a machine that is replaced is gone, or another's disk is lost after a drain. */
@@ -13,79 +13,79 @@
   #replaced = 0;
 
   /** The process ends at once and its machine goes on. */
-  readonly crash: Act = (name, ms) => {
+  readonly crash: InjectFault = (name, ms) => {
     this.fleet.crash(name);
     return this.later(ms * 0.3, () => this.fleet.revive(name));
   };
 
   /** Each machine that counts is asked to stop while it answers an operator, one after the other. */
-  readonly busyStops: Act = () => {
+  readonly busyStops: InjectFault = () => {
     const names = this.counted;
     names.forEach((one, i) => {
-      this.later(i * MachineActs.electionTurnMs, () => {
+      this.later(i * MachineFaultInjector.electionTurnMs, () => {
         void this.fleet.port.call(one, "GET", "/v1/plan", undefined);
         this.later(2, () => this.fleet.cycle(one));
       });
-      this.later((i + 1) * MachineActs.electionTurnMs - 100, () => this.fleet.revive(one));
+      this.later((i + 1) * MachineFaultInjector.electionTurnMs - 100, () => this.fleet.revive(one));
     });
-    return names.length * MachineActs.electionTurnMs;
+    return names.length * MachineFaultInjector.electionTurnMs;
   };
 
   /** A machine is to be emptied as soon as it is back. */
-  readonly drainReturned: Act = (_name, ms) => {
+  readonly drainReturned: InjectFault = (_name, ms) => {
     const machine = this.random.pick(this.fleet.withRole("anvil").filter((one) => this.fleet.isUsed(one)));
     this.fleet.kill(machine);
     this.later(ms * 0.3, () => {
       this.fleet.revive(machine);
       this.load.ask("PUT", machine);
     });
-    return this.later(ms * 0.3 + MachineActs.emptyMs, () => this.load.ask("DELETE", machine));
+    return this.later(ms * 0.3 + MachineFaultInjector.emptyMs, () => this.load.ask("DELETE", machine));
   };
 
   /** Most edges at once; they lose power, or only their processes. */
-  readonly herd: Act = (_name, ms) => {
-    const names = this.some(this.edges, Math.ceil(this.edges.length * MachineActs.share));
+  readonly herd: InjectFault = (_name, ms) => {
+    const names = this.some(this.edges, Math.ceil(this.edges.length * MachineFaultInjector.share));
     for (const one of names) this.fleet.kill(one);
     return this.later(ms * 0.5, () => this.reviveAll(names));
   };
 
   /** All that count lose power in the middle of it. */
-  readonly core: Act = () => this.#fallAll((one) => this.fleet.kill(one));
+  readonly core: InjectFault = () => this.#fallAll((one) => this.fleet.kill(one));
 
   /** The processes of all that count are killed. */
-  readonly coreCrash: Act = () => this.#fallAll((one) => this.fleet.crash(one));
+  readonly coreCrash: InjectFault = () => this.#fallAll((one) => this.fleet.crash(one));
 
   /** One that counts is gone for good, and an empty one comes a second later at another address. */
-  readonly replaced: Act = () => {
+  readonly replaced: InjectFault = () => {
     const old = this.#replaceable();
-    if (old === undefined) return Acts.notNow;
+    if (old === undefined) return FaultInjector.notNow;
     this.fleet.retire(old);
     return this.later(1000, () => this.#start(old)) + 2000;
   };
 
   /** The empty one comes first, and the old one is asked to go a second later. */
-  readonly replacedFirst: Act = () => {
+  readonly replacedFirst: InjectFault = () => {
     const old = this.#replaceable();
-    if (old === undefined) return Acts.notNow;
+    if (old === undefined) return FaultInjector.notNow;
     this.#start(old);
     this.later(1000, () => this.fleet.dismiss(old));
     return this.later(7500, () => this.fleet.retire(old)) + 1000;
   };
 
   /** Edges are asked to go, one after the other, and stay away. */
-  readonly leaving: Act = () => {
+  readonly leaving: InjectFault = () => {
     const spare = this.edges.slice(2);
     const names = this.some(spare, 2);
     names.forEach((one, i) => {
       this.later(i * 1500, () => this.fleet.dismiss(one));
       this.later(i * 1500 + 6500, () => this.fleet.retire(one));
     });
-    return names.length === 0 ? Acts.notNow : names.length * 1500 + 6500;
+    return names.length === 0 ? FaultInjector.notNow : names.length * 1500 + 6500;
   };
 
   /** One that stores is emptied, and as soon as that is said to be done, another one's disk is lost. */
-  readonly emptiedWipe: Act = (_name, ms) => {
-    if (!this.fleet.reserveLoss(MachineActs.emptyMs)) return Acts.notNow;
+  readonly emptiedWipe: InjectFault = (_name, ms) => {
+    if (!this.fleet.reserveLoss(MachineFaultInjector.emptyMs)) return FaultInjector.notNow;
     const machine = this.random.pick(this.fleet.withRole("anvil").filter((one) => this.fleet.isUsed(one)));
     this.load.ask("PUT", machine);
     const look = (left: number): void => {
@@ -101,9 +101,9 @@
   };
 
   /** The time of day jumps on some machines, and back; some are started anew meanwhile. */
-  readonly clockStep: Act = (_name, ms) => {
+  readonly clockStep: InjectFault = (_name, ms) => {
     const names = this.some(this.fleet.names, Math.ceil(this.fleet.names.length * 0.3));
-    const step = this.random.pick([-1, 1]) * MachineActs.stepMs;
+    const step = this.random.pick([-1, 1]) * MachineFaultInjector.stepMs;
     for (const one of names) this.fleet.stepWall(one, step);
     const restarted = this.some(names, 2).filter((one) => this.fleet.find(one) !== undefined);
     this.later(200, () => {
@@ -116,10 +116,10 @@
   };
 
   /** Settings name other seeds; some machines are started anew with them. */
-  readonly seedsTurned: Act = () => {
+  readonly seedsTurned: InjectFault = () => {
     const running = this.fleet.names.filter((one) => this.fleet.find(one) !== undefined);
     const seeds = this.some(running, 3);
-    if (seeds.length < 3) return Acts.notNow;
+    if (seeds.length < 3) return FaultInjector.notNow;
     this.fleet.seed(seeds);
     for (const one of this.some(running, 2)) {
       this.fleet.crash(one);
@@ -129,13 +129,13 @@
   };
 
   /** Many more messages for a while. */
-  readonly rush: Act = (_name, ms) => {
+  readonly rush: InjectFault = (_name, ms) => {
     this.load.hurry(5);
     return this.later(ms, () => this.load.hurry(1));
   };
 
   /** Half of all callers move to one zone. */
-  readonly shift: Act = () => {
+  readonly shift: InjectFault = () => {
     this.load.shift(0.5);
     return 2000;
   };
@@ -149,7 +149,9 @@
   /** One loss is what is promised: while another is still to be mended, nothing is taken for good. */
   #replaceable(): string | undefined {
     const names = this.counted.filter((one) => this.fleet.find(one) !== undefined);
-    return names.length > 0 && this.fleet.reserveLoss(MachineActs.lossMs) ? this.random.pick(names) : undefined;
+    return names.length > 0 && this.fleet.reserveLoss(MachineFaultInjector.lossMs)
+      ? this.random.pick(names)
+      : undefined;
   }
 
   #start(old: string): void {
--- a/packages/testkit/src/sim/memberChanges.test.ts
+++ b/packages/testkit/src/sim/memberChanges.test.ts
@@ -22,7 +22,7 @@
   fleet.leader === undefined ? undefined : fleet.find(fleet.leader)!.control!.raft!.members;
 const voters = (fleet: SimFleet): string[] => (members(fleet)?.voters ?? []).map((one) => one.name).sort();
 const isVoting = (fleet: SimFleet, ...names: string[]): boolean =>
-  voters(fleet).join() === [...names].sort().join() && fleet.find(fleet.leader!)!.control!.raft!.hasSettledMembers;
+  voters(fleet).join() === [...names].sort().join() && fleet.find(fleet.leader!)!.control!.raft!.hasStableMembers;
 
 async function founded(
   seed: number,
@@ -198,7 +198,7 @@
 });
 
 test("five voters grow from three founders at once, and two that are lost at once are replaced at once", async () => {
-  const fleet = fleetOf(113, 7, { voters: 5, lathes: 5 });
+  const fleet = fleetOf(113, 7, { voters: 5, controlNodes: 5 });
   for (const name of fleet.names) if (!["lathe-6", "lathe-7"].includes(name)) fleet.start(name);
   const all = [1, 2, 3, 4, 5].map((i) => `lathe-${i}`);
   expect(await fleet.until(() => isVoting(fleet, ...all), 6000)).toEqual(true);
@@ -229,7 +229,7 @@
 });
 
 test("in a joint configuration a leader that is cut off from the old set commits nothing", async () => {
-  const fleet = fleetOf(115, 5, { voters: 5, lathes: 5 });
+  const fleet = fleetOf(115, 5, { voters: 5, controlNodes: 5 });
   fleet.startAll();
   const all = [1, 2, 3, 4, 5].map((i) => `lathe-${i}`);
   expect(await fleet.until(() => isVoting(fleet, ...all), 6000)).toEqual(true);
--- a/packages/testkit/src/sim/membership.test.ts
+++ b/packages/testkit/src/sim/membership.test.ts
@@ -37,12 +37,12 @@
     (name: string) => fleet.isolate(name, fleet.names, "out"),
   ].entries()) {
     const name = `vise-${i + 1}`;
-    const standing = others(fleet, name).filter((one) => fleet.find(one) !== undefined);
+    const running = others(fleet, name).filter((one) => fleet.find(one) !== undefined);
     const expected = believers(fleet, "vise-6");
     fail(name);
     const at = fleet.world.now;
     await fleet.run(Membership.suspectMs - 400);
-    expect(believers(fleet, name).length).toEqual(standing.length);
+    expect(believers(fleet, name).length).toEqual(running.length);
     expect(await fleet.until(() => believers(fleet, name).length === 0, 2500)).toEqual(true);
     expect(fleet.world.now - at < 2500).toEqual(true);
     expect(believers(fleet, "vise-6").filter((one) => one !== name)).toEqual(expected.filter((one) => one !== name));
@@ -111,9 +111,9 @@
 
 test("a node that restarts under its name, suspected or not, is known in its new life within 1.5 s", async () => {
   const fleet = await started(77);
-  for (const awayMs of [100, 4000]) {
+  for (const stoppedMs of [100, 4000]) {
     fleet.kill("vise-4");
-    await fleet.run(awayMs);
+    await fleet.run(stoppedMs);
     const { incarnation } = fleet.start("vise-4").node.membership.self;
     const isKnown = (): boolean =>
       others(fleet, "vise-4").every((name) => {
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -6,10 +6,10 @@
 import { Wire, type Body } from "@cranetrack/core/rpc/wire.js";
 import { countTopic, type Count } from "@cranetrack/edge/subscriptions/countTopic.js";
 import { expect } from "earl";
-import { Hand, served, type Served } from "./hand.js";
+import { TestClient, served, type TestFleet } from "./hand.js";
 
 /** A fleet whose space `notes` keeps nothing, and so does `extra`, which has one order. */
-async function keepingNothing(seed: number): Promise<Served> {
+async function keepingNothing(seed: number): Promise<TestFleet> {
   const all = await served(seed);
   const reply = await all.configuration(["notes", "notices", "extra"], (spaces) => {
     spaces["notes"]![0]!.contract["keep"] = 0;
@@ -21,36 +21,37 @@
 }
 
 async function connectSession(
-  { fleet }: Served,
+  { fleet }: TestFleet,
   node: string,
   session: string,
-  wishes: readonly object[],
-): Promise<Hand> {
-  const hand = new Hand(fleet, node, session, { subscriptions: wishes });
-  const isConnected = (): boolean => hand.of("open").length > 0 && hand.of("confirmed").length === wishes.length;
+  subscriptions: readonly object[],
+): Promise<TestClient> {
+  const client = new TestClient(fleet, node, session, { subscriptions: subscriptions });
+  const isConnected = (): boolean =>
+    client.of("open").length > 0 && client.of("confirmed").length === subscriptions.length;
   expect(await fleet.until(isConnected, 5000)).toEqual(true);
-  return hand;
+  return client;
 }
 
 function shardLeaderOf(
-  { fleet }: Served,
+  { fleet }: TestFleet,
   topic: string,
 ): { name: string; shard: number; leader: ShardLeader; service: ShardService } {
   const { node, edge } = fleet.find("vise-2")!;
   const shard = edge!.streams.shardOf(node.configuration.route(topic)!.stream);
   const name = node.shards.find(shard).leader;
-  const { leader, service } = fleet.find(name)!.storage!.claims!.find(shard)!;
+  const { leader, service } = fleet.find(name)!.storage!.leadership!.find(shard)!;
   return { name, shard, leader, service };
 }
 
-async function counted({ fleet }: Served, topic: string, node = "vise-2"): Promise<Count> {
+async function counted({ fleet }: TestFleet, topic: string, node = "vise-2"): Promise<Count> {
   let got: Count | undefined;
   void countTopic(fleet.find(node)!.edge!, topic).then((count) => (got = count));
   expect(await fleet.until(() => got !== undefined, 5000)).toEqual(true);
   return got!;
 }
 
-const logged = ({ fleet }: Served): number =>
+const logged = ({ fleet }: TestFleet): number =>
   Math.max(...fleet.withRole("anvil").map((name) => fleet.find(name)?.storage?.replicas[0]?.log.lastIndex ?? 0));
 
 test("a space that keeps nothing is delivered in order, from memory, and writes no log", async () => {
@@ -124,7 +125,7 @@
   expect([reader.of("expired"), reader.of("ended"), reader.isClosed]).toEqual([[], [], false]);
 });
 
-function leaderShard({ fleet }: Served): number {
+function leaderShard({ fleet }: TestFleet): number {
   const { node, edge } = fleet.find("vise-2")!;
   return edge!.streams.shardOf(node.configuration.route("notes/t1")!.stream);
 }
@@ -167,9 +168,9 @@
       spaceIncarnation: configuration.route(topic)!.spaceIncarnation,
     };
     const replies: PublishReply[] = [];
-    const heed = (body: Body | undefined): void => void (body?.case === "publishReply" && replies.push(body.value));
+    const collect = (body: Body | undefined): void => void (body?.case === "publishReply" && replies.push(body.value));
     for (let number = 1; number <= 8; number += 1)
-      void rpc.call(name, { case: "publish", value: { ...publish, number } }, 3000).then(heed);
+      void rpc.call(name, { case: "publish", value: { ...publish, number } }, 3000).then(collect);
     expect(await fleet.until(() => replies.length === 8, 4000)).toEqual(true);
     expect(replies.map(({ outcome }) => outcome)).toEqual(Array.from({ length: 8 }, () => "accepted"));
     const first = replies[0]!.seq;
@@ -221,13 +222,13 @@
   // Its leader gives the shard up; number 2 is at the next leader before number 1 comes again.
   fleet.wires.mutate = (from, _to, bytes) =>
     from === pen && Wire.decode(bytes)?.body.case === "publish" ? [{ bytes, delay: 100 }] : undefined;
-  void fleet.find(name)!.storage!.claims!.release(shard, "the test says so");
+  void fleet.find(name)!.storage!.leadership!.release(shard, "the test says so");
   const next = (): ShardService | undefined => {
     const { leader: leaderName } = fleet.find("vise-2")!.node.shards.find(shard);
-    const claim = fleet.find(leaderName)?.storage?.claims?.find(shard);
+    const claim = fleet.find(leaderName)?.storage?.leadership?.find(shard);
     return claim?.service.isOpen === true ? claim.service : undefined;
   };
-  const epoch = fleet.find(name)!.storage!.claims!.find(shard)?.leader.epoch;
+  const epoch = fleet.find(name)!.storage!.leadership!.find(shard)?.leader.epoch;
   expect(epoch).toEqual(undefined);
   for (let ms = 0; ms < 3000 && next() === undefined; ms += 1) await fleet.run(1);
   const { spaceIncarnation } = fleet.find("vise-2")!.node.configuration.route(topic)!;
@@ -336,13 +337,14 @@
     expect(await count(topic)).toEqual(wanted);
   };
   expect([await count(), await count("nowhere/t1")]).toEqual([0, "unknown-topic"]);
-  const wishes = ["notes/t1", "extra/t0"].map((topic) => ({ topic }));
-  const hands: Hand[] = [];
-  for (let i = 0; i < 6; i += 1) hands.push(await connectSession(all, `vise-${(i % 3) + 1}`, `desk-${i}`, wishes));
+  const subscriptions = ["notes/t1", "extra/t0"].map((topic) => ({ topic }));
+  const clients: TestClient[] = [];
+  for (let i = 0; i < 6; i += 1)
+    clients.push(await connectSession(all, `vise-${(i % 3) + 1}`, `desk-${i}`, subscriptions));
   await connectSession(all, "vise-1", "other", [{ topic: "extra/t1" }]);
   await fleet.run(100);
   expect([await count(), await count("extra/t0"), await count("extra/t1")]).toEqual([6, 6, 1]);
-  hands[1]!.close();
+  clients[1]!.close();
   expect((await all.ask("vise-3", "DELETE", "/v1/sessions/desk-2/subscriptions/notes/t1"))["status"]).toEqual(200);
   await fleet.run(100);
   expect([await count(), await count("extra/t0")]).toEqual([4, 5]);
--- a/packages/testkit/src/sim/oldState.test.ts
+++ b/packages/testkit/src/sim/oldState.test.ts
@@ -13,7 +13,7 @@
   return { fleet, load, controlNodes: fleet.withRole("lathe") };
 }
 
-async function settled<T>(fleet: SimFleet, asked: Promise<T>, timeoutMs = 30_000): Promise<T> {
+async function resultOf<T>(fleet: SimFleet, asked: Promise<T>, timeoutMs = 30_000): Promise<T> {
   let got: { value: T } | undefined;
   void asked.then((value) => (got = { value }));
   expect(await fleet.until(() => got !== undefined, timeoutMs)).toEqual(true);
@@ -25,13 +25,13 @@
   let version = 0;
   for (let i = 0; i < count; i += 1) {
     version = load.nextVersion;
-    expect(await settled(fleet, load.proposeConfiguration(SimLoad.configuration(version)))).toEqual(200);
+    expect(await resultOf(fleet, load.proposeConfiguration(SimLoad.configuration(version)))).toEqual(200);
   }
   return version;
 }
 
 const versionAt = async (fleet: SimFleet, node: string): Promise<unknown> => {
-  const { status, body } = await settled(fleet, fleet.port.call(node, "GET", "/v1/plan", undefined), 8000);
+  const { status, body } = await resultOf(fleet, fleet.port.call(node, "GET", "/v1/plan", undefined), 8000);
   return status === 200 ? (JSON.parse(String(body["raw"])) as { mark: number }).mark : status;
 };
 
--- a/packages/testkit/src/sim/orderActs.ts
+++ b/packages/testkit/src/sim/orderActs.ts
@@ -1,10 +1,10 @@
-import { Acts, type Act } from "./acts.js";
+import { FaultInjector, type InjectFault } from "./acts.js";
 import { SimLoad } from "./simLoad.js";
 import { SimConfigurations } from "./simConfigurations.js";
 import type { GivenAnswer } from "./simPort.js";
 
 /** What befalls operators' orders, and machines just after they acknowledged something. */
-export class OrderActs extends Acts {
+export class ChangeFaultInjector extends FaultInjector {
   /** Between an acknowledgement and the loss of power that follows it. */
   static readonly rightAfterMs = 4;
   static readonly sentMs = [5, 400] as const;
@@ -12,19 +12,19 @@
   static readonly lossMs = 2500;
 
   /** Most answers to operators are lost on their way; the same orders come again, to other machines. */
-  readonly lostAnswers: Act = (_name, ms) => {
+  readonly lostAnswers: InjectFault = (_name, ms) => {
     this.fleet.port.answerLoss = 0.7;
     for (let i = 0; i < 4; i += 1) this.later((i * ms) / 4, () => this.#change());
     return this.later(ms, () => void (this.fleet.port.answerLoss = 0));
   };
 
   /** A change every 100 ms. */
-  readonly storm: Act = (_name, ms) => {
+  readonly storm: InjectFault = (_name, ms) => {
     for (let at = 0; at < ms; at += 100) this.later(at, () => this.#change());
     return ms;
   };
 
-  readonly bigConfiguration: Act = () => {
+  readonly bigConfiguration: InjectFault = () => {
     void this.load.proposeConfiguration(
       SimConfigurations.write(this.load.nextVersion, SimConfigurations.large(300), SimConfigurations.largeNames(300)),
     );
@@ -32,20 +32,20 @@
   };
 
   /** What acknowledges a change loses power right after it. */
-  readonly ackKill: Act = () => this.#afterAck((name) => this.#fall([name], (one) => this.fleet.kill(one)));
+  readonly ackKill: InjectFault = () => this.#afterAck((name) => this.#fall([name], (one) => this.fleet.kill(one)));
 
   /** The same, with the leader as well. */
-  readonly ackKillTwo: Act = () =>
+  readonly ackKillTwo: InjectFault = () =>
     this.#afterAck((name) => this.#fall([name, this.fleet.leader ?? name], (one) => this.fleet.kill(one)));
 
   /** Its process ends, and the disk keeps what was written. */
-  readonly ackCrash: Act = () => this.#afterAck((name) => this.#fall([name], (one) => this.fleet.crash(one)));
+  readonly ackCrash: InjectFault = () => this.#afterAck((name) => this.#fall([name], (one) => this.fleet.crash(one)));
 
   /** 5 to 400 ms after a change was sent, acknowledged or not. */
-  readonly sentKill: Act = () => {
+  readonly sentKill: InjectFault = () => {
     const names = [this.random.pick(this.counted), this.fleet.leader];
     this.#change();
-    const ms = this.random.between(...OrderActs.sentMs);
+    const ms = this.random.between(...ChangeFaultInjector.sentMs);
     this.later(ms, () =>
       this.#fall(
         names.filter((one) => one !== undefined),
@@ -56,25 +56,25 @@
   };
 
   /** What has just taken a client's message loses power. */
-  readonly takenKill: Act = () =>
-    this.#after(OrderActs.#isTaken, (name) => this.#fall([name], (one) => this.fleet.kill(one)));
+  readonly takenKill: InjectFault = () =>
+    this.#after(ChangeFaultInjector.#isTaken, (name) => this.#fall([name], (one) => this.fleet.kill(one)));
 
   /** All machines that count lose power right after a client's message was taken. */
-  readonly takenKillAll: Act = () =>
-    this.#after(OrderActs.#isTaken, () => this.#fall(this.counted, (one) => this.fleet.kill(one)));
+  readonly takenKillAll: InjectFault = () =>
+    this.#after(ChangeFaultInjector.#isTaken, () => this.#fall(this.counted, (one) => this.fleet.kill(one)));
 
   /** A disk is lost right after a change was acknowledged. */
-  readonly ackWipe: Act = () => this.#wipeAfterAck([]);
+  readonly ackWipe: InjectFault = () => this.#wipeAfterAck([]);
 
   /** The same, and all others that count lose power. */
-  readonly ackWipeAll: Act = () => this.#wipeAfterAck(this.counted);
+  readonly ackWipeAll: InjectFault = () => this.#wipeAfterAck(this.counted);
 
   /** A disk is lost 5 to 400 ms after a change was sent. */
-  readonly sentWipe: Act = () => {
-    if (!this.fleet.reserveLoss(OrderActs.lossMs)) return Acts.notNow;
+  readonly sentWipe: InjectFault = () => {
+    if (!this.fleet.reserveLoss(ChangeFaultInjector.lossMs)) return FaultInjector.notNow;
     const name = this.random.pick(this.counted);
     this.#change();
-    const ms = this.random.between(...OrderActs.sentMs);
+    const ms = this.random.between(...ChangeFaultInjector.sentMs);
     this.later(ms, () => {
       if (this.fleet.mayLose) this.#fall([name], (one) => this.fleet.wipe(one));
     });
@@ -82,7 +82,7 @@
   };
 
   /** A machine comes back and is sent a change at once, by two operators. */
-  readonly meet: Act = (name, ms) => {
+  readonly meet: InjectFault = (name, ms) => {
     this.fleet.kill(name);
     return this.later(ms * 0.4, () => {
       this.fleet.revive(name);
@@ -110,7 +110,7 @@
   }
 
   #wipeAfterAck(others: readonly string[]): number {
-    if (!this.fleet.reserveLoss(OrderActs.lossMs)) return Acts.notNow;
+    if (!this.fleet.reserveLoss(ChangeFaultInjector.lossMs)) return FaultInjector.notNow;
     return this.#afterAck((acknowledging) => {
       if (!this.fleet.mayLose) return;
       const isCounted = this.counted.includes(acknowledging);
@@ -124,7 +124,7 @@
 
   #afterAck(strike: (name: string) => void): number {
     this.#change();
-    return this.#after(OrderActs.#isOrder, strike);
+    return this.#after(ChangeFaultInjector.#isOrder, strike);
   }
 
   /** Once, at the next such answer within two seconds. */
@@ -132,7 +132,7 @@
     const { onAnswer } = this.fleet.port;
     const look = (answer: GivenAnswer): void => {
       if (!isMeant(answer) || !onAnswer.delete(look)) return;
-      this.later(this.random.between(0, OrderActs.rightAfterMs), () => strike(answer.name));
+      this.later(this.random.between(0, ChangeFaultInjector.rightAfterMs), () => strike(answer.name));
     };
     onAnswer.add(look);
     this.later(2000, () => void onAnswer.delete(look));
--- a/packages/testkit/src/sim/orderHistories.test.ts
+++ b/packages/testkit/src/sim/orderHistories.test.ts
@@ -6,14 +6,14 @@
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { OrderHistory, SimOperator } from "./simOperator.js";
-import { Troubles, type Trouble } from "./storeTroubles.js";
+import { StoreFaults, type Trouble } from "./storeTroubles.js";
 
 interface Play {
   seed: number;
   controlCount: 3 | 5;
   lossOfAnswers: number;
   asked: Array<{ at: number; operator: number; input: OrderInput }>;
-  troubles: Trouble[];
+  faults: Trouble[];
 }
 const calmMs = 6000;
 
@@ -25,10 +25,10 @@
 });
 const operator = fc.integer({ min: 0, max: 1 });
 const asked: fc.Arbitrary<Play["asked"][number]> = fc.oneof(
-  { weight: 2, arbitrary: fc.record({ at: Troubles.burst, operator, input: put }) },
+  { weight: 2, arbitrary: fc.record({ at: StoreFaults.burst, operator, input: put }) },
   {
     weight: 1,
-    arbitrary: fc.record({ at: Troubles.afterBurst, operator, input: fc.constant({ kind: "read" as const }) }),
+    arbitrary: fc.record({ at: StoreFaults.afterBurst, operator, input: fc.constant({ kind: "read" as const }) }),
   },
 );
 const play: fc.Arbitrary<Play> = fc.record({
@@ -36,27 +36,27 @@
   controlCount: fc.constantFrom(3 as const, 5 as const),
   lossOfAnswers: fc.constantFrom(0, 0.3, 0.6),
   asked: fc.array(asked, { minLength: 30, maxLength: 50 }),
-  troubles: Troubles.arbitrary,
+  faults: StoreFaults.arbitrary,
 });
 
 /** Operators on all sides while troubles come and go; then all that was clearly answered is asked once more. */
-async function played({ seed, controlCount, lossOfAnswers, asked, troubles }: Play): Promise<OrderHistory> {
+async function played({ seed, controlCount, lossOfAnswers, asked, faults }: Play): Promise<OrderHistory> {
   const fleet = new SimFleet(seed, Scenario.machines(controlCount, 0, 0));
   const history = new OrderHistory();
   const operators = [0, 1].map(() => new SimOperator(fleet, history, lossOfAnswers));
   fleet.startAll();
   expect(await fleet.until(() => fleet.leader !== undefined, 15_000)).toEqual(true);
   const start = fleet.world.now;
-  Troubles.cause(fleet, troubles);
+  StoreFaults.cause(fleet, faults);
   for (const { at: after, operator, input: order } of asked)
     fleet.world.at(start + after, () => void operators[operator]!.ask(contentOf(order)));
-  await fleet.run(Troubles.lengthMs + calmMs);
+  await fleet.run(StoreFaults.lengthMs + calmMs);
   fleet.wires.heal();
   for (const name of fleet.withRole("lathe")) fleet.start(name);
   await fleet.run(calmMs);
   const last = new SimOperator(fleet, history, 0);
-  const settled = history.operations.filter(({ output }) => output !== undefined).map((one) => one.input);
-  const again = new Map(settled.map((one) => [JSON.stringify(one), one]));
+  const resolved = history.operations.filter(({ output }) => output !== undefined).map((one) => one.input);
+  const again = new Map(resolved.map((one) => [JSON.stringify(one), one]));
   const answers: unknown[] = [];
   for (const one of [...again.values(), { kind: "read" } as const])
     void last.ask(one).then((answer) => answers.push(answer));
--- a/packages/testkit/src/sim/orders.test.ts
+++ b/packages/testkit/src/sim/orders.test.ts
@@ -34,7 +34,7 @@
     return Buffer.from(documentTextOf(configuration));
   }
 
-  async settled<T>(asked: Promise<T>): Promise<T> {
+  async resultOf<T>(asked: Promise<T>): Promise<T> {
     let got: { value: T } | undefined;
     void asked.then((value) => (got = { value }));
     expect(await this.fleet.until(() => got !== undefined, 30_000)).toEqual(true);
@@ -45,11 +45,11 @@
   async put(name: string, version: number, content: string, budget = 1): Promise<number> {
     const { node } = this.fleet.find(name)!;
     const asked = proposeConfiguration(node, Orders.configuration(version, budget), Orders.document(version, content));
-    return (await this.settled(asked)).status;
+    return (await this.resultOf(asked)).status;
   }
 
   async readBack(name: string): Promise<string> {
-    const read = await this.settled(readDocument(this.fleet.find(name)!.node));
+    const read = await this.resultOf(readDocument(this.fleet.find(name)!.node));
     return read.outcome === "done" ? Buffer.from(read.document).toString() : read.outcome;
   }
 }
@@ -73,7 +73,7 @@
     const { node } = orders.fleet.find(`lathe-${i + 1}`)!;
     return proposeConfiguration(node, Orders.configuration(15), Orders.document(15, content));
   });
-  const statuses = (await orders.settled(Promise.all(rivals))).map(({ status }) => status);
+  const statuses = (await orders.resultOf(Promise.all(rivals))).map(({ status }) => status);
   expect(statuses.toSorted()).toEqual([200, 409, 409]);
   const first = ["a", "b", "c"][statuses.indexOf(200)]!;
   for (const name of orders.fleet.withRole("lathe")) {
@@ -89,7 +89,7 @@
   for (const budget of [0, 2, 9]) expect(await orders.put("lathe-2", 10, "a", budget)).toEqual(200);
   const { node } = orders.fleet.find("lathe-3")!;
   const turned = Buffer.from('{ "content": "a", "version": 1.0e1 }');
-  expect((await orders.settled(proposeConfiguration(node, Orders.configuration(10), turned))).status).toEqual(200);
+  expect((await orders.resultOf(proposeConfiguration(node, Orders.configuration(10), turned))).status).toEqual(200);
   expect(await orders.put("lathe-3", 10, "b", 0)).toEqual(409);
 });
 
--- a/packages/testkit/src/sim/replicaSets.test.ts
+++ b/packages/testkit/src/sim/replicaSets.test.ts
@@ -19,7 +19,7 @@
 
 /** Control nodes that keep topic logs themselves, with no spare beside them; later ones only join. */
 const storing = (count: number): Machine[] => {
-  const settings = { stores: true, lathes: 3, founders: [...founders], replaceVoterMs: 1000 };
+  const settings = { stores: true, controlNodes: 3, founders: [...founders], replaceVoterMs: 1000 };
   return [
     ...Scenario.machines(count, 0, 0).map((machine) => ({ ...machine, settings })),
     ...Scenario.machines(0, 0, 2),
@@ -56,10 +56,10 @@
   expect(status).toEqual(200);
 }
 
-async function judged(fleet: SimFleet, load: SimLoad): Promise<string[]> {
-  expect(await load.settle(12_000)).toEqual(true);
+async function checkedAfterLoad(fleet: SimFleet, load: SimLoad): Promise<string[]> {
+  expect(await load.finishPublishes(12_000)).toEqual(true);
   await load.readConfiguration();
-  return Checker.judge(load.history.seen, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
+  return Checker.check(load.history.seen, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
 }
 
 /**
@@ -69,13 +69,15 @@
 function unkept(fleet: SimFleet): number[] {
   const { leader } = fleet;
   if (leader === undefined) return [];
-  const lives = fleet.names.flatMap((name) => fleet.find(name)?.control?.storage ?? fleet.find(name)?.storage ?? []);
+  const storages = fleet.names.flatMap((name) => fleet.find(name)?.control?.storage ?? fleet.find(name)?.storage ?? []);
   return fleet
     .find(leader)!
     .node.shards.all()
     .filter(([shard, { set }]) => {
-      const committed = Math.max(...lives.map((storage) => storage.replicas[shard]!.applied));
-      const logs = (set?.members ?? []).map(({ id }) => lives.find((one) => one.id === id)!.replicas[shard]!.log);
+      const committed = Math.max(...storages.map((storage) => storage.replicas[shard]!.applied));
+      const logs = (set?.members ?? []).map(
+        ({ id }) => storages.find((one) => one.diskId === id)!.replicas[shard]!.log,
+      );
       return logs.filter((log) => log.syncedIndex >= committed).length * 2 <= logs.length;
     })
     .map(([shard]) => shard);
@@ -106,7 +108,7 @@
       for (const name of left) fleet.kill(name);
       await fleet.run(1700);
       for (const name of left) fleet.start(name);
-      expect(await judged(fleet, load)).toEqual([]);
+      expect(await checkedAfterLoad(fleet, load)).toEqual([]);
       expect(isWhole).toEqual(true);
     });
 
@@ -126,7 +128,7 @@
     for (const name of left) fleet.kill(name);
     await fleet.run(1700);
     for (const name of left) fleet.start(name);
-    expect(await judged(fleet, load)).toEqual([]);
+    expect(await checkedAfterLoad(fleet, load)).toEqual([]);
     expect(isWhole).toEqual(true);
   });
 
@@ -143,7 +145,7 @@
   const isMoved = (): boolean =>
     setsOf(fleet).every((members) => members.length === 3 && members.every(({ name }) => name !== "anvil-2"));
   expect(await fleet.until(isMoved, 8000)).toEqual(true);
-  expect(await judged(fleet, load)).toEqual([]);
+  expect(await checkedAfterLoad(fleet, load)).toEqual([]);
 });
 
 test("a drain with a spare machine in another zone ends within 6 s", async () => {
@@ -161,7 +163,7 @@
   expect(await fleet.until(isEmpty, 6000)).toEqual(true);
   expect([...lost]).toEqual([]);
   load.ask("DELETE", "lathe-2");
-  expect(await judged(fleet, load)).toEqual([]);
+  expect(await checkedAfterLoad(fleet, load)).toEqual([]);
 });
 
 test("a drain never costs the survival of a zone's loss where a contract asks for it", async () => {
@@ -171,16 +173,17 @@
   await accept(fleet, load, { machines: 1 });
   fleet.start("lathe-4");
   await fleet.run(3000);
-  const isSpread = (): boolean => setsOf(fleet).every((members) => new Set(members.map(({ zone }) => zone)).size === 3);
+  const isAcrossZones = (): boolean =>
+    setsOf(fleet).every((members) => new Set(members.map(({ zone }) => zone)).size === 3);
   await accept(fleet, load, { machines: 1, zones: 1 });
   void fleet
     .find("lathe-1")!
     .node.store.txn({ puts: [{ key: DrainKey.of("lathe-2"), value: DrainKey.write(undefined) }] });
   await fleet.run(6000);
-  expect(isSpread()).toEqual(true);
+  expect(isAcrossZones()).toEqual(true);
   expect(setsOf(fleet).every((members) => members.some(({ name }) => name === "lathe-2"))).toEqual(true);
   load.ask("DELETE", "lathe-2");
-  expect(await judged(fleet, load)).toEqual([]);
+  expect(await checkedAfterLoad(fleet, load)).toEqual([]);
 });
 
 test("a lost replica is replaced in whatever zone there is a machine, and spread over zones again later", async () => {
@@ -190,9 +193,10 @@
   const isRepaired = (): boolean => setsOf(fleet).every((members) => members.every(({ name }) => name !== "anvil-2"));
   expect(await fleet.until(isRepaired, 6000)).toEqual(true);
   fleet.start("anvil-2");
-  const isSpread = (): boolean => setsOf(fleet).every((members) => new Set(members.map(({ zone }) => zone)).size === 3);
-  expect(await fleet.until(isSpread, 15_000)).toEqual(true);
-  expect(await judged(fleet, load)).toEqual([]);
+  const isAcrossZones = (): boolean =>
+    setsOf(fleet).every((members) => new Set(members.map(({ zone }) => zone)).size === 3);
+  expect(await fleet.until(isAcrossZones, 15_000)).toEqual(true);
+  expect(await checkedAfterLoad(fleet, load)).toEqual([]);
 });
 
 /** Ten machines with a disk in six zones of three regions, two losses allowed; and four edges. */
@@ -201,7 +205,7 @@
     zone: `zone-${i % 6}`,
     region: `region-${i % 3}`,
   });
-  const storing = { stores: true, lathes: 3, voters: 5, founders: [...founders], replaceVoterMs: 1500 };
+  const storing = { stores: true, controlNodes: 3, voters: 5, founders: [...founders], replaceVoterMs: 1500 };
   const make = (role: Machine["role"], count: number, settings: Machine["settings"]): Machine[] =>
     Array.from({ length: count }, (_, i) => ({
       name: `${role}-${i + 1}`,
@@ -209,7 +213,7 @@
       zone: place(i).zone,
       settings: { ...settings, replicas: 5, region: place(i).region },
     }));
-  return [...make("lathe", 10, storing), ...make("vise", 4, { lathes: 3 })];
+  return [...make("lathe", 10, storing), ...make("vise", 4, { controlNodes: 3 })];
 }
 
 test("two losses allowed: five replicas in five zones, five voters; and both lose nothing", async () => {
@@ -231,7 +235,7 @@
   const isWhole = (): boolean =>
     setsOf(fleet).every((set) => set.length === 5 && set.every(({ name }) => !lost.includes(name)));
   expect(await fleet.until(isWhole, 20_000)).toEqual(true);
-  expect(await judged(fleet, load)).toEqual([]);
+  expect(await checkedAfterLoad(fleet, load)).toEqual([]);
 });
 
 test("sets grow and shrink one member at a time to what the settings ask for, under load", async () => {
@@ -254,5 +258,5 @@
     expect(await fleet.until(isDone, 20_000)).toEqual(true);
     expect([...lost]).toEqual([]);
   }
-  expect(await judged(fleet, load)).toEqual([]);
+  expect(await checkedAfterLoad(fleet, load)).toEqual([]);
 });
--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -1,5 +1,5 @@
 import { Checker, type Breach } from "../checker/checker.js";
-import { judgeOrders } from "../checker/orderRules.js";
+import { checkOrders } from "../checker/orderRules.js";
 import type { Machine } from "../fleet/deployments.js";
 import { Lateness } from "../checker/lateness.js";
 import type { Probe } from "../fleet/probe.js";
@@ -27,7 +27,7 @@
   faultMs?: number;
   /** Each kind comes once before any comes again. */
   isDealt?: boolean;
-  callers?: number;
+  clients?: number;
   machines?: readonly Machine[];
   /** Machines that are not there at the beginning. */
   later?: readonly string[];
@@ -62,7 +62,7 @@
    * Every third seed on a larger fleet, with machines to be added; every fourth with clocks that disagree; every
    * second with losses as users count them, by the time since the last.
    */
-  shapeOf(seed: number): Omit<ScenarioOptions, "faults" | "faultMs" | "isDealt" | "callers"> {
+  shapeOf(seed: number): Omit<ScenarioOptions, "faults" | "faultMs" | "isDealt" | "clients"> {
     const isLarge = seed % 3 === 0;
     const isQuick = seed % 2 === 0;
     const prepare = (fleet: SimFleet): void => {
@@ -108,13 +108,13 @@
         received: history.seen.filter((one) => one.kind === "received").length,
       };
     };
-    if (!(await load.begin(options.callers ?? 10, 6, options.later))) {
+    if (!(await load.begin(options.clients ?? 10, 6, options.later))) {
       breach("service-back", "the fleet never came to serve");
       return report(Infinity);
     }
     if (options.syncMs !== undefined) fleet.budget = new LossBudget(fleet, options.syncMs);
-    const passing = load.passing();
-    passing.begin();
+    const ephemeralClients = load.ephemeralClients();
+    ephemeralClients.begin();
     load.play(25);
     await fleet.run(2000);
     await faults.rage(options.faultMs ?? 25_000, options.isDealt);
@@ -125,7 +125,7 @@
     void load.restore().then(() => (isRestored = true));
     // A message is owed to whoever is confirmed when it is sent: the probe goes out once everybody is.
     const isBack = (): boolean => {
-      if (isRestored && load.callers.every((caller) => caller.isSettled)) probe ??= load.probe();
+      if (isRestored && load.clients.every((client) => client.isSettled)) probe ??= load.probe();
       return probe?.isBack === true;
     };
     if (!(await fleet.until(isBack, Scenario.backMs)))
@@ -135,17 +135,17 @@
       );
     await fleet.run(healedAt + Scenario.backMs - fleet.world.now);
     await fleet.run(Scenario.fairMs);
-    passing.end();
-    breaches.push(...passing.judge());
-    if (!(await load.settle())) breach("service-back", `callers are not settled: ${load.unsettled}`);
-    breaches.push(...Checker.judge(history.seen, fleet.world.now));
-    const judged = history.seen.length;
+    ephemeralClients.end();
+    breaches.push(...ephemeralClients.judge());
+    if (!(await load.finishPublishes())) breach("service-back", `callers are not settled: ${load.unsettled}`);
+    breaches.push(...Checker.check(history.seen, fleet.world.now));
+    const checkedCount = history.seen.length;
     await faults.finish();
     await load.readConfiguration();
     const configurations = history.seen.filter(
-      (one, i) => one.kind.startsWith("plan") && (i >= judged || one.kind !== "planRead"),
+      (one, i) => one.kind.startsWith("plan") && (i >= checkedCount || one.kind !== "planRead"),
     );
-    breaches.push(...Checker.judge(configurations, fleet.world.now), ...judgeOrders(history.seen));
+    breaches.push(...Checker.check(configurations, fleet.world.now), ...checkOrders(history.seen));
     for (const violation of fleet.violations) breach("invariant", violation);
     return report((probe?.doneAt ?? Infinity) - healedAt);
   },
--- a/packages/testkit/src/sim/sessions.test.ts
+++ b/packages/testkit/src/sim/sessions.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { OwnerKey } from "@cranetrack/edge/sessions/ownerKey.js";
 import { expect } from "earl";
-import { Hand, served, type Line } from "./hand.js";
+import { TestClient, served, type Line } from "./hand.js";
 import type { SimFleet } from "./simFleet.js";
 
 /** What the store itself says: the newest of all control nodes. */
@@ -13,13 +13,13 @@
   return { node: OwnerKey.read(kept.value)!.node, revision: kept.revision };
 }
 
-const wish = { subscriptions: [{ topic: "notes/t1" }] };
+const request = { subscriptions: [{ topic: "notes/t1" }] };
 
 test(
   "the ordinary path: the owner's key, the pull, the old owner stops and ships, and only " + "then the rewrite",
   async () => {
     const { fleet, publish, ask } = await served(11);
-    const first = new Hand(fleet, "vise-1", "desk", wish);
+    const first = new TestClient(fleet, "vise-1", "desk", request);
     expect(await fleet.until(() => first.of("confirmed").length === 1, 5000)).toEqual(true);
     expect((await publish("desk", 1))["receipt"]).toEqual("accepted");
     expect(await fleet.until(() => first.of("message").length === 1, 2000)).toEqual(true);
@@ -32,7 +32,7 @@
       steps.push(`new ${step}`);
       if (step === "shipped") steps.push(`key names ${ownerOf(fleet, "desk").node}`);
     });
-    const second = new Hand(fleet, "vise-2", "desk", wish);
+    const second = new TestClient(fleet, "vise-2", "desk", request);
     expect(await fleet.until(() => second.of("confirmed").length === 1, 5000)).toEqual(true);
     expect(steps.filter((step) => !step.startsWith("key"))).toEqual([
       "new pull",
@@ -61,18 +61,18 @@
     "at once when to come back",
   async () => {
     const { fleet } = await served(12);
-    const first = new Hand(fleet, "vise-1", "desk", wish);
+    const first = new TestClient(fleet, "vise-1", "desk", request);
     await fleet.until(() => first.of("confirmed").length === 1, 5000);
     fleet.isolate("vise-1", fleet.names, "both");
     const askedAt = fleet.world.now;
-    const second = new Hand(fleet, "vise-2", "desk", wish);
+    const second = new TestClient(fleet, "vise-2", "desk", request);
     expect(await fleet.until(() => second.reply !== undefined, 3000)).toEqual(true);
     expect(second.reply!["status"]).toEqual(503);
     expect(Number(second.reply!["retryAfterSeconds"]) > 0).toEqual(true);
     expect(fleet.world.now - askedAt < 1500).toEqual(true);
     let last = second;
     const took = await fleet.until(() => {
-      if (last.reply !== undefined) last = new Hand(fleet, "vise-2", "desk", wish);
+      if (last.reply !== undefined) last = new TestClient(fleet, "vise-2", "desk", request);
       return last.of("confirmed").length === 1;
     }, 12_000);
     expect(took).toEqual(true);
@@ -85,8 +85,8 @@
 for (const ways of ["in", "both"] as const) {
   test(`the clients of an edge that is cut off (${ways}) are served elsewhere within 2 s`, async () => {
     const { fleet, publish } = await served(20);
-    const first = new Hand(fleet, "vise-1", "desk", wish);
-    const pen = new Hand(fleet, "vise-3", "pen", {});
+    const first = new TestClient(fleet, "vise-1", "desk", request);
+    const pen = new TestClient(fleet, "vise-3", "pen", {});
     await fleet.until(() => first.of("confirmed").length === 1 && pen.of("open").length === 1, 5000);
     const cutAt = fleet.world.now;
     fleet.isolate("vise-1", fleet.names, ways);
@@ -99,7 +99,7 @@
       if (reply !== undefined) comeAt = Math.min(comeAt, fleet.world.now) + Number(reply["retryAfterSeconds"]) * 1000;
       if (reply !== undefined || next === first) {
         if (fleet.world.now < comeAt) return false;
-        next = new Hand(fleet, "vise-2", "desk", wish);
+        next = new TestClient(fleet, "vise-2", "desk", request);
       }
       return next.got("notes/t1").length === 1;
     };
@@ -110,24 +110,24 @@
 
 test("control nodes that let go of their feeds for a moment cost no edge its connections", async () => {
   const { fleet } = await served(21);
-  const hands = ["vise-1", "vise-2", "vise-3"].map((node) => new Hand(fleet, node, `desk-${node}`, wish));
-  expect(await fleet.until(() => hands.every((hand) => hand.of("confirmed").length === 1), 5000)).toEqual(true);
+  const clients = ["vise-1", "vise-2", "vise-3"].map((node) => new TestClient(fleet, node, `desk-${node}`, request));
+  expect(await fleet.until(() => clients.every((client) => client.of("confirmed").length === 1), 5000)).toEqual(true);
   const controlNodes = fleet.withRole("lathe");
   for (const controlNode of controlNodes) fleet.isolate(controlNode, controlNodes, "both");
   // Long enough for them to be out of touch, too short for a lease.
   await fleet.run(500);
   fleet.wires.heal();
   await fleet.run(3000);
-  expect(hands.map((hand) => hand.isClosed)).toEqual([false, false, false]);
+  expect(clients.map((client) => client.isClosed)).toEqual([false, false, false]);
 });
 
 test("an edge frozen past its lease closes its connections before it delivers or takes anything", async () => {
   const { fleet, publish } = await served(13);
-  const first = new Hand(fleet, "vise-1", "desk", wish);
+  const first = new TestClient(fleet, "vise-1", "desk", request);
   await fleet.until(() => first.of("confirmed").length === 1, 5000);
   fleet.pause("vise-1", 9000);
   await fleet.run(6000);
-  const second = new Hand(fleet, "vise-2", "desk", wish);
+  const second = new TestClient(fleet, "vise-2", "desk", request);
   expect(await fleet.until(() => second.of("confirmed").length === 1, 4000)).toEqual(true);
   expect((await publish("desk", 1, "vise-2"))["receipt"]).toEqual("accepted");
   await fleet.run(8000);
@@ -138,12 +138,12 @@
 
 test("of two resumes at once one wins and the other is told when to come back", async () => {
   const { fleet } = await served(14);
-  const hands = ["vise-1", "vise-2", "vise-3"].map((node) => new Hand(fleet, node, "desk", wish));
+  const clients = ["vise-1", "vise-2", "vise-3"].map((node) => new TestClient(fleet, node, "desk", request));
   await fleet.run(4000);
-  const open = hands.filter((hand) => hand.of("confirmed").length > 0 && !hand.isClosed);
+  const open = clients.filter((client) => client.of("confirmed").length > 0 && !client.isClosed);
   expect(open.length).toEqual(1);
-  for (const hand of hands.filter((one) => one !== open[0]))
-    expect(hand.reply?.["status"] === 503 || hand.of("goodbye").length === 1).toEqual(true);
+  for (const client of clients.filter((one) => one !== open[0]))
+    expect(client.reply?.["status"] === 503 || client.of("goodbye").length === 1).toEqual(true);
 });
 
 test(
@@ -151,8 +151,8 @@
     "is done well inside 6 s",
   async () => {
     const { fleet, publish } = await served(15);
-    const first = new Hand(fleet, "vise-1", "desk", wish);
-    const writer = new Hand(fleet, "vise-2", "pen", {});
+    const first = new TestClient(fleet, "vise-1", "desk", request);
+    const writer = new TestClient(fleet, "vise-2", "pen", {});
     await fleet.until(() => first.of("confirmed").length === 1 && writer.of("open").length === 1, 5000);
     await publish("pen", 1, "vise-2");
     await fleet.until(() => first.of("message").length === 1, 3000);
@@ -166,7 +166,7 @@
     expect(stoppedAt - askedAt < 4000).toEqual(true);
     expect(first.of("goodbye")[0]?.["reason"]).toEqual("stopping");
     await publish("pen", 2, "vise-2");
-    const second = new Hand(fleet, "vise-2", "desk", wish);
+    const second = new TestClient(fleet, "vise-2", "desk", request);
     expect(await fleet.until(() => second.of("message").length === 1, 4000)).toEqual(true);
     expect(second.of("message")[0]?.["number"]).toEqual(2);
   },
@@ -174,7 +174,7 @@
 
 test("places: malformed, unknown and of another incarnation each get a definite answer for that topic alone", async () => {
   const { fleet, publish } = await served(16);
-  const hand = new Hand(fleet, "vise-1", "desk", {
+  const client = new TestClient(fleet, "vise-1", "desk", {
     subscriptions: [
       { topic: "notes/t1", after: "nonsense" },
       { topic: "notes/t2", after: "1-00000000ff.7" },
@@ -182,17 +182,19 @@
       { topic: "nowhere/t4" },
     ],
   });
-  expect(await fleet.until(() => hand.of("confirmed").length === 2 && hand.of("fault").length === 2, 5000)).toEqual(
+  expect(await fleet.until(() => client.of("confirmed").length === 2 && client.of("fault").length === 2, 5000)).toEqual(
     true,
   );
-  expect(hand.of("fault").map((line) => [line["topic"], line["code"]])).toEqual([
+  expect(client.of("fault").map((line) => [line["topic"], line["code"]])).toEqual([
     ["notes/t1", "malformed-place"],
     ["nowhere/t4", "unknown-topic"],
   ]);
-  expect(hand.of("expired").map((line) => line["topic"])).toEqual(["notes/t2"]);
-  expect(hand.isClosed).toEqual(false);
-  const place = String(hand.of("confirmed").find((line) => line["topic"] === "notes/t3")!["place"]).split(".")[0];
-  const ahead = new Hand(fleet, "vise-2", "other", { subscriptions: [{ topic: "notes/t3", after: `${place}.99` }] });
+  expect(client.of("expired").map((line) => line["topic"])).toEqual(["notes/t2"]);
+  expect(client.isClosed).toEqual(false);
+  const place = String(client.of("confirmed").find((line) => line["topic"] === "notes/t3")!["place"]).split(".")[0];
+  const ahead = new TestClient(fleet, "vise-2", "other", {
+    subscriptions: [{ topic: "notes/t3", after: `${place}.99` }],
+  });
   expect(await fleet.until(() => ahead.of("fault").length === 1, 3000)).toEqual(true);
   expect(ahead.of("fault")[0]?.["code"]).toEqual("unknown-place");
   expect((await publish("desk", 1))["receipt"]).toEqual("accepted");
@@ -200,15 +202,15 @@
 
 test("numbers: a known one keeps its reply, one that goes backwards is refused for good", async () => {
   const { fleet, publish } = await served(17);
-  const hand = new Hand(fleet, "vise-1", "desk", wish);
-  await fleet.until(() => hand.of("confirmed").length === 1, 5000);
+  const client = new TestClient(fleet, "vise-1", "desk", request);
+  await fleet.until(() => client.of("confirmed").length === 1, 5000);
   const third = await publish("desk", 3);
   expect(third["receipt"]).toEqual("accepted");
   expect((await publish("desk", 3))["place"]).toEqual(third["place"]);
   const back = await publish("desk", 2);
   expect([back["status"], (back["error"] as Line)["code"]]).toEqual([409, "number-went-backwards"]);
   await fleet.run(1000);
-  expect(hand.of("message").map((line) => line["number"])).toEqual([3]);
+  expect(client.of("message").map((line) => line["number"])).toEqual([3]);
 });
 
 test(
@@ -216,8 +218,8 @@
     "its place without a gap",
   async () => {
     const { fleet, publish } = await served(18);
-    const reader = new Hand(fleet, "vise-1", "slow", wish);
-    const writer = new Hand(fleet, "vise-2", "pen", {});
+    const reader = new TestClient(fleet, "vise-1", "slow", request);
+    const writer = new TestClient(fleet, "vise-2", "pen", {});
     await fleet.until(() => reader.of("confirmed").length === 1 && writer.of("open").length === 1, 5000);
     await publish("pen", 1, "vise-2");
     await fleet.until(() => reader.of("message").length === 1, 3000);
@@ -230,7 +232,7 @@
     expect(await fleet.until(() => reader.isClosed, 5000)).toEqual(true);
     expect(fleet.find("vise-1")!.edge!.sessions.find("slow")!.connection).toEqual(undefined);
     fleet.port.stalled.clear();
-    const again = new Hand(fleet, "vise-3", "slow", { subscriptions: [{ topic: "notes/t1", after }] });
+    const again = new TestClient(fleet, "vise-3", "slow", { subscriptions: [{ topic: "notes/t1", after }] });
     expect(await fleet.until(() => again.of("message").length === 39, 5000)).toEqual(true);
     expect(again.of("message").map((line) => line["number"])).toEqual(Array.from({ length: 39 }, (_, i) => i + 2));
   },
@@ -239,8 +241,8 @@
 for (const ways of ["both", "out", "in"] as const) {
   test(`an edge whose way to a holder is cut (${ways}) publishes and reads through another node`, async () => {
     const { fleet, publish } = await served(19);
-    const hand = new Hand(fleet, "vise-1", "desk", wish);
-    expect(await fleet.until(() => hand.of("confirmed").length === 1, 5000)).toEqual(true);
+    const client = new TestClient(fleet, "vise-1", "desk", request);
+    expect(await fleet.until(() => client.of("confirmed").length === 1, 5000)).toEqual(true);
     const { leader: leaderName, epoch } = fleet
       .find("vise-1")!
       .node.shards.find(fleet.find("vise-1")!.edge!.streams.shardOf("6:notes/t1"));
@@ -251,8 +253,8 @@
         reply = await publish("desk", number);
       expect(reply["receipt"]).toEqual("accepted");
     }
-    expect(await fleet.until(() => hand.of("message").length === 5, 3000)).toEqual(true);
-    expect(hand.of("message").map((line) => line["number"])).toEqual([1, 2, 3, 4, 5]);
+    expect(await fleet.until(() => client.of("message").length === 5, 3000)).toEqual(true);
+    expect(client.of("message").map((line) => line["number"])).toEqual([1, 2, 3, 4, 5]);
     // Nobody lost a claim over it.
     const after = fleet.find("vise-2")!.node.shards.find(fleet.find("vise-1")!.edge!.streams.shardOf("6:notes/t1"));
     expect([after.leader, after.epoch]).toEqual([leaderName, epoch]);
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -39,10 +39,10 @@
     .node.shards.all()
     .every(([, route]) => route.leader !== "");
 
-async function judged(fleet: SimFleet, load: SimLoad): Promise<string[]> {
-  expect(await load.settle(12_000)).toEqual(true);
+async function checkedAfterLoad(fleet: SimFleet, load: SimLoad): Promise<string[]> {
+  expect(await load.finishPublishes(12_000)).toEqual(true);
   await load.readConfiguration();
-  return Checker.judge(load.history.seen, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
+  return Checker.check(load.history.seen, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
 }
 
 const streamShard = (fleet: SimFleet, topic: string): number => {
@@ -103,7 +103,7 @@
     fleet.start("anvil-2");
     expect((await call(fleet, "DELETE", path)).body["isAsked"]).toEqual(false);
     expect(await fleet.until(() => setsOf(fleet).every((set) => set.includes("anvil-2")), 40_000)).toEqual(true);
-    expect(await judged(fleet, load)).toEqual([]);
+    expect(await checkedAfterLoad(fleet, load)).toEqual([]);
   },
 );
 
@@ -137,14 +137,14 @@
     expect(
       await fleet.until(() => setsOf(fleet).every((set) => set.join() === "anvil-1,anvil-2,anvil-3"), 40_000),
     ).toEqual(true);
-    expect(await judged(fleet, load)).toEqual([]);
+    expect(await checkedAfterLoad(fleet, load)).toEqual([]);
   },
 );
 
 test("one machine's disk after the other is lost, each once the last is mended: no message is", async () => {
   const { fleet, load } = await loaded(34, withSpares(3));
   for (const name of ["anvil-1", "anvil-2", "anvil-3"]) {
-    const lost = fleet.find(name)!.storage!.id;
+    const lost = fleet.find(name)!.storage!.diskId;
     fleet.wipe(name);
     await fleet.run(1000);
     fleet.start(name);
@@ -156,7 +156,7 @@
         .every(([, route]) => route.set!.members.every((member) => member.id !== lost));
     expect(await fleet.until(isMended, 40_000)).toEqual(true);
   }
-  expect(await judged(fleet, load)).toEqual([]);
+  expect(await checkedAfterLoad(fleet, load)).toEqual([]);
 });
 
 test("a whole zone is lost and its disks with it: what was promised to survive it does", async () => {
@@ -168,7 +168,7 @@
   expect(
     await fleet.until(() => setsOf(fleet).every((set) => set.join() === "anvil-1,anvil-2,anvil-3"), 60_000),
   ).toEqual(true);
-  expect(await judged(fleet, load)).toEqual([]);
+  expect(await checkedAfterLoad(fleet, load)).toEqual([]);
 });
 
 test(
@@ -197,7 +197,7 @@
       ).toEqual(true);
       await fleet.run(6000);
     }
-    expect(await judged(fleet, load)).toEqual([]);
+    expect(await checkedAfterLoad(fleet, load)).toEqual([]);
   },
 );
 
@@ -226,7 +226,7 @@
       ),
     );
     expect(incarnations.size).toEqual(2);
-    expect(await judged(fleet, load)).toEqual([]);
+    expect(await checkedAfterLoad(fleet, load)).toEqual([]);
   },
 );
 
@@ -245,7 +245,7 @@
     expect(await fleet.until(() => setsOf(fleet).every((set) => set.includes("anvil-4")), 40_000)).toEqual(true);
     load.dropAll();
     expect(await fleet.until(() => fleet.find("vise-2")!.edge!.sessions.connections > 0, 8000)).toEqual(true);
-    expect(await judged(fleet, load)).toEqual([]);
+    expect(await checkedAfterLoad(fleet, load)).toEqual([]);
   },
 );
 
@@ -284,7 +284,7 @@
     await fleet.run(6000);
     const after = load.history.seen.filter((one) => one.kind === "accepted").length;
     expect(after - before > 30).toEqual(true);
-    expect(await judged(fleet, load)).toEqual([]);
+    expect(await checkedAfterLoad(fleet, load)).toEqual([]);
   });
 }
 
--- a/packages/testkit/src/sim/sim.test.ts
+++ b/packages/testkit/src/sim/sim.test.ts
@@ -4,7 +4,7 @@
 import { Scenario } from "./scenario.js";
 import { Sweep } from "./sweep.js";
 
-const tell = (report: Awaited<ReturnType<typeof Scenario.run>>): string[] =>
+const summaryOf = (report: Awaited<ReturnType<typeof Scenario.run>>): string[] =>
   report.breaches.map((breach) => `${breach.rule}: ${breach.text}`);
 
 test("a seed replays to the same trace, and another seed to another", async () => {
@@ -21,7 +21,7 @@
 for (const seed of [101, 102, 103, 104, 105, 106]) {
   test(`seed ${seed}: all kinds of faults, no breach, service back`, async () => {
     const report = await Scenario.run(seed, { faultMs: 18_000 });
-    expect(tell(report)).toEqual([]);
+    expect(summaryOf(report)).toEqual([]);
     expect(report.accepted > 100 && report.received > report.accepted).toEqual(true);
   });
 }
@@ -30,19 +30,19 @@
   test(`seed ${seed}: disks wiped, machines killed, callers dropped: no breach, service back`, async () => {
     const report = await Scenario.run(seed, { faultMs: 30_000, faults: ["wipe", "kill", "crowd"] });
     expect(report.faults.some((fault) => fault.includes(" wipe "))).toEqual(true);
-    expect(tell(report)).toEqual([]);
+    expect(summaryOf(report)).toEqual([]);
   });
 }
 
 for (const seed of [301, 302]) {
   test(`seed ${seed}: everything loses power while disks are slow: no breach, service back`, async () => {
-    expect(tell(await Scenario.run(seed, { faultMs: 18_000, faults: ["slowDisk", "all", "kill"] }))).toEqual([]);
+    expect(summaryOf(await Scenario.run(seed, { faultMs: 18_000, faults: ["slowDisk", "all", "kill"] }))).toEqual([]);
   });
 }
 
 for (const seed of [401, 402]) {
   test(`seed ${seed}: one mutated message after the other: no breach, service back`, async () => {
-    expect(tell(await Scenario.run(seed, { faultMs: 18_000, faults: ["mutate"] }))).toEqual([]);
+    expect(summaryOf(await Scenario.run(seed, { faultMs: 18_000, faults: ["mutate"] }))).toEqual([]);
   });
 }
 
@@ -53,10 +53,10 @@
 
 for (const [seed, ms, cause] of kept) {
   test(`seed ${seed}, kept: ${cause}`, async () => {
-    expect(tell(await Sweep.run(seed, ms, Faults.first))).toEqual([]);
+    expect(summaryOf(await Sweep.run(seed, ms, Faults.first))).toEqual([]);
   });
 }
 
 test("seed 68, kept: where nothing is kept a number went back on a subscription without a memory", async () => {
-  expect(tell(await Sweep.run(68, 25_000, undefined))).toEqual([]);
+  expect(summaryOf(await Sweep.run(68, 25_000, undefined))).toEqual([]);
 });
--- a/packages/testkit/src/sim/simClock.ts
+++ b/packages/testkit/src/sim/simClock.ts
@@ -23,18 +23,18 @@
     return this.#world.now * this.#rate;
   }
 
-  once(ms: number, ring: () => void): TimerHandle {
+  once(ms: number, callback: () => void): TimerHandle {
     const tick = { isOff: false };
-    this.#fire(this.#world.now + Math.max(0.01, ms) / this.#rate, tick, ring);
+    this.#fire(this.#world.now + Math.max(0.01, ms) / this.#rate, tick, callback);
     return { stop: () => void (tick.isOff = true) };
   }
 
-  every(ms: number, ring: () => void): TimerHandle {
+  every(ms: number, callback: () => void): TimerHandle {
     const tick = { isOff: false };
     const again = (): void => {
       this.#fire(this.#world.now + ms / this.#rate, tick, () => {
         again();
-        ring();
+        callback();
       });
     };
     again();
@@ -45,11 +45,11 @@
     return this.#body.rate ?? 1;
   }
 
-  #fire(at: number, tick: { isOff: boolean }, ring: () => void): void {
+  #fire(at: number, tick: { isOff: boolean }, callback: () => void): void {
     this.#world.at(at, () => {
       if (tick.isOff || this.#body.isDead) return;
-      if (this.#body.pausedUntil > this.#world.now) return this.#fire(this.#body.pausedUntil, tick, ring);
-      ring();
+      if (this.#body.pausedUntil > this.#world.now) return this.#fire(this.#body.pausedUntil, tick, callback);
+      callback();
     });
   }
 }
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -11,8 +11,8 @@
   machine: Machine;
   settings: Settings;
   disk: SimDisk;
-  life: SimNode | undefined;
-  lives: number;
+  running: SimNode | undefined;
+  incarnations: number;
   rate: number;
   /** How far its time of day is off; only the number of a process's life comes of it. */
   wallMs: number;
@@ -34,14 +34,14 @@
   /** Invariants that processes which are gone counted as violated, as `name invariant count`. */
   readonly #violations: string[] = [];
   readonly #slots = new Map<string, Slot>();
-  readonly #shared: { seeds: Settings["seeds"]; shards: number; lathes: number };
+  readonly #shared: { seeds: Settings["seeds"]; shards: number; controlNodes: number };
 
   constructor(seed: number, machines: readonly Machine[], shards = 4) {
     this.world = new SimWorld(seed);
     this.wires = new SimWires(this.world);
     this.port = new SimPort(this);
     const seeds = machines.slice(0, 3).map((_, i) => `10.0.0.${i + 1}:1` as const);
-    this.#shared = { seeds, shards, lathes: machines.filter((one) => one.role === "lathe").length };
+    this.#shared = { seeds, shards, controlNodes: machines.filter((one) => one.role === "lathe").length };
     for (const machine of machines) this.enlist(machine);
   }
 
@@ -62,8 +62,8 @@
       machine,
       settings: read.settings,
       disk: new SimDisk(this.world),
-      life: undefined,
-      lives: 0,
+      running: undefined,
+      incarnations: 0,
       rate: 1,
       wallMs: 0,
       isUsed: false,
@@ -80,7 +80,7 @@
   }
 
   find(name: string): SimNode | undefined {
-    return this.#slots.get(name)?.life;
+    return this.#slots.get(name)?.running;
   }
 
   diskOf(name: string): SimDisk {
@@ -112,12 +112,12 @@
 
   start(name: string): SimNode {
     const slot = this.#slots.get(name)!;
-    if (slot.life !== undefined) return slot.life;
-    slot.lives += 1;
+    if (slot.running !== undefined) return slot.running;
+    slot.incarnations += 1;
     slot.isUsed = true;
-    const startedAt = SimFleet.epochMs + Math.floor(this.world.now + slot.wallMs) + slot.lives;
-    slot.life = new SimNode(this.world, this.wires, slot.disk, slot.settings, startedAt, slot.rate);
-    return slot.life;
+    const startedAt = SimFleet.epochMs + Math.floor(this.world.now + slot.wallMs) + slot.incarnations;
+    slot.running = new SimNode(this.world, this.wires, slot.disk, slot.settings, startedAt, slot.rate);
+    return slot.running;
   }
 
   /** Other settings, from its next start on. */
@@ -165,16 +165,16 @@
   /** The control node that proposes and knows that it does. */
   get leader(): string | undefined {
     return this.withRole("lathe").find((name) => {
-      const life = this.find(name);
-      return life?.control?.raft?.isLeader === true && life.body.pausedUntil <= this.world.now;
+      const running = this.find(name);
+      return running?.control?.raft?.isLeader === true && running.body.pausedUntil <= this.world.now;
     });
   }
 
   /** What all processes so far counted as violated, as `name invariant count`. */
   get violations(): string[] {
     const alive = this.names.flatMap((name) => {
-      const life = this.find(name);
-      return life === undefined ? [] : SimFleet.#violationsOf(name, life);
+      const running = this.find(name);
+      return running === undefined ? [] : SimFleet.#violationsOf(name, running);
     });
     return [...this.#violations, ...alive];
   }
@@ -208,9 +208,9 @@
   get isWhole(): boolean {
     const { leader } = this;
     if (leader === undefined) return false;
-    const lives = this.names.map((name) => this.find(name)).filter((life) => life !== undefined);
-    const shelves = new Set(lives.flatMap(({ control, storage }) => (control?.storage ?? storage)?.id ?? []));
-    const controlNodes = new Set(lives.flatMap(({ control }) => control?.founding.id ?? []));
+    const running = this.names.map((name) => this.find(name)).filter((running) => running !== undefined);
+    const shelves = new Set(running.flatMap(({ control, storage }) => (control?.storage ?? storage)?.diskId ?? []));
+    const controlNodes = new Set(running.flatMap(({ control }) => control?.founding.id ?? []));
     const { node, control } = this.find(leader)!;
     const sets = node.shards.all().map(([, route]) => route.set?.members ?? []);
     const voters = control!.raft!.members.voters.map((one) => one.id);
@@ -236,10 +236,10 @@
 
   #end(name: string, leave: (disk: SimDisk) => void): void {
     const slot = this.#slots.get(name)!;
-    if (slot.life === undefined) return;
-    slot.life.fall();
-    this.#violations.push(...SimFleet.#violationsOf(name, slot.life));
-    slot.life = undefined;
+    if (slot.running === undefined) return;
+    slot.running.fall();
+    this.#violations.push(...SimFleet.#violationsOf(name, slot.running));
+    slot.running = undefined;
     leave(slot.disk);
     this.wires.detach(slot.settings.address);
   }
@@ -251,18 +251,18 @@
 
   /** Asked politely, killed six seconds later. */
   cycle(name: string): void {
-    const life = this.find(name);
-    if (life === undefined) return;
+    const running = this.find(name);
+    if (running === undefined) return;
     const end = (): void => {
-      if (this.find(name) === life) this.kill(name);
+      if (this.find(name) === running) this.kill(name);
     };
-    void life.stop().then(end);
+    void running.stop().then(end);
     this.world.at(this.world.now + 6000, end);
   }
 
   pause(name: string, ms: number): void {
-    const life = this.find(name);
-    if (life !== undefined) life.body.pausedUntil = Math.max(life.body.pausedUntil, this.world.now + ms);
+    const running = this.find(name);
+    if (running !== undefined) running.body.pausedUntil = Math.max(running.body.pausedUntil, this.world.now + ms);
   }
 
   /** Cuts a node from others, one way or both. */
@@ -280,9 +280,9 @@
 
   /** Runs until something holds, or a due passes; true where it held. */
   async until(holds: () => boolean, timeoutMs: number): Promise<boolean> {
-    const due = this.world.now + timeoutMs;
+    const deadline = this.world.now + timeoutMs;
     while (!holds()) {
-      if (this.world.now >= due) return false;
+      if (this.world.now >= deadline) return false;
       await this.run(50);
     }
     return true;
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -4,8 +4,8 @@
 import { SimClock } from "./simClock.js";
 import type { SimFleet } from "./simFleet.js";
 import { SimRandom } from "./simRandom.js";
-import { Caller } from "../callers/caller.js";
-import { PassingCallers } from "../callers/passingCallers.js";
+import { Client } from "../callers/caller.js";
+import { EphemeralClients } from "../callers/passingCallers.js";
 import { Probe } from "../fleet/probe.js";
 import { SimConfigurations } from "./simConfigurations.js";
 import { History } from "../checker/history.js";
@@ -14,7 +14,7 @@
 /** Callers and operators against a simulated fleet. */
 export class SimLoad {
   readonly history = new History();
-  readonly callers: Caller[] = [];
+  readonly clients: Client[] = [];
   readonly #fleet: SimFleet;
   readonly #random: SimRandom;
   readonly #clock: SimClock;
@@ -68,7 +68,7 @@
     return 0;
   }
 
-  async begin(callers: number, topics = 6, later: readonly string[] = []): Promise<boolean> {
+  async begin(clients: number, topics = 6, later: readonly string[] = []): Promise<boolean> {
     this.later = later;
     for (const name of this.#fleet.names) if (!later.includes(name)) this.#fleet.start(name);
     let isAccepted = false;
@@ -78,10 +78,10 @@
     );
     if (!(await this.#fleet.until(() => isAccepted, 20_000))) return false;
     const zones = [...new Set(this.#fleet.names.map((name) => this.#fleet.zoneOf(name)))];
-    for (let i = 0; i < callers; i += 1) {
+    for (let i = 0; i < clients; i += 1) {
       const session = i < 2 ? `sender-${i + 1}` : `caller-${i + 1}`;
       this.#zones.set(session, zones[i % zones.length]!);
-      const caller = new Caller({
+      const client = new Client({
         session,
         port: this.#fleet.port,
         clock: this.#clock,
@@ -89,23 +89,23 @@
         history: this.history,
         nodes: () => this.#nodes(session),
       });
-      this.callers.push(caller);
+      this.clients.push(client);
       const wanted = new Set([
         ...Array.from({ length: 2 }, () => this.#topicOf("notices")),
         ...Array.from({ length: 3 }, () => `notes/t${Math.floor(this.#random.draw() * topics)}`),
         this.#topicOf("extra"),
       ]);
-      caller.start([...wanted]);
+      client.start([...wanted]);
     }
     this.#topics = topics;
-    if (callers > 0) this.#clock.every(200, () => void this.#lookAtVersion());
-    return this.#fleet.until(() => this.callers.every((caller) => caller.isSettled), 25_000);
+    if (clients > 0) this.#clock.every(200, () => void this.#lookAtVersion());
+    return this.#fleet.until(() => this.clients.every((client) => client.isSettled), 25_000);
   }
 
   /** Callers of the space that keeps nothing, with draws of their own. */
-  passing(): PassingCallers {
+  ephemeralClients(): EphemeralClients {
     const fleet = this.#fleet;
-    return new PassingCallers({
+    return new EphemeralClients({
       port: fleet.port,
       clock: this.#clock,
       random: new SimRandom(fleet.world.seed),
@@ -134,16 +134,16 @@
   #publishOne(): void {
     const drawn = this.#random.draw();
     const space = drawn < 0.25 ? "notices" : drawn < 0.4 ? "extra" : "notes";
-    const caller =
-      space === "notices" ? this.callers[Math.floor(this.#random.draw() * 2)]! : this.#random.pick(this.callers);
-    void caller.publish(this.#topicOf(space), this.#random.identity());
+    const client =
+      space === "notices" ? this.clients[Math.floor(this.#random.draw() * 2)]! : this.#random.pick(this.clients);
+    void client.publish(this.#topicOf(space), this.#random.identity());
   }
 
   /** Every caller publishes once more, and every reader is to receive it. */
   probe(): Probe {
     return new Probe({
       history: this.history,
-      callers: this.callers,
+      clients: this.clients,
       draw: () => this.#random.draw(),
       now: () => this.#clock.now(),
       topicsFor: ({ session }) =>
@@ -208,41 +208,41 @@
   }
 
   dropAll(): void {
-    for (const caller of this.callers) caller.dropOff(this.#random.draw() * 300);
+    for (const client of this.clients) client.dropOff(this.#random.draw() * 300);
   }
 
   /** A share of all callers comes to one zone. */
   shift(share: number): void {
     const zone = this.#random.pick([...this.#zones.values()]);
-    for (const caller of this.callers) {
+    for (const client of this.clients) {
       if (this.#random.draw() >= share) continue;
-      this.#zones.set(caller.session, zone);
-      caller.dropOff(this.#random.draw() * 2000);
+      this.#zones.set(client.session, zone);
+      client.dropOff(this.#random.draw() * 2000);
     }
   }
 
   moveOne(): void {
-    const caller = this.#random.pick(this.callers);
-    this.#zones.set(caller.session, this.#random.pick([...this.#zones.values()]));
-    caller.dropOff(this.#random.draw() * 2000);
+    const client = this.#random.pick(this.clients);
+    this.#zones.set(client.session, this.#random.pick([...this.#zones.values()]));
+    client.dropOff(this.#random.draw() * 2000);
   }
 
   /** Stops sending; true where all callers are served again and all publishes settled by the due. */
-  async settle(timeoutMs = 25_000): Promise<boolean> {
+  async finishPublishes(timeoutMs = 25_000): Promise<boolean> {
     this.#isPlaying = false;
     let isRestored = false;
     void this.restore().then(() => (isRestored = true));
     await this.#fleet.until(() => isRestored, timeoutMs);
-    const isSettled = await this.#fleet.until(() => this.unsettled === "", timeoutMs);
+    const isFinished = await this.#fleet.until(() => this.unsettled === "", timeoutMs);
     await this.#fleet.run(3000);
-    return isSettled;
+    return isFinished;
   }
 
   /** Callers without a connection, topics or replies, for people's eyes. */
   get unsettled(): string {
-    return this.callers
-      .filter((caller) => !caller.isSettled || caller.open > 0)
-      .map((caller) => `${caller.session} (${caller.isConnected ? "linked" : "away"}, ${caller.open} open)`)
+    return this.clients
+      .filter((client) => !client.isSettled || client.open > 0)
+      .map((client) => `${client.session} (${client.isConnected ? "linked" : "away"}, ${client.open} open)`)
       .join(", ");
   }
 
--- a/packages/testkit/src/sim/simNode.ts
+++ b/packages/testkit/src/sim/simNode.ts
@@ -5,7 +5,7 @@
 import { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 import { NodeStatus } from "@cranetrack/core/runtime/nodeStatus.js";
 import { Router } from "@cranetrack/core/http/router.js";
-import { SealedDisk } from "@cranetrack/core/storage/sealedDisk.js";
+import { ChecksummedDisk } from "@cranetrack/core/storage/sealedDisk.js";
 import type { Settings } from "@cranetrack/core/runtime/settings.js";
 import { ControlNode } from "@cranetrack/control/controlNode.js";
 import { EdgeNode } from "@cranetrack/edge/edgeNode.js";
@@ -35,7 +35,7 @@
     this.clock = new SimClock(world, this.body);
     this.log = new LogBuffer(settings.name, () => undefined);
     const random = world.random.fork();
-    const mounted = settings.role === "vise" ? undefined : new SealedDisk(disk.mount(this.body));
+    const mounted = settings.role === "vise" ? undefined : new ChecksummedDisk(disk.mount(this.body));
     const transport = wires.attach(settings.address, this.body);
     const prefixes = settings.role === "vise" ? ["plan", "shards/"] : ["plan", "shards/", "machines/"];
     this.node = new ClusterNode(
--- a/packages/testkit/src/sim/simOperator.ts
+++ b/packages/testkit/src/sim/simOperator.ts
@@ -21,7 +21,7 @@
  * Each try is an operation of the history: a try without a clear answer may take effect at any later moment.
  */
 export class SimOperator {
-  static readonly silenceMs = 1000;
+  static readonly answerTimeoutMs = 1000;
   static readonly firstPauseMs = 50;
   static readonly maxPauseMs = 1600;
   static readonly maxAttempts = 12;
@@ -57,7 +57,7 @@
     const operation: OrderOperation = { calledAt: world.now, returnedAt: Infinity, input, output: undefined };
     this.#history.operations.push(operation);
     const answered = port.run(name, ({ node }) => carryOut(node, input));
-    const reply = await Promise.race([answered, this.#pause(SimOperator.silenceMs)]);
+    const reply = await Promise.race([answered, this.#pause(SimOperator.answerTimeoutMs)]);
     const isLost = this.#random.draw() < this.#lossOfAnswers;
     const output = reply === undefined || isLost ? undefined : outputOf(input, reply);
     if (output === undefined) return undefined;
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -1,11 +1,11 @@
 import type { ClientConnection } from "@cranetrack/edge/connections/clientConnection.js";
-import type { CallerPort, PortConnection, PortReply } from "../callers/callerPort.js";
+import type { ClientPort, PortConnection, PortReply } from "../callers/callerPort.js";
 import type { SimNode } from "./simNode.js";
 import type { SimWorld } from "./simWorld.js";
 import { Router } from "@cranetrack/core/http/router.js";
 import type { ApiReply } from "@cranetrack/core/http/apiReply.js";
 
-const away: PortReply = { status: 503, body: { error: { code: "unreachable" } }, retryAfterSeconds: 0.3 };
+const unreachable: PortReply = { status: 503, body: { error: { code: "unreachable" } }, retryAfterSeconds: 0.3 };
 
 /** The machines that callers reach. */
 interface ReachedNodes {
@@ -24,10 +24,10 @@
 }
 
 /** Callers' wires in the simulator: latency both ways, resets when a node falls, silence while it is paused. */
-export class SimPort implements CallerPort {
+export class SimPort implements ClientPort {
   static readonly giveUpMs = 4000;
   /** Silence after which an operator takes an answer for lost. */
-  static readonly silenceMs = 1000;
+  static readonly answerTimeoutMs = 1000;
   readonly #nodes: ReachedNodes;
   /** Sessions whose clients do not read: what is sent to them waits, in bytes. */
   readonly stalled = new Set<string>();
@@ -44,10 +44,10 @@
     name: string,
     session: string,
     body: object,
-    heed: { line(line: Record<string, unknown>): void; closed(): void },
+    handlers: { line(line: Record<string, unknown>): void; closed(): void },
   ): Promise<PortConnection | PortReply> {
     const simNode = this.#nodes.find(name);
-    if (simNode?.edge === undefined) return this.#later(away);
+    if (simNode?.edge === undefined) return this.#later(unreachable);
     const state = { isOpen: false, isClientGone: false, isServerGone: false, whenClosed: (): void => undefined };
     let forget = (): void => undefined;
     const closeClient = (): void => {
@@ -55,7 +55,7 @@
       if (state.isClientGone) return;
       state.isServerGone = true;
       this.#afterWire(() => {
-        if (!state.isClientGone) heed.closed();
+        if (!state.isClientGone) handlers.closed();
       });
     };
     let waitingBytes = 0;
@@ -72,7 +72,7 @@
         const text = JSON.stringify(line);
         if (stalled.has(session)) return void (waitingBytes += text.length);
         this.#afterWire(() => {
-          if (!state.isClientGone) heed.line(JSON.parse(text) as Record<string, unknown>);
+          if (!state.isClientGone) handlers.line(JSON.parse(text) as Record<string, unknown>);
         });
       },
       close: () => closeClient(),
@@ -89,18 +89,18 @@
     };
     return this.#ask<PortConnection | PortReply>(
       simNode,
-      (settle) => {
+      (resolveCall) => {
         forget = simNode.onFall(closeClient);
         void simNode
           .edgeCalls!.connection(session, Buffer.from(JSON.stringify(body)), () => {
             state.isOpen = true;
-            settle({ close });
+            resolveCall({ close });
             return connection;
           })
           .then((reply) => {
             if (reply === undefined) return;
             forget();
-            settle(SimPort.#read(reply));
+            resolveCall(SimPort.#read(reply));
           });
       },
       () => {
@@ -114,22 +114,24 @@
     const answered = this.run(name, async (simNode) => {
       const reply = await simNode.router.run(method, path, Buffer.from(body ?? ""));
       if (!simNode.body.isDead)
-        for (const tell of this.onAnswer) tell({ name, method, path, status: reply.status, text: body ?? "" });
+        for (const listener of this.onAnswer) listener({ name, method, path, status: reply.status, text: body ?? "" });
       return reply;
     });
     const isOrder = method !== "GET" && method !== "POST";
     if (!isOrder || this.answerLoss === 0 || this.#nodes.world.random.draw() >= this.answerLoss) return answered;
     const { world } = this.#nodes;
-    return new Promise((resolve) => void world.at(world.now + SimPort.silenceMs, () => resolve(SimPort.#broken())));
+    return new Promise(
+      (resolve) => void world.at(world.now + SimPort.answerTimeoutMs, () => resolve(SimPort.#broken())),
+    );
   }
 
   /** A call on what runs on a node, carried there and back as `call` is. */
-  run(name: string, act: (simNode: SimNode) => Promise<ApiReply>): Promise<PortReply> {
+  run(name: string, run: (simNode: SimNode) => Promise<ApiReply>): Promise<PortReply> {
     const simNode = this.#nodes.find(name);
-    if (simNode === undefined) return this.#later(away);
+    if (simNode === undefined) return this.#later(unreachable);
     return this.#ask<PortReply>(
       simNode,
-      (settle) => void act(simNode).then((reply) => settle(SimPort.#read(reply))),
+      (resolveCall) => void run(simNode).then((reply) => resolveCall(SimPort.#read(reply))),
       SimPort.#broken,
     );
   }
@@ -150,7 +152,7 @@
   }
 
   /** Carries a question over and its answer back; a fall or a long silence ends it without one. */
-  #ask<T>(simNode: SimNode, act: (settle: (value: T) => void) => void, giveUp: () => T): Promise<T> {
+  #ask<T>(simNode: SimNode, run: (resolveCall: (value: T) => void) => void, giveUp: () => T): Promise<T> {
     const { world } = this.#nodes;
     return new Promise((resolve) => {
       let isDone = false;
@@ -163,7 +165,7 @@
       const forget = simNode.onFall(() => this.#afterWire(() => finish(giveUp)));
       world.at(world.now + SimPort.giveUpMs, () => finish(giveUp));
       this.#onNode(simNode, () =>
-        act((value) => {
+        run((value) => {
           if (!simNode.body.isDead) this.#afterWire(() => finish(() => value));
         }),
       );
@@ -174,18 +176,18 @@
     return new Promise((resolve) => this.#afterWire(() => resolve(value)));
   }
 
-  #afterWire(act: () => void): void {
+  #afterWire(run: () => void): void {
     const { world } = this.#nodes;
-    world.at(world.now + 1, act);
+    world.at(world.now + 1, run);
   }
 
   /** Runs on the node after the wire, once it is not paused, unless it falls first. */
-  #onNode(simNode: SimNode, act: () => void): void {
+  #onNode(simNode: SimNode, run: () => void): void {
     const { world } = this.#nodes;
     const arrive = (): void => {
       if (simNode.body.isDead) return;
       if (simNode.body.pausedUntil > world.now) return void world.at(simNode.body.pausedUntil, arrive);
-      act();
+      run();
     };
     world.at(world.now + 1, arrive);
   }
--- a/packages/testkit/src/sim/simTransport.ts
+++ b/packages/testkit/src/sim/simTransport.ts
@@ -57,7 +57,7 @@
     this.#ports.delete(address);
     for (const [other, port] of this.#ports)
       if (!this.#cuts.has(`${address}>${other}`))
-        this.#world.at(this.#world.now + 1, () => this.#tellLost(port, address));
+        this.#world.at(this.#world.now + 1, () => this.#notifyLost(port, address));
   }
 
   cut(from: string, to: string): void {
@@ -90,14 +90,14 @@
       const key = `${from}>${to}`;
       this.#resets.set(key, (this.#resets.get(key) ?? 0) + 1);
       const port = this.#ports.get(from);
-      if (port !== undefined) this.#world.at(this.#world.now + 1, () => this.#tellReset(port, to));
+      if (port !== undefined) this.#world.at(this.#world.now + 1, () => this.#notifyReset(port, to));
     }
   }
 
-  #tellReset(port: Port, address: string): void {
+  #notifyReset(port: Port, address: string): void {
     if (port.body.isDead) return;
     if (port.body.pausedUntil <= this.#world.now) return port.lost(address);
-    this.#world.at(port.body.pausedUntil, () => this.#tellReset(port, address));
+    this.#world.at(port.body.pausedUntil, () => this.#notifyReset(port, address));
   }
 
   get isTroubled(): boolean {
@@ -112,11 +112,11 @@
     return this.#cuts.has(`${from}>${to}`);
   }
 
-  #tellLost(port: Port, address: string): void {
+  #notifyLost(port: Port, address: string): void {
     const isThere = this.#ports.has(address) && !this.#refusals.has(`${port.address}>${address}`);
     if (port.body.isDead || isThere) return;
     if (port.body.pausedUntil > this.#world.now)
-      return void this.#world.at(port.body.pausedUntil, () => this.#tellLost(port, address));
+      return void this.#world.at(port.body.pausedUntil, () => this.#notifyLost(port, address));
     port.unreachable.add(address);
     port.lost(address);
   }
@@ -124,11 +124,11 @@
   #send(port: Port, from: string, to: string, bytes: Uint8Array): void {
     this.frames += 1;
     if (!this.#ports.has(to)) {
-      if (!this.#cuts.has(`${to}>${from}`)) this.#world.at(this.#world.now + 1, () => this.#tellLost(port, to));
+      if (!this.#cuts.has(`${to}>${from}`)) this.#world.at(this.#world.now + 1, () => this.#notifyLost(port, to));
       return;
     }
     if (this.#refusals.has(`${from}>${to}`))
-      return void this.#world.at(this.#world.now + 1, () => this.#tellLost(port, to));
+      return void this.#world.at(this.#world.now + 1, () => this.#notifyLost(port, to));
     if (!this.#cuts.has(`${from}>${to}`)) port.unreachable.delete(to);
     const copies = this.mutate?.(from, to, bytes);
     if (copies !== undefined) {
--- a/packages/testkit/src/sim/simWorld.ts
+++ b/packages/testkit/src/sim/simWorld.ts
@@ -4,7 +4,7 @@
 interface Event {
   at: number;
   order: number;
-  act: () => void;
+  run: () => void;
   isOff: boolean;
 }
 
@@ -29,8 +29,8 @@
     this.random = new SimRandom(seed);
   }
 
-  at(time: number, act: () => void): Event {
-    const event: Event = { at: Math.max(time, this.now), order: (this.#order += 1), act, isOff: false };
+  at(time: number, run: () => void): Event {
+    const event: Event = { at: Math.max(time, this.now), order: (this.#order += 1), run, isOff: false };
     this.#push(event);
     return event;
   }
@@ -50,7 +50,7 @@
       if (event.isOff) continue;
       this.now = event.at;
       this.events += 1;
-      event.act();
+      event.run();
       await new Promise<void>((resolve) => void setImmediate(resolve));
     }
     this.now = until;
--- a/packages/testkit/src/sim/store.test.ts
+++ b/packages/testkit/src/sim/store.test.ts
@@ -24,7 +24,7 @@
   return { fleet, load };
 }
 
-async function settled<T>(fleet: SimFleet, asked: Promise<T>): Promise<T> {
+async function resultOf<T>(fleet: SimFleet, asked: Promise<T>): Promise<T> {
   let got: { value: T } | undefined;
   void asked.then((value) => (got = { value }));
   expect(await fleet.until(() => got !== undefined, 30_000)).toEqual(true);
@@ -38,7 +38,7 @@
     for (const name of fleet.names.filter((one) => one !== "lathe-4")) fleet.start(name);
     await fleet.run(8000);
     expect(controlNodes(fleet).some((name) => fleet.find(name)?.control?.raft !== undefined)).toEqual(false);
-    expect(fleet.find("lathe-1")!.control!.founding.missing).toEqual(expect.includes("4 of 5 blank lathes"));
+    expect(fleet.find("lathe-1")!.control!.founding.waitingFor).toEqual(expect.includes("4 of 5 blank lathes"));
     fleet.start("lathe-4");
     expect(await fleet.until(() => leader(fleet) !== undefined, 8000)).toEqual(true);
     expect(new Set(controlNodes(fleet).map((name) => fleet.find(name)!.control!.founding.founding)).size).toEqual(1);
@@ -70,7 +70,7 @@
   for (const name of ["lathe-1", "lathe-2", "lathe-3", "lathe-4"]) fleet.start(name);
   await fleet.run(15_000);
   expect(controlNodes(fleet).filter((name) => fleet.find(name)!.control!.raft !== undefined)).toEqual(["lathe-5"]);
-  expect(fleet.find("lathe-1")!.control!.founding.missing).toEqual(expect.includes("lathe-5"));
+  expect(fleet.find("lathe-1")!.control!.founding.waitingFor).toEqual(expect.includes("lathe-5"));
   expect(leader(fleet)).toEqual(undefined);
 });
 
@@ -81,7 +81,7 @@
     const old = leader(fleet)!;
     const others = fleet.names.filter((name) => name !== old);
     fleet.isolate(old, others, "both");
-    const asked = settled(
+    const asked = resultOf(
       fleet,
       fleet.port.call(old, "PUT", "/v1/plan", documentTextOf(SimLoad.configuration(50, ["notes"]))),
     );
@@ -95,13 +95,13 @@
     ).toEqual(true);
     expect(fleet.find(old)!.control!.raft!.isInTouch).toEqual(false);
     const next = load.nextVersion;
-    expect(await settled(fleet, load.proposeConfiguration({ ...SimLoad.configuration(next), version: next }))).toEqual(
+    expect(await resultOf(fleet, load.proposeConfiguration({ ...SimLoad.configuration(next), version: next }))).toEqual(
       200,
     );
     fleet.wires.heal();
     await fleet.run(3000);
     expect(
-      JSON.parse(String((await settled(fleet, fleet.port.call(old, "GET", "/v1/plan", undefined))).body["raw"])).mark,
+      JSON.parse(String((await resultOf(fleet, fleet.port.call(old, "GET", "/v1/plan", undefined))).body["raw"])).mark,
     ).toEqual(next);
   },
 );
@@ -112,7 +112,7 @@
   fleet.pause(old, 6000);
   await fleet.until(() => leader(fleet) !== undefined && leader(fleet) !== old, 5000);
   const version = load.nextVersion;
-  const asked = settled(fleet, fleet.port.call(old, "GET", "/v1/plan", undefined));
+  const asked = resultOf(fleet, fleet.port.call(old, "GET", "/v1/plan", undefined));
   const other = leader(fleet)!;
   let status = 0;
   void fleet.port
@@ -137,7 +137,7 @@
         "/v1/plan",
         typeof configuration === "string" ? configuration : documentTextOf(configuration),
       );
-    const rivals = await settled(
+    const rivals = await resultOf(
       fleet,
       Promise.all([
         put("lathe-1", SimLoad.configuration(7, ["notes"])),
@@ -147,14 +147,14 @@
     );
     expect(rivals.map((reply) => reply.status).sort()).toEqual([200, 409, 409]);
     const won = rivals.findIndex((reply) => reply.status === 200);
-    const again = await settled(
+    const again = await resultOf(
       fleet,
       put("lathe-2", SimLoad.configuration(7, [["notes"], ["notices"], ["extra"]][won])),
     );
     expect([again.status, again.body["revision"]]).toEqual([200, rivals[won]!.body["revision"]]);
-    const stale = await settled(fleet, put("lathe-3", SimLoad.configuration(6)));
+    const stale = await resultOf(fleet, put("lathe-3", SimLoad.configuration(6)));
     expect([stale.status, (stale.body["error"] as { markInForce: number }).markInForce]).toEqual([409, 7]);
-    const broken = await settled(
+    const broken = await resultOf(
       fleet,
       put("vise-1", {
         mark: 8,
@@ -167,8 +167,8 @@
       422,
       ["more", "spaces.0.program.0.owe.keep"],
     ]);
-    expect((await settled(fleet, put("vise-1", "{"))).status).toEqual(400);
-    const unkept = await settled(
+    expect((await resultOf(fleet, put("vise-1", "{"))).status).toEqual(400);
+    const unkept = await resultOf(
       fleet,
       put("vise-1", {
         mark: 9,
@@ -178,7 +178,7 @@
     expect((unkept.body["error"] as { problems: Array<{ path: string }> }).problems[0]!.path).toEqual(
       "spaces.0.program.0.owe.fault_budget.machines",
     );
-    const read = await settled(fleet, fleet.port.call("vise-3", "GET", "/v1/plan", undefined));
+    const read = await resultOf(fleet, fleet.port.call("vise-3", "GET", "/v1/plan", undefined));
     expect(read.body["raw"]).toEqual(
       documentTextOf(SimLoad.configuration(7, [["notes"], ["notices"], ["extra"]][won])),
     );
@@ -188,11 +188,11 @@
 test("a rollout counts every node, names the one that is cut off, and is whole again when it is back", async () => {
   const { fleet, load } = await founded(27);
   const rollout = async (): Promise<Rollout> =>
-    (await settled(fleet, fleet.port.call("lathe-1", "GET", "/v1/plan/rollout", undefined))).body as Rollout;
+    (await resultOf(fleet, fleet.port.call("lathe-1", "GET", "/v1/plan/rollout", undefined))).body as Rollout;
   fleet.isolate("vise-2", fleet.names, "both");
   await fleet.run(500);
   const version = load.nextVersion;
-  expect(await settled(fleet, load.proposeConfiguration({ ...SimLoad.configuration(version), version }))).toEqual(200);
+  expect(await resultOf(fleet, load.proposeConfiguration({ ...SimLoad.configuration(version), version }))).toEqual(200);
   await fleet.run(3000);
   const cut = await rollout();
   expect(cut.nodes.filter((node) => !node.hasTakenUp).map((node) => node.name)).toEqual(["vise-2"]);
@@ -234,8 +234,8 @@
   await fleet.run(50);
   const { raft } = fleet.find(old)!.control!;
   expect(raft!.isLeader).toEqual(true);
-  expect(await settled(fleet, raft!.confirm())).toEqual(false);
-  expect((await settled(fleet, fleet.port.call(old, "GET", "/v1/plan", undefined))).status).toEqual(503);
+  expect(await resultOf(fleet, raft!.confirm())).toEqual(false);
+  expect((await resultOf(fleet, fleet.port.call(old, "GET", "/v1/plan", undefined))).status).toEqual(503);
 });
 
 test("after freezes, everybody reaches everybody directly again and every node has its feed", async () => {
@@ -256,8 +256,8 @@
 
 const leasesLost = (fleet: SimFleet): number =>
   [...fleet.withRole("anvil"), ...fleet.withRole("vise")].reduce((sum, name) => {
-    const life = fleet.find(name)!;
-    const status = (life.storage ?? life.edge)!.status() as { leasesLost: number };
+    const incarnation = fleet.find(name)!;
+    const status = (incarnation.storage ?? incarnation.edge)!.status() as { leasesLost: number };
     return sum + status.leasesLost;
   }, 0);
 
@@ -323,13 +323,13 @@
   const body = (version: number, spaces?: readonly string[]): Uint8Array =>
     Buffer.from(documentTextOf(SimLoad.configuration(version, spaces)));
   const put = async (name: string, configuration: Uint8Array, document?: Uint8Array): Promise<number> =>
-    (await settled(fleet, proposeConfiguration(fleet.find(name)!.node, configuration, document))).status;
+    (await resultOf(fleet, proposeConfiguration(fleet.find(name)!.node, configuration, document))).status;
   const read = async (name = "lathe-3"): Promise<string> => {
-    const got = await settled(fleet, readDocument(fleet.find(name)!.node));
+    const got = await resultOf(fleet, readDocument(fleet.find(name)!.node));
     return got.outcome === "done" ? Buffer.from(got.document).toString("latin1") : got.outcome;
   };
   const versionOf = async (): Promise<number> => {
-    const { body: got } = await settled(fleet, fleet.port.call("lathe-2", "GET", "/v1/plan", undefined));
+    const { body: got } = await resultOf(fleet, fleet.port.call("lathe-2", "GET", "/v1/plan", undefined));
     return (JSON.parse(String(got["raw"])) as { mark: number }).mark;
   };
   expect(await read()).toEqual("none");
@@ -345,7 +345,7 @@
   expect([await versionOf(), await read()]).toEqual([4000, Buffer.from(document).toString("latin1")]);
   // Two operators with one configuration and different documents: one wins with its own.
   const rivals = ["lathe-4", "lathe-5"];
-  const statuses = await settled(
+  const statuses = await resultOf(
     fleet,
     Promise.all(rivals.map((name) => proposeConfiguration(fleet.find(name)!.node, body(9_000_000), Buffer.from(name)))),
   );
--- a/packages/testkit/src/sim/storeHistories.test.ts
+++ b/packages/testkit/src/sim/storeHistories.test.ts
@@ -7,7 +7,7 @@
 import { checkLinearizability, type Operation } from "../checker/linearizability.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
-import { Troubles, type Trouble } from "./storeTroubles.js";
+import { StoreFaults, type Trouble } from "./storeTroubles.js";
 
 type KeysOperation = Operation<KeysInput, KeysOutput>;
 interface Step {
@@ -23,7 +23,7 @@
   seed: number;
   controlCount: 3 | 5;
   steps: Step[];
-  troubles: Trouble[];
+  faults: Trouble[];
 }
 const calmMs = 5000;
 
@@ -32,7 +32,7 @@
   controlCount: fc.constantFrom(3 as const, 5 as const),
   steps: fc.array(
     fc.record({
-      at: fc.oneof({ weight: 4, arbitrary: Troubles.burst }, { weight: 1, arbitrary: Troubles.afterBurst }),
+      at: fc.oneof({ weight: 4, arbitrary: StoreFaults.burst }, { weight: 1, arbitrary: StoreFaults.afterBurst }),
       client: fc.oneof(fc.constant(0), fc.integer({ min: 0, max: 4 })),
       keys: fc.uniqueArray(fc.constantFrom("test/x", "test/y", "test/z"), { minLength: 1, maxLength: 3 }),
       checked: fc.integer({ min: 0, max: 3 }),
@@ -40,7 +40,7 @@
     }),
     { minLength: 30, maxLength: 50 },
   ),
-  troubles: Troubles.arbitrary,
+  faults: StoreFaults.arbitrary,
 });
 
 /** What clients of the store saw: values that name their writer, each with one revision for ever. */
@@ -57,7 +57,7 @@
 
   /** At the node itself: it may be paused, cut off or gone, and then the outcome stays unknown. */
   async run({ client, keys, checked, kind }: Step): Promise<void> {
-    const names = Troubles.leaderFirst(this.#fleet);
+    const names = StoreFaults.leaderFirst(this.#fleet);
     const simNode = this.#fleet.find(names[client % names.length]!);
     if (simNode === undefined) return;
     const { store } = simNode.node;
@@ -128,15 +128,15 @@
   return kv === undefined ? undefined : Buffer.from(kv.value).toString();
 }
 
-async function played({ seed, controlCount, steps, troubles }: Play): Promise<KeysHistory> {
+async function played({ seed, controlCount, steps, faults }: Play): Promise<KeysHistory> {
   const fleet = new SimFleet(seed, Scenario.machines(controlCount, 0, 0));
   fleet.startAll();
   expect(await fleet.until(() => fleet.leader !== undefined, 15_000)).toEqual(true);
   const history = new KeysHistory(fleet);
   const start = fleet.world.now;
-  Troubles.cause(fleet, troubles);
+  StoreFaults.cause(fleet, faults);
   for (const step of steps) fleet.world.at(start + step.at, () => void history.run(step));
-  await fleet.run(Troubles.lengthMs + calmMs);
+  await fleet.run(StoreFaults.lengthMs + calmMs);
   fleet.wires.heal();
   await fleet.run(calmMs);
   void history.run({ at: 0, client: 0, keys: ["test/x", "test/y", "test/z"], checked: 0, kind: "read" });
--- a/packages/testkit/src/sim/storeTroubles.ts
+++ b/packages/testkit/src/sim/storeTroubles.ts
@@ -17,7 +17,7 @@
 
 function cause(fleet: SimFleet, { what, who, ms }: Trouble): void {
   const { world, wires } = fleet;
-  const all = Troubles.leaderFirst(fleet);
+  const all = StoreFaults.leaderFirst(fleet);
   const these = who.map((number) => all[number % all.length]!);
   const others = all.filter((name) => !these.includes(name));
   const later = (act: () => void): void => void world.at(world.now + ms, act);
@@ -41,7 +41,7 @@
 }
 
 /** Troubles of the metadata store, for plays that fast-check makes up and shrinks. */
-export const Troubles = {
+export const StoreFaults = {
   /** After a burst, while whoever led may not know that another does. */
   afterBurst: fc.record({ at: burst, later: fc.integer({ min: 0, max: 1500 }) }).map(({ at, later }) => at + later),
 
@@ -68,8 +68,8 @@
   },
 
   /** Asks for all of them from now on; each is over by itself. */
-  cause(fleet: SimFleet, troubles: readonly Trouble[]): void {
+  cause(fleet: SimFleet, faults: readonly Trouble[]): void {
     const start = fleet.world.now;
-    for (const trouble of troubles) fleet.world.at(start + trouble.at, () => cause(fleet, trouble));
+    for (const fault of faults) fleet.world.at(start + fault.at, () => cause(fleet, fault));
   },
 };
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -2,27 +2,27 @@
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import { expect } from "earl";
 import { Checker } from "../checker/checker.js";
-import { Hand, served, type Line, type Served } from "./hand.js";
+import { TestClient, served, type Line, type TestFleet } from "./hand.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
-const placeOf = (hand: Hand, topic: string): string =>
-  String([...hand.lines].reverse().find((line) => line["topic"] === topic && line["place"] !== undefined)!["place"]);
+const placeOf = (client: TestClient, topic: string): string =>
+  String([...client.lines].reverse().find((line) => line["topic"] === topic && line["place"] !== undefined)!["place"]);
 
 const isKind = (bytes: Uint8Array, ...kinds: string[]): boolean => kinds.includes(Wire.decode(bytes)?.body.case ?? "");
 
 async function connectSession(
-  { fleet }: Served,
+  { fleet }: TestFleet,
   node: string,
   session: string,
   topics: readonly string[],
-): Promise<Hand> {
-  const hand = new Hand(fleet, node, session, { subscriptions: topics.map((topic) => ({ topic })) });
-  const isConnected = (): boolean => hand.of("open").length > 0 && hand.of("confirmed").length === topics.length;
+): Promise<TestClient> {
+  const client = new TestClient(fleet, node, session, { subscriptions: topics.map((topic) => ({ topic })) });
+  const isConnected = (): boolean => client.of("open").length > 0 && client.of("confirmed").length === topics.length;
   expect(await fleet.until(isConnected, 5000)).toEqual(true);
-  return hand;
+  return client;
 }
 
 test("a space of one order has it over all its topics, whoever holds what, through a change of leader", async () => {
@@ -34,16 +34,16 @@
     if (round % 20 === 0) fleet.wires.slow.clear();
     if (round % 20 === 0) fleet.wires.slow.set(fleet.addressOf(fleet.withRole("anvil")[(round / 20) % 3]!), 60);
     if (round === 40) fleet.kill(fleet.leaderName!);
-    for (const [i, sender] of load.callers.slice(0, 2).entries())
+    for (const [i, sender] of load.clients.slice(0, 2).entries())
       void sender.publish(`notices/t${(round + i) % 3}`, `round ${round} of ${sender.session}`);
     await fleet.run(40);
   }
   fleet.wires.heal();
   for (const name of fleet.names) fleet.revive(name);
-  expect(await load.settle()).toEqual(true);
+  expect(await load.finishPublishes()).toEqual(true);
   const got = load.history.seen.filter((one) => one.kind === "received" && one.topic.startsWith("notices/"));
   expect(got.length > 600).toEqual(true);
-  expect(Checker.judge(load.history.seen, fleet.world.now).map((breach) => breach.rule)).toEqual([]);
+  expect(Checker.check(load.history.seen, fleet.world.now).map((breach) => breach.rule)).toEqual([]);
 });
 
 test("a connection that resumes with several places in a stream reads from the lowest and skips what each had", async () => {
@@ -63,7 +63,7 @@
   await say(2, "notices/t1");
   await say(4, "notices/t0");
   const subscriptions = ["notices/t0", "notices/t1"].map((topic) => ({ topic, after: placeOf(reader, topic) }));
-  const again = new Hand(fleet, "vise-3", "desk", { subscriptions });
+  const again = new TestClient(fleet, "vise-3", "desk", { subscriptions });
   expect(await fleet.until(() => again.got().length === 3, 4000)).toEqual(true);
   await fleet.run(1000);
   expect(again.got()).toEqual(["notices/t0 3", "notices/t1 2", "notices/t0 4"]);
@@ -84,7 +84,7 @@
   const subscriptions = ["extra/t0", "extra/t1"].map((topic) => ({ topic, after: placeOf(reader, topic) }));
   for (let number = 2; number <= 5; number += 1) await publish("pen", number, "vise-2", "extra/t0");
   await fleet.run(70_000);
-  const again = new Hand(fleet, "vise-3", "desk", { subscriptions });
+  const again = new TestClient(fleet, "vise-3", "desk", { subscriptions });
   expect(await fleet.until(() => again.of("confirmed").length === 2, 5000)).toEqual(true);
   expect(again.of("expired").map((line) => line["topic"])).toEqual(["extra/t0"]);
   await publish("pen", 6, "vise-2", "extra/t0");
@@ -105,7 +105,7 @@
   expect(await fleet.until(() => here.got().length === 3, 2000)).toEqual(true);
   expect(there.got()).toEqual([]);
   const subscriptions = [{ topic: "notes/t1", after: placeOf(here, "notes/t1") }];
-  const moved = new Hand(fleet, "vise-2", "desk", { subscriptions });
+  const moved = new TestClient(fleet, "vise-2", "desk", { subscriptions });
   expect(await fleet.until(() => moved.of("confirmed").length + moved.of("fault").length > 0, 3000)).toEqual(true);
   expect(moved.of("fault")).toEqual([]);
   fleet.wires.heal();
@@ -130,7 +130,7 @@
   expect((await all.configuration(["notes", "notices"]))["status"]).toEqual(200);
   for (const name of fleet.withRole("anvil")) fleet.revive(name);
   await fleet.run(6000);
-  const again = new Hand(fleet, "vise-2", "desk", { subscriptions: [{ topic: "notes/t1", after: before }] });
+  const again = new TestClient(fleet, "vise-2", "desk", { subscriptions: [{ topic: "notes/t1", after: before }] });
   expect(await fleet.until(() => again.of("confirmed").length === 1, 5000)).toEqual(true);
   expect(again.of("expired").length).toEqual(1);
   expect(placeOf(again, "notes/t1").split(".")[0] === before.split(".")[0]).toEqual(false);
@@ -213,22 +213,22 @@
     ...Object.entries(afters).map(([topic, after]) => ({ topic, after })),
     { topic: "extra/t0", after: placeOf(reader, "extra/t0") },
   ];
-  const hand = new Hand(fleet, "vise-2", "desk", { subscriptions });
-  expect(await fleet.until(() => hand.of("confirmed").length === 3 && hand.of("fault").length === 2, 5000)).toEqual(
+  const client = new TestClient(fleet, "vise-2", "desk", { subscriptions });
+  expect(await fleet.until(() => client.of("confirmed").length === 3 && client.of("fault").length === 2, 5000)).toEqual(
     true,
   );
-  expect(hand.of("fault").map((line) => [line["topic"], line["code"]])).toLooseEqual([
+  expect(client.of("fault").map((line) => [line["topic"], line["code"]])).toLooseEqual([
     ["notices/t0", "malformed-place"],
     ["notes/t2", "unknown-place"],
   ]);
   expect(
-    hand
+    client
       .of("expired")
       .map((line) => line["topic"])
       .sort(),
   ).toEqual(["notes/t1", "notes/t3"]);
   expect((await publish("desk", 1, "vise-2", "extra/t0"))["receipt"]).toEqual("accepted");
-  expect(await fleet.until(() => hand.got("extra/t0").length === 1, 2000)).toEqual(true);
+  expect(await fleet.until(() => client.got("extra/t0").length === 1, 2000)).toEqual(true);
 });
 
 test("a push that overtakes the reply which tells of its stream is not lost", async () => {
@@ -310,13 +310,15 @@
   await connectSession(all, "vise-2", "pen", []);
   const places: string[] = [];
   let number = 0;
-  const life = async (isMiddle: boolean): Promise<void> => {
+  const incarnation = async (isMiddle: boolean): Promise<void> => {
     // The same numbers of earlier lives say nothing, and no place of theirs is good.
     for (const [i, after] of places.entries()) {
-      const hand = new Hand(fleet, "vise-3", `reader-${i}-${places.length}`, { subscriptions: [{ topic, after }] });
-      expect(await fleet.until(() => hand.of("confirmed").length === 1, 5000)).toEqual(true);
-      expect(hand.of("expired").length).toEqual(1);
-      hand.close();
+      const client = new TestClient(fleet, "vise-3", `reader-${i}-${places.length}`, {
+        subscriptions: [{ topic, after }],
+      });
+      expect(await fleet.until(() => client.of("confirmed").length === 1, 5000)).toEqual(true);
+      expect(client.of("expired").length).toEqual(1);
+      client.close();
     }
     const reader = await connectSession(all, "vise-1", `desk-${places.length}`, [topic, "notes/t1"]);
     expect((await publish("pen", 1, "vise-2", topic))["receipt"]).toEqual("accepted");
@@ -330,14 +332,14 @@
     await put(!isMiddle);
     expect(staying.of("ended").map((line) => line["topic"])).toEqual([topic]);
     staying.close();
-    const again = new Hand(fleet, "vise-3", "other", { subscriptions });
+    const again = new TestClient(fleet, "vise-3", "other", { subscriptions });
     expect(await fleet.until(() => again.of("confirmed").length === 1, 5000)).toEqual(true);
     expect(again.of("expired")).toEqual([]);
     again.close();
   };
-  await life(false);
-  await life(true);
-  await life(false);
+  await incarnation(false);
+  await incarnation(true);
+  await incarnation(false);
   expect(new Set(places.map((place) => place.split(".")[0])).size).toEqual(3);
 });
 
@@ -362,7 +364,7 @@
   }
   for (const name of fleet.withRole("anvil")) fleet.revive(name);
   await fleet.run(6000);
-  const again = new Hand(fleet, "vise-2", "desk", { subscriptions: [{ topic, after }] });
+  const again = new TestClient(fleet, "vise-2", "desk", { subscriptions: [{ topic, after }] });
   expect(await fleet.until(() => again.of("confirmed").length === 1, 5000)).toEqual(true);
   expect(again.of("expired").length).toEqual(1);
   expect((await publish("desk", 1, "vise-2", topic))["receipt"]).toEqual("accepted");
--- a/packages/testkit/src/slopes/cost.ts
+++ b/packages/testkit/src/slopes/cost.ts
@@ -28,10 +28,10 @@
 /** What processes cost one another, idle and by the call. */
 export const Cost = {
   /** By whole frames, as the simulator carries them; a held connection leaves out the envelopes. */
-  async idle(edgeCount: number, seconds = 10, shards = 4, settleMs = 10_000): Promise<IdleCost> {
+  async idle(edgeCount: number, seconds = 10, shards = 4, stabilizeMs = 10_000): Promise<IdleCost> {
     const fleet = new SimFleet(7, Scenario.machines(3, 3, edgeCount), shards);
     fleet.startAll();
-    await fleet.run(settleMs);
+    await fleet.run(stabilizeMs);
     const kinds: Record<string, number> = {};
     const sum = { bytes: 0, frames: 0 };
     fleet.wires.mutate = (_from, _to, bytes) => {
--- a/packages/testkit/src/slopes/nodeSlopes.ts
+++ b/packages/testkit/src/slopes/nodeSlopes.ts
@@ -46,8 +46,8 @@
     })),
   });
 
-async function gossipBytes(edges: number, settleMs: number): Promise<number> {
-  const { nodes, kinds } = await Cost.idle(edges, 10, 4, settleMs);
+async function gossipBytes(edges: number, stabilizeMs: number): Promise<number> {
+  const { nodes, kinds } = await Cost.idle(edges, 10, 4, stabilizeMs);
   return (kinds["gossip"] ?? 0) / nodes;
 }
 async function idleBytes(edges: number, wanted: readonly string[]): Promise<number> {
@@ -89,9 +89,9 @@
   async watchersProcessor(count: number): Promise<number> {
     const nodes = Array.from({ length: count }, (_, i) => ({ name: `vise-${i}`, zone: `zone-${i % 10}` }));
     const rounds = 20;
-    Rendezvous.spread("warm", nodes, 3);
+    Rendezvous.choose("warm", nodes, 3);
     const used = await Meter.processor(() => {
-      for (let i = 0; i < rounds; i += 1) Rendezvous.spread(`vise-${i}`, nodes, 3);
+      for (let i = 0; i < rounds; i += 1) Rendezvous.choose(`vise-${i}`, nodes, 3);
     });
     return used / rounds;
   },
--- a/packages/testkit/src/slopes/slopeRecord.ts
+++ b/packages/testkit/src/slopes/slopeRecord.ts
@@ -41,6 +41,6 @@
 
 function commit(): string {
   const folder = fileURLToPath(new URL(".", import.meta.url));
-  const git = (...words: string[]): string => execFileSync("git", words, { cwd: folder, encoding: "utf8" }).trim();
+  const git = (...args: string[]): string => execFileSync("git", args, { cwd: folder, encoding: "utf8" }).trim();
   return git("rev-parse", "--short", "HEAD");
 }
--- a/packages/testkit/src/slopes/storeSlopes.ts
+++ b/packages/testkit/src/slopes/storeSlopes.ts
@@ -44,10 +44,10 @@
 function feedsOf(count: number): {
   feeds: Feeds;
   change: () => void;
-  told: { frames: number; bytes: number };
+  pushed: { frames: number; bytes: number };
   acknowledge: (number: number) => void;
 } {
-  const told = { frames: 0, bytes: 0 };
+  const pushed = { frames: 0, bytes: 0 };
   const metadata = withLeases(1);
   const raft = Object.assign(new EventEmitter(), { metadata, isInTouch: true });
   const serve = new Map<string, (body: unknown) => unknown>();
@@ -56,16 +56,16 @@
   const node = {
     rpc: {
       serve: (kind: string, answer: (body: unknown) => unknown) => void serve.set(kind, answer),
-      tell: (to: string, body: BodyInit) => {
-        told.frames += 1;
-        told.bytes += Wire.encode({ id: 1, from: "lathe-1", to, fromAddress: "10.0.0.1:7000", body }).length;
+      send: (to: string, body: BodyInit) => {
+        pushed.frames += 1;
+        pushed.bytes += Wire.encode({ id: 1, from: "lathe-1", to, fromAddress: "10.0.0.1:7000", body }).length;
       },
     },
     parts: {
       clock: {
         now: () => performance.now(),
         every: () => ({ stop: () => undefined }),
-        once: (_ms: number, ring: () => void) => void turns.push(ring),
+        once: (_ms: number, callback: () => void) => void turns.push(callback),
       },
     },
   };
@@ -92,10 +92,10 @@
       }),
     );
     raft.emit("applied", applied);
-    turns.splice(0).forEach((ring) => ring());
+    turns.splice(0).forEach((callback) => callback());
     acknowledge(numbers + 1);
   };
-  return { feeds, change, told, acknowledge };
+  return { feeds, change, pushed, acknowledge };
 }
 
 export const StoreSlopes = {
@@ -110,7 +110,7 @@
     const raft = Object.assign(new EventEmitter(), { metadata, isLeader: true });
     let look = (): void => undefined;
     const clock = Object.assign(new HostClock(), {
-      every: (_ms: number, ring: () => void) => ((look = ring), { stop: () => undefined }),
+      every: (_ms: number, callback: () => void) => ((look = callback), { stop: () => undefined }),
     });
     new Leases(raft as object as RaftNode, clock, () => undefined);
     raft.emit("elected");
@@ -142,13 +142,13 @@
   },
 
   async pushBytes(count: number): Promise<number> {
-    const { change, told, acknowledge } = feedsOf(count);
+    const { change, pushed, acknowledge } = feedsOf(count);
     await new Promise((resolve) => setImmediate(resolve));
     acknowledge(1);
     change();
-    const before = told.bytes;
+    const before = pushed.bytes;
     change();
-    return told.bytes - before;
+    return pushed.bytes - before;
   },
 
   /** What an operator's question for all nodes' feeds is answered with. */
