--- a/packages/cli/src/retryPolicy.ts
+++ b/packages/cli/src/retryPolicy.ts
@@ -29,6 +29,7 @@
 /** Not carried out, says the node (see the API's error `unavailable`). */
 const unavailable = 503;
 
+/** The rules of this module. */
 export const RetryPolicy = {
   unansweredFor(error: unknown): Unanswered {
     const { code } = error as NodeJS.ErrnoException;
@@ -37,8 +38,7 @@
 
   /**
    * Reads change nothing. A configuration is known by its version and content, and is acknowledged again. Other changes
-   * may undo
-   * what somebody else did between the two.
+   * may undo what somebody else did between the two.
    */
   mayRepeat(method: Method, path: string): boolean {
     return method === "GET" || (method === "PUT" && path === configurationPath);
--- a/packages/edge/src/edgeCalls.ts
+++ b/packages/edge/src/connections/edgeCalls.ts
@@ -3,18 +3,18 @@
 import type { ApiCall, Router } from "@cranetrack/core/http/router.js";
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { BodyReader } from "@cranetrack/core/http/bodyReader.js";
-import type { ClientConnection } from "./connections/clientConnection.js";
-import { openConnection } from "./sessions/openConnection.js";
-import { publishCall } from "./publishing/publishCall.js";
-import { readOwner } from "./sessions/readOwner.js";
-import { subscribeTopics } from "./subscriptions/subscribeTopics.js";
-import { unsubscribeTopic } from "./subscriptions/unsubscribeTopic.js";
-import type { Session } from "./sessions/session.js";
-import type { EdgeParts } from "./edgeParts.js";
+import type { ClientConnection } from "./clientConnection.js";
+import { openConnection } from "./openConnection.js";
+import { publishCall } from "../publishing/publishCall.js";
+import { readOwner } from "../sessions/readOwner.js";
+import { subscribeTopics } from "../subscriptions/subscribeTopics.js";
+import { unsubscribeTopic } from "../subscriptions/unsubscribeTopic.js";
+import type { Session } from "../sessions/session.js";
+import type { EdgeParts } from "../edgeParts.js";
 
 const subscriptionsBody = type({ "+": "reject", topic: "string", "after?": "string" });
 
-/** The calls of an edge's HTTP interface. An edge with fronts of another kind does without them. */
+/** The calls of an edge's HTTP API. An edge whose clients speak another protocol does without them. */
 export class EdgeCalls {
   static readonly connectionPath = /^\/v1\/sessions\/([^/]+)\/link$/;
 
@@ -31,6 +31,7 @@
     );
   }
 
+  /** `POST /v1/sessions/ID/link`: undefined once the connection is open, else the reply that refuses it. */
   connection(id: string, body: Uint8Array, open: () => ClientConnection): Promise<ApiReply | undefined> {
     return openConnection(this.#edge, id, body, open);
   }
--- a/packages/edge/src/cranetrack-edge.ts
+++ b/packages/edge/src/cranetrack-edge.ts
@@ -1,9 +1,9 @@
 #!/usr/bin/env node
+import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 import { Program } from "@cranetrack/core/runtime/program.js";
 import { HttpConnection } from "./connections/httpConnection.js";
 import { EdgeNode } from "./edgeNode.js";
-import { EdgeCalls } from "./edgeCalls.js";
-import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
+import { EdgeCalls } from "./connections/edgeCalls.js";
 
 await new Program(nodeRole.edge, ["plan", "shards/"], ({ node, router }) => {
   const edge = new EdgeNode(node, router);
--- a/packages/edge/src/fanout/numberedPushes.test.ts
+++ b/packages/edge/src/fanout/numberedPushes.test.ts
@@ -10,7 +10,13 @@
   const pushes = new NumberedPushes();
   pushes.begin("a");
   expect(pushes.opened(4)).toEqual([]);
-  expect([4, 6, 5, 5, 6].map((number) => pushes.receive(push(number)))).toEqual(["seen", "gap", "next", "seen", "next"]);
+  expect([4, 6, 5, 5, 6].map((number) => pushes.receive(push(number)))).toEqual([
+    "seen",
+    "gap",
+    "next",
+    "seen",
+    "next",
+  ]);
   expect(pushes.receive(push(7, "b"))).toEqual("foreign");
   expect(pushes.seen).toEqual(6);
 });
--- a/packages/edge/src/subscriptions/subscribeTopics.ts
+++ b/packages/edge/src/subscriptions/subscribeTopics.ts
@@ -3,17 +3,17 @@
 import type { StreamCursor } from "./streamCursor.js";
 import { OwnerKey } from "../sessions/ownerKey.js";
 import { Cursors } from "./cursor.js";
-import { SubscriptionKey } from "../sessions/subscriptionKey.js";
-import type { TopicFault } from "../publishing/topicFault.js";
+import { SubscriptionKey } from "./subscriptionKey.js";
+import type { TopicFault } from "./topicFault.js";
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
 import { findStarts, type Start, type SubscriptionRequest } from "./findStarts.js";
 import { joinStreams } from "./joinStreams.js";
 
 /**
- * Each topic: find where its stream starts, write the key under the owner key's revision, and only then
- * confirm and deliver. A connection has no more topics than the configuration's limit. What fails is answered for that
- * topic alone; undefined where the connection had to be closed.
+ * Subscribes a connection to topics: finds where each one's stream starts, writes the key under the owner key's
+ * revision, and only then confirms and delivers. A connection has no more topics than the configuration's limit. A
+ * failure concerns its topic alone; undefined where the connection had to be closed.
  */
 export async function subscribeTopics(
   edge: EdgeParts,
@@ -22,7 +22,8 @@
   requests: readonly SubscriptionRequest[],
 ): Promise<TopicFault[] | undefined> {
   const fresh = requests.filter(
-    (request, i) => !session.subscriptions.has(request.topic) && requests.findIndex((one) => one.topic === request.topic) === i,
+    (request, i) =>
+      !session.subscriptions.has(request.topic) && requests.findIndex((one) => one.topic === request.topic) === i,
   );
   for (const { topic } of requests) {
     const cursor = session.subscriptions.get(topic);
