--- a/packages/testkit/src/fleet/fleet.test.ts
+++ b/packages/testkit/src/fleet/fleet.test.ts
@@ -239,7 +239,7 @@
       const report = await load.end();
       expect(report.breaches).toEqual([]);
       expect(fleet.fallen).toEqual([]);
-      expect(drill.steps.filter((step) => step.backMs > Drill.backMs)).toEqual([]);
+      expect(drill.steps.filter((step) => step.backMs > ChaosDrill.backMs)).toEqual([]);
       expect(report.accepted).toEqual(report.sent);
       expect(report.deliveries > report.accepted).toEqual(true);
     } finally {
