--- a/packages/core/src/keys/drainKey.ts
+++ b/packages/core/src/keys/drainKey.ts
@@ -1,6 +1,6 @@
-/** The operators' wish to have a machine emptied. */
+/** The key of an operator's request to drain a machine; its stored name is that of earlier versions. */
 export const DrainKey = {
-  /** Written with every wish: who judged by the wishes before has to look again. */
+  /** Written with every request: a decision that was made by the requests before has to be made again. */
   turn: "drains",
 
   of(machine: string): string {
--- a/packages/core/src/membership/failureDetector.ts
+++ b/packages/core/src/membership/failureDetector.ts
@@ -16,6 +16,7 @@
   readonly helpers: number;
 }
 
+/** What the detector needs of membership. */
 export interface DetectorParts {
   readonly self: string;
   readonly rpc: RpcEndpoint;
@@ -70,6 +71,7 @@
     if (isWatched) this.#awaited.set(name, this.#parts.clock.now());
   }
 
+  /** The member left the table. */
   forget(name: string): void {
     this.#watched.delete(name);
   }
@@ -124,7 +126,7 @@
     else if (answer?.case === "fault") this.#deniedAt.set(about, clock.now());
   }
 
-  /** A ping of this node itself, or the wish that it pings another. */
+  /** Answers a ping of this node itself, or the request to ping another. */
   async #answer({ about }: Ping): Promise<BodyInit> {
     const { self, rpc, times } = this.#parts;
     if (about === "" || about === self) return { case: "done", value: {} };
--- a/packages/core/src/membership/memberTable.ts
+++ b/packages/core/src/membership/memberTable.ts
@@ -1,13 +1,14 @@
 import { crc32 } from "node:zlib";
 import type { Member } from "../gen/cranetrack_pb.js";
 
+/** A record, with what this node alone knows of the member. Times are of the local clock, in milliseconds. */
 export interface KnownMember {
   member: Member;
   /** When the record changed last. */
   changedAt: number;
-  /** When a frame of its own was heard last. */
+  /** When a frame of its own last arrived here directly. */
   lastContactAt: number;
-  /** When it was told last that it is suspected. */
+  /** When the member itself was last sent that it is suspected. */
   suspicionSentAt: number;
   digest: number;
   bucket: number;
@@ -39,11 +40,13 @@
     return member.state === "up" && !member.isSuspected;
   }
 
+  /** Whether a received record can be believed: named, at an address, with numbers that can still rise. */
   static isSound(member: Member): boolean {
     const isWhole = (value: number): boolean => value >= 0 && value < MemberTable.maxVersion;
     return member.name !== "" && member.address !== "" && isWhole(member.incarnation) && isWhole(member.version);
   }
 
+  /** The bucket of a name, by which tables are compared. */
   static bucketOf(name: string): number {
     return crc32(name) % MemberTable.buckets;
   }
@@ -52,6 +55,7 @@
     return this.#known.get(name);
   }
 
+  /** Replaces the record of a name, whichever outranks the other: the caller has compared them. */
   put(member: Member, now: number): KnownMember {
     const before = this.#known.get(member.name);
     const known: KnownMember = {
@@ -87,6 +91,7 @@
     return this.#known.entries();
   }
 
+  /** Sums of the digests of the records in each bucket; equal tables have equal ones. */
   get digests(): Uint8Array {
     const bytes = new DataView(new ArrayBuffer(4 * MemberTable.buckets));
     this.#digests.forEach((digest, i) => bytes.setUint32(4 * i, digest));
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -12,11 +12,12 @@
 
 /**
  * Who is there, after SWIM: a node sends heartbeats to the few watchers that rendezvous hashing names for it, and in
- * between asks one of a few partners, a mute one too, for a sign of life: who lost its watchers with it is found by
+ * between asks one of a few partners, an unresponsive one too, for a sign of life: who lost its watchers with it is
+ * found by
  * nothing else. Partners are named by rendezvous hashing as well, so that what a node sends takes a few held
  * connections, however many members there are.
  * Whoever misses one asks directly and through others, and suspects only where another could not reach the silent one
- * either. Suspicions, refutations and all other changes travel as rumours on these frames; tables are compared rarely,
+ * either. Suspicions, refutations and all other changes travel on these frames; tables are compared rarely,
  * by digests. A suspicion speeds up routing and moves and takes no claim from anybody.
  */
 export class Membership extends EventEmitter<{ changed: []; suspected: [name: string] }> {
@@ -27,9 +28,9 @@
   static readonly suspectMs = 1400;
   static readonly forgetMs = 60_000;
   static readonly watchers = 3;
-  /** Members that a node asks for a sign of life, and tells a change at once. */
+  /** Members that a node asks for a sign of life, and sends a change at once. */
   static readonly partners = 8;
-  /** Others that are asked whether they reach a silent member; and how many partners are told a change. */
+  /** Others that are asked whether they reach a silent member; and how many partners are sent a change. */
   static readonly helpers = 3;
   static readonly pingTimeoutMs = 350;
   /** A helper's word needs its own ping first. */
@@ -92,6 +93,7 @@
     this.#detector = this.#makeDetector();
   }
 
+  /** Gossips from now on; only once. */
   start(): void {
     this.#tick();
     this.#clock.every(Membership.heartbeatIntervalMs, () => this.#tick());
@@ -110,10 +112,12 @@
     return isLately(known.member.isSuspected ? known.lastContactAt : this.#lastContactAt);
   }
 
+  /** Every member known, also those suspected or gone, by name; the same array until a record changes. */
   all(): readonly Member[] {
     return this.#table.all();
   }
 
+  /** The members that `isAlive` holds for, of one role (`nodeRole`) if one is given. */
   alive(role?: string): Member[] {
     return this.all().filter((member) => (role === undefined || member.role === role) && this.isAlive(member.name));
   }
@@ -127,7 +131,7 @@
     return since === undefined ? 0 : this.#clock.now() - since;
   }
 
-  /** The nodes that a member sends its beats to, as this node's table has it. */
+  /** The nodes that a member sends its heartbeats to, as this node's table has it. */
   watchersOf(name: string): string[] {
     const others = this.all().filter((member) => member.name !== name && MemberTable.isUp(member));
     return Rendezvous.choose(name, others, Membership.watchers);
@@ -142,7 +146,7 @@
     for (const member of recipients) this.#sendGossip(member.address, member.name);
   }
 
-  /** Tells what changed about this node without waiting for the next beat. */
+  /** Sends what changed about this node without waiting for the next tick. */
   gossipNow(): void {
     this.#publishOwnChanges();
     this.#scheduleChanges();
@@ -226,7 +230,7 @@
     const isUnknown =
       (known === undefined || MemberTable.isAbove({ ...known, ...stand }, { ...known, state: "left" })) &&
       !gossip.members.some((member) => member.name === from);
-    // A sender whose own record lost, to a suspicion or an earlier life, has to hear of it, to refute it.
+    // A sender whose own record lost, to a suspicion or an earlier incarnation, has to hear of it, to refute it.
     if (known !== undefined && MemberTable.isAbove(known, { ...known, ...stand })) answer.add(known);
     for (const member of gossip.members) {
       const better = this.find(member.name);
@@ -259,7 +263,7 @@
     return true;
   }
 
-  /** Refutes what is said of this node and is not so, or of an earlier life. */
+  /** Refutes what is said of this node and is not so, or is of an earlier incarnation. */
   #refute(member: Member): boolean {
     if (!MemberTable.isAbove(member, this.self)) return false;
     if (member.incarnation > this.self.incarnation) this.self.incarnation = member.incarnation + 1;
@@ -306,7 +310,7 @@
     const known = this.#table.find(name);
     if (known !== undefined) known.lastContactAt = now;
     this.#detector.onContact(name);
-    // Whoever is heard though it is suspected is told so, and refutes it.
+    // A member that sends although it is suspected is sent the suspicion, and refutes it.
     if (
       known?.member.isSuspected !== true ||
       known.member.state === "left" ||
--- a/packages/core/src/membership/membershipUpdates.ts
+++ b/packages/core/src/membership/membershipUpdates.ts
@@ -1,6 +1,9 @@
 import type { Member } from "../gen/cranetrack_pb.js";
 
-/** Changed records on their way through the fleet: each is told so many times, the least lately told first. */
+/**
+ * Changed records on their way through the fleet (the dissemination of SWIM, section 4): each is sent a number of times
+ * that grows with the logarithm of the fleet, the one sent least lately first.
+ */
 export class MembershipUpdates {
   /** Records in one frame at most. */
   static readonly maxPerFrame = 8;
@@ -12,15 +15,18 @@
     return 4 + 2 * Math.ceil(Math.log2(size + 1));
   }
 
+  /** Whether every change was sent as often as it is to be. */
   get isEmpty(): boolean {
     return this.#left.size === 0;
   }
 
+  /** A record changed; `size` is how many members the fleet has. */
   add(name: string, size: number): void {
     this.#left.delete(name);
     this.#left.set(name, MembershipUpdates.transmissions(size));
   }
 
+  /** The records for the next frame, each counted as sent once more. */
   nextBatch(find: (name: string) => Member | undefined): Member[] {
     const batch: Member[] = [];
     for (const [name, left] of [...this.#first()]) {
--- a/packages/core/src/replication/logReplicator.ts
+++ b/packages/core/src/replication/logReplicator.ts
@@ -25,7 +25,7 @@
 }
 
 /**
- * The spreading side of a replicated log: sends what each replica lacks, and judges what is committed.
+ * The leader of a replicated log: sends what each replica lacks, and decides what is committed (Raft, section 5.3).
  * Invariant: `commit` only rises, and passes an entry only when it is synced on a majority of every
  * voter set and an entry of this term is behind or at it.
  */
@@ -88,10 +88,12 @@
     this.#advance();
   }
 
+  /** The highest index that is known to be synced on a replica. */
   matchOf(id: string): number {
     return id === this.#self ? this.#log.syncedIndex : (this.#peers.get(id)?.match ?? 0);
   }
 
+  /** Milliseconds since a replica last replied; 0 for this node. */
   sinceContactMs(id: string): number {
     return id === this.#self ? 0 : this.#clock.now() - (this.#peers.get(id)?.lastContactAt ?? -Infinity);
   }
@@ -129,7 +131,8 @@
   }
 
   /**
-   * Keeps every replica told. What got lost on the way is found out by the refusal of the next append, whose hint says
+   * Sends heartbeats to every replica. What got lost on the way is found out by the refusal of the next append,
+   * whose hint says
    * what to send again; an answer that is late changes nothing in what is known. A replica that has heard everything
    * is sent nothing until `idleMs` after the last time.
    */
@@ -148,7 +151,7 @@
       if (peer.isWaiting && peer.transfer === undefined) this.#sendHeartbeat(id, peer);
   }
 
-  /** Who has been sent all that is committed and not been told that it is: they count as told from now on. */
+  /** Replicas that have all that is committed and were not sent that it is: they count as notified from now on. */
   takeUnnotified(): string[] {
     if (this.#isOver) return [];
     const found = [...this.#peers].filter(([, peer]) => peer.sentCommit < this.commit && peer.next > this.commit);
@@ -167,6 +170,7 @@
     });
   }
 
+  /** A reply that is late, repeated or of another term changes nothing but what it proves. */
   handleReply(reply: AppendReply): void {
     const peer = this.#peers.get(reply.sender);
     if (peer === undefined || ![reply.term, reply.round, reply.match].every(Number.isSafeInteger)) return;
@@ -207,6 +211,7 @@
     return false;
   }
 
+  /** Sends nothing any more; reads that wait for a confirmation are refused. */
   stop(): void {
     this.#isOver = true;
     for (const { resolve } of this.#rounds.splice(0)) resolve(false);
--- a/packages/core/src/rpc/rpcEndpoint.ts
+++ b/packages/core/src/rpc/rpcEndpoint.ts
@@ -19,7 +19,7 @@
   body: CallInit;
   /** It may not be repeated. */
   isOnce: boolean;
-  /** The only life of the asked process that carries it out; 0 where that was not known, or does not matter. */
+  /** The only incarnation of the asked process that executes it; 0 where that was not known, or does not matter. */
   calleeIncarnation: number;
 }
 /** What a frame says of the call that it belongs to; a message has the number 0. */
@@ -33,9 +33,9 @@
 
 /** Frames that were dropped since the start, by reason. */
 export interface DroppedFrames {
-  /** Replies to no open call: never asked, or settled before. */
+  /** Replies to no open call: never asked, or completed before. */
   unasked: number;
-  /** Replies to a call of another life of this process, or of an unexpected life of the asked one. */
+  /** Replies to a call of another incarnation of this process, or of an unexpected one of the asked process. */
   staleIncarnation: number;
   /** Replies of somebody who was not asked. */
   otherSender: number;
@@ -48,20 +48,20 @@
 }
 
 /**
- * Calls and tellings between named processes. A call that is not answered by its due settles
- * with undefined: it may or may not have been carried out.
+ * Calls and one-way messages between named processes. A call without a reply within its time-out completes with
+ * undefined: it may or may not have been executed.
  *
- * A call is named by the asked process, the asking process, its life and a number. The life is drawn at random at the
- * start (52 bits), so no restart repeats it and no clock is asked; the number rises within it. Only a reply that has
- * all four, and a kind that answers the call, settles it.
+ * A call is named by the asked process, the asking process, the incarnation of the latter and a number. The incarnation
+ * is drawn at random at the start (52 bits), so no restart repeats it and no clock is asked; the number rises within
+ * it. Only a reply that has all four, and a kind that answers the call, completes it.
  *
- * A call that may not be repeated (`callKinds.ts`) names the one life of the asked process that carries it out, and
- * that life carries it out at most once: a frame that comes twice, or only after a restart, runs nothing. Where the
- * asker does not know that life, the asked process tells it, and the call, which no life has carried out, is sent to
- * it.
+ * A call that may not be repeated (`callKinds.ts`) names the one incarnation of the asked process that executes it, and
+ * that one executes it at most once: a frame that comes twice, or only after a restart, runs nothing. Where the asker
+ * does not know the incarnation, the asked process replies with its own, and the call, which none has executed, is sent
+ * to that one.
  */
 export class RpcEndpoint extends EventEmitter<{ heard: [name: string]; unresponsive: [name: string] }> {
-  /** How often a mute peer is asked directly, and for how long its answer stands against frames that came round. */
+  /** How often an unresponsive peer is pinged, and how long its answer outweighs frames that came by a relay. */
   static readonly probeMs = 400;
   static readonly provenMs = 1500;
 
@@ -77,12 +77,12 @@
    */
   readonly #unresponsive = new Set<string>();
   readonly #proven = new Map<string, number>();
-  /** Who carries frames to a mute peer. */
+  /** Which node relays frames to an unresponsive peer. */
   readonly #relays = new Map<string, string>();
   #lastId = 0;
-  /** This process's life. */
+  /** The incarnation of this process. */
   readonly #incarnation: number;
-  /** Everybody's lives, as last heard. One that is over by now only makes a call fail. */
+  /** The last known incarnation of each process. One that is over by now only makes a call fail. */
   readonly #incarnations = new Map<string, number>();
   readonly #begun = new ServedCalls();
   readonly dropped: DroppedFrames = {
@@ -93,7 +93,7 @@
     repeated: 0,
     forged: 0,
   };
-  /** Told by membership. */
+  /** Set by membership. */
   addressOf: (name: string) => string | undefined = () => undefined;
   relaysFor: (name: string) => string[] = () => [];
 
@@ -110,16 +110,19 @@
     transport.onLost((address) => this.#onConnectionLost(address));
   }
 
+  /** Handles calls and messages of a kind; what `handle` returns is the reply, undefined none. */
   serve<C extends Case>(kind: C, handle: Serve<C>): void {
     const isMeant = (body: Body): body is Body & { case: C; value: Values[C] } => body.case === kind;
     this.#served.set(kind, (body, frame) => (isMeant(body) ? handle(body.value, frame) : undefined));
   }
 
+  /** Whether calls to a node go unanswered, or its address can't be reached, as far as is known here. */
   isUnresponsive(name: string): boolean {
     const address = this.addressOf(name);
     return this.#unresponsive.has(name) || (address !== undefined && !this.#transport.isReachable(address));
   }
 
+  /** Sends a message that is not answered; it is lost where the receiver is not known. */
   send(to: string, body: BodyInit): void {
     this.#send(to, { id: 0, isReply: false, body });
   }
@@ -134,6 +137,10 @@
     this.#transport.send(address, this.#encode(to, { id: 0, isReply: false, body }), "background");
   }
 
+  /**
+   * Resolves with the reply, or with undefined after `timeoutMs` or a broken connection: executed or not. Never
+   * rejects.
+   */
   call(to: string, body: CallInit, timeoutMs: number): Promise<Body | undefined> {
     return new Promise((resolve) => {
       const complete = (reply: Body | undefined): void => {
@@ -147,7 +154,7 @@
     });
   }
 
-  /** Settles every open call to a node that is known to be gone, at once. */
+  /** Completes every open call to a node that is known to be gone with undefined, at once. */
   abandonCallsTo(name: string): void {
     this.#incarnations.delete(name);
     for (const pending of [...this.#pending.values()]) if (pending.to === name) this.#onTimeout(pending);
@@ -171,7 +178,7 @@
     return 1 + Number.parseInt(random.identity().slice(0, 13), 16);
   }
 
-  /** The connection to an address broke: whoever is there now may be in another life. */
+  /** The connection to an address broke: the process there now may be another incarnation. */
   #onConnectionLost(address: string): void {
     for (const pending of [...this.#pending.values()])
       if (this.addressOf(pending.to) === address) this.#onTimeout(pending);
@@ -283,8 +290,8 @@
   }
 
   /**
-   * A life does not carry a call out. One that named no life was carried out by none and never will be: it is sent to
-   * this one. One that named another life may have been carried out there.
+   * An incarnation refused a call. A call that named none was executed by none and never will be: it is sent to this
+   * one. A call that named another incarnation may have been executed there.
    */
   #onStaleIncarnation(pending: PendingCall, incarnation: number): void {
     this.#incarnations.set(pending.to, incarnation);
@@ -293,7 +300,7 @@
     this.#open(pending);
   }
 
-  /** Carries another's own frame one hop; what was carried once is not carried again. */
+  /** Relays another node's own frame one hop; what was relayed once is not relayed again. */
   #forwardFrame(from: string, to: string, bytes: Uint8Array): void {
     const inner = Wire.decode(bytes);
     if (inner !== undefined && inner.from !== from) return void (this.dropped.forged += 1);
--- a/packages/core/src/rpc/servedCalls.ts
+++ b/packages/core/src/rpc/servedCalls.ts
@@ -4,7 +4,7 @@
  * never lets it run again.
  */
 export class ServedCalls {
-  /** Numbers remembered for each life of a caller; older ones lie below the floor. */
+  /** Numbers remembered for each incarnation of a caller; older ones are below the floor. */
   static readonly maxNumbers = 1024;
   /** Lives remembered; the one that called longest ago is forgotten first. */
   static readonly maxIncarnations = 4096;
--- a/packages/core/src/runtime/clock.ts
+++ b/packages/core/src/runtime/clock.ts
@@ -1,4 +1,4 @@
-/** Cancels a beat that has not come yet; a second call does nothing. */
+/** Cancels a timer that has not fired yet; a second call does nothing. */
 export interface TimerHandle {
   stop(): void;
 }
--- a/packages/core/src/runtime/settings.ts
+++ b/packages/core/src/runtime/settings.ts
@@ -15,9 +15,9 @@
   address,
   /** Where to listen, if not at the address that others know. */
   "listen?": address,
-  /** Without it the program has no HTTP front of its own. */
+  /** Where the HTTP API listens; without it there is none. */
   "http?": address,
-  /** Where an edge's clients connect, if not at its HTTP front; clients of a node that stops are sent there. */
+  /** Where an edge's clients connect, if not at its HTTP address; clients of a node that stops are sent there. */
   "clients?": address,
   seeds: address.array().atLeastLength(1).atMostLength(9),
   /**
--- a/packages/core/src/runtime/settingsWatch.ts
+++ b/packages/core/src/runtime/settingsWatch.ts
@@ -9,7 +9,7 @@
  */
 export class SettingsWatch extends EventEmitter<{ changed: [settings: Settings]; fault: [text: string] }> {
   static readonly periodMs = 1000;
-  /** Keys that a running process takes up when its file changes. */
+  /** Keys that a running process applies when its file changes. */
   static readonly live = ["maxConnections", "bufferBytes"] as const;
 
   readonly #path: string;
--- a/packages/core/src/storage/disk.ts
+++ b/packages/core/src/storage/disk.ts
@@ -1,3 +1,4 @@
+/** A key with its new value, or its removal. */
 export type DiskChange = { key: string; value: Uint8Array } | { key: string; isRemoved: true };
 
 /**
@@ -6,6 +7,7 @@
  * `write` resolves only once its changes would survive a loss of power.
  */
 export interface Disk {
+  /** Every key that begins with the prefix, in order. Throws `DataFolderError` where a value is damaged. */
   read(prefix: string): Array<{ key: string; value: Uint8Array }>;
   write(changes: DiskChange[]): Promise<void>;
 }
--- a/packages/core/src/storage/journalDisk.ts
+++ b/packages/core/src/storage/journalDisk.ts
@@ -18,6 +18,7 @@
   resolve: () => void;
   reject: (cause: unknown) => void;
 }
+/** How a journal is kept; sizes in bytes. */
 export interface JournalOptions {
   /** Room for everything in the folder; none given, none minded. */
   maxBytes?: number | undefined;
@@ -29,8 +30,8 @@
 }
 
 /**
- * A disk in one append-only file of sealed records: one write and one fdatasync a group commit. Values stay in
- * the file; memory holds where. What a loss of power tore is the last record, which nobody was told of.
+ * A disk in one append-only file of checksummed records: one write and one fdatasync a group commit. Values stay in
+ * the file; memory holds where. What a loss of power tore is the last record, which was acknowledged to nobody.
  * Invariants: at most one record is not covered by a sync; `#end` is behind the last record that is;
  * a file gets its name only when all of it is synced.
  */
@@ -67,6 +68,7 @@
     };
   }
 
+  /** Opens a folder or makes it. Throws `DataFolderError` where it is not ours or is damaged. */
   static async open(folder: string, options: JournalOptions = {}): Promise<JournalDisk> {
     try {
       NewFolder.make(folder);
