--- a/packages/control/src/consensus/applier.test.ts
+++ b/packages/control/src/consensus/applier.test.ts
@@ -10,8 +10,8 @@
 const entryCount = 100;
 const applyMs = 3;
 
-/** An applier of a log of empty entries, on a clock that the test moves. */
-async function makeApplier(): Promise<{ applier: Applier; pass: (ms: number) => void }> {
+/** An applier for a log of empty entries, with a clock that the test advances. */
+async function makeApplier(): Promise<{ applier: Applier; advanceClock: (ms: number) => void }> {
   let now = 0;
   const idle = { stop: () => undefined };
   const clock = { now: () => now, once: () => idle, every: () => idle };
@@ -20,20 +20,23 @@
     create(EntrySchema, { index: i + 1, term: 0, kind: entryKind.noop }),
   );
   await log.append(entries);
-  return { applier: new Applier(log, new MemberLog(log), storeCompaction, clock), pass: (ms) => void (now += ms) };
+  return {
+    applier: new Applier(log, new MemberLog(log), storeCompaction, clock),
+    advanceClock: (ms) => void (now += ms),
+  };
 }
 
-// Guards against members that answer no heartbeat and no vote while they apply what was committed before their start.
-test("a long run of committed entries is applied in slices of bounded time, in order and each once", async () => {
-  const { applier, pass } = await makeApplier();
+// Guards against members that answer no heartbeat and no vote while they apply entries committed before their start.
+test("many committed entries are applied in slices of bounded time, in order and each once", async () => {
+  const { applier, advanceClock } = await makeApplier();
   applier.advanceCommit(entryCount);
   const applied: number[] = [];
   const sliceLengths: number[] = [];
-  for (let isDone = false; !isDone;) {
+  for (let isFullyApplied = false; !isFullyApplied;) {
     const before = applied.length;
-    isDone = applier.applySlice(({ index }) => {
+    isFullyApplied = applier.applySlice(({ index }) => {
       applied.push(index);
-      pass(applyMs);
+      advanceClock(applyMs);
     });
     sliceLengths.push(applied.length - before);
   }
@@ -41,10 +44,10 @@
   expect(Math.max(...sliceLengths) * applyMs).toBeLessThanOrEqual(Applier.maxSliceMs + applyMs);
 });
 
-test("an entry that takes longer than a slice is applied whole, and nothing beyond the commit", async () => {
-  const { applier, pass } = await makeApplier();
+test("an entry that takes longer than a slice is applied completely, and none beyond the commit index", async () => {
+  const { applier, advanceClock } = await makeApplier();
   applier.advanceCommit(2);
-  const slow = (): void => pass(10 * Applier.maxSliceMs);
+  const slow = (): void => advanceClock(10 * Applier.maxSliceMs);
   expect(applier.applySlice(slow)).toEqual(false);
   expect(applier.applied).toEqual(1);
   expect(applier.applySlice(slow)).toEqual(true);
--- a/packages/control/src/consensus/applier.ts
+++ b/packages/control/src/consensus/applier.ts
@@ -8,13 +8,14 @@
 import { entryKind } from "./storeLog.js";
 
 /**
- * Applies committed entries to the state machine, in order and each once.
- * Invariants: `applied` never passes `commit`, and neither goes back; both begin at the end of the log's snapshot.
+ * Applies each committed entry to the state machine once, in log order.
+ * Invariants: `applied` never exceeds `commit`; neither decreases; both start at the index of the log's snapshot.
  */
 export class Applier {
-  /** Entries are applied for so long before messages get their turn: heartbeats, votes and replies wait behind them. */
+  /** How long entries are applied at a stretch; heartbeats, votes and replies wait meanwhile. */
   static readonly maxSliceMs = 20;
 
+  /** The state machine with all applied entries. */
   readonly metadata = new Metadata();
   readonly #clock: Clock;
   readonly #log: ReplicaLog;
@@ -32,24 +33,24 @@
     if (log.snapshotIndex > 0) memberLog.onSnapshotInstalled(this.metadata.install(log.snapshot));
   }
 
-  /** The last entry known to be committed. */
+  /** Index of the last entry known to be committed. */
   get commit(): number {
     return this.#commit;
   }
 
-  /** The last entry applied. */
+  /** Index of the last applied entry. */
   get applied(): number {
     return this.#applied;
   }
 
-  /** Moves the commit index up, as far as this log goes; a lower index changes nothing. */
+  /** Raises the commit index, at most to the end of this log; a lower index changes nothing. */
   advanceCommit(index: number): void {
     this.#commit = Math.max(this.#commit, Math.min(index, this.#log.lastIndex));
   }
 
   /**
-   * Applies committed entries, at least one where there is one, until all are applied or the slice of time is over.
-   * Returns whether all are applied; the caller goes on later where they are not.
+   * Applies committed entries until all are applied or `maxSliceMs` has passed, but at least one if there is one.
+   * Returns whether all are applied; if not, the caller calls again later.
    */
   applySlice(onApplied: (entry: Entry, applied: Applied) => void): boolean {
     const startedAt = this.#clock.now();
@@ -61,14 +62,14 @@
     return this.#applied >= this.#commit;
   }
 
-  /** Puts a snapshot in place of applied entries, once the log has outgrown its bounds; the disk follows later. */
+  /** Replaces applied entries by a snapshot if the log has outgrown its bounds; doesn't wait for the disk. */
   compactIfNeeded(): void {
     if (!this.#compaction.shouldCompact) return;
     const members = this.#memberLog.membersForSnapshot(this.#applied);
     void this.#compaction.compact(this.#applied, this.metadata.snapshot(members));
   }
 
-  /** The leader's snapshot takes the place of the state machine; the log has been replaced already. */
+  /** Replaces the state machine by the leader's snapshot; the caller has already replaced the log. */
   install(index: number, state: Uint8Array): void {
     this.#memberLog.onSnapshotInstalled(this.metadata.install(state));
     this.#commit = this.#applied = index;
--- a/packages/control/src/consensus/election.test.ts
+++ b/packages/control/src/consensus/election.test.ts
@@ -7,33 +7,33 @@
 import type { Disk, DiskChange } from "@cranetrack/core/storage/disk.js";
 import { Election, mayGrantVote } from "./election.js";
 
-/** Keeps what it is told to, at once. */
-function keepingDisk(): Disk {
-  const kept = new Map<string, Uint8Array>();
+/** A disk in memory whose writes take effect immediately. */
+function memoryDisk(): Disk {
+  const stored = new Map<string, Uint8Array>();
   return {
     read: (prefix) =>
-      [...kept]
+      [...stored]
         .filter(([key]) => key.startsWith(prefix))
         .sort(([a], [b]) => (a < b ? -1 : 1))
         .map(([key, value]) => ({ key, value })),
     write: (changes: DiskChange[]) => {
       for (const change of changes)
-        if ("isRemoved" in change) kept.delete(change.key);
-        else kept.set(change.key, change.value);
+        if ("isRemoved" in change) stored.delete(change.key);
+        else stored.set(change.key, change.value);
       return Promise.resolve();
     },
   };
 }
 
-/** A log with entries of the terms 1, 1, 2, 2 whose node has voted for `x` in term 5. */
-async function voter(disk = keepingDisk()): Promise<ReplicaLog> {
+/** A log with entries of the terms 1, 1, 2 and 2, whose node has voted for `x` in term 5. */
+async function logOfVoter(disk = memoryDisk()): Promise<ReplicaLog> {
   const log = new ReplicaLog(disk, "store");
   await log.append([1, 1, 2, 2].map((term, i) => create(EntrySchema, { index: i + 1, term })));
   await log.promise(5, "x");
   return log;
 }
 
-const asked = (
+const voteRequest = (
   term: number,
   candidate: string,
   lastTerm: number,
@@ -41,8 +41,8 @@
   isPre = false,
 ): Parameters<typeof mayGrantVote>[0] => create(VoteSchema, { term, candidate, lastTerm, lastIndex, isPre });
 
-test("a vote goes to a log that is at least as new: by its last term first, then by its length", async () => {
-  const log = await voter();
+test("a vote is granted to a log that is at least as up to date: by its last term, then by its length", async () => {
+  const log = await logOfVoter();
   const cases: Array<[lastTerm: number, lastIndex: number, isGranted: boolean]> = [
     [2, 4, true],
     [2, 5, true],
@@ -54,31 +54,31 @@
   ];
   for (const [lastTerm, lastIndex, isGranted] of cases)
     for (const isPre of [false, true])
-      expect(mayGrantVote(asked(6, "y", lastTerm, lastIndex, isPre), log, false)).toEqual(isGranted);
+      expect(mayGrantVote(voteRequest(6, "y", lastTerm, lastIndex, isPre), log, false)).toEqual(isGranted);
 });
 
-test("a term has one vote, also after a restart, and a lower term none", async () => {
-  const disk = keepingDisk();
-  await voter(disk);
-  const again = new ReplicaLog(disk, "store");
-  expect([again.term, again.vote]).toEqual([5, "x"]);
-  expect(mayGrantVote(asked(5, "y", 2, 4), again, false)).toEqual(false);
-  expect(mayGrantVote(asked(5, "x", 2, 4), again, false)).toEqual(true);
-  expect(mayGrantVote(asked(4, "x", 2, 4), again, false)).toEqual(false);
+test("a member votes once per term, also across a restart, and never in a lower term", async () => {
+  const disk = memoryDisk();
+  await logOfVoter(disk);
+  const reopenedLog = new ReplicaLog(disk, "store");
+  expect([reopenedLog.term, reopenedLog.vote]).toEqual([5, "x"]);
+  expect(mayGrantVote(voteRequest(5, "y", 2, 4), reopenedLog, false)).toEqual(false);
+  expect(mayGrantVote(voteRequest(5, "x", 2, 4), reopenedLog, false)).toEqual(true);
+  expect(mayGrantVote(voteRequest(4, "x", 2, 4), reopenedLog, false)).toEqual(false);
 });
 
-test("a log behind a snapshot is compared by the snapshot's last entry", async () => {
-  const disk = keepingDisk();
-  await (await voter(disk)).compact(4, new Uint8Array([1]));
-  const again = new ReplicaLog(disk, "store");
-  expect([again.lastTerm, again.lastIndex]).toEqual([2, 4]);
-  expect(mayGrantVote(asked(6, "y", 2, 3), again, false)).toEqual(false);
-  expect(mayGrantVote(asked(6, "y", 2, 4), again, false)).toEqual(true);
+test("a log that is compacted into a snapshot is compared by the snapshot's last entry", async () => {
+  const disk = memoryDisk();
+  await (await logOfVoter(disk)).compact(4, new Uint8Array([1]));
+  const reopenedLog = new ReplicaLog(disk, "store");
+  expect([reopenedLog.lastTerm, reopenedLog.lastIndex]).toEqual([2, 4]);
+  expect(mayGrantVote(voteRequest(6, "y", 2, 3), reopenedLog, false)).toEqual(false);
+  expect(mayGrantVote(voteRequest(6, "y", 2, 4), reopenedLog, false)).toEqual(true);
 });
 
-test("nobody gets a vote while a leader is heard", async () => {
-  const log = await voter();
-  expect(mayGrantVote(asked(9, "y", 9, 99), log, true)).toEqual(false);
+test("no vote is granted while the member has a leader", async () => {
+  const log = await logOfVoter();
+  expect(mayGrantVote(voteRequest(9, "y", 9, 99), log, true)).toEqual(false);
 });
 
 const electionMs = 300;
@@ -86,11 +86,11 @@
 const granted = (voter: string, term: number, isPre: boolean) =>
   create(VoteReplySchema, { voter, term, isPre, isGranted: true });
 
-/** The election state of member `a`, whose timeouts are always the shortest, at a clock that is set. */
+/** The election state of member `a`, whose timeouts are always the shortest, with a clock that the test sets. */
 function electionOfA(): { election: Election; clock: { ms: number } } {
   const clock = { ms: 0 };
-  const seam: Pick<Clock, "now"> = { now: () => clock.ms };
-  return { election: new Election("a", seam as Clock, { draw: () => 0, identity: () => "" }, electionMs), clock };
+  const clockStub: Pick<Clock, "now"> = { now: () => clock.ms };
+  return { election: new Election("a", clockStub as Clock, { draw: () => 0, identity: () => "" }, electionMs), clock };
 }
 
 test("only granted votes of the campaign's term and phase count, and each voter once", () => {
@@ -103,7 +103,7 @@
   expect([election.recordVote(granted("b", 4, false)), election.hasMajority(members)]).toEqual([true, true]);
 });
 
-test("a campaign that has ended, by a vote for another or a leader that is heard, wins no more", () => {
+test("a campaign that has ended, by a vote for another member or by a leader's message, can't be won", () => {
   for (const end of [
     (election: Election) => election.endCampaign(),
     (election: Election) => election.onLeaderHeard("c"),
@@ -116,7 +116,7 @@
   }
 });
 
-test("a member campaigns once its timeout is over, unless it hears a leader, stands by or has resigned", () => {
+test("a member campaigns after its timeout unless a leader contacts it, it is a standby or it has resigned", () => {
   const { election, clock } = electionOfA();
   election.resetTimer();
   expect([election.isTimedOut(electionMs - 1), election.isTimedOut(electionMs)]).toEqual([false, true]);
@@ -131,13 +131,13 @@
   expect(election.isTimedOut(500)).toEqual(false);
 });
 
-test("after a yield members campaign in turn, and the leader's term is followed no more", () => {
+test("after a leader yields, members campaign in turn and ignore later messages of the leader's term", () => {
   const { election, clock } = electionOfA();
   election.onLeaderHeard("b");
   clock.ms = 100;
   election.onLeaderYielded(4);
   election.waitForTurn(1);
-  expect([election.leaderId, election.hasYielded(4), election.hasYielded(5)]).toEqual(["", true, false]);
-  const turn = 100 + Election.turnMs;
+  expect([election.leaderId, election.isTermYielded(4), election.isTermYielded(5)]).toEqual(["", true, false]);
+  const turn = 100 + Election.campaignStaggerMs;
   expect([election.isTimedOut(turn - 1), election.isTimedOut(turn)]).toEqual([false, true]);
 });
--- a/packages/control/src/consensus/election.ts
+++ b/packages/control/src/consensus/election.ts
@@ -1,6 +1,6 @@
 /**
- * Elections of the metadata store's leader: Raft, sections 5.2 and 5.4.1, with the pre-vote of Ongaro's thesis, section
- * 9.6. State and decisions alone: `RaftNode` sends and syncs, so that one place says what happens before what.
+ * Leader election (Raft, sections 5.2 and 5.4.1) with pre-vote (Ongaro's thesis, section 9.6). This module holds only
+ * state and decisions: `RaftNode` sends and syncs, so that the order of these steps is set in one place.
  */
 import type { Members, Vote, VoteReply } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
@@ -9,8 +9,9 @@
 import { VoterSets } from "./voterSets.js";
 
 /**
- * Whether a vote may be granted (Raft, section 5.4.1): to a log at least as up to date, once a term, and to nobody
- * while a leader is heard (thesis, section 4.2.3). A pre-vote promises nothing, so it needs a higher term.
+ * Whether a vote may be granted: the candidate's log is at least as up to date (Raft, section 5.4.1), no other
+ * candidate got this member's vote in the term, and this member has no leader (Ongaro's thesis, section 4.2.3). A
+ * pre-vote isn't recorded as a vote, and is granted only for a higher term.
  */
 export function mayGrantVote(vote: Vote, log: ReplicaLog, hasLeader: boolean): boolean {
   const isUpToDate =
@@ -21,14 +22,14 @@
 }
 
 /**
- * Who leads as far as this member knows, when it campaigns next, and the votes of its campaign.
- * Invariants: at most one campaign at a time; only votes for its term and phase (pre-vote or vote) count; a leader that
- * yielded its term is not followed again in that term.
+ * The election state of one member: the leader that it knows, its election timer and the votes of its campaign.
+ * Invariants: there is at most one campaign at a time; only votes for its term and phase (pre-vote or vote) count; a
+ * leader that yielded its term is not followed again in that term.
  */
 export class Election {
-  /** After a yield the members campaign one after the other, this many milliseconds apart, to split no votes. */
-  static readonly turnMs = 80;
-  /** How many election timeouts a leader that gave way waits before it campaigns again. */
+  /** After a leader yields, members start to campaign this many milliseconds apart, to avoid split votes. */
+  static readonly campaignStaggerMs = 80;
+  /** How many election timeouts a leader that yielded for slowness waits before it campaigns again. */
   static readonly backOffTimeouts = 4;
 
   readonly #selfId: string;
@@ -36,8 +37,8 @@
   readonly #random: RandomSource;
   readonly #electionMs: number;
   #leaderId = "";
-  /** When this member campaigns, unless it hears a leader before. */
-  #deadline = 0;
+  /** When this member campaigns unless a leader contacts it first, in milliseconds by the clock. */
+  #campaignAt = 0;
   #votes = new Set<string>();
   #campaignTerm = 0;
   #isPreVote = false;
@@ -52,42 +53,45 @@
     this.#electionMs = electionMs;
   }
 
-  /** Disk id of the leader, this member included; empty while none is known. */
+  /** Disk id of the leader, which may be this member; empty while none is known. */
   get leaderId(): string {
     return this.#leaderId;
   }
 
-  /** The term that votes are requested for; 0 without a campaign. */
+  /** The term that this member campaigns for; 0 when there is no campaign. */
   get campaignTerm(): number {
     return this.#campaignTerm;
   }
 
-  /** Whether votes are being requested, pre-votes included; ends with a win, a contact of a leader or a higher term. */
+  /**
+   * Whether this member is requesting votes or pre-votes. A campaign ends when it is won, when a leader sends a
+   * message, or when this member takes part in another candidate's election.
+   */
   get isCampaigning(): boolean {
     return this.#campaignTerm !== 0;
   }
 
-  /** Whether the campaign is, or the last one was, in its pre-vote. */
+  /** Whether the campaign, or the last one if none is running, is in its pre-vote phase. */
   get isPreVote(): boolean {
     return this.#isPreVote;
   }
 
-  /** Whether to campaign now: no leader was heard in time, and this member takes part in elections. */
+  /** Whether to campaign now: the election timeout has passed, and this member takes part in elections. */
   isTimedOut(now: number): boolean {
-    return now >= this.#deadline && !this.#isResigned && !this.#isStandby;
+    return now >= this.#campaignAt && !this.#isResigned && !this.#isStandby;
   }
 
-  /** Draws the next timeout: 1 to 1.8 times the configured one (Raft, section 5.2: randomized timeouts). */
+  /** Restarts the timer with a random timeout of 1 to 1.8 times the configured one (Raft, section 5.2). */
   resetTimer(): void {
-    this.#deadline = this.#clock.now() + this.#electionMs * (1 + this.#random.draw() * 0.8);
+    this.#campaignAt = this.#clock.now() + this.#electionMs * (1 + this.#random.draw() * 0.8);
   }
 
-  /** Lets others lead first; this member campaigns again only if nobody does. */
+  /** Gives the other members time to elect a leader; this member campaigns only if none of them is elected. */
   backOff(now: number): void {
-    this.#deadline = now + this.#electionMs * Election.backOffTimeouts;
+    this.#campaignAt = now + this.#electionMs * Election.backOffTimeouts;
   }
 
-  /** Begins a campaign with its own vote; one under way is given up. */
+  /** Starts a campaign with this member's own vote; it replaces a running campaign. */
   startCampaign(term: number, isPreVote: boolean): void {
     this.resetTimer();
     this.#isPreVote = isPreVote;
@@ -96,35 +100,38 @@
     this.#votes = new Set([this.#selfId]);
   }
 
-  /** Votes that are still on their way count no more: this member has promised its vote to another. */
+  /** Ends the campaign, so that votes in transit no longer count: this member takes part in another election. */
   endCampaign(): void {
     this.#campaignTerm = 0;
   }
 
-  /** Whether real votes are still requested for a term, once the own vote in it is synced. */
+  /** Whether this member is still campaigning for real votes in the term; checked once its own vote is synced. */
   isCandidate(term: number): boolean {
     return this.#campaignTerm === term && !this.#isPreVote;
   }
 
-  /** Counts a granted vote; false where it isn't one for this campaign. The caller checks that the voter is one. */
+  /**
+   * Records a granted vote; returns false if it was refused or isn't for this campaign. The caller checks that the
+   * sender is a voter.
+   */
   recordVote(reply: VoteReply): boolean {
     if (!reply.isGranted || this.#campaignTerm !== reply.term || reply.isPre !== this.#isPreVote) return false;
     this.#votes.add(reply.voter);
     return true;
   }
 
-  /** Whether the campaign has a majority, of both sets in a joint configuration. */
+  /** Whether the campaign has a majority; in a joint configuration, a majority of both sets. */
   hasMajority(members: Members): boolean {
     return this.isCampaigning && VoterSets.isMajority(members, this.#votes);
   }
 
-  /** This member won its campaign. */
+  /** Records that this member won its campaign. */
   onElected(): void {
     this.#campaignTerm = 0;
     this.#leaderId = this.#selfId;
   }
 
-  /** A leader of the current term is heard; true where it was not known to lead. */
+  /** Records a message from the leader of the current term; returns whether that leader is new to this member. */
   onLeaderHeard(leaderId: string): boolean {
     this.#campaignTerm = 0;
     this.resetTimer();
@@ -133,39 +140,39 @@
     return true;
   }
 
-  /** This member leads no longer, and waits a full timeout before it campaigns. */
+  /** Records that this member stopped leading; it waits a full election timeout before it campaigns. */
   onSteppedDown(): void {
     this.#leaderId = "";
     this.resetTimer();
   }
 
-  /** The leader of a term gave it up: whatever still comes of that term was sent before. */
+  /** Records that the leader yielded this term: messages of the term that arrive later were sent before. */
   onLeaderYielded(term: number): void {
     this.#leaderId = "";
     this.#yieldedTerm = term;
   }
 
-  /** Whether the leader of a term is followed no more, since it or a later one gave up. */
-  hasYielded(term: number): boolean {
+  /** Whether messages of this term's leader no longer count, because the leader of this or a later term yielded. */
+  isTermYielded(term: number): boolean {
     return term <= this.#yieldedTerm;
   }
 
-  /** Campaigns after those of a lower rank have had their turn. */
+  /** Sets the timer so that members campaign one after another, in order of their rank from 0. */
   waitForTurn(rank: number): void {
-    this.#deadline = this.#clock.now() + rank * Election.turnMs;
+    this.#campaignAt = this.#clock.now() + rank * Election.campaignStaggerMs;
   }
 
-  /** Removed from the members: no campaign until a leader sends to it again. */
+  /** This member was removed: it doesn't campaign until a leader contacts it again. */
   standBy(): void {
     this.#isStandby = true;
   }
 
-  /** A leader sends to this member: it belongs to the members again. */
+  /** A leader contacted this member, so it is a member again and may campaign. */
   endStandby(): void {
     this.#isStandby = false;
   }
 
-  /** The process is stopping: no campaign any more. */
+  /** The process is stopping: this member doesn't campaign any more. */
   resign(): void {
     this.#isResigned = true;
   }
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -17,43 +17,45 @@
 import { MembershipStatus } from "../membership/membershipStatus.js";
 import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
-/** The record `identity` on the disk, as JSON: its field names rest there and never change. */
+/** The record `identity` on the disk, stored as JSON, so the field names must never change. */
 interface Identity {
-  /** Drawn when the disk was blank. */
+  /** Random id of the disk, drawn when the disk was blank. */
   id: string;
-  /** The founding that this disk belongs to; empty before. */
+  /** Id of the founding of the store that this disk belongs to; empty while it belongs to none. */
   founding: string;
-  /** The founding that it agreed to last; empty before. */
+  /** Id of the founding that this control node last agreed to; empty while there is none. */
   agreed: string;
-  /** Who agreed to that founding, or were asked to. */
+  /** Members of the store by that founding, whether or not all of them have agreed to it. */
   members: Array<{ id: string; name: string }>;
-  /** What the settings said when this disk was blank. */
+  /** The setting `mayFound` as of when this disk was blank. */
   mayFound: boolean;
-  /** The machine that the disk is of, and how often a process was started on it; disks of older builds lack both. */
+  /** The machine that the disk belongs to; older builds did not write it. */
   name?: string;
+  /** How often a process was started on the disk; older builds did not write it. */
   starts?: number;
 }
 
 /**
- * How a store comes to be: the control nodes at the founders' addresses, or the expected number of blank control nodes
- * where no founders are named, agree, all of them, each synced. Any other blank control node joins.
- * Invariants: an identity is synced before it is used; a control node accepts only the founding it agreed to
- * last; a founded control node never agrees again; a disk that was blank at a start that may not found takes part in a
- * founding only beside a majority of named founders, none of which was ever founded: without one of them no store can
- * have committed anything.
+ * Founds the metadata store, that is, bootstraps its Raft group. The founders are the control nodes at the addresses in
+ * the settings or, if the settings name none, the configured number of blank control nodes. All of them must agree, and
+ * each syncs its agreement first. Any other blank control node joins the store once it is founded.
+ * Invariants: an identity is synced before it is used; a control node accepts only the founding that it last agreed to;
+ * a control node that belongs to a store never agrees to another founding; a disk that was blank when the settings did
+ * not allow founding takes part in a founding only together with a majority of the named founders, none of which
+ * belongs to a store. Without a member of that majority no store can have committed anything.
  */
 export class Founding extends EventEmitter<{ founded: [] }> {
   readonly #node: ClusterNode;
   readonly #disk: Disk;
-  readonly #expected: number;
+  readonly #founderCount: number;
   readonly #founders: readonly string[] | undefined;
   #identity: Identity;
   #isTicking = false;
-  #isReady = false;
+  #hasStarted = false;
   #nextJoinAt = 0;
-  /** A store is there, and has enough members without this node. */
+  /** Whether a founded store has enough members without this node. */
   isStandby = false;
-  /** What the founding waits for, for status; empty once founded. */
+  /** What founding or joining waits for, for the status; empty once the node belongs to a store. */
   waitingFor = "";
 
   constructor(node: ClusterNode, disk: Disk) {
@@ -62,22 +64,22 @@
     this.#disk = disk;
     const { founders, controlNodes: controlCount, mayFound } = node.parts.settings;
     this.#founders = founders;
-    this.#expected = founders?.length ?? controlCount;
-    const kept = disk.read("identity")[0];
+    this.#founderCount = founders?.length ?? controlCount;
+    const storedIdentity = disk.read("identity")[0];
     this.#identity =
-      kept === undefined
+      storedIdentity === undefined
         ? { id: node.parts.random.identity(), founding: "", agreed: "", members: [], mayFound }
-        : (JSON.parse(Buffer.from(kept.value).toString()) as Identity);
+        : (JSON.parse(Buffer.from(storedIdentity.value).toString()) as Identity);
     node.rpc.serve("foundingRequest", (request) => this.#handleFoundingRequest(request));
     node.rpc.serve("founded", (founded) => this.#handleFounded(founded));
   }
 
-  /** Of this disk, for as long as it is not wiped. */
+  /** Id of this disk; changes only if the disk is wiped. */
   get id(): string {
     return this.#identity.id;
   }
 
-  /** Of the store that this disk belongs to; empty until it is founded or joined. */
+  /** Id of the founding of the store that this disk belongs to; empty until the store is founded or joined. */
   get founding(): string {
     return this.#identity.founding;
   }
@@ -87,7 +89,7 @@
     return this.founding === "" && this.#identity.mayFound && (this.#founders?.includes(address) ?? true);
   }
 
-  /** Why the disk is not this machine's: it would be in the place of another member. */
+  /** An error message if the disk belongs to another machine, whose place as a member it would take. */
   diskFault(): string | undefined {
     const { name } = this.#node.parts.settings;
     const owner = this.#identity.name ?? name;
@@ -95,8 +97,8 @@
   }
 
   /**
-   * Counts this start on the disk, and from then on agrees to foundings. Emits `founded` at once on a disk that belongs
-   * to a store, otherwise when it does.
+   * Records this start on the disk; afterwards the node may agree to foundings. Emits `founded` immediately if the disk
+   * belongs to a store, otherwise once it does.
    */
   async start(): Promise<void> {
     const { incarnation, settings } = this.#node.parts;
@@ -105,7 +107,7 @@
     const { self } = this.#node.membership;
     self.processIncarnation = String(incarnation);
     self.diskStarts = this.#identity.starts!;
-    this.#isReady = true;
+    this.#hasStarted = true;
     if (this.founding !== "") return void this.emit("founded");
     this.#node.parts.clock.every(250, () => void this.#tick());
   }
@@ -118,55 +120,60 @@
   }
 
   async #tick(): Promise<void> {
-    if (this.founding !== "" || this.#isTicking || !this.#isReady) return;
+    if (this.founding !== "" || this.#isTicking || !this.#hasStarted) return;
     this.#isTicking = true;
     const controlNodes = this.#node.membership.alive(nodeRole.control).filter((member) => member.disk !== "");
-    const founders = controlNodes.filter((member) => member.isFounder && this.#isNamed(member.address));
-    const founded = controlNodes.find((member) => member.isInStore) ?? controlNodes.find((member) => member.isFounded);
-    if (founded !== undefined) await this.#join(founded);
+    const founders = controlNodes.filter((member) => member.isFounder && this.#isFounderAddress(member.address));
+    const foundedNode =
+      controlNodes.find((member) => member.isInStore) ?? controlNodes.find((member) => member.isFounded);
+    if (foundedNode !== undefined) await this.#join(foundedNode);
     else if (!this.#isFounder) this.waitingFor = "waits for a founded store to join, and founds none itself";
     else {
       const candidates = this.#candidates(controlNodes, founders);
-      if (candidates.length !== this.#expected)
+      if (candidates.length !== this.#founderCount)
         this.waitingFor =
-          `founding waits: ${candidates.length} of ${this.#expected} blank lathes are here ` +
+          `founding waits: ${candidates.length} of ${this.#founderCount} blank lathes are here ` +
           `(${candidates.map((member) => member.name).join(", ")})`;
-      else if (this.#isFirst(founders)) await this.#proposeFounding(candidates);
-      else this.waitingFor = "founding waits for the agreement of all lathes";
+      else if (this.#isProposer(founders)) await this.#proposeFounding(candidates);
+      else this.waitingFor = "founding waits for the agreement of all control nodes";
     }
     this.#isTicking = false;
   }
 
   /**
-   * Who may found together: the founders. Where most of those that the settings name are here, also a control node at a
-   * named address that says it may not: its process ended at its first start before it wrote to its disk.
+   * The control nodes that may found the store together: the founders. If a majority of the founders named in the
+   * settings is present, a control node at a named address takes part even if it says that it may not found: its
+   * process ended during its first start before it wrote to its disk.
    */
   #candidates(controlNodes: readonly Member[], founders: readonly Member[]): readonly Member[] {
     if (this.#founders === undefined || !this.#isMajority(founders.length)) return founders;
-    return controlNodes.filter((member) => this.#isNamed(member.address));
+    return controlNodes.filter((member) => this.#isFounderAddress(member.address));
   }
 
   #isMajority(count: number): boolean {
-    return count > this.#expected / 2;
+    return count > this.#founderCount / 2;
   }
 
-  /** Whether this disk may take part in a founding that these members agree to. */
-  #maySign(members: readonly StoreMember[]): boolean {
+  /** Whether this disk may take part in a founding with these members. */
+  #mayAgreeWith(members: readonly StoreMember[]): boolean {
     if (this.#isFounder) return true;
     const founders = members.filter(({ name }) => this.#node.membership.find(name)?.isFounder === true);
     return this.founding === "" && this.#isMajority(founders.length);
   }
 
-  #isNamed(address: string | undefined): boolean {
+  #isFounderAddress(address: string | undefined): boolean {
     return this.#founders === undefined || (address !== undefined && this.#founders.includes(address));
   }
 
-  /** One of them proposes: the one whose disk has the lowest id. */
-  #isFirst(controlNodes: readonly Member[]): boolean {
+  /** Whether this node proposes the founding: its disk has the lowest id of all. */
+  #isProposer(controlNodes: readonly Member[]): boolean {
     return controlNodes.every((member) => member.disk >= this.id);
   }
 
-  /** Asks all blank control nodes to agree, and founds where every one did; asked again under the same token. */
+  /**
+   * Asks all candidates to agree, and founds the store if every one of them does. A repeated attempt with the same
+   * members uses the same founding id.
+   */
   async #proposeFounding(controlNodes: readonly Member[]): Promise<void> {
     const members = controlNodes.map((member) => ({ id: member.disk, name: member.name }));
     const founding =
@@ -174,35 +181,42 @@
         ? this.#identity.agreed
         : this.#node.parts.random.identity();
     const request: BodyInit = { case: "foundingRequest", value: { founding, members } };
-    const own = await this.#handleFoundingRequest({ founding, members: members as StoreMember[] } as FoundingRequest);
+    const ownReply = await this.#handleFoundingRequest({
+      founding,
+      members: members as StoreMember[],
+    } as FoundingRequest);
     const others = members.filter((member) => member.id !== this.id);
     const replies = await Promise.all(others.map((member) => this.#node.rpc.call(member.name, request, 1000)));
-    const refused = others.filter((_, i) => !(replies[i]?.case === "foundingReply" && replies[i].value.isAgreed));
+    const withoutAgreement = others.filter(
+      (_, i) => !(replies[i]?.case === "foundingReply" && replies[i].value.isAgreed),
+    );
     this.waitingFor =
-      refused.length > 0 ? `founding waits: no agreement of ${refused.map((member) => member.name).join(", ")}` : "";
-    const isOwn = own.case === "foundingReply" && own.value.isAgreed === true;
-    if (refused.length > 0 || !isOwn || this.#identity.agreed !== founding) return;
+      withoutAgreement.length > 0
+        ? `founding waits: no agreement of ${withoutAgreement.map((member) => member.name).join(", ")}`
+        : "";
+    const hasOwnAgreement = ownReply.case === "foundingReply" && ownReply.value.isAgreed === true;
+    if (withoutAgreement.length > 0 || !hasOwnAgreement || this.#identity.agreed !== founding) return;
     await this.#writeFirstEntry(founding, members);
     for (const member of others) this.#node.rpc.send(member.name, { case: "founded", value: { founding, members } });
   }
 
-  /** Agrees to a founding that is as the settings say; the agreement is synced before it is sent. */
+  /** Agrees to a founding that fits the settings; the agreement is synced before the reply. */
   async #handleFoundingRequest(request: FoundingRequest): Promise<BodyInit> {
     if (this.founding !== "") return { case: "foundingReply", value: { isAgreed: false, veto: this.founding } };
     const mayAgree =
-      this.#isReady &&
-      this.#maySign(request.members) &&
-      request.members.length === this.#expected &&
+      this.#hasStarted &&
+      this.#mayAgreeWith(request.members) &&
+      request.members.length === this.#founderCount &&
       request.members.some((member) => member.id === this.id) &&
-      request.members.every((member) => this.#isNamed(this.#node.membership.find(member.name)?.address));
+      request.members.every((member) => this.#isFounderAddress(this.#node.membership.find(member.name)?.address));
     if (!mayAgree) return { case: "foundingReply", value: { isAgreed: false, veto: "" } };
-    const before = this.#identity.agreed;
+    const previouslyAgreed = this.#identity.agreed;
     this.#identity = {
       ...this.#identity,
       agreed: request.founding,
       members: request.members.map(({ id, name }) => ({ id, name })),
     };
-    if (before !== request.founding) await this.#writeIdentity();
+    if (previouslyAgreed !== request.founding) await this.#writeIdentity();
     return {
       case: "foundingReply",
       value: { isAgreed: this.#identity.agreed === request.founding && this.founding === "", veto: "" },
@@ -215,7 +229,7 @@
     return undefined;
   }
 
-  /** Everyone starts from the same first entry: who the members are. */
+  /** Writes the first entry of the log, the members; it is the same on all founders. */
   async #writeFirstEntry(founding: string, members: ReadonlyArray<{ id: string; name: string }>): Promise<void> {
     const log = new ReplicaLog(this.#disk, logGroupNames.store);
     if (log.lastIndex === 0) {
@@ -234,18 +248,21 @@
     this.emit("founded");
   }
 
-  /** A blank control node beside a founded store: one of its founders, whose notice was lost, or a new member. */
-  async #join(founded: Member): Promise<void> {
-    if (!this.isStandby) this.waitingFor = `asks ${founded.name} to join the founded store`;
-    if (this.#identity.agreed === founded.founding)
-      return this.#writeFirstEntry(founded.founding, this.#identity.members);
+  /**
+   * Joins a founded store as a blank control node. A node that agreed to this founding missed the `founded` message and
+   * only writes the first entry; any other node asks the store to admit it.
+   */
+  async #join(foundedNode: Member): Promise<void> {
+    if (!this.isStandby) this.waitingFor = `asks ${foundedNode.name} to join the founded store`;
+    if (this.#identity.agreed === foundedNode.founding)
+      return this.#writeFirstEntry(foundedNode.founding, this.#identity.members);
     const { clock } = this.#node.parts;
     if (clock.now() < this.#nextJoinAt) return;
-    const outcome = await MembershipStatus.requestJoin(this.#node, founded.name, this.id);
-    if (outcome === "done") return this.#completeFounding(founded.founding);
+    const outcome = await MembershipStatus.requestJoin(this.#node, foundedNode.name, this.id);
+    if (outcome === "done") return this.#completeFounding(foundedNode.founding);
     this.isStandby = outcome === "standby" || (outcome === "away" && this.isStandby);
     if (!this.isStandby) return;
-    this.waitingFor = "stands by: enough lathes vote";
+    this.waitingFor = "stands by: enough control nodes vote";
     this.#nextJoinAt = clock.now() + MembershipStatus.tickIntervalMs;
   }
 }
--- a/packages/control/src/consensus/leaderContact.test.ts
+++ b/packages/control/src/consensus/leaderContact.test.ts
@@ -7,32 +7,32 @@
 
 function contactAt(start: number): { contact: LeaderContact; clock: { ms: number } } {
   const clock = { ms: start };
-  const seam: Pick<Clock, "now"> = { now: () => clock.ms };
-  return { contact: new LeaderContact(seam as Clock, electionMs), clock };
+  const clockStub: Pick<Clock, "now"> = { now: () => clock.ms };
+  return { contact: new LeaderContact(clockStub as Clock, electionMs), clock };
 }
 
-test("a member is current for 1.3 elections after it last had all that its leader had committed", () => {
+test("a member is current for 1.3 election timeouts after it last had everything its leader had committed", () => {
   const { contact, clock } = contactAt(1000);
   contact.onMessage();
   expect(contact.isCurrent).toEqual(false);
   contact.onCaughtUp();
   clock.ms += 75;
   contact.tick();
-  expect([contact.isCurrent, contact.heardAgo]).toEqual([true, 75]);
-  // It hears its leader all the time, and is not current any more.
+  expect([contact.isCurrent, contact.sinceHeardMs]).toEqual([true, 75]);
+  // It still receives messages from its leader, but is no longer current.
   for (let i = 0; i < 5; i += 1) {
     clock.ms += 75;
     contact.tick();
     contact.onMessage();
   }
-  expect([contact.isCurrent, contact.heardAgo]).toEqual([false, 0]);
+  expect([contact.isCurrent, contact.sinceHeardMs]).toEqual([false, 0]);
 });
 
-test("what a process reads just after it stood still makes nobody current", () => {
+test("messages that a process reads just after a pause don't make it current", () => {
   const { contact, clock } = contactAt(1000);
   contact.onCaughtUp();
   clock.ms += 20_000;
-  // Read before any timer came.
+  // These messages are read before any timer runs.
   contact.onMessage();
   contact.onCaughtUp();
   expect(contact.isCurrent).toEqual(false);
--- a/packages/control/src/consensus/leaderContact.ts
+++ b/packages/control/src/consensus/leaderContact.ts
@@ -1,65 +1,69 @@
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
 
 /**
- * When a member last heard its leader, and when it last had all that the leader had committed.
- * Invariant: what a process reads just after it stood still counts for nothing here, since it may have lain in a
- * buffer for as long.
+ * Tracks when a follower last received a message from its leader, and when it last had applied everything that the
+ * leader had committed.
+ * Invariant: a process is not considered current because of messages that it reads just after a pause, since these may
+ * have been in a buffer for the whole pause.
  */
 export class LeaderContact {
-  /** Out of touch after so many election timeouts. */
-  static readonly limitTimeouts = 1.3;
-  /** A process whose timers did not run for so many election timeouts stood still. */
-  static readonly stoppedTimeouts = 2;
+  /** `staleAfterMs`, in election timeouts. */
+  static readonly staleAfterTimeouts = 1.3;
+  /** A process whose timers did not run for this many election timeouts was paused. */
+  static readonly pauseTimeouts = 2;
 
-  /** A leader without its majority, or a member that was not current, for so many milliseconds is out of touch. */
-  readonly limitMs: number;
+  /**
+   * After this many milliseconds without contact to its majority a leader is out of touch; the same goes for a follower
+   * that was not current for as long.
+   */
+  readonly staleAfterMs: number;
   readonly #clock: Clock;
-  readonly #stoppedMs: number;
-  #heardAt: number;
-  #currentAt = -Infinity;
-  #tickAt: number;
+  readonly #pauseMs: number;
+  #lastHeardAt: number;
+  #lastCurrentAt = -Infinity;
+  #lastTickAt: number;
   #resumedAt = -Infinity;
 
   constructor(clock: Clock, electionMs: number) {
     this.#clock = clock;
-    this.limitMs = electionMs * LeaderContact.limitTimeouts;
-    this.#stoppedMs = electionMs * LeaderContact.stoppedTimeouts;
-    this.#heardAt = this.#tickAt = clock.now();
+    this.staleAfterMs = electionMs * LeaderContact.staleAfterTimeouts;
+    this.#pauseMs = electionMs * LeaderContact.pauseTimeouts;
+    this.#lastHeardAt = this.#lastTickAt = clock.now();
   }
 
-  /** Milliseconds since the leader's last message, whatever came of it. */
-  get heardAgo(): number {
-    return this.#clock.now() - this.#heardAt;
+  /** Milliseconds since the last message from the leader, even if the message could not be applied. */
+  get sinceHeardMs(): number {
+    return this.#clock.now() - this.#lastHeardAt;
   }
 
-  /** Whether this member had lately all that its leader had committed, and did not stand still since. */
+  /** Whether this member recently had everything that its leader had committed, and was not paused since. */
   get isCurrent(): boolean {
-    return !this.hasJustResumed && this.#clock.now() - this.#currentAt < this.limitMs;
+    return !this.hasJustResumed && this.#clock.now() - this.#lastCurrentAt < this.staleAfterMs;
   }
 
-  /** Whether the process stood still, and went on less than `limitMs` ago. */
+  /** Whether the process resumed from a pause less than `staleAfterMs` ago. */
   get hasJustResumed(): boolean {
     this.#detectPause();
-    return this.#clock.now() - this.#resumedAt < this.limitMs;
+    return this.#clock.now() - this.#resumedAt < this.staleAfterMs;
   }
 
-  /** To be called at every timer of the member. */
+  /** Must be called at every tick of the member's timer: gaps between the calls show pauses of the process. */
   tick(): void {
     this.#detectPause();
-    this.#tickAt = this.#clock.now();
+    this.#lastTickAt = this.#clock.now();
   }
 
-  /** A message of the leader is here, whatever it says. */
+  /** Records a message from the leader, whatever its content. */
   onMessage(): void {
-    this.#heardAt = this.#clock.now();
+    this.#lastHeardAt = this.#clock.now();
   }
 
-  /** Everything that the leader had committed when it sent its last message has been applied. */
+  /** Records that everything that the leader had committed when it sent its last message is applied here. */
   onCaughtUp(): void {
-    if (!this.hasJustResumed) this.#currentAt = this.#clock.now();
+    if (!this.hasJustResumed) this.#lastCurrentAt = this.#clock.now();
   }
 
   #detectPause(): void {
-    if (this.#clock.now() - this.#tickAt > this.#stoppedMs) this.#resumedAt = this.#tickAt = this.#clock.now();
+    if (this.#clock.now() - this.#lastTickAt > this.#pauseMs) this.#resumedAt = this.#lastTickAt = this.#clock.now();
   }
 }
--- a/packages/control/src/consensus/leadership.ts
+++ b/packages/control/src/consensus/leadership.ts
@@ -1,4 +1,4 @@
-/** What a member of the metadata store has only while it leads: etcd's raft calls it the leader's progress tracking. */
+/** State that a member of the metadata store has only while it leads (progress tracking in etcd's raft). */
 import type { Members } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import { LogReplicator } from "@cranetrack/core/replication/logReplicator.js";
@@ -6,42 +6,43 @@
 import type { RpcEndpoint } from "@cranetrack/core/rpc/rpcEndpoint.js";
 import { VoterSets } from "./voterSets.js";
 
-/** What one term's leadership works with. */
-export interface LeadershipParts {
+/** What a leader needs for one term. */
+export interface LeadershipOptions {
   readonly selfId: string;
   readonly log: ReplicaLog;
   readonly clock: Clock;
   readonly rpc: RpcEndpoint;
   /** The leader's commit index when it was elected. */
   readonly commit: number;
-  /** The members in force, asked again for every message: an address may have come with the newest entry. */
+  /** Returns the current members; called for every message, as the newest entry may have added the receiver. */
   readonly members: () => Members;
 }
 
-/** How far one member has come, as its leader knows. */
+/** A member's replication progress, as known to the leader. */
 export interface MemberProgress {
-  /** The last entry known to be on its disk. */
+  /** Index of the last entry that is known to be on the member's disk. */
   readonly match: number;
-  /** How many entries it lacks; `Infinity` where this node doesn't lead. */
-  readonly behind: number;
-  /** Milliseconds since its last answer; `Infinity` where this node doesn't lead. */
-  readonly heardAgo: number;
+  /** How many of the leader's entries the member lacks; `Infinity` if this node doesn't lead. */
+  readonly entriesBehind: number;
+  /** Milliseconds since the member's last answer; `Infinity` if this node doesn't lead. */
+  readonly sinceHeardMs: number;
 }
 
 /** One term of this member as leader, from its election until it steps down. */
 export class Leadership {
-  /** Where this node doesn't lead, it knows nothing of others. */
-  static readonly unknownProgress: MemberProgress = { match: 0, behind: Infinity, heardAgo: Infinity };
+  /** The progress of every member as far as a node knows that doesn't lead. */
+  static readonly unknownProgress: MemberProgress = { match: 0, entriesBehind: Infinity, sinceHeardMs: Infinity };
 
+  /** Sends the log to the other members and determines what is committed. */
   readonly replicator: LogReplicator;
   /**
-   * The term's first entry. Once it is committed, the leader knows all that was committed before it (Raft, section 8)
-   * and may serve.
+   * Index of the no-op entry that starts the term. Once it is committed, the leader knows every entry that was
+   * committed before (Raft, section 8) and may serve requests.
    */
   readonly noopIndex: number;
   readonly #log: ReplicaLog;
 
-  constructor({ selfId, log, clock, rpc, commit, members }: LeadershipParts) {
+  constructor({ selfId, log, clock, rpc, commit, members }: LeadershipOptions) {
     this.#log = log;
     this.noopIndex = log.lastIndex + 1;
     this.replicator = new LogReplicator({
@@ -50,18 +51,18 @@
       self: selfId,
       term: log.term,
       commit,
-      send: (id, body) => rpc.send(VoterSets.names(members()).get(id) ?? "", body),
+      send: (id, body) => rpc.send(VoterSets.namesById(members()).get(id) ?? "", body),
     });
   }
 
-  /** Replicates to these members from now on; commits need a majority of each set of voters. */
+  /** Sets the members to replicate to; a commit needs a majority of each set of voters. */
   setMembers(members: Members): void {
     this.replicator.setMembers(VoterSets.idSets(members), VoterSets.learnerIds(members));
   }
 
-  /** What the leader knows of one member, for whoever decides when it is a voter. */
+  /** A member's replication progress, by which the leader decides when to make it a voter. */
   progressOf(id: string): MemberProgress {
     const match = this.replicator.matchOf(id);
-    return { match, behind: this.#log.lastIndex - match, heardAgo: this.replicator.sinceContactMs(id) };
+    return { match, entriesBehind: this.#log.lastIndex - match, sinceHeardMs: this.replicator.sinceContactMs(id) };
   }
 }
--- a/packages/control/src/consensus/memberLog.ts
+++ b/packages/control/src/consensus/memberLog.ts
@@ -4,73 +4,76 @@
 import { entryKind } from "./storeLog.js";
 
 /**
- * Who the members of the Raft group are, as the log itself says (Raft, section 6; thesis, section 4.1).
- * Invariant: the members in force are the newest in the log, committed or not; without any, the snapshot's.
+ * Tracks the members of the Raft group, which are configured by entries of the log (Raft, section 6; Ongaro's thesis,
+ * section 4.1).
+ * Invariant: the current members are those of the newest members entry, committed or not; if there is none, those of
+ * the snapshot.
  */
 export class MemberLog {
   readonly #log: ReplicaLog;
   #snapshotMembers: Members | undefined;
   #members: Members = create(MembersSchema, {});
-  #index = 0;
-  #term = -1;
-  /** Up to which entry the log was read for members, and its term. */
-  #readIndex = 0;
-  #readTerm = -1;
+  #membersIndex = 0;
+  #membersTerm = -1;
+  /** Index and term of the last entry that was scanned for members. */
+  #scannedIndex = 0;
+  #scannedTerm = -1;
 
   constructor(log: ReplicaLog) {
     this.#log = log;
   }
 
-  /** The members in force, committed or not; none in a blank log. */
+  /** The current members, committed or not; no voters if the log is blank. */
   get members(): Members {
     return this.#members;
   }
 
-  /** Index of the entry that names the members in force. */
+  /** Index of the entry that holds the current members, or of the snapshot that does. */
   get index(): number {
-    return this.#index;
+    return this.#membersIndex;
   }
 
-  /** Reads the log again, after it changed; true where the members changed. */
+  /** Updates the members after a change of the log; returns whether they changed. */
   refresh(): boolean {
-    const found = this.#newest();
+    const found = this.#findNewest();
     const isChanged = found !== this.#members;
     this.#members = found;
     return isChanged;
   }
 
-  /** The members that are in force once the log up to an index is. */
+  /** The members as configured by the log up to `index`. */
   membersAt(index: number): Members {
     return this.#find(index)?.members ?? this.#snapshotMembers ?? create(MembersSchema, {});
   }
 
-  /** The members named up to an index, to be kept in a snapshot that ends there. */
+  /** The members as of index `last`, for a snapshot that ends there; remembers them as the snapshot's members. */
   membersForSnapshot(last: number): Members {
     this.#snapshotMembers = this.membersAt(last);
     return this.#snapshotMembers;
   }
 
-  /** A snapshot took the place of the log: its members are in force until an entry names others. */
+  /** A snapshot replaced the log: its members are current until a later entry changes them. */
   onSnapshotInstalled(members: Members | undefined): void {
     this.#snapshotMembers = members;
-    this.#term = -1;
+    this.#membersTerm = -1;
   }
 
-  #newest(): Members {
-    const isSame = this.#index >= this.#log.baseIndex && this.#log.termAt(this.#index) === this.#term;
-    // Where an entry has the term that it had, all entries before it are the same (log matching).
-    const isReadSame = this.#log.termAt(this.#readIndex) === this.#readTerm;
-    const after = isReadSame ? Math.max(this.#index, this.#readIndex) : this.#index;
-    this.#readIndex = this.#log.lastIndex;
-    this.#readTerm = this.#log.lastTerm;
-    if (isSame && this.#find(this.#log.lastIndex, after) === undefined) return this.#members;
+  #findNewest(): Members {
+    const isMembersEntryUnchanged =
+      this.#membersIndex >= this.#log.baseIndex && this.#log.termAt(this.#membersIndex) === this.#membersTerm;
+    // If an entry still has the same term, it and all entries before it are unchanged (log matching).
+    const isScannedPartUnchanged = this.#log.termAt(this.#scannedIndex) === this.#scannedTerm;
+    const after = isScannedPartUnchanged ? Math.max(this.#membersIndex, this.#scannedIndex) : this.#membersIndex;
+    this.#scannedIndex = this.#log.lastIndex;
+    this.#scannedTerm = this.#log.lastTerm;
+    if (isMembersEntryUnchanged && this.#find(this.#log.lastIndex, after) === undefined) return this.#members;
     const found = this.#find(this.#log.lastIndex);
-    this.#index = found?.index ?? this.#log.baseIndex;
-    this.#term = found?.term ?? this.#log.baseTerm;
+    this.#membersIndex = found?.index ?? this.#log.baseIndex;
+    this.#membersTerm = found?.term ?? this.#log.baseTerm;
     return found?.members ?? this.#snapshotMembers ?? create(MembersSchema, {});
   }
 
-  /** The last entry about members up to an index, and after another. */
+  /** The last members entry with an index of at most `last` and above `after`. */
   #find(last: number, after = this.#log.baseIndex): { members: Members; index: number; term: number } | undefined {
     for (let i = last; i > after; i -= 1) {
       const entry = this.#log.at(i);
--- a/packages/control/src/consensus/membershipChange.test.ts
+++ b/packages/control/src/consensus/membershipChange.test.ts
@@ -8,12 +8,12 @@
 import { MembershipChange } from "./membershipChange.js";
 import { MemberLog } from "./memberLog.js";
 
-const list = (letters: string): StoreMember[] =>
+const membersOf = (letters: string): StoreMember[] =>
   [...letters].map((id) => ({ id, name: `machine-${id}` }) as StoreMember);
-const letters = (members: readonly StoreMember[]): string => members.map((member) => member.id).join("");
+const idsOf = (members: readonly StoreMember[]): string => members.map((member) => member.id).join("");
 
-/** A leader's log whose first configuration is {a,b,x}, and each configuration that it proposes. */
-async function leader() {
+/** A leader whose log has {a,b,x} as its first configuration, and the list of configurations that it proposes. */
+async function makeLeader() {
   const disk = { read: () => [], write: () => Promise.resolve() };
   const log = new ReplicaLog(disk, "store");
   const memberLog = new MemberLog(log);
@@ -23,27 +23,27 @@
     memberLog.refresh();
     await written;
   };
-  await append(toBinary(MembersSchema, create(MembersSchema, { voters: list("abx") })));
+  await append(toBinary(MembersSchema, create(MembersSchema, { voters: membersOf("abx") })));
   const proposed: string[] = [];
   const change = new MembershipChange(memberLog, new LogBuffer("a", () => undefined), (data) => {
     const { voters, oldVoters, learners } = fromBinary(MembersSchema, data);
-    proposed.push(`${letters(oldVoters)} ${letters(voters)} ${letters(learners)}`);
+    proposed.push(`${idsOf(oldVoters)} ${idsOf(voters)} ${idsOf(learners)}`);
     void append(data);
   });
   return { change, proposed };
 }
 
-test("voters are exchanged in two steps, each begun once the one before is committed", async () => {
-  const { change, proposed } = await leader();
-  change.begin(1, list("abx"), list("n"));
+test("voters change in two steps, each started once the previous configuration is committed", async () => {
+  const { change, proposed } = await makeLeader();
+  change.begin(1, membersOf("abx"), membersOf("n"));
   expect(proposed).toEqual([" abx n"]);
-  change.begin(1, list("abn"), []);
+  change.begin(1, membersOf("abn"), []);
   expect(proposed.length).toEqual(1);
-  change.begin(2, list("abn"), []);
+  change.begin(2, membersOf("abn"), []);
   expect(proposed.at(-1)).toEqual("abx abn ");
   change.leaveJoint(2);
   expect(proposed.length).toEqual(2);
-  change.begin(3, list("ab"), []);
+  change.begin(3, membersOf("ab"), []);
   expect(proposed.length).toEqual(2);
   change.leaveJoint(3);
   expect(proposed.at(-1)).toEqual(" abn ");
@@ -52,17 +52,17 @@
   expect(proposed.length).toEqual(3);
 });
 
-test("who votes before, meanwhile or after a change counts until the change is committed", async () => {
-  const { change } = await leader();
-  const voting = (commit: number): string => [...new Set(letters(change.electorate(commit)))].sort().join("");
-  change.begin(1, list("abn"), []);
+test("voters before, during and after a change are in the electorate until the change is committed", async () => {
+  const { change } = await makeLeader();
+  const voting = (commit: number): string => [...new Set(idsOf(change.electorate(commit)))].sort().join("");
+  change.begin(1, membersOf("abn"), []);
   expect([voting(1), voting(2)]).toEqual(["abnx", "abnx"]);
   change.leaveJoint(2);
   expect([voting(2), voting(3)]).toEqual(["abnx", "abn"]);
 });
 
-test("nobody is put into a set twice, and no set is empty", async () => {
-  const { change, proposed } = await leader();
-  for (const voters of [list("abb"), []]) change.begin(1, voters, []);
+test("no member is put into a set twice, and no set is empty", async () => {
+  const { change, proposed } = await makeLeader();
+  for (const voters of [membersOf("abb"), []]) change.begin(1, voters, []);
   expect(proposed).toEqual([]);
 });
--- a/packages/control/src/consensus/membershipChange.ts
+++ b/packages/control/src/consensus/membershipChange.ts
@@ -5,9 +5,11 @@
 import { VoterSets } from "./voterSets.js";
 
 /**
- * Changes of the metadata store's members by its leader's proposals, by joint consensus (Raft, section 6; thesis, 4.3).
- * Invariants: a change begins only where the members in force are committed; other voters come by a joint
- * configuration, which any leader ends once it is committed; nobody is in a set twice.
+ * Changes the metadata store's members by entries that the leader proposes (joint consensus: Raft, section 6; Ongaro's
+ * thesis, section 4.3).
+ * Invariants: a change starts only when the current configuration is committed; voters change by way of a joint
+ * configuration; once that is committed, the current leader ends it, even if another leader started it; no set has a
+ * disk or a machine twice.
  */
 export class MembershipChange {
   readonly #memberLog: MemberLog;
@@ -20,44 +22,45 @@
     this.#propose = propose;
   }
 
-  /** Whether the members in force are committed, and no change of voters is under way. */
+  /** Whether the current configuration is committed and isn't a joint one. */
   isStable(commit: number): boolean {
     return this.#memberLog.index <= commit && !VoterSets.isJoint(this.#memberLog.members);
   }
 
   /**
-   * Whose votes matter: by the newest configuration and, as long as that is not known to be committed, by the one
-   * before. Each of them may ask for votes: one that leaves, too, as only its log may have the newest configuration
-   * (Ongaro's thesis, section 4.2.2). It doesn't count itself then.
+   * The members that may campaign: the voters of the newest configuration and, until that is known to be committed, of
+   * the one before it. A voter that is being removed is included because its log may be the only one up to date enough
+   * to win (Ongaro's thesis, section 4.2.2); its own vote doesn't count then. May list a member twice.
    */
   electorate(commit: number): StoreMember[] {
     const { members, index } = this.#memberLog;
-    const all = index <= commit ? [members] : [members, this.#memberLog.membersAt(index - 1)];
-    return all.flatMap((configuration) => VoterSets.all(configuration));
+    const configurations = index <= commit ? [members] : [members, this.#memberLog.membersAt(index - 1)];
+    return configurations.flatMap((configuration) => VoterSets.allVoters(configuration));
   }
 
   /**
-   * Proposes other members, where none are under way and nobody is in a set twice: learners at once, other voters by
-   * way of a joint configuration. Otherwise it does nothing, and the caller asks again later.
+   * Proposes new members: directly if only learners change, otherwise by way of a joint configuration. Does nothing if
+   * another change is in progress or the set of voters is invalid; the caller tries again later.
    */
   begin(commit: number, voters: StoreMember[], learners: StoreMember[]): void {
-    if (!this.isStable(commit) || !VoterSets.isSound(voters)) return;
-    const before = this.#memberLog.members;
-    const isSame =
-      voters.length === before.voters.length && voters.every((voter) => VoterSets.isVoter(before, voter.id));
-    this.#write(voters, learners, isSame ? [] : before.voters);
+    if (!this.isStable(commit) || !VoterSets.isValidSet(voters)) return;
+    const currentMembers = this.#memberLog.members;
+    const hasSameVoters =
+      voters.length === currentMembers.voters.length &&
+      voters.every((voter) => VoterSets.isVoter(currentMembers, voter.id));
+    this.#proposeMembers(voters, learners, hasSameVoters ? [] : currentMembers.voters);
   }
 
-  /** Once a joint configuration is committed, its new set goes on alone. */
+  /** Proposes the new set of voters alone if the current configuration is joint and committed. */
   leaveJoint(commit: number): void {
     const { members, index } = this.#memberLog;
-    if (index <= commit && VoterSets.isJoint(members)) this.#write(members.voters, members.learners, []);
+    if (index <= commit && VoterSets.isJoint(members)) this.#proposeMembers(members.voters, members.learners, []);
   }
 
-  #write(voters: StoreMember[], learners: StoreMember[], oldVoters: StoreMember[]): void {
+  #proposeMembers(voters: StoreMember[], learners: StoreMember[], oldVoters: StoreMember[]): void {
     const namesOf = (list: StoreMember[]): string => list.map((member) => member.name).join();
-    const note = { voters: namesOf(voters), learners: namesOf(learners), before: namesOf(oldVoters) };
-    this.#logBuffer.note("members change", note);
+    const fields = { voters: namesOf(voters), learners: namesOf(learners), before: namesOf(oldVoters) };
+    this.#logBuffer.note("members change", fields);
     this.#propose(toBinary(MembersSchema, create(MembersSchema, { voters, learners, oldVoters })));
   }
 }
--- a/packages/control/src/consensus/proposals.test.ts
+++ b/packages/control/src/consensus/proposals.test.ts
@@ -9,17 +9,17 @@
 import { Proposals } from "./proposals.js";
 
 const applied: Applied = { outcome: "done", revision: 1, kvs: [], changes: [] };
-const orOpen = async <T>(asked: Promise<T>): Promise<T | "open"> =>
-  Promise.race([asked, new Promise<"open">((resolve) => setImmediate(() => resolve("open")))]);
+const orPending = async <T>(answer: Promise<T>): Promise<T | "open"> =>
+  Promise.race([answer, new Promise<"open">((resolve) => setImmediate(() => resolve("open")))]);
 
-/** A leader of three whose turns end when told to, and everything that it writes and sends. */
-function leader(): {
+/** A leader of three members whose event loop turns end when the test says so, and what it writes and sends. */
+function makeLeader(): {
   proposals: Proposals;
   log: ReplicaLog;
   writes: DiskChange[][];
   sent: Array<{ id: string; entries: number; round: number }>;
   replicator: LogReplicator;
-  turn: () => void;
+  endTurn: () => void;
 } {
   const writes: DiskChange[][] = [];
   const sent: Array<{ id: string; entries: number; round: number }> = [];
@@ -38,41 +38,41 @@
   const replicator = new LogReplicator({ log, clock, self: "a", term: 3, commit: 0, send });
   replicator.setMembers([["a", "b", "c"]], []);
   const proposals = new Proposals(log, clock);
-  proposals.begin(replicator);
-  return { proposals, log, writes, sent, replicator, turn: () => turns.splice(0).forEach((run) => run()) };
+  proposals.startTerm(replicator);
+  return { proposals, log, writes, sent, replicator, endTurn: () => turns.splice(0).forEach((run) => run()) };
 }
 
-test("what is proposed and confirmed in one turn costs a sync, a message of entries and a heartbeat", async () => {
-  const { proposals, log, writes, sent, turn } = leader();
+test("proposals and reads of one turn take one sync, one message with entries and one heartbeat", async () => {
+  const { proposals, log, writes, sent, endTurn } = makeLeader();
   const proposed = Array.from({ length: 50 }, (_, i) => proposals.propose(new Uint8Array([i]), entryKind.command));
   const confirmed = Array.from({ length: 50 }, () => proposals.confirm());
   expect([writes.length, sent.length]).toEqual([0, 0]);
-  turn();
+  endTurn();
   expect([writes.length, writes[0]!.length]).toEqual([1, 50]);
-  // The heartbeat is answered without a disk.
+  // A heartbeat is answered without waiting for the disk.
   const toEach = (entries: number): typeof sent => ["b", "c"].map((id) => ({ id, entries, round: 1 }));
   expect(sent).toEqual([...toEach(0), ...toEach(50)]);
   proposals.onApplied(log.at(7)!, applied);
   expect(await proposed[6]).toEqual(applied);
-  expect(await orOpen(proposed[7]!)).toEqual("open");
-  expect(await orOpen(confirmed[0]!)).toEqual("open");
+  expect(await orPending(proposed[7]!)).toEqual("open");
+  expect(await orPending(confirmed[0]!)).toEqual("open");
 });
 
-test("a change of members does not wait for the turn, and stays behind what was asked before it", () => {
-  const { proposals, log, turn } = leader();
+test("a change of members is written before the turn ends, after earlier proposals", () => {
+  const { proposals, log, endTurn } = makeLeader();
   void proposals.propose(new Uint8Array([1]), entryKind.command);
   void proposals.propose(new Uint8Array([2]), entryKind.members);
   expect([1, 2].map((index) => log.at(index)?.kind)).toEqual([entryKind.command, entryKind.members]);
-  turn();
+  endTurn();
   expect(log.lastIndex).toEqual(2);
 });
 
-test("a term that ends before the turn does leaves nothing in the log, and everything asked is answered", async () => {
-  const { proposals, log, turn } = leader();
+test("if the term ends before the turn, nothing is written and every call is answered", async () => {
+  const { proposals, log, endTurn } = makeLeader();
   const proposed = proposals.propose(new Uint8Array([1]), entryKind.command);
   const confirmed = proposals.confirm();
-  proposals.end();
-  turn();
+  proposals.endTerm();
+  endTurn();
   expect([await proposed, await confirmed, log.lastIndex]).toEqual([undefined, false, 0]);
   expect([await proposals.propose(new Uint8Array(), entryKind.command), await proposals.confirm()]).toEqual([
     undefined,
--- a/packages/control/src/consensus/proposals.ts
+++ b/packages/control/src/consensus/proposals.ts
@@ -6,21 +6,21 @@
 import { entryKind } from "./storeLog.js";
 import type { Applied } from "../store/metadata.js";
 
-type Resolve = (applied: Applied | undefined) => void;
+type ResolveProposal = (applied: Applied | undefined) => void;
 
 /**
- * What this control node proposes while it is the leader, until the log says what became of it, and its confirmed reads
- * (read index: thesis, section 6.4). What is asked in one turn of the event loop goes into the log with one sync, and
- * to the others in one message and one round.
- * Invariant: whatever was asked is answered; with `undefined` or false once the term is over.
+ * The leader's proposals that are not applied yet, and its reads that wait for confirmation (read index: Ongaro's
+ * thesis, section 6.4). Proposals made in one turn of the event loop share one log write and one message to each
+ * member; reads of one turn share one round of heartbeats.
+ * Invariant: every call is answered; once the term has ended, with undefined or false.
  */
 export class Proposals {
   readonly #log: ReplicaLog;
   readonly #clock: Clock;
   #replicator: LogReplicator | undefined;
-  #queued: Array<{ data: Uint8Array; kind: number; resolve: Resolve }> = [];
-  #confirming: Array<(isConfirmed: boolean) => void> = [];
-  readonly #pending = new Map<number, { term: number; resolve: Resolve }>();
+  #queuedProposals: Array<{ data: Uint8Array; kind: number; resolve: ResolveProposal }> = [];
+  #queuedConfirmations: Array<(isConfirmed: boolean) => void> = [];
+  readonly #pendingByIndex = new Map<number, { term: number; resolve: ResolveProposal }>();
   #isFlushScheduled = false;
 
   constructor(log: ReplicaLog, clock: Clock) {
@@ -28,40 +28,43 @@
     this.#clock = clock;
   }
 
-  /** A term as leader begins. */
-  begin(replicator: LogReplicator): void {
+  /** This node's term as leader starts. */
+  startTerm(replicator: LogReplicator): void {
     this.#replicator = replicator;
   }
 
-  /** The term is over: nothing that is still open gets another answer than "unknown". */
-  end(): void {
+  /** This node's term as leader is over: open proposals resolve with undefined (result unknown), reads with false. */
+  endTerm(): void {
     this.#replicator = undefined;
-    for (const { resolve } of this.#queued.splice(0)) resolve(undefined);
-    for (const resolve of this.#confirming.splice(0)) resolve(false);
-    for (const { resolve } of this.#pending.values()) resolve(undefined);
-    this.#pending.clear();
+    for (const { resolve } of this.#queuedProposals.splice(0)) resolve(undefined);
+    for (const resolve of this.#queuedConfirmations.splice(0)) resolve(false);
+    for (const { resolve } of this.#pendingByIndex.values()) resolve(undefined);
+    this.#pendingByIndex.clear();
   }
 
-  /** Undefined: not the leader any more; the command may or may not be carried out. */
+  /**
+   * Proposes an entry; resolves with its result once it is applied. Resolves with undefined if this node doesn't lead
+   * or stops leading meanwhile: the entry may still be committed or not.
+   */
   propose(data: Uint8Array, kind: number): Promise<Applied | undefined> {
     if (this.#replicator === undefined) return Promise.resolve(undefined);
-    const applied = new Promise<Applied | undefined>((resolve) => this.#queued.push({ data, kind, resolve }));
+    const applied = new Promise<Applied | undefined>((resolve) => this.#queuedProposals.push({ data, kind, resolve }));
     if (kind === entryKind.command) this.#scheduleFlush();
     else this.#flush();
     return applied;
   }
 
-  /** True once a majority has answered something sent after the call. */
+  /** Resolves with true once a majority has answered a message sent after this call, with false if the term ends. */
   confirm(): Promise<boolean> {
     if (this.#replicator === undefined) return Promise.resolve(false);
     this.#scheduleFlush();
-    return new Promise((resolve) => this.#confirming.push(resolve));
+    return new Promise((resolve) => this.#queuedConfirmations.push(resolve));
   }
 
-  /** An entry was applied: whoever proposed it learns what came of it, or that another took its index. */
+  /** Resolves the proposal of an applied entry, with undefined if an entry of another term took its index. */
   onApplied(entry: Entry, applied: Applied): void {
-    const pending = this.#pending.get(entry.index);
-    this.#pending.delete(entry.index);
+    const pending = this.#pendingByIndex.get(entry.index);
+    this.#pendingByIndex.delete(entry.index);
     pending?.resolve(pending.term === entry.term ? applied : undefined);
   }
 
@@ -77,17 +80,17 @@
   #flush(): void {
     const replicator = this.#replicator;
     if (replicator === undefined) return;
-    const queued = this.#queued.splice(0);
-    const confirming = this.#confirming.splice(0);
+    const queued = this.#queuedProposals.splice(0);
+    const confirmations = this.#queuedConfirmations.splice(0);
     const { lastIndex, term } = this.#log;
     const entries = queued.map(({ data, kind, resolve }, i) => {
-      this.#pending.set(lastIndex + 1 + i, { term, resolve });
+      this.#pendingByIndex.set(lastIndex + 1 + i, { term, resolve });
       return create(EntrySchema, { index: lastIndex + 1 + i, term, kind, data });
     });
     if (entries.length > 0) void this.#log.append(entries).then(() => this.#replicator?.sendNew());
-    if (confirming.length > 0)
+    if (confirmations.length > 0)
       void replicator.confirm().then((isConfirmed) => {
-        for (const resolve of confirming) resolve(isConfirmed);
+        for (const resolve of confirmations) resolve(isConfirmed);
       });
     if (entries.length > 0) replicator.sendNew();
   }
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -1,8 +1,8 @@
 /**
- * One member of the metadata store's Raft group. This module wires: it serves the messages, and says in which order the
- * log is synced, messages are sent and entries are applied. Who leads and who votes is decided in `election.ts`, what a
- * leader knows of the others is in `leadership.ts`, commit and apply in `applier.ts`, the members in `memberLog.ts` and
- * `membershipChange.ts`.
+ * One member of the metadata store's Raft group. This module connects the parts: it handles the messages and fixes the
+ * order in which the log is synced, messages are sent and entries are applied. `election.ts` decides on votes and
+ * leadership, `leadership.ts` tracks what a leader knows of the other members, `applier.ts` commits and applies, and
+ * `memberLog.ts` and `membershipChange.ts` hold the members.
  */
 import { EventEmitter } from "node:events";
 import type { StoreMember, Members, Vote, VoteReply, Yield } from "@cranetrack/core/gen/cranetrack_pb.js";
@@ -29,37 +29,37 @@
 import { entryKind, storeCompaction } from "./storeLog.js";
 import { VoterSets } from "./voterSets.js";
 
-/** What a Raft node works with: its identity in the founded store, its log, and the seams. */
-export interface RaftNodeParts {
-  /** Of this member's disk. */
+/** What a Raft node needs: its identity in the founded store, its log, and its interfaces to the process. */
+export interface RaftNodeOptions {
+  /** Id of this member's disk; it identifies the member in the Raft group. */
   readonly id: string;
-  /** Of the store: votes of another founding are ignored. */
+  /** Id of the store, drawn when it was founded: vote requests with another id are ignored. */
   readonly founding: string;
   readonly log: ReplicaLog;
   readonly rpc: RpcEndpoint;
   readonly groups: LogGroups;
-  /** The shortest election timeout. */
+  /** The shortest election timeout, in milliseconds. */
   readonly electionMs: number;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logBuffer: LogBuffer;
-  /** Notified of entries that diverge from what is committed here; nobody is where left out. */
+  /** Notified when a leader's entries conflict with entries that are committed here; optional. */
   readonly invariants?: Pick<InvariantMonitor, "violated">;
-  /** False for a disk that is there twice or is an older copy: it neither votes nor counts. */
+  /** False for a disk that runs twice or is an older copy: its votes and acknowledgements are ignored. */
   readonly isTrusted: (id: string) => boolean;
-  /** When the log is compacted; `storeCompaction` where left out. */
+  /** When the log is compacted; `storeCompaction` by default. */
   readonly compaction?: CompactionBounds;
 }
 
-/** An append or a piece of a snapshot: both prove that their sender leads its term. */
+/** An append or a part of a snapshot: both show that their sender leads the term. */
 interface LeaderMessage {
   term: number;
   sender: string;
-  /** The leader's commit index, where the message has one. */
+  /** The leader's commit index, if the message has one. */
   commit?: number;
 }
 
-/** Why a leader stepped down, as its log line says. */
+/** Why a leader stepped down, as logged. */
 type StepDownReason =
   | "a higher term"
   | "no majority answers"
@@ -68,13 +68,13 @@
   | "the process is stopping";
 
 /**
- * One control node's part in the replicated log, by Raft's rules. Which control node leads changes with every election
- * and has no lasting meaning.
- * Invariants: at most one vote a term, synced before it is answered; `applied` never passes the commit.
+ * A control node as a member of the Raft group.
+ * Invariants: a member grants at most one vote per term, and syncs it before it replies; the applied index never
+ * exceeds the commit index.
  *
- * Events: `applied` after each entry; `snapshotInstalled` where a leader's snapshot took the place of the state;
- * `elected` once the first entry of the own term is committed; `deposed` when this node stops leading; `led` when it
- * begins to follow another leader.
+ * Events: `applied` after each entry; `snapshotInstalled` when a leader's snapshot has replaced the state machine;
+ * `elected` once the first entry of this leader's term is committed and applied; `deposed` when this node stops
+ * leading; `led` when it starts to follow another leader.
  */
 export class RaftNode extends EventEmitter<{
   applied: [applied: Applied];
@@ -83,14 +83,16 @@
   deposed: [];
   led: [];
 }> {
+  /** Interval of the timer that sends heartbeats and checks timeouts. */
   static readonly heartbeatIntervalMs = 75;
-  /** Ticks further apart than this mean that the process stood still, and messages to it may not have been read yet. */
+  /** A longer gap between two ticks means that the process was paused and may have unread messages. */
   static readonly maxTickGapMs = 150;
 
-  /** The state machine, as far as this node has applied the log. */
+  /** The state machine with all entries that this node has applied. */
   readonly metadata: Metadata;
-  /** Of this member's disk. */
+  /** Id of this member's disk; it identifies the member in the Raft group. */
   readonly id: string;
+  /** Id of the store, drawn when it was founded. */
   readonly founding: string;
   readonly membershipChange: MembershipChange;
   readonly #log: ReplicaLog;
@@ -103,95 +105,102 @@
   readonly #followerLog: FollowerLog;
   readonly #proposals: Proposals;
   readonly #election: Election;
-  readonly #contact: LeaderContact;
+  readonly #leaderContact: LeaderContact;
   readonly #slowMajority = new SlowMajorityDetector();
-  /** Only while this node leads. */
+  /** Defined only while this node leads. */
   #leadership: Leadership | undefined;
+  /** Whether committed entries are left for a later slice. */
   #isApplyScheduled = false;
-  #tickedAt: number;
+  #lastTickAt: number;
   #hasPaused = false;
 
-  constructor(parts: RaftNodeParts) {
+  constructor(options: RaftNodeOptions) {
     super();
     this.setMaxListeners(0);
-    this.id = parts.id;
-    this.founding = parts.founding;
-    this.#log = parts.log;
-    this.#rpc = parts.rpc;
-    this.#clock = parts.clock;
-    this.#electionMs = parts.electionMs;
-    this.#logBuffer = parts.logBuffer;
-    this.#contact = new LeaderContact(parts.clock, parts.electionMs);
-    this.#election = new Election(parts.id, parts.clock, parts.random, parts.electionMs);
+    this.id = options.id;
+    this.founding = options.founding;
+    this.#log = options.log;
+    this.#rpc = options.rpc;
+    this.#clock = options.clock;
+    this.#electionMs = options.electionMs;
+    this.#logBuffer = options.logBuffer;
+    this.#leaderContact = new LeaderContact(options.clock, options.electionMs);
+    this.#election = new Election(options.id, options.clock, options.random, options.electionMs);
     this.#memberLog = new MemberLog(this.#log);
-    this.#applier = new Applier(this.#log, this.#memberLog, parts.compaction ?? storeCompaction, parts.clock);
+    this.#applier = new Applier(this.#log, this.#memberLog, options.compaction ?? storeCompaction, options.clock);
     this.metadata = this.#applier.metadata;
     this.#proposals = new Proposals(this.#log, this.#clock);
     const propose = (data: Uint8Array): void => void this.propose(data, entryKind.members);
-    this.membershipChange = new MembershipChange(this.#memberLog, parts.logBuffer, propose);
+    this.membershipChange = new MembershipChange(this.#memberLog, options.logBuffer, propose);
     this.#followerLog = new FollowerLog(
       this.#log,
       this.id,
-      (index) => this.#advance(index),
-      (index, state) => this.#install(index, state),
+      (index) => this.#advanceCommit(index),
+      (index, state) => this.#installSnapshot(index, state),
       (state) => Metadata.isReadable(state),
-      (at) => parts.invariants?.violated("committedLog", { group: this.#log.group, index: at }),
+      (at) => options.invariants?.violated("committedLog", { group: this.#log.group, index: at }),
     );
     this.#refreshMembers();
-    this.#serve(parts);
+    this.#registerHandlers(options);
     this.#election.resetTimer();
-    this.#tickedAt = this.#clock.now();
+    this.#lastTickAt = this.#clock.now();
     this.#clock.every(RaftNode.heartbeatIntervalMs, () => this.#tick());
   }
 
   /**
-   * Whether this node leads and may serve: an entry of its own term is committed (Raft, section 8) and applied, and
-   * with it all that any earlier leader acknowledged.
+   * Whether this node leads and may serve requests: an entry of its own term is committed (Raft, section 8) and
+   * applied, and with it every entry that an earlier leader acknowledged.
    */
   get isLeader(): boolean {
     return this.#leadership !== undefined && this.#applier.applied >= this.#leadership.noopIndex;
   }
 
-  /** The leader's machine, also before it may serve; empty while no leader is known. */
+  /** Name of the leader's machine, even before the leader may serve; empty while no leader is known. */
   get leaderName(): string {
     if (this.#leadership !== undefined) return this.#rpc.name;
     const { leaderId } = this.#election;
-    return VoterSets.all(this.members).find((member) => member.id === leaderId)?.name ?? "";
+    return VoterSets.allVoters(this.members).find((member) => member.id === leaderId)?.name ?? "";
   }
 
-  /** It leads, or has heard the leader within an election timeout. */
+  /** Whether this node leads, or has received a message from the leader within the shortest election timeout. */
   get hasLeader(): boolean {
-    const isLeaderHeard = this.#election.leaderId !== "" && this.#contact.heardAgo < this.#electionMs;
+    const isLeaderHeard = this.#election.leaderId !== "" && this.#leaderContact.sinceHeardMs < this.#electionMs;
     return this.#leadership !== undefined || isLeaderHeard;
   }
 
-  /** The members in force: the newest in the log, committed or not. */
+  /** The current members: the newest configuration in the log, committed or not. */
   get members(): Members {
     return this.#memberLog.members;
   }
 
-  /** The last entry that is known to be committed. */
+  /** Index of the last entry that is known to be committed. */
   get commit(): number {
     return this.#applier.commit;
   }
 
-  /** The newest term that this node has heard of. */
+  /** The highest term that this node has recorded. */
   get term(): number {
     return this.#log.term;
   }
 
-  /** Whether a majority stands behind what this control node sends to its feeds, and it has all that was committed. */
+  /**
+   * Whether the state that this node serves to feeds is current. A leader must have had recent contact with a majority;
+   * a follower must recently have applied everything that its leader had committed.
+   */
   get isInTouch(): boolean {
     const leadership = this.#leadership;
-    if (leadership === undefined) return this.#election.leaderId !== "" && this.#contact.isCurrent;
+    if (leadership === undefined) return this.#election.leaderId !== "" && this.#leaderContact.isCurrent;
     return (
       this.isLeader &&
-      !this.#contact.hasJustResumed &&
-      leadership.replicator.sinceMajorityContactMs() < this.#contact.limitMs
+      !this.#leaderContact.hasJustResumed &&
+      leadership.replicator.sinceMajorityContactMs() < this.#leaderContact.staleAfterMs
     );
   }
 
-  /** Undefined: not the leader any more; the command may or may not be carried out. */
+  /**
+   * Proposes an entry; resolves with its result once it is applied. Resolves with undefined if this node doesn't lead
+   * or stops leading meanwhile: the entry may still be committed or not.
+   */
   propose(data: Uint8Array, kind: number = entryKind.command): Promise<Applied | undefined> {
     const applied = this.#proposals.propose(data, kind);
     if (kind === entryKind.members) this.#refreshMembers();
@@ -199,41 +208,42 @@
   }
 
   /**
-   * A confirmed read (read index: thesis, section 6.4): true once this node is known to have led after the call began,
-   * and has applied all that was committed before it.
+   * Confirms a linearizable read (read index: Ongaro's thesis, section 6.4). Resolves with true once a majority has
+   * confirmed that this node still led after the call began; by then it has applied everything that was committed when
+   * the call began.
    */
   async confirm(): Promise<boolean> {
     if (!this.isLeader) return false;
     return (await this.#proposals.confirm()) && this.isLeader;
   }
 
-  /** How far a member has come, for the leader; others know nothing. */
+  /** A member's replication progress; `Leadership.unknownProgress` unless this node leads. */
   progressOf(id: string): MemberProgress {
     return this.#leadership?.progressOf(id) ?? Leadership.unknownProgress;
   }
 
-  /** Whether the members in force are committed, and no change of voters is under way. */
+  /** Whether the current configuration is committed and isn't a joint one. */
   get hasStableMembers(): boolean {
     return this.membershipChange.isStable(this.#applier.commit);
   }
 
-  /** Begins a change of members, where none is under way; other voters come by joint consensus. */
+  /** Starts a change of members if this node leads and none is in progress; voters change by joint consensus. */
   changeMembers(voters: StoreMember[], learners: StoreMember[]): void {
     if (this.isLeader) this.membershipChange.begin(this.#applier.commit, voters, learners);
   }
 
-  /** This node was removed from the members: it does not campaign until a leader sends to it again. */
+  /** Called when this node was removed from the members: it doesn't campaign until a leader contacts it again. */
   standBy(): void {
     this.#election.standBy();
   }
 
-  /** Gives the term up before the process stops, so that the others need not wait for an election timeout. */
+  /** Steps down before the process stops, so that the other members don't have to wait for an election timeout. */
   resign(): void {
     this.#election.resign();
     this.#stepDown("the process is stopping");
   }
 
-  #serve({ rpc, groups, isTrusted }: RaftNodeParts): void {
+  #registerHandlers({ rpc, groups, isTrusted }: RaftNodeOptions): void {
     rpc.serve("vote", (vote, frame) =>
       isTrusted(vote.candidate) ? this.#handleVoteRequest(vote, frame.from) : undefined,
     );
@@ -251,27 +261,32 @@
 
   #tick(): void {
     const now = this.#clock.now();
-    this.#contact.tick();
+    this.#leaderContact.tick();
     this.#detectPause(now);
     if (this.#leadership !== undefined) return this.#tickLeader(this.#leadership, now);
     if (this.#hasPaused) return;
-    // A voter that leaves campaigns too, until its removal is committed (thesis, section 4.2.2).
-    const mayLead = this.membershipChange.electorate(this.#applier.commit).some((member) => member.id === this.id);
-    if (mayLead && this.#election.isTimedOut(now)) this.#campaign(true);
-    // After a start of all, the first request may have reached nobody yet.
+    // A voter that is being removed may campaign until its removal is committed (Ongaro's thesis, section 4.2.2).
+    const isInElectorate = this.membershipChange
+      .electorate(this.#applier.commit)
+      .some((member) => member.id === this.id);
+    if (isInElectorate && this.#election.isTimedOut(now)) this.#campaign(true);
+    // If all members have just started, the first request may have reached no member.
     else if (this.#election.isCampaigning && this.#election.isPreVote) this.#requestVotes();
   }
 
-  /** After a pause, one tick decides nothing from silence: the next one comes after what was sent meanwhile is read. */
+  /**
+   * The first tick after a pause of the process ignores missing messages: those that arrived during the pause are read
+   * before the next tick.
+   */
   #detectPause(now: number): void {
-    this.#hasPaused = !this.#hasPaused && now - this.#tickedAt > RaftNode.maxTickGapMs;
-    this.#tickedAt = now;
+    this.#hasPaused = !this.#hasPaused && now - this.#lastTickAt > RaftNode.maxTickGapMs;
+    this.#lastTickAt = now;
   }
 
   #tickLeader({ replicator }: Leadership, now: number): void {
-    const isCutOff = !this.#hasPaused && replicator.sinceMajorityContactMs() > this.#contact.limitMs;
-    if (isCutOff) return this.#stepDown("no majority answers");
-    if (this.#slowMajority.isSlow(now, replicator.answerMs)) {
+    const hasLostMajority = !this.#hasPaused && replicator.sinceMajorityContactMs() > this.#leaderContact.staleAfterMs;
+    if (hasLostMajority) return this.#stepDown("no majority answers");
+    if (this.#slowMajority.shouldYield(now, replicator.answerMs)) {
       this.#stepDown("a majority answers slowly", true);
       return this.#election.backOff(now);
     }
@@ -279,12 +294,12 @@
     replicator.sendHeartbeats();
   }
 
-  /** Requests pre-votes, which bind nobody, or, once a majority would vote for it, votes of the next term. */
+  /** Requests pre-votes, which commit no voter, or, once a majority has granted these, votes for the next term. */
   #campaign(isPreVote: boolean): void {
     const term = this.#log.term + 1;
     this.#election.startCampaign(term, isPreVote);
     if (isPreVote) return this.#requestVotes();
-    // The own vote counts once it is synced.
+    // This member's own vote counts only once it is synced.
     void this.#log.promise(term, this.id).then(() => void (this.#election.isCandidate(term) && this.#requestVotes()));
   }
 
@@ -303,12 +318,13 @@
     const { hasLeader } = this;
     const isGranted = mayGrantVote(vote, this.#log, hasLeader);
     if (!vote.isPre && !hasLeader && (vote.term > this.#log.term || isGranted)) {
-      // What it campaigned for itself was an earlier term.
+      // This member's own campaign, if any, was for an earlier term.
       this.#election.endCampaign();
       await this.#log.promise(vote.term, isGranted ? vote.candidate : "");
       this.#election.resetTimer();
     }
-    // Whoever lacks the entry that names the candidate answers it too: the candidate knows whose vote counts.
+    // The vote is answered even if this log lacks the entry that makes the candidate a member: the candidate knows
+    // which votes count.
     await this.#log.termSynced();
     this.#rpc.send(from, {
       case: "voteReply",
@@ -321,7 +337,7 @@
     if (!Number.isSafeInteger(reply.term) || !VoterSets.isVoter(this.members, reply.voter)) return undefined;
     if (!reply.isGranted && reply.term > this.#log.term && this.#leadership === undefined) {
       void this.#log.promise(reply.term, "");
-      // Nobody grants a term that is over: votes of the next one are requested at once.
+      // No voter grants a vote in a past term, so the campaign starts again in the next term at once.
       if (this.#election.isCampaigning) this.#campaign(true);
     }
     if (this.#election.recordVote(reply)) this.#countVotes();
@@ -347,9 +363,9 @@
     });
     const { replicator } = leadership;
     this.#leadership = leadership;
-    this.#proposals.begin(replicator);
-    this.#slowMajority.begin(this.#clock.now());
-    replicator.on("committed", (index) => this.#advance(index));
+    this.#proposals.startTerm(replicator);
+    this.#slowMajority.onTermStarted(this.#clock.now());
+    replicator.on("committed", (index) => this.#advanceCommit(index));
     replicator.on("deposed", (term) => {
       this.#stepDown("a higher term");
       void this.#log.promise(term, "");
@@ -360,72 +376,75 @@
     replicator.sendHeartbeats();
   }
 
-  #stepDown(why: StepDownReason, isSlow = false): void {
+  #stepDown(reason: StepDownReason, isSlow = false): void {
     if (this.#leadership === undefined) return;
     this.#sendToVoters({ case: "yield", value: { term: this.#log.term, sender: this.id, isSlow } });
-    this.#logBuffer.note("no longer proposes", { why, term: this.#log.term });
+    this.#logBuffer.note("no longer proposes", { why: reason, term: this.#log.term });
     this.#leadership.replicator.stop();
     this.#leadership = undefined;
     this.#election.onSteppedDown();
-    this.#proposals.end();
+    this.#proposals.endTerm();
     this.emit("deposed");
   }
 
-  /** The leader gave its term up. The others forward that, for its message may be late, and campaign in turn. */
+  /**
+   * The leader has yielded: the other voters forward its message, which may be delayed on some links, and campaign one
+   * after another.
+   */
   #handleYield({ term, sender, isSlow }: Yield): undefined {
     if (isSlow && term >= this.#log.term) this.#slowMajority.onOtherYielded(this.#clock.now());
-    const isOfLeader = term === this.#log.term && sender === this.#election.leaderId;
-    if (!isOfLeader || this.#leadership !== undefined) return undefined;
+    const isFromLeader = term === this.#log.term && sender === this.#election.leaderId;
+    if (!isFromLeader || this.#leadership !== undefined) return undefined;
     this.#election.onLeaderYielded(term);
     this.#sendToVoters({ case: "yield", value: { term, sender, isSlow } }, sender);
-    const others = VoterSets.ids(this.members).filter((id) => id !== sender);
-    const rank = Rendezvous.rank(RendezvousKeys.electionAfter(term), others).indexOf(this.id);
+    const remainingIds = VoterSets.allVoterIds(this.members).filter((id) => id !== sender);
+    const rank = Rendezvous.rank(RendezvousKeys.electionAfter(term), remainingIds).indexOf(this.id);
     this.#election.waitForTurn(rank);
     return undefined;
   }
 
-  /** `receive` writes the message to the log, and gives the reply once that is synced. */
+  /** Handles an append or snapshot; `writeToLog` writes it to the log and resolves with the reply once it is synced. */
   async #handleLeaderMessage(
     message: LeaderMessage,
     from: string,
-    receive: () => Promise<BodyInit>,
+    writeToLog: () => Promise<BodyInit>,
   ): Promise<undefined> {
-    const isLed = message.term >= this.#log.term && !this.#election.hasYielded(message.term);
+    const isFromCurrentLeader = message.term >= this.#log.term && !this.#election.isTermYielded(message.term);
     if (message.term >= this.#log.term) {
       this.#election.endStandby();
       if (message.term > this.#log.term) this.#stepDown("a higher term");
-      if (isLed) this.#follow(message.sender);
+      if (isFromCurrentLeader) this.#followLeader(message.sender);
     }
-    const reply = receive();
-    if (isLed && this.#applier.applied >= (message.commit ?? Infinity)) this.#contact.onCaughtUp();
-    // In force from when they are in the log, not only once the disk has them (thesis, section 4.1).
+    const reply = writeToLog();
+    if (isFromCurrentLeader && this.#applier.applied >= (message.commit ?? Infinity)) this.#leaderContact.onCaughtUp();
+    // A configuration takes effect once it is in the log, before it is synced (Ongaro's thesis, section 4.1).
     this.#refreshMembers();
     this.#rpc.send(from, await reply);
     return undefined;
   }
 
-  #follow(leaderId: string): void {
-    this.#contact.onMessage();
+  #followLeader(leaderId: string): void {
+    this.#leaderContact.onMessage();
     if (this.#election.onLeaderHeard(leaderId)) this.emit("led");
   }
 
-  #advance(index: number): void {
+  #advanceCommit(index: number): void {
     this.#applier.advanceCommit(index);
     if (!this.#isApplyScheduled) this.#applyCommitted();
   }
 
-  /** A long run of entries is applied in slices, so that messages are read and answered in between. */
+  /** Applies committed entries in time slices, so that messages are handled in between. */
   #applyCommitted(): void {
     const wasLeader = this.isLeader;
     const applier = this.#applier;
-    const isDone = applier.applySlice((entry, applied) => {
+    const isFullyApplied = applier.applySlice((entry, applied) => {
       this.#proposals.onApplied(entry, applied);
       this.emit("applied", applied);
     });
-    if (!isDone) this.#scheduleApply();
+    if (!isFullyApplied) this.#scheduleApply();
     if (!wasLeader && this.isLeader) this.emit("elected");
     if (this.isLeader) this.membershipChange.leaveJoint(applier.commit);
-    // Its removal is committed: the others elect at once.
+    // Its removal is committed: it steps down so that the others elect a leader at once.
     if (this.isLeader && this.hasStableMembers && !VoterSets.isVoter(this.members, this.id))
       this.#stepDown("it is no voter any more");
     applier.compactIfNeeded();
@@ -439,7 +458,7 @@
     });
   }
 
-  #install(index: number, state: Uint8Array): void {
+  #installSnapshot(index: number, state: Uint8Array): void {
     this.#applier.install(index, state);
     this.#refreshMembers();
     this.emit("snapshotInstalled");
@@ -449,15 +468,15 @@
     if (this.#memberLog.refresh()) this.#leadership?.setMembers(this.members);
   }
 
-  #sendToVoters(body: BodyInit, exceptId = ""): void {
-    for (const { id, name } of VoterSets.all(this.members))
-      if (id !== this.id && id !== exceptId) this.#rpc.send(name, body);
+  #sendToVoters(body: BodyInit, excludedId = ""): void {
+    for (const { id, name } of VoterSets.allVoters(this.members))
+      if (id !== this.id && id !== excludedId) this.#rpc.send(name, body);
   }
 }
 
 /**
- * The messages of a replicated log that are meant for this disk. One to another disk of this machine, an earlier one
- * say, is dropped, and so is the acknowledgement of a disk that may not count.
+ * Wraps a group so that it handles only messages addressed to this disk. Messages to another disk of this machine, such
+ * as an earlier one, are dropped, and so are acknowledgements of an untrusted disk.
  */
 function messagesForDisk(id: string, isTrusted: (id: string) => boolean, group: Group): Group {
   return {
--- a/packages/control/src/consensus/slowMajorityDetector.test.ts
+++ b/packages/control/src/consensus/slowMajorityDetector.test.ts
@@ -2,44 +2,44 @@
 import { expect } from "earl";
 import { SlowMajorityDetector } from "./slowMajorityDetector.js";
 
-/** Looks every 75 ms; when it was said to be slow, if it was. */
-function slowAt(detector: SlowMajorityDetector, from: number, to: number, answerMs: number): number | undefined {
-  for (let now = from; now <= to; now += 75) if (detector.isSlow(now, answerMs)) return now;
+/** Checks every 75 ms; returns the time at which the leader should yield, undefined if at none. */
+function firstYieldAt(detector: SlowMajorityDetector, from: number, to: number, answerMs: number): number | undefined {
+  for (let now = from; now <= to; now += 75) if (detector.shouldYield(now, answerMs)) return now;
   return undefined;
 }
 
-// Guards against the floor: after a loss of power new leaders yielded within 0.4 s, while all members were catching up.
-test("in the first seconds of a term slowness says nothing of its leader", () => {
+// Guards against a fault after a power loss: new leaders yielded within 0.4 s, while all members were catching up.
+test("a leader doesn't yield for slowness at the start of its term", () => {
   const detector = new SlowMajorityDetector();
   const { warmUpMs, minDurationMs, slowMs } = SlowMajorityDetector;
-  detector.begin(0);
-  expect(slowAt(detector, 75, warmUpMs + minDurationMs, slowMs + 1)).toEqual(undefined);
-  expect(detector.isSlow(warmUpMs + minDurationMs + 1, slowMs + 1)).toEqual(true);
+  detector.onTermStarted(0);
+  expect(firstYieldAt(detector, 75, warmUpMs + minDurationMs, slowMs + 1)).toEqual(undefined);
+  expect(detector.shouldYield(warmUpMs + minDurationMs + 1, slowMs + 1)).toEqual(true);
 });
 
-test("slowness counts once it has lasted, and not again for a while", () => {
+test("a leader yields once slowness has lasted, and not again during the cool-down", () => {
   const detector = new SlowMajorityDetector();
-  detector.begin(-SlowMajorityDetector.warmUpMs);
-  detector.isSlow(0, 0);
-  expect(slowAt(detector, 75, 600, SlowMajorityDetector.slowMs)).toEqual(undefined);
-  expect(slowAt(detector, 675, 2000, SlowMajorityDetector.slowMs + 1)).toEqual(975);
-  expect(slowAt(detector, 1050, 10_000, SlowMajorityDetector.slowMs + 1)).toEqual(undefined);
+  detector.onTermStarted(-SlowMajorityDetector.warmUpMs);
+  detector.shouldYield(0, 0);
+  expect(firstYieldAt(detector, 75, 600, SlowMajorityDetector.slowMs)).toEqual(undefined);
+  expect(firstYieldAt(detector, 675, 2000, SlowMajorityDetector.slowMs + 1)).toEqual(975);
+  expect(firstYieldAt(detector, 1050, 10_000, SlowMajorityDetector.slowMs + 1)).toEqual(undefined);
 });
 
-test("nobody gives way soon after another has", () => {
+test("a leader doesn't yield soon after another leader has", () => {
   const detector = new SlowMajorityDetector();
-  detector.begin(-SlowMajorityDetector.warmUpMs);
+  detector.onTermStarted(-SlowMajorityDetector.warmUpMs);
   detector.onOtherYielded(0);
   const { coolDownMs, slowMs } = SlowMajorityDetector;
-  expect(slowAt(detector, 75, coolDownMs, slowMs + 1)).toEqual(undefined);
-  expect(slowAt(detector, coolDownMs + 75, coolDownMs + 500, slowMs + 1)).toEqual(coolDownMs + 75);
+  expect(firstYieldAt(detector, 75, coolDownMs, slowMs + 1)).toEqual(undefined);
+  expect(firstYieldAt(detector, coolDownMs + 75, coolDownMs + 500, slowMs + 1)).toEqual(coolDownMs + 75);
 });
 
-test("who slept itself says nothing of the others' slowness", () => {
+test("a leader that was paused itself doesn't yield", () => {
   const detector = new SlowMajorityDetector();
-  detector.begin(-SlowMajorityDetector.warmUpMs);
-  expect(detector.isSlow(75, 0)).toEqual(false);
-  // Frozen for a while: the answers that came meanwhile are not read yet.
-  expect(detector.isSlow(450, 375)).toEqual(false);
-  expect(detector.isSlow(525, 1)).toEqual(false);
+  detector.onTermStarted(-SlowMajorityDetector.warmUpMs);
+  expect(detector.shouldYield(75, 0)).toEqual(false);
+  // The process was paused: answers that arrived meanwhile are not read yet.
+  expect(detector.shouldYield(450, 375)).toEqual(false);
+  expect(detector.shouldYield(525, 1)).toEqual(false);
 });
--- a/packages/control/src/consensus/slowMajorityDetector.ts
+++ b/packages/control/src/consensus/slowMajorityDetector.ts
@@ -1,49 +1,54 @@
 /**
- * Tells when a leader that others answer slowly should yield: it may be the slow one, and leases would suffer from it.
- * Invariants: it says so at most once in `coolDownMs`, and not soon after another leader yielded for that reason, since
- * slowness of all of them must not keep them electing; a process that stood still itself says nothing of the others.
+ * Decides when a leader should yield because a majority answers it slowly: the leader itself may be the cause, and
+ * lease renewals would be delayed.
+ * Invariants: within `coolDownMs` a member yields at most once, and not at all if another leader has yielded for
+ * slowness, so that members that are all slow don't hold one election after another; time in which this process was
+ * paused doesn't count as slowness of the others.
  */
 export class SlowMajorityDetector {
-  /** An answer of a majority that takes longer is slow. */
+  /** A majority that takes longer than this to answer is slow. */
   static readonly slowMs = 150;
-  /** How long answers must be slow without a break. */
+  /** How long the majority must be slow without interruption before the leader yields. */
   static readonly minDurationMs = 300;
   /**
-   * In a term's first milliseconds answers say nothing of its leader: members load what they missed, and all leases and
-   * feeds are opened anew.
+   * Slowness at the start of a term is ignored for this long: members fetch the entries that they missed, and all
+   * leases and feeds are opened again.
    */
   static readonly warmUpMs = 1500;
-  /** How long after one leader yielded no other does for slowness. */
+  /** For this long after any leader yielded for slowness, no leader yields for it again. */
   static readonly coolDownMs = 20_000;
-  /** Checks further apart than this mean that this process stood still. */
+  /** A longer gap between two checks means that this process was paused. */
   static readonly maxCheckGapMs = 200;
 
-  #checkedAt = -Infinity;
-  #fastAt = -Infinity;
-  #yieldedAt = -Infinity;
+  #lastCheckAt = -Infinity;
+  #lastFastAt = -Infinity;
+  #lastYieldAt = -Infinity;
 
-  /** A term begins. */
-  begin(now: number): void {
-    this.#checkedAt = now;
-    this.#fastAt = now + SlowMajorityDetector.warmUpMs;
+  /** This member's term as leader starts. */
+  onTermStarted(now: number): void {
+    this.#lastCheckAt = now;
+    this.#lastFastAt = now + SlowMajorityDetector.warmUpMs;
   }
 
-  /** Another leader yielded for slowness: if this one is answered as slowly, it was not that one's fault. */
+  /** Another leader yielded for slowness: if the majority is still slow, the leader was not the cause. */
   onOtherYielded(now: number): void {
-    this.#yieldedAt = now;
+    this.#lastYieldAt = now;
   }
 
-  /** To be called at every tick of a leader, with how long a majority takes to answer; true: yield now. */
-  isSlow(now: number, answerMs: number): boolean {
-    const hasPaused = now - this.#checkedAt > SlowMajorityDetector.maxCheckGapMs;
-    this.#checkedAt = now;
-    if (hasPaused || answerMs <= SlowMajorityDetector.slowMs) this.#fastAt = Math.max(this.#fastAt, now);
+  /**
+   * Whether the leader should yield now; starts the cool-down if so. The leader calls this at every tick with the
+   * milliseconds that a majority takes to answer.
+   */
+  shouldYield(now: number, answerMs: number): boolean {
+    const hasPaused = now - this.#lastCheckAt > SlowMajorityDetector.maxCheckGapMs;
+    this.#lastCheckAt = now;
+    if (hasPaused || answerMs <= SlowMajorityDetector.slowMs) this.#lastFastAt = Math.max(this.#lastFastAt, now);
     if (
-      now - this.#fastAt <= SlowMajorityDetector.minDurationMs ||
-      now - this.#yieldedAt <= SlowMajorityDetector.coolDownMs
+      now - this.#lastFastAt <= SlowMajorityDetector.minDurationMs ||
+      now - this.#lastYieldAt <= SlowMajorityDetector.coolDownMs
     )
       return false;
-    this.#yieldedAt = now;
+    this.#lastYieldAt = now;
     return true;
   }
 }
--- a/packages/control/src/consensus/voterSets.test.ts
+++ b/packages/control/src/consensus/voterSets.test.ts
@@ -4,12 +4,12 @@
 import { expect } from "earl";
 import { VoterSets } from "./voterSets.js";
 
-const list = (names: string): StoreMember[] =>
+const membersOf = (names: string): StoreMember[] =>
   [...names].map((name) => ({ id: name, name: `machine-${name}` }) as StoreMember);
 const configuration = (voters: string, oldVoters = "", learners = ""): Members =>
-  create(MembersSchema, { voters: list(voters), oldVoters: list(oldVoters), learners: list(learners) });
+  create(MembersSchema, { voters: membersOf(voters), oldVoters: membersOf(oldVoters), learners: membersOf(learners) });
 
-test("a majority is one of every set, and learners are in none", () => {
+test("a majority needs one of every set, and learners don't count", () => {
   const cases: Array<[voters: string, oldVoters: string, learners: string, granted: string, isMajority: boolean]> = [
     ["abc", "", "n", "ab", true],
     ["abc", "", "n", "an", false],
@@ -32,11 +32,11 @@
     }).toEqual({ voters, oldVoters, granted, isMajority });
 });
 
-test("voters of both sets vote, each once; nobody is in a set twice", () => {
+test("voters of both sets vote once each; a set with a disk or machine twice is invalid", () => {
   const joint = configuration("abn", "abx", "l");
   expect(
-    VoterSets.all(joint)
-      .map((one) => one.id)
+    VoterSets.allVoters(joint)
+      .map((member) => member.id)
       .sort()
       .join(""),
   ).toEqual("abnx");
@@ -45,7 +45,7 @@
     { id: "a", name: "one" },
     { id: "b", name: "one" },
   ] as StoreMember[];
-  expect([list("abc"), list("aab"), twins, []].map((voters) => VoterSets.isSound(voters))).toEqual([
+  expect([membersOf("abc"), membersOf("aab"), twins, []].map((voters) => VoterSets.isValidSet(voters))).toEqual([
     true,
     false,
     false,
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -17,25 +17,25 @@
 import { StoreService } from "./store/storeService.js";
 
 /**
- * A control node: a member or standby of the metadata store, the operators' HTTP API, and storage for topic logs, in
- * full (`stores`) or as a spare.
+ * A control node: a member or standby of the metadata store, server of the operators' HTTP API, and storage node for
+ * topic logs, either a regular one (setting `stores`) or a spare.
  */
 export class ControlNode {
   readonly node: ClusterNode;
   readonly founding: Founding;
   readonly storage: StorageNode;
   readonly #disk: Disk;
-  readonly #disks: DiskWatch;
+  readonly #diskWatch: DiskWatch;
   #raft: RaftNode | undefined;
   #storeService: StoreService | undefined;
 
   constructor(node: ClusterNode, disk: Disk, router: Router) {
     this.node = node;
     this.#disk = disk;
-    this.#disks = new DiskWatch(node.membership);
+    this.#diskWatch = new DiskWatch(node.membership);
     this.founding = new Founding(node, disk);
     this.storage = new StorageNode(node, disk, !node.parts.settings.stores);
-    this.founding.on("founded", () => this.#begin());
+    this.founding.on("founded", () => this.#startRaft());
     router.on("PUT", /^\/v1\/plan$/, (call) => proposeConfiguration(node, call.body));
     router.on("GET", /^\/v1\/plan$/, async () => {
       const read = await readConfiguration(node);
@@ -43,10 +43,10 @@
       if (read.outcome === "none") return ApiReplies.fault(404, "no-plan", "no configuration was ever accepted");
       return ApiReplies.unavailable("no majority of the control nodes answers");
     });
-    const emptying = /^\/v1\/machines\/([^/]+)\/emptying$/;
-    router.on("PUT", emptying, (call) => DrainMachine.ask(node, call.params[0]!));
-    router.on("DELETE", emptying, (call) => DrainMachine.undo(node, call.params[0]!));
-    router.on("GET", emptying, (call) => DrainMachine.progress(node, call.params[0]!));
+    const drainPath = /^\/v1\/machines\/([^/]+)\/emptying$/;
+    router.on("PUT", drainPath, (call) => DrainMachine.ask(node, call.params[0]!));
+    router.on("DELETE", drainPath, (call) => DrainMachine.undo(node, call.params[0]!));
+    router.on("GET", drainPath, (call) => DrainMachine.progress(node, call.params[0]!));
     router.on("GET", /^\/v1\/plan\/rollout$/, () => getRollout(node));
   }
 
@@ -55,18 +55,18 @@
     return this.#raft;
   }
 
-  /** What is wrong with the data folder; undefined where nothing is. */
+  /** Loads the data folder; returns an error message if the folder can't be used. */
   load(): string | undefined {
     return new ReplicaLog(this.#disk, logGroupNames.store).fault() ?? this.founding.diskFault() ?? this.storage.load();
   }
 
-  /** Starts the storage, then founds the store or joins it. */
+  /** Starts the storage, then starts to found the store or join it. */
   async start(): Promise<void> {
     await this.storage.start();
     await this.founding.start();
   }
 
-  /** Shuts down gracefully: closes the storage, resigns as leader, and transfers its vote. */
+  /** Shuts down gracefully: stops the storage, steps down as leader, transfers the vote and closes the feeds. */
   async stop(): Promise<void> {
     const { membership } = this.node;
     membership.self.isLeaving = true;
@@ -77,18 +77,18 @@
     this.#storeService?.closeFeeds("the process is stopping");
   }
 
-  /** Not a member of the store, which has enough: it takes over after a loss, and is ready for all else. */
+  /** Whether this node isn't a member because the store has enough; it becomes one when a member is lost. */
   get isStandby(): boolean {
     return this.#raft === undefined ? this.founding.isStandby : !this.node.membership.self.isInStore;
   }
 
-  /** Whether it serves: in contact with the store's leader, or a standby, and with a fresh feed. */
+  /** Whether this node serves requests: it is a standby or in touch with the store, and its feed is fresh. */
   get isReady(): boolean {
     const isInStoreOrStandby = this.#raft?.isInTouch === true || this.isStandby;
     return isInStoreOrStandby && this.node.feed.isFresh;
   }
 
-  /** What the program's status shows of it. */
+  /** This node's part of the program's status. */
   status(): object {
     const raft = this.#raft;
     const members = raft?.members;
@@ -116,7 +116,7 @@
     return { term, leader: leaderName, commit };
   }
 
-  #begin(): void {
+  #startRaft(): void {
     const { rpc, groups, membership, parts } = this.node;
     const log = new ReplicaLog(this.#disk, logGroupNames.store);
     this.#raft = new RaftNode({
@@ -130,7 +130,7 @@
       random: parts.random,
       logBuffer: parts.log,
       invariants: this.node.invariants,
-      isTrusted: (id) => this.#disks.isTrusted(id),
+      isTrusted: (id) => this.#diskWatch.isTrusted(id),
     });
     this.#storeService = new StoreService(this.node, this.#raft);
     this.node.load.add("raft", () => ({ fields: this.#raftFields(), isNotable: false }));
--- a/packages/control/src/cranetrack-control.ts
+++ b/packages/control/src/cranetrack-control.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** Entry point of the control node program. */
 import { join } from "node:path";
 import { Program } from "@cranetrack/core/runtime/program.js";
 import { ConfigurationArchive } from "./configuration/configurationArchive.js";
--- a/packages/control/src/membership/diskWatch.test.ts
+++ b/packages/control/src/membership/diskWatch.test.ts
@@ -4,8 +4,8 @@
 import { expect } from "earl";
 import { DiskWatch } from "./diskWatch.js";
 
-/** A watch over records that are told one after the other. */
-function watching() {
+/** A disk watch over membership records that the test updates one after another. */
+function makeWatch() {
   const records = new Map<string, Member>();
   const down = new Set<string>();
   let changed = (): void => undefined;
@@ -22,8 +22,8 @@
   return { watch, update, down };
 }
 
-test("a disk that is started again and again counts", () => {
-  const { watch, update } = watching();
+test("a disk that is started repeatedly is trusted", () => {
+  const { watch, update } = makeWatch();
   expect(watch.isTrusted("d")).toEqual(true);
   for (const [starts, processIncarnation] of [
     [1, "a"],
@@ -36,8 +36,8 @@
   }
 });
 
-test("an older copy of a disk does not count until it is started more often than any was seen", () => {
-  const { watch, update } = watching();
+test("an older copy of a disk isn't trusted until its start count exceeds every count seen", () => {
+  const { watch, update } = makeWatch();
   update("one", "d", 7, "a");
   update("one", "d", 5, "b");
   expect([watch.isTrusted("d"), watch.isTrusted("e")]).toEqual([false, true]);
@@ -45,14 +45,14 @@
   expect(watch.isTrusted("d")).toEqual(true);
 });
 
-test("of two processes on copies of one disk neither counts, under one name or two", () => {
-  const single = watching();
+test("of two processes on copies of one disk neither is trusted, under one machine name or two", () => {
+  const single = makeWatch();
   single.update("one", "d", 7, "a");
   single.update("one", "d", 7, "b");
   expect(single.watch.isTrusted("d")).toEqual(false);
   single.update("one", "d", 7, "a");
   expect(single.watch.isTrusted("d")).toEqual(false);
-  const two = watching();
+  const two = makeWatch();
   two.update("one", "d", 7, "a");
   two.update("two", "d", 8, "b");
   expect(two.watch.isTrusted("d")).toEqual(false);
@@ -61,8 +61,8 @@
   expect(two.watch.isTrusted("d")).toEqual(true);
 });
 
-test("records of builds that count no starts are taken as they are", () => {
-  const { watch, update } = watching();
+test("records of builds that don't count starts are trusted", () => {
+  const { watch, update } = makeWatch();
   update("one", "d", 0, "");
   update("one", "d", 0, "");
   expect(watch.isTrusted("d")).toEqual(true);
--- a/packages/control/src/membership/diskWatch.ts
+++ b/packages/control/src/membership/diskWatch.ts
@@ -1,27 +1,30 @@
 import type { Member } from "@cranetrack/core/gen/cranetrack_pb.js";
 
-/** What the watch reads of the membership. */
+/** The part of the cluster membership that the disk watch uses. */
 export interface DiskRecords {
   all(): readonly Member[];
   isAlive(name: string): boolean;
   on(event: "changed", listener: () => void): unknown;
 }
 
+/** The latest start of a disk that was seen. */
 interface SeenDisk {
+  /** How often a process was started on the disk, this start included. */
   starts: number;
   processIncarnation: string;
-  /** Two process incarnations claim the same start of the disk. */
+  /** Whether two process incarnations claim the same start, which means that the disk was copied. */
   isDuplicate: boolean;
 }
 
 /**
- * Which disks may count in the store. A process counts its starts on its disk, synced before it says so, and says which
- * incarnation it began as. A copy of a disk shows itself by a start that was seen already: an older one, or one of
- * another process incarnation. Until the disk is started more often than any was seen, neither copy counts.
- * What this node was never notified of, or only before its own start, it can't compare with.
+ * Detects copied disks, whose votes and acknowledgements must not count in the store. A process counts its starts on
+ * its disk, syncs the count before it announces it, and announces its process incarnation. A copy is detected by a
+ * start count that is lower than one seen before or that another process incarnation has announced already, or by two
+ * live machines that announce the same disk. No copy counts until the disk announces a start count higher than any
+ * seen. Starts that this node did not see, for instance before its own start, can't be compared.
  */
 export class DiskWatch {
-  /** Disks that are remembered; beyond that the ones seen first are forgotten. */
+  /** How many disks are remembered; beyond that, those first seen longest ago are dropped. */
   static readonly maxDisks = 1024;
 
   readonly #membership: DiskRecords;
@@ -32,7 +35,7 @@
     membership.on("changed", () => this.#onMembershipChanged());
   }
 
-  /** Whether the disk with this id may vote and count; true for one that was never seen. */
+  /** Whether votes and acknowledgements of the disk with this id count; true for a disk that was never seen. */
   isTrusted(id: string): boolean {
     const seen = this.#seen.get(id);
     if (seen === undefined) return true;
@@ -44,14 +47,14 @@
 
   #onMembershipChanged(): void {
     for (const member of this.#membership.all())
-      if (member.disk !== "" && member.diskStarts > 0) this.#noteStart(member);
+      if (member.disk !== "" && member.diskStarts > 0) this.#recordStart(member);
     for (const id of this.#seen.keys()) {
       if (this.#seen.size <= DiskWatch.maxDisks) break;
       this.#seen.delete(id);
     }
   }
 
-  #noteStart({ disk, diskStarts, processIncarnation }: Member): void {
+  #recordStart({ disk, diskStarts, processIncarnation }: Member): void {
     const seen = this.#seen.get(disk);
     if (seen === undefined || diskStarts > seen.starts)
       this.#seen.set(disk, { starts: diskStarts, processIncarnation, isDuplicate: false });
--- a/packages/control/src/membership/memberChanges.ts
+++ b/packages/control/src/membership/memberChanges.ts
@@ -6,60 +6,63 @@
 import { VoterSets } from "../consensus/voterSets.js";
 import { chooseVoters, rankCandidates, unfitVoters, type VoterInputs } from "./voterChoice.js";
 
+/** One round of replication to a learner (Ongaro's thesis, section 4.2.1). */
 interface CatchUpRound {
-  /** What an earlier leadership of this node saw says nothing of the learner now. */
+  /** The leader's term; rounds of an earlier term of this leader don't count. */
   readonly term: number;
-  /** The end of the leader's log when the round began. */
-  readonly target: number;
-  readonly beganAt: number;
-  /** Whether the round before ended in time. */
+  /** Index of the last entry of the leader's log when the round started; the round ends when the learner has it. */
+  readonly targetIndex: number;
+  readonly startedAt: number;
+  /** Whether the previous round took at most `MemberChanges.catchUpMs`. */
   readonly isCaughtUp: boolean;
 }
 
 /**
- * Admits control nodes to the store and removes them, while this control node leads it.
- * Invariants: one change at a time; a joining replica learns before it votes, and votes only once it has caught up; no
- * change of voters is begun whose new set has no majority that answers just now; a machine that is
- * to leave is never admitted.
+ * Admits control nodes to the store and removes them while this control node leads the store.
+ * Invariants: there is one change at a time; a new member is a learner first, and votes only once it has caught up; a
+ * change of voters starts only if a majority of the new set has answered recently; leaving machines are not admitted.
  */
 export class MemberChanges {
+  /** How often the leader checks whether members must be changed. */
   static readonly tickIntervalMs = 150;
   /**
-   * A learner is caught up that had, within so long, all that the leader had before (thesis, 4.2.1): what it lacks then
-   * can be sent while the others commit without it. In place of a voter that is lost it takes nothing from them.
+   * A learner has caught up once it finishes a round within this time (Ongaro's thesis, section 4.2.1): the remaining
+   * entries can then be sent while the other voters commit without it. As the replacement of a lost voter it doesn't
+   * reduce availability.
    */
   static readonly catchUpMs = 1000;
-  /** A request to join counts for this long; who asked longer ago may be gone. */
+  /** A request to join is valid for this long; a node that did not repeat it since may be gone. */
   static readonly joinRequestTtlMs = 1500;
-  /** A member that has answered within this counts as up. */
+  /** A member that has answered within this time counts as up. */
   static readonly recentContactMs = 500;
-  /** A joining replica starts its part of the store first, so it gets longer than a voter to be heard from. */
+  /** How long a learner may be silent; longer than a voter, as a new member has to start its Raft node first. */
   static readonly learnerTimeoutMs = 3000;
 
   readonly #node: ClusterNode;
   readonly #raft: RaftNode;
-  /** Control nodes that asked to join, by name, and when they last did. */
-  readonly #joining = new Map<string, { id: string; at: number }>();
-  /** The catch-up round of each learner. */
+  /** The disk id and the time of the last request of each control node that asked to join, by machine name. */
+  readonly #joinRequests = new Map<string, { id: string; at: number }>();
+  /** The current catch-up round of each learner, by disk id. */
   readonly #rounds = new Map<string, CatchUpRound>();
 
   constructor(node: ClusterNode, raft: RaftNode) {
     this.#node = node;
     this.#raft = raft;
-    node.parts.clock.every(MemberChanges.tickIntervalMs, () => this.#maintain());
+    node.parts.clock.every(MemberChanges.tickIntervalMs, () => this.#reconcile());
   }
 
   /**
-   * Done: it is a member. Standby: there are enough, and it is remembered for a loss. A joining replica is admitted
-   * in answer to its own call, so that it is known to listen by the time it is sent anything.
+   * Handles a request to join. Outcome `done`: the node is a member. `standby`: there are enough members, and the node
+   * is remembered in case one is lost. `away`: it has to ask again. A node is only admitted while its own request is
+   * handled, so that it is known to be listening before the leader sends to it.
    */
   join({ id, name }: Join): Outcome {
-    this.#joining.set(name, { id, at: this.#now });
+    this.#joinRequests.set(name, { id, at: this.#now });
     this.#admit(id);
     const { learners } = this.#raft.members;
-    const isMember = [...VoterSets.all(this.#raft.members), ...learners].some((member) => member.id === id);
+    const isMember = [...VoterSets.allVoters(this.#raft.members), ...learners].some((member) => member.id === id);
     if (isMember) return { outcome: "done" };
-    return this.#learnersWanted > 0 && !this.#isToLeave(name)
+    return this.#missingLearnerCount > 0 && !this.#isLeaving(name)
       ? { outcome: "away", reason: "joining" }
       : { outcome: "standby", reason: "enough control nodes vote" };
   }
@@ -72,55 +75,60 @@
     const { voters, learners } = this.#raft.members;
     return {
       voters,
-      ready: learners.filter((member) => this.#isReady(member)),
-      wanted: this.#node.parts.settings.voters,
-      self: this.#raft.id,
+      readyLearners: learners.filter((member) => this.#isReady(member)),
+      wantedCount: this.#node.parts.settings.voters,
+      selfId: this.#raft.id,
       isLost: (member) => this.#isLost(member) || this.#isOnBlankDisk(member),
-      isToLeave: (member) => this.#isToLeave(member.name),
+      isLeaving: (member) => this.#isLeaving(member.name),
       zoneOf: (member) => this.#zoneOf(member.name),
     };
   }
 
-  /** How many more learners are wanted; negative where there are too many. */
-  get #learnersWanted(): number {
+  /** How many more learners are needed; negative if there are too many. */
+  get #missingLearnerCount(): number {
     const inputs = this.#voterInputs;
-    const missing = Math.max(0, inputs.wanted - inputs.voters.length);
-    const surplus = Math.max(0, inputs.voters.length - inputs.wanted);
+    const missing = Math.max(0, inputs.wantedCount - inputs.voters.length);
+    const surplus = Math.max(0, inputs.voters.length - inputs.wantedCount);
     const unfit = Math.max(0, unfitVoters(inputs).length - surplus);
     return unfit + missing - this.#raft.members.learners.length;
   }
 
-  #maintain(): void {
+  #reconcile(): void {
     if (!this.#raft.isLeader || !this.#raft.hasStableMembers) return;
-    this.#forgetStaleRequests();
+    this.#dropExpiredRequests();
     const { voters, learners } = this.#raft.members;
     const next = chooseVoters(this.#voterInputs);
-    const isOther = next.length !== voters.length || next.some((member) => !voters.includes(member));
-    if (isOther && this.#hasLiveMajority(next)) {
-      const rest = learners.filter((member) => !next.includes(member));
-      return this.#raft.changeMembers(next, rest);
+    const isChanged = next.length !== voters.length || next.some((member) => !voters.includes(member));
+    if (isChanged && this.#hasLiveMajority(next)) {
+      const remainingLearners = learners.filter((member) => !next.includes(member));
+      return this.#raft.changeMembers(next, remainingLearners);
     }
-    const leaving =
-      learners.find((member) => this.#isGoneLearner(member)) ??
-      (this.#learnersWanted < 0 ? learners.at(-1) : undefined);
-    if (leaving !== undefined)
+    const learnerToRemove =
+      learners.find((member) => this.#shouldRemoveLearner(member)) ??
+      (this.#missingLearnerCount < 0 ? learners.at(-1) : undefined);
+    if (learnerToRemove !== undefined)
       this.#raft.changeMembers(
         voters,
-        learners.filter((member) => member !== leaving),
+        learners.filter((member) => member !== learnerToRemove),
       );
-    this.#followRounds();
+    this.#updateCatchUpRounds();
   }
 
-  /** A round ends when the learner has what the leader had at its beginning; the next one begins with its end. */
-  #followRounds(): void {
+  /** Ends the round of each learner that has reached the target index, and starts its next round. */
+  #updateCatchUpRounds(): void {
     const { learners } = this.#raft.members;
     for (const id of this.#rounds.keys()) if (!learners.some((member) => member.id === id)) this.#rounds.delete(id);
     for (const { id } of learners) {
-      const { match, behind } = this.#raft.progressOf(id);
+      const { match, entriesBehind } = this.#raft.progressOf(id);
       const round = this.#roundOf(id);
-      if (round !== undefined && match < round.target) continue;
-      const isCaughtUp = round !== undefined && this.#now - round.beganAt <= MemberChanges.catchUpMs;
-      this.#rounds.set(id, { term: this.#raft.term, target: match + behind, beganAt: this.#now, isCaughtUp });
+      if (round !== undefined && match < round.targetIndex) continue;
+      const isCaughtUp = round !== undefined && this.#now - round.startedAt <= MemberChanges.catchUpMs;
+      this.#rounds.set(id, {
+        term: this.#raft.term,
+        targetIndex: match + entriesBehind,
+        startedAt: this.#now,
+        isCaughtUp,
+      });
     }
   }
 
@@ -129,67 +137,75 @@
     return round?.term === this.#raft.term ? round : undefined;
   }
 
-  #forgetStaleRequests(): void {
-    for (const [name, { at }] of this.#joining)
-      if (this.#now - at > MemberChanges.joinRequestTtlMs) this.#joining.delete(name);
+  #dropExpiredRequests(): void {
+    for (const [name, { at }] of this.#joinRequests)
+      if (this.#now - at > MemberChanges.joinRequestTtlMs) this.#joinRequests.delete(name);
   }
 
-  /** Admits who asks, if it is among the best candidates for as many learners as are wanted. */
+  /**
+   * Admits the node with this disk id as a learner if it is among the highest ranked candidates for the free places.
+   */
   #admit(id: string): void {
     if (!this.#raft.isLeader || !this.#raft.hasStableMembers) return;
     const { voters, learners } = this.#raft.members;
     const members = [...voters, ...learners];
-    const kept = voters.filter((member) => !this.#voterInputs.isLost(member) && !this.#isToLeave(member.name));
-    const zones = new Set([...kept, ...learners].map((member) => this.#zoneOf(member.name)));
-    const free = [...this.#joining.entries()]
-      .filter(([name, request]) => this.#isFree(name, request.id, members))
+    const stayingVoters = voters.filter((member) => !this.#voterInputs.isLost(member) && !this.#isLeaving(member.name));
+    const zones = new Set([...stayingVoters, ...learners].map((member) => this.#zoneOf(member.name)));
+    const admissible = [...this.#joinRequests.entries()]
+      .filter(([name, request]) => this.#isAdmissible(name, request.id, members))
       .map(([name]) => name);
-    const candidates = rankCandidates(free, zones, (name) => this.#zoneOf(name));
-    const chosen = candidates
-      .slice(0, Math.max(0, this.#learnersWanted))
-      .find((name) => this.#joining.get(name)!.id === id);
-    if (chosen === undefined) return;
-    this.#raft.changeMembers(voters, [...learners, { id, name: chosen } as StoreMember]);
+    const candidates = rankCandidates(admissible, zones, (name) => this.#zoneOf(name));
+    const chosenName = candidates
+      .slice(0, Math.max(0, this.#missingLearnerCount))
+      .find((name) => this.#joinRequests.get(name)!.id === id);
+    if (chosenName === undefined) return;
+    this.#raft.changeMembers(voters, [...learners, { id, name: chosenName } as StoreMember]);
   }
 
-  /** Whether a control node that asks may be admitted: not the same machine as a member that is there. */
-  #isFree(name: string, id: string, members: readonly StoreMember[]): boolean {
-    if (this.#isToLeave(name) || members.some((member) => member.id === id)) return false;
-    return members.every((member) => member.name !== name || this.#isOnBlankDisk(member));
+  /**
+   * Whether a control node that asks to join may be admitted: it isn't a member yet, its machine isn't leaving, and no
+   * other disk of the machine is in the store, except one that no longer answers.
+   */
+  #isAdmissible(name: string, id: string, currentMembers: readonly StoreMember[]): boolean {
+    if (this.#isLeaving(name) || currentMembers.some((member) => member.id === id)) return false;
+    return currentMembers.every((member) => member.name !== name || this.#isOnBlankDisk(member));
   }
 
   #hasLiveMajority(voters: readonly StoreMember[]): boolean {
     const alive = voters.filter(
-      (member) => this.#raft.progressOf(member.id).heardAgo < 2 * MemberChanges.recentContactMs,
+      (member) => this.#raft.progressOf(member.id).sinceHeardMs < 2 * MemberChanges.recentContactMs,
     );
     return alive.length * 2 > voters.length;
   }
 
   #isReady(member: StoreMember): boolean {
-    const { heardAgo } = this.#raft.progressOf(member.id);
+    const { sinceHeardMs } = this.#raft.progressOf(member.id);
     const isCaughtUp = this.#roundOf(member.id)?.isCaughtUp === true;
-    return isCaughtUp && heardAgo < MemberChanges.recentContactMs && !this.#isToLeave(member.name);
+    return isCaughtUp && sinceHeardMs < MemberChanges.recentContactMs && !this.#isLeaving(member.name);
   }
 
   #isLost(member: StoreMember): boolean {
-    return this.#raft.progressOf(member.id).heardAgo > this.#node.parts.settings.replaceVoterMs;
+    return this.#raft.progressOf(member.id).sinceHeardMs > this.#node.parts.settings.replaceVoterMs;
   }
 
-  /** Its machine came back under its name with another disk, and the disk that it voted by is not heard from. */
+  /** Whether the member's machine asks to join with another disk while its disk in the store doesn't answer. */
   #isOnBlankDisk(member: StoreMember): boolean {
-    const request = this.#joining.get(member.name);
-    const isOther = request !== undefined && request.id !== member.id;
-    return isOther && this.#raft.progressOf(member.id).heardAgo > MemberChanges.recentContactMs;
+    const request = this.#joinRequests.get(member.name);
+    const isOtherDisk = request !== undefined && request.id !== member.id;
+    return isOtherDisk && this.#raft.progressOf(member.id).sinceHeardMs > MemberChanges.recentContactMs;
   }
 
-  #isGoneLearner(member: StoreMember): boolean {
-    const { heardAgo } = this.#raft.progressOf(member.id);
-    const maxMs = Math.max(MemberChanges.learnerTimeoutMs, this.#node.parts.settings.replaceVoterMs);
-    return heardAgo > maxMs || this.#isOnBlankDisk(member) || this.#isToLeave(member.name);
+  #shouldRemoveLearner(member: StoreMember): boolean {
+    const { sinceHeardMs } = this.#raft.progressOf(member.id);
+    const timeoutMs = Math.max(MemberChanges.learnerTimeoutMs, this.#node.parts.settings.replaceVoterMs);
+    return sinceHeardMs > timeoutMs || this.#isOnBlankDisk(member) || this.#isLeaving(member.name);
   }
 
-  /** Its process is stopping, or operators want it drained, as the store itself says and not a feed of it. */
-  #isToLeave(name: string): boolean {
+  /**
+   * Whether the machine's process is stopping or operators want the machine drained. Reads the store's own state, as a
+   * feed may lag.
+   */
+  #isLeaving(name: string): boolean {
     const isDraining = this.#raft.metadata.get(DrainKey.of(name)) !== undefined;
     return isDraining || this.#node.membership.find(name)?.isLeaving === true;
   }
--- a/packages/control/src/membership/membershipStatus.ts
+++ b/packages/control/src/membership/membershipStatus.ts
@@ -3,13 +3,14 @@
 import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
 /**
- * Whether this control node, which has a log of the store, is a member of it. One that was removed, perhaps while it
- * was down, learns so from the others, becomes a standby, and is in the store again once a leader contacts it.
+ * Tracks whether this control node, which has a log of the store, is a member of it. A node that was removed, perhaps
+ * while it was down, finds this out from the other control nodes and becomes a standby. It is a member again once a
+ * leader contacts it.
  */
 export class MembershipStatus {
-  /** How often a standby asks again: the leader has to know of it when a voter is lost. */
+  /** How often a standby repeats its request to join: the leader has to know of it when a voter is lost. */
   static readonly tickIntervalMs = 500;
-  /** Without contact to a leader for this long it asks whether it is still a member. */
+  /** After this long without contact to a leader, the node asks whether it is still a member. */
   static readonly contactTimeoutMs = 1500;
 
   readonly #node: ClusterNode;
@@ -25,11 +26,13 @@
     node.parts.clock.every(MembershipStatus.tickIntervalMs, () => void this.#tick());
   }
 
-  /** Asks the store to admit this control node, or to remember it as a standby; returns the store's outcome. */
-  static async requestJoin(node: ClusterNode, controlNode: string, id: string): Promise<string> {
+  /**
+   * Asks the store to admit this control node or remember it as a standby; returns the outcome, `away` if no answer.
+   */
+  static async requestJoin(node: ClusterNode, receiver: string, id: string): Promise<string> {
     const join = { id, name: node.parts.settings.name };
     const call = { case: "join" as const, value: join };
-    const body = await node.rpc.call(controlNode, { case: "storeCall", value: { call } }, 1000);
+    const body = await node.rpc.call(receiver, { case: "storeCall", value: { call } }, 1000);
     return body?.case === "storeReply" ? body.value.outcome : "away";
   }
 
@@ -41,12 +44,12 @@
     }
     if (this.#isRequesting || clock.now() - this.#lastContactAt < MembershipStatus.contactTimeoutMs) return;
     const { rpc, membership } = this.#node;
-    const other = membership
+    const otherMember = membership
       .alive(nodeRole.control)
       .find((member) => member.isInStore && member.name !== rpc.name && !rpc.isUnresponsive(member.name));
-    if (other === undefined) return;
+    if (otherMember === undefined) return;
     this.#isRequesting = true;
-    const outcome = await MembershipStatus.requestJoin(this.#node, other.name, this.#raft.id);
+    const outcome = await MembershipStatus.requestJoin(this.#node, otherMember.name, this.#raft.id);
     this.#isRequesting = false;
     if (outcome !== "standby" || this.#raft.isInTouch) return;
     this.#raft.standBy();
--- a/packages/control/src/membership/transferVote.ts
+++ b/packages/control/src/membership/transferVote.ts
@@ -2,29 +2,31 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
-/** How long a process that stops waits for another to vote in its place; the process has a few seconds in all. */
-const maxMs = 2500;
-const pauseMs = 100;
-const readMs = 400;
+/** How long a stopping process waits until another control node has its vote; it has a few seconds in all to stop. */
+const maxWaitMs = 2500;
+/** Time between two reads of the members, in milliseconds. */
+const pollIntervalMs = 100;
+/** Timeout of one read of the members, in milliseconds. */
+const readTimeoutMs = 400;
 
 /**
- * Lets a control node that stands by vote in place of this one before its process ends: a machine that goes for good
- * is then no loss, and the next one may come at once. Without a standby it does not wait. A
- * process that is started again is a standby in its turn.
+ * Waits until a standby control node votes in place of this one, for at most `maxWaitMs`, before this process ends. A
+ * machine that is removed for good then doesn't count as lost, and another one may be stopped right afterwards. Doesn't
+ * wait if there is no standby. A process that starts again becomes a standby itself.
  */
 export async function transferVote(node: ClusterNode): Promise<void> {
   const { clock } = node.parts;
-  const end = clock.now() + maxMs;
-  // A standby that was admitted says so before it votes.
+  const deadline = clock.now() + maxWaitMs;
+  // Listed once: a standby that is admitted meanwhile reports itself as a member before it votes.
   const standbys = node.membership
     .alive(nodeRole.control)
     .filter((member) => !member.isInStore && isStaying(node, member.name));
-  while (clock.now() < end && standbys.some((member) => isStaying(node, member.name))) {
-    const read = await node.store.read([MembersKey.name], [], readMs);
-    const kv = read.kvs?.find(({ key }) => key === MembersKey.name);
-    const voters = kv === undefined ? undefined : MembersKey.read(kv.value)?.voters;
+  while (clock.now() < deadline && standbys.some((member) => isStaying(node, member.name))) {
+    const read = await node.store.read([MembersKey.name], [], readTimeoutMs);
+    const membersEntry = read.kvs?.find(({ key }) => key === MembersKey.name);
+    const voters = membersEntry === undefined ? undefined : MembersKey.read(membersEntry.value)?.voters;
     if (voters !== undefined && !voters.includes(node.rpc.name)) return;
-    await new Promise<void>((resolve) => void clock.once(pauseMs, resolve));
+    await new Promise<void>((resolve) => void clock.once(pollIntervalMs, resolve));
   }
 }
 
--- a/packages/control/src/membership/voterChoice.test.ts
+++ b/packages/control/src/membership/voterChoice.test.ts
@@ -3,8 +3,8 @@
 import { expect } from "earl";
 import { chooseVoters } from "./voterChoice.js";
 
-/** Members by letter; a capital letter is the same machine with another disk. */
-const list = (letters: string): StoreMember[] =>
+/** One member for each letter; the capital letter is the same machine with another disk. */
+const membersOf = (letters: string): StoreMember[] =>
   [...letters].map((id) => ({ id, name: `machine-${id.toLowerCase()}` }) as StoreMember);
 
 interface Case {
@@ -13,7 +13,7 @@
   wanted?: number;
   lost?: string;
   draining?: string;
-  /** Zones that hold several, by letter. */
+  /** Voters that share one zone, by letter; every other machine has its own zone. */
   zones?: string;
   next: string;
 }
@@ -41,12 +41,12 @@
 for (const { voters, ready = "", wanted = 3, lost = "", draining = "", zones = "", next } of cases)
   test(`${voters}, ready ${ready}, lost ${lost}, draining ${draining}: ${next}`, () => {
     const chosen = chooseVoters({
-      voters: list(voters),
-      ready: list(ready),
-      wanted,
-      self: "a",
+      voters: membersOf(voters),
+      readyLearners: membersOf(ready),
+      wantedCount: wanted,
+      selfId: "a",
       isLost: (member) => lost.includes(member.id),
-      isToLeave: (member) => draining.includes(member.id),
+      isLeaving: (member) => draining.includes(member.id),
       zoneOf: (member) => (zones.includes(member.id) ? "shared" : member.name),
     });
     expect(chosen.map((member) => member.id).join("")).toEqual(next);
--- a/packages/control/src/membership/voterChoice.ts
+++ b/packages/control/src/membership/voterChoice.ts
@@ -1,49 +1,55 @@
 import type { StoreMember } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 
-/** What the choice of voters is made from. */
+/** Input for the choice of voters. */
 export interface VoterInputs {
   readonly voters: readonly StoreMember[];
-  /** Learners that have caught up and answered just now. */
-  readonly ready: readonly StoreMember[];
-  readonly wanted: number;
-  /** The leader's own identity: it goes only where it has to. */
-  readonly self: string;
+  /** Learners that have caught up and have answered recently. */
+  readonly readyLearners: readonly StoreMember[];
+  /** The configured number of voters. */
+  readonly wantedCount: number;
+  /** Disk id of the leader, which is removed only if there is no other choice. */
+  readonly selfId: string;
+  /** Whether the member's disk or machine is considered lost. */
   isLost(member: StoreMember): boolean;
-  isToLeave(member: StoreMember): boolean;
+  /** Whether the member's process is stopping or its machine is being drained. */
+  isLeaving(member: StoreMember): boolean;
   zoneOf(member: StoreMember): string;
 }
 
 /**
- * The voters that there should be, from those that there are. Pure.
+ * Computes the next set of voters from the current one. Pure function.
  *
- * A voter that is lost or is to leave is replaced by a caught-up learner in one joint change, {A,B,X} to {A,B,N}.
- * Two single changes need more machines in between: with the joining replica first, {A,B,X,N} has X dead and needs all
- * three others, so that the loss of N stops the store; with the removal first, {A,B} needs both. The joint change
- * needs A and B, just what {A,B,X} needed, and once it is over any one of {A,B,N} may be lost.
+ * A voter that is lost or leaving is replaced by a caught-up learner in one joint change, from {A,B,X} to {A,B,N}. Two
+ * single changes would need more live machines in between: if N is added first, {A,B,X,N} with X lost needs all of A, B
+ * and N, so that the loss of N stops the store; if X is removed first, {A,B} needs both. The joint change needs A and
+ * B, as {A,B,X} did, and afterwards any one of A, B and N may be lost.
  */
 export function chooseVoters(inputs: VoterInputs): StoreMember[] {
-  const { voters, ready, wanted } = inputs;
-  const leaving = votersToReplace(inputs);
-  const missing = Math.max(0, wanted - voters.length);
-  const next = [...voters.filter((member) => !leaving.includes(member)), ...ready.slice(0, leaving.length + missing)];
-  while (next.length > Math.max(1, wanted)) next.splice(next.indexOf(surplus(inputs, next)), 1);
+  const { voters, readyLearners, wantedCount } = inputs;
+  const votersToRemove = votersToReplace(inputs);
+  const missing = Math.max(0, wantedCount - voters.length);
+  const next = [
+    ...voters.filter((member) => !votersToRemove.includes(member)),
+    ...readyLearners.slice(0, votersToRemove.length + missing),
+  ];
+  while (next.length > Math.max(1, wantedCount)) next.splice(next.indexOf(chooseSurplusVoter(inputs, next)), 1);
   return next;
 }
 
-/** Voters to be replaced: first those whose disk or machine is gone, then those that are to leave. */
+/** Voters that should be replaced: first those that are lost, then those that are leaving. */
 export function unfitVoters({
   voters,
   isLost,
-  isToLeave,
-}: Pick<VoterInputs, "voters" | "isLost" | "isToLeave">): StoreMember[] {
+  isLeaving,
+}: Pick<VoterInputs, "voters" | "isLost" | "isLeaving">): StoreMember[] {
   const lost = voters.filter((member) => isLost(member));
-  return [...lost, ...voters.filter((member) => !lost.includes(member) && isToLeave(member))];
+  return [...lost, ...voters.filter((member) => !lost.includes(member) && isLeaving(member))];
 }
 
 /**
- * Control nodes that ask to join, in the order in which they are admitted: zones without a member first, then by
- * rendezvous rank, so that each leader has the same order.
+ * Orders control nodes that ask to join by priority: those in zones without a member first, then by rendezvous rank, so
+ * that every leader gets the same order.
  */
 export function rankCandidates(
   names: readonly string[],
@@ -54,23 +60,27 @@
   return [...ranked.filter((name) => !zones.has(zoneOf(name))), ...ranked.filter((name) => zones.has(zoneOf(name)))];
 }
 
-/** Whoever has a ready learner on its own machine first: no machine votes twice. */
+/**
+ * Voters that ready learners replace. Those whose own machine has a ready learner come first, so that no machine has
+ * two votes.
+ */
 function votersToReplace(inputs: VoterInputs): StoreMember[] {
-  const { ready } = inputs;
+  const { readyLearners } = inputs;
   const unfit = unfitVoters(inputs);
-  const hasReadyLearner = (member: StoreMember): boolean => ready.some((learner) => learner.name === member.name);
+  const hasReadyLearner = (member: StoreMember): boolean =>
+    readyLearners.some((learner) => learner.name === member.name);
   return [...unfit.filter(hasReadyLearner), ...unfit.filter((member) => !hasReadyLearner(member))].slice(
     0,
-    ready.length,
+    readyLearners.length,
   );
 }
 
-/** Whoever is lost or leaves goes first; else one whose zone has another voter; the leader last. */
-function surplus(inputs: VoterInputs, next: readonly StoreMember[]): StoreMember {
+/** The voter to remove first: a lost or leaving one, else one whose zone has another voter; the leader last. */
+function chooseSurplusVoter(inputs: VoterInputs, next: readonly StoreMember[]): StoreMember {
   const zones = next.map((member) => inputs.zoneOf(member));
   const sharesZone = (member: StoreMember): boolean =>
     zones.filter((zone) => zone === inputs.zoneOf(member)).length > 1;
-  const others = next.filter((member) => member.id !== inputs.self).reverse();
+  const others = next.filter((member) => member.id !== inputs.selfId).reverse();
   const unfit = unfitVoters({ ...inputs, voters: next });
   return unfit[0] ?? others.find(sharesZone) ?? others[0]!;
 }
--- a/packages/testkit/src/mutants/cutOffMutants.ts
+++ b/packages/testkit/src/mutants/cutOffMutants.ts
@@ -42,8 +42,8 @@
   {
     name: "a member that stood still believes its buffers",
     file: "control/dist/consensus/leaderContact.js",
-    find: "this.#resumedAt = this.#tickAt = this.#clock.now();",
-    put: "this.#tickAt = this.#clock.now();",
+    find: "this.#resumedAt = this.#lastTickAt = this.#clock.now();",
+    put: "this.#lastTickAt = this.#clock.now();",
     test: "control/dist/consensus/leaderContact.test.js",
   },
   {
--- a/packages/testkit/src/mutants/exploreMutants.ts
+++ b/packages/testkit/src/mutants/exploreMutants.ts
@@ -111,15 +111,15 @@
   {
     name: "explorer: who lacks what its leader committed is in touch",
     file: raftNode,
-    find: "if (isLed && this.#applier.applied >= (message.commit ?? Infinity))",
-    put: "if (isLed)",
+    find: "if (isFromCurrentLeader && this.#applier.applied >= (message.commit ?? Infinity))",
+    put: "if (isFromCurrentLeader)",
     test,
   },
   {
     name: "explorer: who has heard of a leader is in touch for ever",
     file: "control/dist/consensus/leaderContact.js",
-    find: "return !this.hasJustResumed && this.#clock.now() - this.#currentAt < this.limitMs;",
-    put: "return !this.hasJustResumed && this.#currentAt > -Infinity;",
+    find: "return !this.hasJustResumed && this.#clock.now() - this.#lastCurrentAt < this.staleAfterMs;",
+    put: "return !this.hasJustResumed && this.#lastCurrentAt > -Infinity;",
     test,
   },
   {
@@ -132,8 +132,8 @@
   {
     name: "explorer: members are looked for only after the disk has them",
     file: raftNode,
-    find: "const reply = receive();",
-    put: "const reply = receive(); await reply;",
+    find: "const reply = writeToLog();",
+    put: "const reply = writeToLog(); await reply;",
     test: traces,
   },
   {
--- a/packages/testkit/src/mutants/membershipMutants.ts
+++ b/packages/testkit/src/mutants/membershipMutants.ts
@@ -28,8 +28,8 @@
   {
     name: "learners vote before they have caught up",
     file: "control/dist/membership/memberChanges.js",
-    find: "return isCaughtUp && heardAgo",
-    put: "return heardAgo",
+    find: "return isCaughtUp && sinceHeardMs",
+    put: "return sinceHeardMs",
     test: `${sim}/memberChanges.test.js`,
   },
   {
@@ -112,7 +112,7 @@
   {
     name: "whoever is not trusted is counted",
     file: "control/dist/controlNode.js",
-    find: "isTrusted: (id) => this.#disks.isTrusted(id)",
+    find: "isTrusted: (id) => this.#diskWatch.isTrusted(id)",
     put: "isTrusted: () => true",
     test: `${sim}/disks.test.js`,
   },
--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -142,9 +142,9 @@
     name: "a founded lathe agrees again",
     file: "control/dist/consensus/founding.js",
     find:
-      "const founded = controlNodes.find((member) => member.isInStore) " +
+      "const foundedNode = controlNodes.find((member) => member.isInStore) " +
       "?? controlNodes.find((member) => member.isFounded);",
-    put: "const founded = undefined;",
+    put: "const foundedNode = undefined;",
     test: `${sim}/store.test.js`,
   },
   {
@@ -271,7 +271,7 @@
   {
     name: "what a proposer sent before it gave up brings it back",
     file: "control/dist/consensus/raftNode.js",
-    find: " && !this.#election.hasYielded(message.term)",
+    find: " && !this.#election.isTermYielded(message.term)",
     put: "",
     test: `${sim}/store.test.js`,
   },
@@ -313,7 +313,7 @@
   {
     name: "a slow proposer stays",
     file: "control/dist/consensus/raftNode.js",
-    find: "if (this.#slowMajority.isSlow(now, replicator.answerMs))",
+    find: "if (this.#slowMajority.shouldYield(now, replicator.answerMs))",
     put: "if (false)",
     test: `${sim}/store.test.js`,
   },
