--- a/packages/control/src/consensus/membershipChange.ts
+++ b/packages/control/src/consensus/membershipChange.ts
@@ -28,9 +28,10 @@
   }
 
   /**
-   * The members that may campaign: the voters of the newest configuration and, until that is known to be committed, of
-   * the one before it. A voter that is being removed is included because its log may be the only one up to date enough
-   * to win (Ongaro's thesis, section 4.2.2); its own vote doesn't count then. May list a member twice.
+   * The members whose votes may matter and that may campaign: the voters of the newest configuration and, until that is
+   * known to be committed, of the one before it. A voter that is being removed is included because its log may be the
+   * only one up to date enough to win (Ongaro's thesis, section 4.2.2); its own vote doesn't count then. May list a
+   * member twice.
    */
   electorate(commit: number): StoreMember[] {
     const { members, index } = this.#memberLog;
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -294,7 +294,7 @@
     replicator.sendHeartbeats();
   }
 
-  /** Requests pre-votes, which commit no voter, or, once a majority has granted these, votes for the next term. */
+  /** Requests pre-votes, which bind no voter, or, once a majority has granted these, votes for the next term. */
   #campaign(isPreVote: boolean): void {
     const term = this.#log.term + 1;
     this.#election.startCampaign(term, isPreVote);
--- a/packages/control/src/membership/memberChanges.ts
+++ b/packages/control/src/membership/memberChanges.ts
@@ -114,7 +114,7 @@
     this.#updateCatchUpRounds();
   }
 
-  /** Ends the round of each learner that has reached the target index, and starts its next round. */
+  /** Starts a new round for each learner that has none or has reached the target index of its current one. */
   #updateCatchUpRounds(): void {
     const { learners } = this.#raft.members;
     for (const id of this.#rounds.keys()) if (!learners.some((member) => member.id === id)) this.#rounds.delete(id);
