--- a/packages/log-storage/src/replication/commitNotices.ts
+++ b/packages/log-storage/src/replication/commitNotices.ts
@@ -2,26 +2,28 @@
 import type { CommitSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
+/** How far a shard's log is committed, in the form in which replicas are notified of it. */
 type Commit = MessageInitShape<typeof CommitSchema>;
 
-/** A replica that has all that is committed and was not notified of it. */
+/** A replica that has every committed entry and was not notified of the commit. */
 export interface UnnotifiedReplica {
-  /** Its disk's identity, and the name of its machine. */
+  /** Identity of the replica's disk. */
   readonly id: string;
+  /** Name of the replica's machine. */
   readonly name: string;
   readonly commit: Commit;
 }
 
 /** A shard's log whose replicas are notified of commits. */
 export interface CommitSource {
-  /** Each replica is listed once a commit: it counts as notified from then on. */
+  /** Returns the replicas to notify; they count as notified from then on, so each is returned once per commit. */
   unnotified(): readonly UnnotifiedReplica[];
 }
 
 /**
- * Notifies replicas of commits, without waiting for the next entry: all shards led here, one frame to each
- * replica's machine at the end of an event-loop turn. Whoever was notified meanwhile by an append is sent nothing.
- * A notice is not answered and not repeated: the next append, or the idle heartbeat, says the same.
+ * Notifies replicas of commits without waiting for the next entry: one frame to each replica's machine at the end of an
+ * event-loop turn, for all shards led here. A replica that was notified by an append in the meantime is sent nothing.
+ * Notices are not answered and not repeated: the next append or idle heartbeat states the same commit index.
  */
 export class CommitNotices {
   readonly #node: ClusterNode;
@@ -31,7 +33,7 @@
     this.#node = node;
   }
 
-  /** Something of this log was committed: its replicas are notified at the end of the turn. */
+  /** Schedules notices to the replicas of a log that has new committed entries, for the end of this turn. */
   add(source: CommitSource): void {
     if (this.#sources.size === 0) this.#node.parts.clock.once(0, () => this.#sendAll());
     this.#sources.add(source);
@@ -41,9 +43,9 @@
     const byReplica = new Map<string, { name: string; commits: Commit[] }>();
     for (const source of this.#sources) {
       for (const { id, name, commit } of source.unnotified()) {
-        const found = byReplica.get(id);
-        if (found === undefined) byReplica.set(id, { name, commits: [commit] });
-        else found.commits.push(commit);
+        const batch = byReplica.get(id);
+        if (batch === undefined) byReplica.set(id, { name, commits: [commit] });
+        else batch.commits.push(commit);
       }
     }
     this.#sources.clear();
--- a/packages/log-storage/src/replication/replica.test.ts
+++ b/packages/log-storage/src/replication/replica.test.ts
@@ -30,15 +30,16 @@
 const node: ReplicaNode = { rpc, groups: new LogGroups(rpc), parts: { clock } };
 const noop = (index: number, term: number): Entry => create(EntrySchema, { index, term, kind: 1 });
 
-/** Replicas whose logs begin with entries of these terms. */
-async function withTerms(...terms: number[]): Promise<Replica> {
+/** A replica whose log begins with entries of these terms. */
+async function replicaWithTerms(...terms: number[]): Promise<Replica> {
   const replica = new Replica(0, "r", disk, node);
   await replica.log.promise(9, "");
   await replica.log.append(terms.map((term, i) => noop(i + 1, term)));
   return replica;
 }
 
-const bigSnapshot = (streams: number): Uint8Array =>
+/** A shard snapshot of about one kilobyte per stream. */
+const snapshotWithStreams = (streams: number): Uint8Array =>
   toBinary(
     ShardSnapshotSchema,
     create(ShardSnapshotSchema, {
@@ -47,80 +48,82 @@
     }),
   );
 
-/** A pull from one replica into another; `change` may alter or lose what comes. */
+/** Pulls from one replica into another; `alterReply` may change a reply or lose it. */
 function pull(
-  into: Replica,
-  from: Replica,
-  change: (answer: ShardPullReply, asked: number) => ShardPullReply | undefined = (answer) => answer,
-): { run: Promise<boolean>; asked: Array<[after: number, offset: number]> } {
-  const asked: Array<[number, number]> = [];
-  const ask = (after: number, offset: number): Promise<ShardPullReply | undefined> => {
-    asked.push([after, offset]);
-    const body = from.pull(create(ShardPullSchema, { epoch: 9, after, offset }));
-    const answer = body?.case === "shardPullReply" ? create(ShardPullReplySchema, body.value) : undefined;
-    return Promise.resolve(answer === undefined ? undefined : change(answer, asked.length));
+  target: Replica,
+  source: Replica,
+  alterReply: (reply: ShardPullReply, requestCount: number) => ShardPullReply | undefined = (reply) => reply,
+): { run: Promise<boolean>; requests: Array<[after: number, offset: number]> } {
+  const requests: Array<[number, number]> = [];
+  const requestLog = (after: number, offset: number): Promise<ShardPullReply | undefined> => {
+    requests.push([after, offset]);
+    const body = source.pull(create(ShardPullSchema, { epoch: 9, after, offset }));
+    const reply = body?.case === "shardPullReply" ? create(ShardPullReplySchema, body.value) : undefined;
+    return Promise.resolve(reply === undefined ? undefined : alterReply(reply, requests.length));
   };
-  return { run: new LogPull(into, 9, ask).run(from.log.lastIndex), asked };
+  return { run: new LogPull(target, 9, requestLog).run(source.log.lastIndex), requests };
 }
 
-test("a pulled snapshot that this log has already takes away nothing, and no piece of it is awaited", async () => {
-  const into = await withTerms(1, 1, 1, 1, 1, 1, 1);
-  const from = await withTerms(1, 1, 1, 1, 1, 2);
-  await from.log.compact(5, bigSnapshot(600));
-  const pulled = pull(into, from);
-  expect(into.log.lastIndex).toEqual(7);
+test("a pulled snapshot that this log already covers removes nothing, and no more of it is requested", async () => {
+  const target = await replicaWithTerms(1, 1, 1, 1, 1, 1, 1);
+  const source = await replicaWithTerms(1, 1, 1, 1, 1, 2);
+  await source.log.compact(5, snapshotWithStreams(600));
+  const pulled = pull(target, source);
+  expect(target.log.lastIndex).toEqual(7);
   expect(await pulled.run).toEqual(true);
-  expect([into.log.baseIndex, into.log.lastIndex, into.log.termAt(6), into.applied]).toEqual([0, 6, 2, 5]);
-  expect(pulled.asked).toEqual([
+  expect([target.log.baseIndex, target.log.lastIndex, target.log.termAt(6), target.applied]).toEqual([0, 6, 2, 5]);
+  expect(pulled.requests).toEqual([
     [0, 0],
     [5, 0],
   ]);
 });
 
-test("a big snapshot is pulled in pieces in place of a log that ends before it, also past lost answers", async () => {
-  const into = await withTerms(1, 1);
-  const from = await withTerms(1, 1, 2, 2, 2, 2);
-  await from.log.compact(5, bigSnapshot(600));
-  const pulled = pull(into, from, (answer, asked) => (asked % 2 === 0 ? undefined : answer));
+test("a large snapshot, pulled in pieces, replaces a log that ends before it, also when replies are lost", async () => {
+  const target = await replicaWithTerms(1, 1);
+  const source = await replicaWithTerms(1, 1, 2, 2, 2, 2);
+  await source.log.compact(5, snapshotWithStreams(600));
+  const pulled = pull(target, source, (reply, requestCount) => (requestCount % 2 === 0 ? undefined : reply));
   expect(await pulled.run).toEqual(true);
-  expect([into.log.baseIndex, into.log.lastIndex, into.applied, into.state.streams.size]).toEqual([5, 6, 5, 600]);
-  const offsets = pulled.asked.filter(([after]) => after === 0).map(([, offset]) => offset);
+  expect([target.log.baseIndex, target.log.lastIndex, target.applied, target.state.streams.size]).toEqual([
+    5, 6, 5, 600,
+  ]);
+  const offsets = pulled.requests.filter(([after]) => after === 0).map(([, offset]) => offset);
   expect(offsets).toEqual([...offsets].sort((a, b) => a - b));
   expect(new Set(offsets).size).toEqual(3);
 });
 
-test("a log that is compacted while its snapshot is pulled is asked for the new one", async () => {
-  const into = await withTerms(1, 1);
-  const from = await withTerms(1, 1, 2, 2, 2, 2);
-  await from.log.compact(4, bigSnapshot(600));
-  const pulled = pull(into, from, (answer, asked) => {
-    if (asked === 2) void from.log.compact(5, bigSnapshot(700));
-    return answer;
+test("when a log is compacted while its snapshot is pulled, the new snapshot is pulled", async () => {
+  const target = await replicaWithTerms(1, 1);
+  const source = await replicaWithTerms(1, 1, 2, 2, 2, 2);
+  await source.log.compact(4, snapshotWithStreams(600));
+  const pulled = pull(target, source, (reply, requestCount) => {
+    if (requestCount === 2) void source.log.compact(5, snapshotWithStreams(700));
+    return reply;
   });
   expect(await pulled.run).toEqual(true);
-  expect([into.log.baseIndex, into.log.lastIndex, into.state.streams.size]).toEqual([5, 6, 700]);
+  expect([target.log.baseIndex, target.log.lastIndex, target.state.streams.size]).toEqual([5, 6, 700]);
 });
 
-test("what is pulled altered, out of order or never replaces nothing", async () => {
-  const changes: Array<(answer: ShardPullReply) => ShardPullReply | undefined> = [
-    (answer) => create(ShardPullReplySchema, { ...answer, snapshot: new Uint8Array(answer.snapshot.length) }),
-    (answer) => create(ShardPullReplySchema, { ...answer, size: 1e12 }),
-    (answer) => create(ShardPullReplySchema, { ...answer, isWhole: false, entries: [noop(7, 2)] }),
+test("replies that are altered, out of order or missing replace nothing", async () => {
+  const alterations: Array<(reply: ShardPullReply) => ShardPullReply | undefined> = [
+    (reply) => create(ShardPullReplySchema, { ...reply, snapshot: new Uint8Array(reply.snapshot.length) }),
+    (reply) => create(ShardPullReplySchema, { ...reply, size: 1e12 }),
+    (reply) => create(ShardPullReplySchema, { ...reply, isWhole: false, entries: [noop(7, 2)] }),
     () => undefined,
   ];
-  for (const change of changes) {
-    const into = await withTerms(1, 1);
-    const from = await withTerms(1, 1, 2, 2, 2, 2);
-    await from.log.compact(5, bigSnapshot(600));
-    expect(await pull(into, from, change).run).toEqual(false);
-    expect([into.log.lastIndex, into.log.baseIndex, into.applied]).toEqual([2, 0, 0]);
+  for (const alterReply of alterations) {
+    const target = await replicaWithTerms(1, 1);
+    const source = await replicaWithTerms(1, 1, 2, 2, 2, 2);
+    await source.log.compact(5, snapshotWithStreams(600));
+    expect(await pull(target, source, alterReply).run).toEqual(false);
+    expect([target.log.lastIndex, target.log.baseIndex, target.applied]).toEqual([2, 0, 0]);
   }
 });
 
-test("a pulled snapshot takes the place of a log that conflicts with it", async () => {
-  const into = await withTerms(1, 1, 1, 1, 1, 1, 1, 1);
-  const from = await withTerms(1, 1, 2, 2, 2, 2);
-  await from.log.compact(5, bigSnapshot(1));
-  expect(await pull(into, from).run).toEqual(true);
-  expect([into.log.baseIndex, into.log.lastIndex, into.log.termAt(6), into.applied]).toEqual([5, 6, 2, 5]);
+test("a pulled snapshot replaces a log that conflicts with it", async () => {
+  const target = await replicaWithTerms(1, 1, 1, 1, 1, 1, 1, 1);
+  const source = await replicaWithTerms(1, 1, 2, 2, 2, 2);
+  await source.log.compact(5, snapshotWithStreams(1));
+  expect(await pull(target, source).run).toEqual(true);
+  expect([target.log.baseIndex, target.log.lastIndex, target.log.termAt(6), target.applied]).toEqual([5, 6, 2, 5]);
 });
--- a/packages/log-storage/src/replication/replica.ts
+++ b/packages/log-storage/src/replication/replica.ts
@@ -15,22 +15,22 @@
 import { ShardState } from "../shards/shardState.js";
 import type { Verdict } from "../shards/streamLog.js";
 
-/** What a replica needs of its node. */
+/** The parts of its node that a replica uses. */
 export type ReplicaNode = Pick<ClusterNode, "groups" | "rpc"> & {
   readonly invariants?: Pick<InvariantMonitor, "violated">;
   readonly parts: { readonly clock: Clock };
 };
 
-/** An entry of the committed log, and what the state says of it; undefined where it is no accept command. */
+/** An entry of the committed log, and the state's verdict on it; undefined unless the entry is an accept command. */
 export interface AppliedEntry {
   entry: Entry;
   verdict: Verdict | undefined;
 }
 
 /**
- * One shard's log on this disk and the state folded from its committed part.
- * Invariants: state holds exactly the entries up to `applied`; an epoch lower than the promised one is
- * refused; the disk's identity is the replica's, so a wiped disk is another replica.
+ * One shard's log on this disk, and the state that results from its committed part.
+ * Invariants: the state reflects exactly the entries up to `applied`; an epoch lower than the promised one is refused;
+ * a replica is identified by its disk, so a wiped disk is another replica.
  */
 export class Replica extends EventEmitter<{
   applied: [applied: AppliedEntry];
@@ -38,31 +38,35 @@
   appended: [];
   installed: [];
 }> {
-  /** A machine holds replicas of many shards, so each keeps little. */
+  /** A machine holds replicas of many shards, so each replica keeps little. */
   static readonly compaction: CompactionBounds = {
     entries: 3000,
     bytes: 4 * 1024 * 1024,
     kept: { entries: 500, bytes: 1024 * 1024 },
   };
 
-  /** Entries in one reply to a pull: well below what may wait on a connection. */
+  /** Limit of the entries in one reply to a pull, in bytes: well below what may be queued on a connection. */
   static readonly maxPullReplyBytes = 4 * 1024 * 1024;
 
   readonly shard: number;
+  /** Identity of the disk. */
   readonly id: string;
   readonly log: ReplicaLog;
   readonly state = new ShardState();
   readonly #followerLog: FollowerLog;
   readonly #compaction: LogCompaction;
   readonly #node: ReplicaNode;
+  /** Index of the last applied entry. */
   applied = 0;
-  /** Last message of a leader: its epoch, when it came, and up to where it said the log is committed. */
+  /**
+   * The last message from a leader: its epoch, the clock time in ms when it came, and the commit index that it stated.
+   */
   #lastLeaderContact = { term: 0, at: -Infinity, commit: 0 };
-  /** Since when something is committed that is not applied here; 0 while all is. */
+  /** Clock time in ms since which an entry is known to be committed and not applied here; 0 while there is none. */
   #laggingSince = 0;
-  /** The snapshot that was last asked for in pieces. */
+  /** The snapshot that was last pulled from here, and its checksum. */
   #pulledSnapshot: { snapshot: Uint8Array; checksum: number } | undefined;
-  /** Set while this replica is the leader's, and replicates its own log. */
+  /** Replicates this log to the other replicas; set only while this replica is the leader's. */
   replicator: LogReplicator | undefined;
 
   constructor(shard: number, id: string, disk: Disk, node: ReplicaNode) {
@@ -77,11 +81,11 @@
       this.log,
       id,
       (index) => this.advance(index),
-      (index, state) => this.#install(index, state),
+      (index, state) => this.#installState(index, state),
       (state) => ShardState.isReadable(state),
-      (at) => node.invariants?.violated("committedLog", { group: this.log.group, index: at }),
+      (divergedAt) => node.invariants?.violated("committedLog", { group: this.log.group, index: divergedAt }),
     );
-    if (this.log.snapshotIndex > 0) this.#install(this.log.snapshotIndex, this.log.snapshot);
+    if (this.log.snapshotIndex > 0) this.#installState(this.log.snapshotIndex, this.log.snapshot);
     node.groups.enlist(this.log.group, {
       append: (append, from) =>
         append.receiver === this.id
@@ -101,7 +105,7 @@
     });
   }
 
-  /** Applies the log as far as it is committed. */
+  /** Applies entries up to the committed index, as far as the log has them. */
   advance(index: number): void {
     const end = Math.min(index, this.log.lastIndex);
     while (this.applied < end) {
@@ -114,26 +118,29 @@
     if (this.#compaction.shouldCompact) void this.#compaction.compact(this.applied, this.state.snapshot());
   }
 
-  /** The leader of an epoch says how far the log is committed. */
+  /** Handles the notice of an epoch's leader that the log is committed up to `index`. */
   onCommitNotice(epoch: number, index: number): void {
     if (epoch !== this.log.term || !Number.isSafeInteger(index)) return;
     this.#followerLog.onHeartbeatReply(epoch, index);
     this.#recordLeaderContact(epoch, index);
   }
 
-  /** Milliseconds since the last message of an epoch's leader; infinite where none came. */
+  /** Milliseconds since the last message from an epoch's leader; infinite if there was none. */
   sinceLeaderContactMs(epoch: number): number {
     return this.#lastLeaderContact.term === epoch
       ? this.#node.parts.clock.now() - this.#lastLeaderContact.at
       : Infinity;
   }
 
-  /** For how long something that is known to be committed has not been applied. */
+  /** Milliseconds for which an entry that is known to be committed has not been applied; 0 while there is none. */
   get lagMs(): number {
     return this.#laggingSince === 0 ? 0 : this.#node.parts.clock.now() - this.#laggingSince;
   }
 
-  /** Prepare of an epoch's leader, as in Paxos: promises to refuse all lower epochs, synced before the reply. */
+  /**
+   * Handles the Prepare of an epoch's leader, as in Paxos: promises to refuse all lower epochs. The promise is synced
+   * before the reply.
+   */
   async prepare(prepare: Prepare): Promise<BodyInit> {
     if (prepare.epoch < this.log.term || !Number.isSafeInteger(prepare.epoch))
       return { case: "prepareReply", value: { isPromised: false, epoch: this.log.term } };
@@ -151,7 +158,10 @@
     };
   }
 
-  /** A new leader with a shorter log asks for what it lacks: a piece of the snapshot, or entries. */
+  /**
+   * Answers a new leader whose log is less complete than this one with what it lacks: a piece of the snapshot, or
+   * entries. Undefined if the pull is for another epoch or its offset is invalid.
+   */
   pull(pull: ShardPull): BodyInit | undefined {
     if (pull.epoch !== this.log.term || !Number.isSafeInteger(pull.offset) || pull.offset < 0) return undefined;
     const { baseIndex, snapshotIndex, snapshotTerm, snapshot } = this.log;
@@ -175,30 +185,33 @@
     };
   }
 
-  /** Takes a better log's entries in place of what this one has after its applied part. */
+  /** Replaces what this log has after its applied part by the entries of a more complete log. */
   async replaceWithPulled(entries: readonly Entry[]): Promise<void> {
     if (entries[0] !== undefined) await this.log.agree(entries[0].index - 1, entries);
   }
 
   /**
-   * Whether the log has all that a better log's snapshot stands for. Entries that both have stay where they are: this
-   * replica has answered for them.
+   * Whether this log has everything that the snapshot of a more complete log covers. If so, it is applied up to there,
+   * and entries that both logs have stay in place: this replica has acknowledged them.
    */
   hasSnapshot(index: number, term: number): boolean {
     if (index > this.applied && this.log.termAt(index) === term) this.advance(index);
     return index <= this.applied;
   }
 
-  /** Takes a better log's snapshot in place of a log that conflicts with it, or ends before it; false if unreadable. */
+  /**
+   * Installs the snapshot of a more complete log in place of a log that conflicts with it or ends before it; false if
+   * the snapshot is unreadable.
+   */
   async installPulled(index: number, term: number, snapshot: Uint8Array): Promise<boolean> {
     if (!ShardState.isReadable(snapshot)) return false;
     const installed = this.log.install(index, term, snapshot);
-    this.#install(index, snapshot);
+    this.#installState(index, snapshot);
     await installed;
     return true;
   }
 
-  #install(index: number, state: Uint8Array): void {
+  #installState(index: number, state: Uint8Array): void {
     this.state.install(state);
     this.applied = index;
     this.emit("installed");
