--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -12,15 +12,28 @@
 import { PushBatcher } from "./follows/pushBatcher.js";
 import { Replica } from "./replication/replica.js";
 
-/** Key of the disk's identity in a data folder; the old word rests on disks and stays. */
+/**
+ * Key under which a data folder stores its disk's identity. The name is an old one that stays, because existing data
+ * folders contain it.
+ */
 const diskIdKey = "shelf";
 
-/** The topic logs on one machine's disk. Runs on storage machines, also as a part of control nodes. */
+/**
+ * Serves the replicas of the topic logs on one machine's disk and leads shards. Runs on storage machines, and as a part
+ * of control nodes.
+ */
 export class StorageNode {
-  /** Storage machines may come one after the other: the first sets are named once all were there for so long. */
+  /**
+   * Milliseconds for which enough disks must have been present before the first replica sets are created: storage
+   * machines may start one after the other.
+   */
   static readonly firstSetDelayMs = 900;
-  /** Sets smaller than wanted are named after so long, and grow when more machines come; never below three disks. */
+  /**
+   * The same where there are fewer storage machines than replicas are wanted, in ms. The sets are then created smaller
+   * than wanted and grow when more machines join.
+   */
   static readonly smallFirstSetDelayMs = 5000;
+  /** Smallest first replica set, in disks, unless fewer replicas are wanted. */
   static readonly minFirstSet = 3;
 
   readonly #node: ClusterNode;
@@ -28,12 +41,13 @@
   readonly #isSpare: boolean;
   readonly #lease: LeaseKeepAlive;
   readonly #replicas: Replica[] = [];
-  /** Of each shard; idle where its replica is the leader's, or this disk is not in its set. */
+  /** By shard number; idle where the replica is the leader's, or this disk is not in the shard's replica set. */
   readonly #followerReads: FollowerReads[] = [];
   readonly #pushBatcher: PushBatcher;
   #leadership: ShardLeadership | undefined;
-  /** Invariant: synced before anybody hears it; a blank disk gets a new one. */
+  /** Invariant: synced to the disk before other nodes learn it; a blank disk gets a new one. */
   #diskId = "";
+  /** Clock time in ms since which enough disks are present for the first replica sets; 0 while there are too few. */
   #enoughDisksSince = 0;
 
   constructor(node: ClusterNode, disk: Disk, isSpare: boolean) {
@@ -45,17 +59,17 @@
     this.#lease = new LeaseKeepAlive(`${settings.name}-shards`, settings.shardLeaseMs, node.store, clock, random);
   }
 
-  /** Undefined before `start`. */
+  /** Leads this node's shards; undefined before `start`. */
   get leadership(): ShardLeadership | undefined {
     return this.#leadership;
   }
 
-  /** Of each shard. */
+  /** What serves edges from each shard's replica where it is not the leader's, by shard number. */
   get followerReads(): readonly FollowerReads[] {
     return this.#followerReads;
   }
 
-  /** One of each shard, by its number, whether or not this disk is in the shard's set. */
+  /** By shard number, one replica for each shard, whether or not this disk is in the shard's replica set. */
   get replicas(): readonly Replica[] {
     return this.#replicas;
   }
@@ -65,10 +79,10 @@
     return this.#diskId;
   }
 
-  /** Says what is wrong with the data folder, if anything is. */
+  /** Loads the disk's identity and the replicas. Returns what is wrong with the data folder, or undefined. */
   load(): string | undefined {
-    const kept = this.#disk.read(diskIdKey)[0];
-    this.#diskId = kept === undefined ? this.#node.parts.random.identity() : Buffer.from(kept.value).toString();
+    const storedId = this.#disk.read(diskIdKey)[0];
+    this.#diskId = storedId === undefined ? this.#node.parts.random.identity() : Buffer.from(storedId.value).toString();
     for (let shard = 0; shard < this.#node.parts.settings.shards; shard += 1)
       this.#replicas.push(new Replica(shard, this.#diskId, this.#disk, this.#node));
     for (const replica of this.#replicas)
@@ -76,7 +90,7 @@
     return this.#replicas.map((replica) => replica.log.fault()).find((fault) => fault !== undefined);
   }
 
-  /** After `load`: syncs the disk's identity, then serves requests and claims shards. */
+  /** After `load`: syncs the disk's identity, then starts serving requests and claiming shards. */
   async start(): Promise<void> {
     await this.#disk.write([{ key: diskIdKey, value: Buffer.from(this.#diskId) }]);
     this.#node.membership.self.logDisk = this.#diskId;
@@ -88,14 +102,17 @@
     if (!this.#isSpare) this.#node.parts.clock.every(300, () => this.#createFirstSets());
   }
 
-  /** Gives up all shards and ends the lease, so that others take over without waiting for its end. */
+  /** Gives up all shards and ends the lease, so that other nodes can take over without waiting for it to expire. */
   async stop(): Promise<void> {
     if (this.#leadership !== undefined) this.#leadership.isDraining = true;
     await this.#leadership?.releaseAll();
     await this.#lease.end();
   }
 
-  /** For the status page: the lease, the disk's identity, and each shard that is led here with its replicas' lag. */
+  /**
+   * For the status page: the lease, the disk's identity, and each shard that is led here with the lag of its replicas,
+   * in entries.
+   */
   status(): object {
     const ledShards = (this.#leadership?.all() ?? []).map(([shard, { leader, repair }]) => ({
       shard,
@@ -111,14 +128,19 @@
     return { hasLease: this.#lease.isHeld, leasesLost: this.#lease.losses, diskId: this.#diskId, ledShards };
   }
 
-  /** Requests of other storage nodes. Those for another disk, which this machine had before, are not answered. */
+  /**
+   * Serves requests of other storage nodes. Requests for another disk, which this machine had before, are not answered.
+   */
   #serveReplicas(): void {
     const { rpc } = this.#node;
-    const find = (group: string): Replica | undefined => this.#replicas.find((replica) => replica.log.group === group);
+    const findReplica = (group: string): Replica | undefined =>
+      this.#replicas.find((replica) => replica.log.group === group);
     rpc.serve("prepare", (prepare) =>
-      prepare.receiver === this.#diskId ? find(prepare.group)?.prepare(prepare) : undefined,
+      prepare.receiver === this.#diskId ? findReplica(prepare.group)?.prepare(prepare) : undefined,
+    );
+    rpc.serve("shardPull", (pull) =>
+      pull.receiver === this.#diskId ? findReplica(pull.group)?.pull(pull) : undefined,
     );
-    rpc.serve("shardPull", (pull) => (pull.receiver === this.#diskId ? find(pull.group)?.pull(pull) : undefined));
     rpc.serve("commits", ({ receiver, commits }) => {
       if (receiver === this.#diskId)
         for (const { shard, term, index } of commits) this.#replicas[shard]?.onCommitNotice(term, index);
@@ -126,13 +148,13 @@
     });
   }
 
-  /** Requests of edges: to the shard's leader, or to a replica that pushes to edges near it. */
+  /** Serves requests of edges, to the shard's leader or to a replica that pushes to edges near it. */
   #serveEdges(): void {
     const { rpc } = this.#node;
     rpc.serve(
       "publish",
       async (publish) =>
-        (await this.#service(publish.shard)?.publish(publish)) ?? {
+        (await this.#findService(publish.shard)?.publish(publish)) ?? {
           case: "publishReply",
           value: { outcome: "away", leader: this.#node.shards.find(publish.shard).leader },
         },
@@ -143,12 +165,12 @@
         value: { outcome: "away", leader: this.#node.shards.find(follow.shard).leader },
       };
       if (follow.isAtReplica) return this.#followerReads[follow.shard]?.follow(follow, frame.from) ?? unavailable;
-      return this.#service(follow.shard)?.follow(follow, frame.from) ?? unavailable;
+      return this.#findService(follow.shard)?.follow(follow, frame.from) ?? unavailable;
     });
     rpc.serve(
       "fetch",
       (fetch) =>
-        (fetch.isAtReplica ? this.#followerReads[fetch.shard] : this.#service(fetch.shard))?.fetch(fetch) ?? {
+        (fetch.isAtReplica ? this.#followerReads[fetch.shard] : this.#findService(fetch.shard))?.fetch(fetch) ?? {
           case: "fetchReply",
           value: { outcome: "away" },
         },
@@ -156,50 +178,54 @@
     rpc.serve(
       "startRequest",
       async (request) =>
-        (await this.#service(request.shard)?.start(request)) ?? { case: "startReply", value: { outcome: "away" } },
+        (await this.#findService(request.shard)?.start(request)) ?? { case: "startReply", value: { outcome: "away" } },
     );
     rpc.serve("followHeartbeats", ({ heartbeats }) => this.#onFollowHeartbeats(heartbeats));
     rpc.serve(
       "countRequest",
-      (request) => this.#service(request.shard)?.count(request) ?? { case: "countReply", value: { outcome: "away" } },
+      (request) =>
+        this.#findService(request.shard)?.count(request) ?? { case: "countReply", value: { outcome: "away" } },
     );
   }
 
-  /** Answers an edge's heartbeats for several shards at once, each with its outcome and how far its log is applied. */
+  /**
+   * Answers an edge's heartbeats for several shards at once, each with its outcome and the index up to which the
+   * shard's log is applied here.
+   */
   #onFollowHeartbeats(heartbeats: readonly Follow[]): BodyInit {
     const outcomes = heartbeats.map((heartbeat) => {
       const { shard, isAtReplica } = heartbeat;
-      const handler = isAtReplica ? this.#followerReads[shard] : this.#service(shard);
+      const handler = isAtReplica ? this.#followerReads[shard] : this.#findService(shard);
       return handler?.onHeartbeat(heartbeat) ?? "away";
     });
     const applied = heartbeats.map(({ shard }) => this.#replicas[shard]?.applied ?? 0);
     return { case: "followHeartbeatsReply", value: { outcomes, applied } };
   }
 
-  #service(shard: number): ShardService | undefined {
+  #findService(shard: number): ShardService | undefined {
     return this.#leadership?.find(shard)?.service;
   }
 
-  /** Names the first replica sets, each shard's by the storage machine that ranks first for it. */
+  /** Creates the first replica sets; each shard's is created by the storage machine that ranks first for it. */
   #createFirstSets(): void {
     const { membership, feed, shards, parts } = this.#node;
-    const storage = membership.alive().filter((member) => member.isStorage && member.logDisk !== "");
+    const storageMembers = membership.alive().filter((member) => member.isStorage && member.logDisk !== "");
     const { replicas } = parts.settings;
     const minDisks = Math.min(replicas, StorageNode.minFirstSet);
-    if (!feed.isFresh || storage.length < minDisks) return void (this.#enoughDisksSince = 0);
+    if (!feed.isFresh || storageMembers.length < minDisks) return void (this.#enoughDisksSince = 0);
     if (this.#enoughDisksSince === 0) this.#enoughDisksSince = parts.clock.now();
-    const waitMs = storage.length < replicas ? StorageNode.smallFirstSetDelayMs : StorageNode.firstSetDelayMs;
+    const waitMs = storageMembers.length < replicas ? StorageNode.smallFirstSetDelayMs : StorageNode.firstSetDelayMs;
     if (parts.clock.now() - this.#enoughDisksSince < waitMs) return;
-    const names = storage.map((member) => member.name);
+    const names = storageMembers.map((member) => member.name);
     for (let shard = 0; shard < parts.settings.shards; shard += 1) {
       const isOwnTurn = Rendezvous.rank(RendezvousKeys.replicaSetCreation(shard), names)[0] === parts.settings.name;
-      if (shards.find(shard).set === undefined && isOwnTurn) this.#createFirstSet(shard, storage);
+      if (shards.find(shard).set === undefined && isOwnTurn) this.#createFirstSet(shard, storageMembers);
     }
   }
 
-  #createFirstSet(shard: number, storage: readonly Member[]): void {
+  #createFirstSet(shard: number, storageMembers: readonly Member[]): void {
     const { store, parts } = this.#node;
-    const chosen = Placement.pick(RendezvousKeys.replicaSet(shard), storage, parts.settings.replicas);
+    const chosen = Placement.pick(RendezvousKeys.replicaSet(shard), storageMembers, parts.settings.replicas);
     const members = chosen.map(({ logDisk, name, zone }) => ({ id: logDisk, name, zone }));
     const key = ReplicasKey.of(shard);
     void store.txn({
