--- a/packages/log-storage/src/shards/awaitedRetries.test.ts
+++ b/packages/log-storage/src/shards/awaitedRetries.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import { AwaitedRetries } from "./awaitedRetries.js";
 
-test("what came behind a number that was sent away waits for it, and no longer than a while", () => {
+test("later numbers wait for the retry of an unavailable one, but no longer than the retry window", () => {
   const awaited = new AwaitedRetries();
   const isBehindAwaitedRetry = (number: number, now: number): boolean =>
     awaited.isBehindAwaitedRetry("a/1", "pen", number, now);
@@ -23,7 +23,7 @@
   expect(isBehindAwaitedRetry(6, 5)).toEqual(false);
 });
 
-test("an earlier number sent away takes the place of a later one", () => {
+test("an earlier unavailable number replaces a later one", () => {
   const awaited = new AwaitedRetries();
   awaited.recordOutcome("a/1", "pen", 7, true, 0);
   awaited.recordOutcome("a/1", "pen", 5, true, 100);
--- a/packages/log-storage/src/shards/followHandler.ts
+++ b/packages/log-storage/src/shards/followHandler.ts
@@ -20,9 +20,9 @@
   followers: StreamFollowers;
 }
 
-/** Answers the edges that follow streams at a shard's leader: follows, their heartbeats, and counts of subscribers. */
+/** Answers edges that follow streams at a shard's leader: follows, their heartbeats, and counts of subscribers. */
 export class FollowHandler {
-  /** A new leader counts no subscribers until the edges have had this long to tell it of theirs. */
+  /** A new leader counts no subscribers until the edges have had this many milliseconds to report theirs. */
   static readonly countDelayMs = 700;
 
   readonly #node: ClusterNode;
@@ -30,7 +30,8 @@
   readonly #authority: LeaderAuthority;
   readonly #streams: ServedStreams;
   readonly #followers: StreamFollowers;
-  #servesSince = Infinity;
+  /** Clock time in ms at which the leader began to serve. */
+  #servingSince = Infinity;
 
   constructor({ node, leader, authority, streams, followers }: FollowHandlerParts) {
     this.#node = node;
@@ -38,19 +39,19 @@
     this.#authority = authority;
     this.#streams = streams;
     this.#followers = followers;
-    leader.on("serving", () => (this.#servesSince = node.parts.clock.now()));
+    leader.on("serving", () => (this.#servingSince = node.parts.clock.now()));
   }
 
-  /** Heartbeat of one edge for this shard; the outcome travels to the edge. */
+  /** Handles an edge's heartbeat for this shard; the outcome is sent to the edge. */
   onHeartbeat(follow: Follow): string {
-    if (!this.#authority.isOpen) return "away";
+    if (!this.#authority.isAuthorized) return "away";
     return this.#followers.onHeartbeat(follow) ? "done" : "resync";
   }
 
-  /** How many subscribers each topic has at the edges that are alive. */
+  /** Counts the subscribers of each topic at the edges that are alive. */
   count({ topics }: CountRequest): BodyInit {
-    const isEarly = this.#node.parts.clock.now() - this.#servesSince < FollowHandler.countDelayMs;
-    if (!this.#authority.isOpen || isEarly) return { case: "countReply", value: { outcome: "away" } };
+    const isEarly = this.#node.parts.clock.now() - this.#servingSince < FollowHandler.countDelayMs;
+    if (!this.#authority.isAuthorized || isEarly) return { case: "countReply", value: { outcome: "away" } };
     const counts = topics.map((topic) => {
       const route = this.#node.configuration.route(topic);
       if (route === undefined) return create(TopicCountSchema, { topic, fault: "behind" });
@@ -59,34 +60,34 @@
     return { case: "countReply", value: { outcome: "done", counts } };
   }
 
-  /** Adds streams to an edge's follow, or begins it anew, and pushes what the edge lacks once it has the reply. */
+  /** Adds streams to an edge's follow, or begins it anew. What the edge lacks is pushed after the reply. */
   async follow(follow: Follow, edge: string): Promise<BodyInit> {
-    if (!this.#authority.isOpen) return { case: "followReply", value: { outcome: "away" } };
+    if (!this.#authority.isAuthorized) return { case: "followReply", value: { outcome: "away" } };
     if (follow.streams.length === 0 && !follow.isFull)
       return { case: "followReply", value: { outcome: this.onHeartbeat(follow), epoch: this.#leader.epoch } };
-    const statuses = follow.streams.map((at) => this.#streams.statuses.ofStream(at.stream, at));
+    const statuses = follow.streams.map((requested) => this.#streams.statuses.ofStream(requested.stream, requested));
     const followed = follow.streams.filter((_, i) => statuses[i] === "current");
     await Promise.all(
       followed.map(({ stream, spaceIncarnation }) => {
-        return this.#streams.incarnationOf({ stream, space: "", spaceIncarnation });
+        return this.#streams.ensureIncarnation({ stream, space: "", spaceIncarnation });
       }),
     );
-    // While the lease is held nobody else can have taken over: no round is needed for these heads.
-    if (!this.#authority.isOpen) return { case: "followReply", value: { outcome: "away" } };
+    // While the lease is held no other node can have taken over, so these heads need no round of confirmation.
+    if (!this.#authority.isAuthorized) return { case: "followReply", value: { outcome: "away" } };
     if (this.#followers.isStale(follow)) return { case: "followReply", value: { outcome: "resync" } };
     const { heads, number } = this.#followers.admit(follow, followed, edge);
-    const found = new Set(heads.map((head) => head.stream));
-    const missing = follow.streams.flatMap(({ stream }, i) =>
-      found.has(stream)
+    const servedNames = new Set(heads.map((head) => head.stream));
+    const unservedHeads = follow.streams.flatMap(({ stream }, i) =>
+      servedNames.has(stream)
         ? []
         : [create(StreamHeadSchema, { stream, fault: statuses[i] === "removed" ? "unknown-topic" : "behind" })],
     );
     this.#node.parts.clock.once(0, () => {
-      if (this.#authority.isOpen) this.#followers.push(found);
+      if (this.#authority.isAuthorized) this.#followers.push(servedNames);
     });
     return {
       case: "followReply",
-      value: { outcome: "done", heads: [...heads, ...missing], epoch: this.#leader.epoch, number },
+      value: { outcome: "done", heads: [...heads, ...unservedHeads], epoch: this.#leader.epoch, number },
     };
   }
 }
--- a/packages/log-storage/src/shards/leaderAuthority.ts
+++ b/packages/log-storage/src/shards/leaderAuthority.ts
@@ -2,10 +2,11 @@
 import type { ShardLeader } from "./shardLeader.js";
 
 /**
- * Whether a shard's leader may act now: accept, push and answer. Every handler asks again after each wait, as its
- * leadership may have ended meanwhile.
- * Invariant: true only while the leader serves its epoch, the lease that its key is under is held, and the feed is
- * fresh, so that neither a later epoch nor a newer configuration can have been in force for long without its knowing.
+ * Tells whether a shard's leader may act now: accept, push and answer. Every handler checks again after each wait,
+ * because the leadership may have ended meanwhile.
+ * Invariant: true only while the leader serves its epoch, the lease that its key is bound to is held, and the feed is
+ * fresh, so that neither a later epoch nor a newer configuration can have been in force for long without this node
+ * knowing it.
  */
 export class LeaderAuthority {
   readonly #node: ClusterNode;
@@ -18,8 +19,8 @@
     this.#isLeaseHeld = isLeaseHeld;
   }
 
-  /** To be asked anew whenever something was waited for. */
-  get isOpen(): boolean {
+  /** Has to be checked again after every wait. */
+  get isAuthorized(): boolean {
     return this.#leader.isServing && this.#isLeaseHeld() && this.#node.feed.isFresh;
   }
 }
--- a/packages/log-storage/src/shards/leadershipStep.test.ts
+++ b/packages/log-storage/src/shards/leadershipStep.test.ts
@@ -16,7 +16,7 @@
   { what: "claims a free shard once its turn has come", inputs: {}, step: "claim" },
   { what: "claims at once where it ranks first", inputs: { rank: 0, freeForMs: 0 }, step: "claim" },
   { what: "waits for its turn", inputs: { freeForMs: electionDelayMs - 1 }, step: "wait" },
-  { what: "claims nothing outside the set", inputs: { rank: -1 }, step: "not-eligible" },
+  { what: "claims nothing if its disk is not in the set", inputs: { rank: -1 }, step: "not-eligible" },
   { what: "claims nothing while draining", inputs: { isDraining: true }, step: "not-eligible" },
   {
     what: "leaves a shard to another leader",
@@ -24,7 +24,7 @@
     step: "not-eligible",
   },
   {
-    what: "does not claim what it leads",
+    what: "does not claim a shard that it leads",
     inputs: { route: { leader: "storage-1", epoch: 7 }, ledEpoch: 7 },
     step: "not-eligible",
   },
@@ -44,12 +44,12 @@
   const members = ["a", "b", "c"].map((id) => ({ id, name: `machine-${id}`, zone: "" }));
   const rankOf = (disk: string, lost = ""): number => electionRank(3, members, disk, (name) => name !== lost);
 
-  it("gives each member another turn, and none to a disk outside the set", () => {
+  it("gives each member a different turn, and none to a disk outside the set", () => {
     expect(["a", "b", "c"].map((disk) => rankOf(disk)).sort()).toEqual([0, 1, 2]);
     expect(rankOf("d")).toEqual(-1);
   });
 
-  it("leaves out who does not respond, but never the disk itself", () => {
+  it("leaves out unresponsive members, but never the disk itself", () => {
     const first = ["a", "b", "c"].find((disk) => rankOf(disk) === 0)!;
     const second = ["a", "b", "c"].find((disk) => rankOf(disk) === 1)!;
     expect(rankOf(second, `machine-${first}`)).toEqual(0);
--- a/packages/log-storage/src/shards/leadershipStep.ts
+++ b/packages/log-storage/src/shards/leadershipStep.ts
@@ -1,29 +1,32 @@
 /**
- * Decides what a storage node does next about the leadership of one shard. No I/O: whoever asks does it, and asks again
- * at the next tick or change of the shard's route.
+ * Decides what a storage node does next about the leadership of one shard. No I/O: the caller carries out the step, and
+ * asks again at the next tick or change of the shard's route.
  */
 import type { ShardSet } from "@cranetrack/core/feeds/shardSet.js";
 import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 
-/** How much longer each further member of the set waits before it claims a free shard. */
+/** How much longer each further member of the set waits before it claims a free shard, in milliseconds. */
 export const electionDelayMs = 100;
 
 /**
- * `delete-stale-key`: the leader's key names this machine, but an earlier process of it; nobody needs to wait for that
- * lease. `wait`: the shard is free and other members come first.
+ * `delete-stale-key`: the leader key names this machine, but an earlier process of it, so no node needs to wait for
+ * that process's lease. `wait`: the shard is free and other members of the set come first.
  */
 export type LeadershipStep = "delete-stale-key" | "not-eligible" | "wait" | "claim";
 
+/** What this process knows about the shard's leadership. */
 interface LeadershipInputs {
-  /** What the store says: the leader's machine, empty where there is none, and its epoch. */
+  /** What the store says: the leader's machine, empty if there is none, and its epoch. */
   readonly route: { readonly leader: string; readonly epoch: number };
+  /** Name of this machine. */
   readonly ownName: string;
-  /** Epoch under which this process leads the shard; undefined where it does not. */
+  /** Epoch under which this process leads the shard; undefined if it does not. */
   readonly ledEpoch: number | undefined;
   /** See `electionRank`. */
   readonly rank: number;
+  /** Whether this process or its machine is to lead nothing any more. */
   readonly isDraining: boolean;
-  /** For how long this process has seen the shard free. */
+  /** Milliseconds for which this process has seen the shard free. */
   readonly freeForMs: number;
 }
 
@@ -35,7 +38,7 @@
   return freeForMs >= rank * electionDelayMs ? "claim" : "wait";
 }
 
-/** A disk's turn to claim the shard among the set's responsive members, from 0; -1 where it is no member. */
+/** A disk's turn to claim the shard among the set's responsive members, from 0; -1 if it is not a member. */
 export function electionRank(
   shard: number,
   members: ShardSet["members"],
--- a/packages/log-storage/src/shards/logPull.ts
+++ b/packages/log-storage/src/shards/logPull.ts
@@ -3,15 +3,18 @@
 import { SnapshotAssembly } from "@cranetrack/core/replication/snapshotAssembly.js";
 import type { Replica } from "../replication/replica.js";
 
-/** Asks the replica with the better log for what follows an index, or for its snapshot from a byte on. */
+/**
+ * Requests what follows an index, or the snapshot from a byte on, from the replica with the most complete log.
+ * Undefined if no reply came.
+ */
 export type RequestLog = (after: number, offset: number) => Promise<ShardPullReply | undefined>;
 
 /**
- * Brings a new leader's log up to that of the best replica that promised: entries, behind a snapshot in pieces where
- * they do not reach back far enough. Nothing is replaced before all pieces are there and can be read.
+ * Completes a new leader's log from the most complete replica that promised: by entries, after a snapshot in pieces if
+ * the entries do not reach back far enough. Nothing is replaced before all pieces have arrived and can be read.
  */
 export class LogPull {
-  /** A question without an answer is asked again: it changes nothing where it is asked. */
+  /** Attempts at a request that is not answered; repeating it is safe, because it changes nothing at the replica. */
   static readonly maxAttempts = 3;
 
   readonly #replica: Replica;
@@ -20,7 +23,7 @@
   readonly #assembly = new SnapshotAssembly();
   #after: number;
   #offset = 0;
-  #rejectedChunks = 0;
+  #rejectedPieces = 0;
 
   constructor(replica: Replica, epoch: number, request: RequestLog) {
     this.#replica = replica;
@@ -29,19 +32,19 @@
     this.#after = replica.applied;
   }
 
-  /** False where the log could not be had up to an index. */
+  /** Pulls the log up to `lastIndex`; false if that failed. */
   async run(lastIndex: number): Promise<boolean> {
     while (this.#after < lastIndex) {
       const reply = await this.#requestWithRetries();
       if (reply === undefined) return false;
-      const hasProgress = reply.isWhole ? await this.#addSnapshotChunk(reply) : await this.#appendEntries(reply);
+      const hasProgress = reply.isWhole ? await this.#addSnapshotPiece(reply) : await this.#appendEntries(reply);
       if (!hasProgress) return false;
     }
     return true;
   }
 
   async #requestWithRetries(): Promise<ShardPullReply | undefined> {
-    for (let maxAttempts = 0; maxAttempts < LogPull.maxAttempts; maxAttempts += 1) {
+    for (let attempt = 0; attempt < LogPull.maxAttempts; attempt += 1) {
       const reply = await this.#request(this.#after, this.#offset);
       if (reply !== undefined) return reply;
     }
@@ -55,7 +58,7 @@
     return true;
   }
 
-  async #addSnapshotChunk({
+  async #addSnapshotPiece({
     baseIndex: index,
     baseTerm: indexTerm,
     snapshot,
@@ -63,20 +66,20 @@
     checksum,
   }: ShardPullReply): Promise<boolean> {
     if (this.#replica.hasSnapshot(index, indexTerm)) return this.#continueFrom(index);
-    const chunk = { term: this.#epoch, index, indexTerm, state: snapshot, offset: this.#offset, size, checksum };
-    const outcome = this.#assembly.take(create(SnapshotSchema, chunk));
+    const piece = { term: this.#epoch, index, indexTerm, state: snapshot, offset: this.#offset, size, checksum };
+    const outcome = this.#assembly.take(create(SnapshotSchema, piece));
     if (outcome.kind === "whole")
       return (await this.#replica.installPulled(index, indexTerm, outcome.state)) && this.#continueFrom(index);
     this.#offset = outcome.received;
-    if (outcome.kind === "refused") this.#rejectedChunks += 1;
-    // Refused in the middle: the other has compacted its log, and is asked for its new snapshot.
-    return this.#rejectedChunks < LogPull.maxAttempts;
+    if (outcome.kind === "refused") this.#rejectedPieces += 1;
+    // A refusal in the middle means that the replica has compacted its log; its new snapshot is requested.
+    return this.#rejectedPieces < LogPull.maxAttempts;
   }
 
   #continueFrom(index: number): boolean {
-    const isFurther = index > this.#after;
+    const hasAdvanced = index > this.#after;
     this.#after = Math.max(this.#after, index);
     this.#offset = 0;
-    return isFurther;
+    return hasAdvanced;
   }
 }
--- a/packages/log-storage/src/shards/memoryStreams.ts
+++ b/packages/log-storage/src/shards/memoryStreams.ts
@@ -2,13 +2,14 @@
 import { Incarnations, type LogPosition } from "@cranetrack/core/configuration/incarnation.js";
 import { StreamLog, type Verdict } from "./streamLog.js";
 
+/** A stream and the shard times, in ms, that decide how long it is remembered. */
 interface MemoryStream {
   log: StreamLog;
-  /** As the stream's route has it. */
+  /** Incarnation of the stream's space, as in its route. */
   spaceIncarnation: number;
-  /** Shard time since which no space has it, or its messages go into the log: its numbers stay known for a while. */
+  /** Shard time since which no space has the stream or it goes on in the log; its numbers stay known for a while. */
   retiredAt: number | undefined;
-  /** Shard time at which this leader made it. */
+  /** Shard time at which this leader created it. */
   createdAt: number;
   /** Shard time of the last use. */
   usedAt: number;
@@ -16,16 +17,19 @@
 
 /**
  * The streams of one led shard whose spaces keep nothing: sequenced by the leader alone, on no disk.
- * Invariants: an incarnation lives as long as this leader at most; messages are trimmed only by `trim`, so what one
- * event-loop turn accepted is still there to be pushed; a stream is never replaced by one of an earlier incarnation of
- * its space; a number that was taken stays known for as long as it may be repeated, wherever the stream is kept then.
+ * Invariants: an incarnation lives at most as long as this leader; messages are trimmed only by `trim` and `expire`,
+ * never by `accept`, so those that one event-loop turn accepted are still there to be pushed; a stream is never
+ * replaced by one of an earlier incarnation of its space; a number that was taken stays known for as long as it may be
+ * repeated, wherever the stream is kept by then.
  */
 export class MemoryStreams {
-  /** The tail that stays for edges that missed a push. */
-  static readonly maxKept = 200;
-  static readonly maxBytes = 2 * 1024 * 1024;
-  static readonly retentionMs = 10_000;
-  /** A publisher repeats a number for no longer than this after it first sent it. */
+  /** Messages that stay for edges that missed a push. */
+  static readonly maxTailMessages = 200;
+  /** Payload bytes that stay for edges that missed a push. */
+  static readonly maxTailBytes = 2 * 1024 * 1024;
+  /** Milliseconds for which messages stay for edges that missed a push. */
+  static readonly tailRetentionMs = 10_000;
+  /** A publisher repeats a number for no more than this many milliseconds after it first sent it. */
   static readonly repeatMs = 12_000;
 
   readonly #randomIdentity: () => string;
@@ -35,18 +39,18 @@
     this.#randomIdentity = randomIdentity;
   }
 
-  /** How many streams are sequenced in memory alone. */
+  /** Number of streams that are sequenced in memory alone. */
   get count(): number {
     return this.all().length;
   }
 
-  /** Undefined where nobody has used the stream under this leader, or not for long. */
+  /** The stream's log; undefined if the stream is retired, or has not been used under this leader lately. */
   find(stream: string): StreamLog | undefined {
-    const kept = this.#streams.get(stream);
-    return kept?.retiredAt === undefined ? kept?.log : undefined;
+    const entry = this.#streams.get(stream);
+    return entry?.retiredAt === undefined ? entry?.log : undefined;
   }
 
-  /** The stream in this incarnation of its space. */
+  /** The stream's log in this incarnation of the stream's space; otherwise like `find`. */
   findCurrent(stream: string, spaceIncarnation: number): StreamLog | undefined {
     return this.#streams.get(stream)?.spaceIncarnation === spaceIncarnation ? this.find(stream) : undefined;
   }
@@ -57,41 +61,42 @@
   }
 
   /**
-   * The stream, made where there was none of this incarnation of its space; undefined where there is a later one. It
-   * begins where its log stands, and goes on where it stood if the log has taken nothing since.
+   * The stream's log, created if there is none of this incarnation of its space; undefined if there is one of a later
+   * incarnation. It begins at the end of the replicated log, `base`; a retired one continues where it stopped if the
+   * replicated log has taken nothing since.
    */
   findOrCreate(stream: string, spaceIncarnation: number, base: LogPosition, at: number): StreamLog | undefined {
-    const kept = this.#streams.get(stream);
-    if (kept !== undefined && kept.spaceIncarnation > spaceIncarnation) return undefined;
-    if (kept?.spaceIncarnation === spaceIncarnation) {
-      if (kept.retiredAt !== undefined) this.#resume(kept, base);
-      kept.usedAt = Math.max(kept.usedAt, at);
-      return kept.log;
+    const entry = this.#streams.get(stream);
+    if (entry !== undefined && entry.spaceIncarnation > spaceIncarnation) return undefined;
+    if (entry?.spaceIncarnation === spaceIncarnation) {
+      if (entry.retiredAt !== undefined) this.#resume(entry, base);
+      entry.usedAt = Math.max(entry.usedAt, at);
+      return entry.log;
     }
     const log = new StreamLog(stream, Incarnations.inMemory(base, this.#randomIdentity()));
     this.#streams.set(stream, { log, spaceIncarnation, retiredAt: undefined, createdAt: at, usedAt: at });
     return log;
   }
 
-  /** Notes that the stream is used. */
+  /** Records that the stream is used at a shard time. */
   touch(stream: string, at: number): void {
-    const kept = this.#streams.get(stream);
-    if (kept !== undefined) kept.usedAt = Math.max(kept.usedAt, at);
+    const entry = this.#streams.get(stream);
+    if (entry !== undefined) entry.usedAt = Math.max(entry.usedAt, at);
   }
 
-  /** The stream's numbers, also where it is sequenced elsewhere by now; in the same incarnation of its space. */
+  /** The stream's known numbers in this incarnation of its space, also if the stream is sequenced elsewhere by now. */
   numbersOf(stream: string, spaceIncarnation: number): Pick<StreamLog, "known"> | undefined {
-    const kept = this.#streams.get(stream);
-    return kept?.spaceIncarnation === spaceIncarnation ? kept.log : undefined;
+    const entry = this.#streams.get(stream);
+    return entry?.spaceIncarnation === spaceIncarnation ? entry.log : undefined;
   }
 
   /**
-   * Whether numbers may still arrive that an earlier leader of the stream took. Which ones it took died with it, so
-   * nothing is known here of a number that this leader did not take.
+   * Whether numbers may still arrive that an earlier leader of the stream took. Which numbers it took was lost with it,
+   * so this leader knows nothing of a number that it did not take itself.
    */
   mayHavePredecessor(stream: string, at: number): boolean {
-    const kept = this.#streams.get(stream);
-    return kept !== undefined && at - kept.createdAt < MemoryStreams.repeatMs;
+    const entry = this.#streams.get(stream);
+    return entry !== undefined && at - entry.createdAt < MemoryStreams.repeatMs;
   }
 
   /** Sequences a message, or repeats the verdict on its number. */
@@ -102,59 +107,70 @@
     return log.accept(accept);
   }
 
-  /** Drops from these streams what is beyond the tail. Called once everything was pushed. */
+  /** Trims these streams to the tail that stays for edges that missed a push. Called after everything was pushed. */
   trim(streams: Iterable<string>): void {
     for (const stream of streams) {
       const log = this.find(stream);
-      // In steps, so that a busy stream is not copied at every message.
-      if (log !== undefined && (log.messages.length > 2 * MemoryStreams.maxKept || MemoryStreams.#isLarge(log)))
+      // Only at twice the limits, so that a busy stream is not copied at every message.
+      if (log !== undefined && (log.messages.length > 2 * MemoryStreams.maxTailMessages || MemoryStreams.#isLarge(log)))
         MemoryStreams.#trimTail(log, -Infinity);
     }
   }
 
-  /** Drops what is old, and streams that nobody has used for long. */
-  expire(at: number, forgetMs: number, redeliveryMs: number, isFollowed: (stream: string) => boolean): void {
+  /** Removes what is too old at the shard time `now`, and streams that have not been used for a long time. */
+  expire(
+    now: number,
+    sessionRetentionMs: number,
+    numberRetentionMs: number,
+    isFollowed: (stream: string) => boolean,
+  ): void {
     for (const [stream, { log, usedAt, retiredAt = Infinity }] of this.#streams) {
-      if (at - retiredAt > redeliveryMs) {
+      if (now - retiredAt > numberRetentionMs) {
         this.#streams.delete(stream);
         continue;
       }
-      MemoryStreams.#trimTail(log, at - MemoryStreams.retentionMs);
-      log.forgetNumbers(at - redeliveryMs);
-      if (log.hasSessionsBefore(at - forgetMs)) log.forgetSessions(at - forgetMs);
-      if (log.knownCount === 0 && at - usedAt > forgetMs && !isFollowed(stream)) this.#streams.delete(stream);
+      MemoryStreams.#trimTail(log, now - MemoryStreams.tailRetentionMs);
+      log.forgetNumbers(now - numberRetentionMs);
+      if (log.hasSessionsBefore(now - sessionRetentionMs)) log.forgetSessions(now - sessionRetentionMs);
+      if (log.knownCount === 0 && now - usedAt > sessionRetentionMs && !isFollowed(stream))
+        this.#streams.delete(stream);
     }
   }
 
-  /** The stream's space was removed, or it goes on in the log: what was sent before stays known for a while. */
+  /**
+   * Stops sequencing a stream whose space was removed or that goes on in the log; its numbers stay known for a while.
+   */
   retire(stream: string, at: number): void {
-    const kept = this.#streams.get(stream);
-    if (kept !== undefined) kept.retiredAt ??= at;
+    const entry = this.#streams.get(stream);
+    if (entry !== undefined) entry.retiredAt ??= at;
   }
 
-  #resume(kept: MemoryStream, base: LogPosition): void {
-    kept.retiredAt = undefined;
-    const position = Incarnations.logPosition(kept.log.incarnation, 0);
+  #resume(entry: MemoryStream, base: LogPosition): void {
+    entry.retiredAt = undefined;
+    const position = Incarnations.logPosition(entry.log.incarnation, 0);
     if (position?.identity === base.identity && position.seq === base.seq) return;
-    kept.log = kept.log.emptied(Incarnations.inMemory(base, this.#randomIdentity()));
+    entry.log = entry.log.withoutMessages(Incarnations.inMemory(base, this.#randomIdentity()));
   }
 
   static #trimTail(log: StreamLog, before: number): void {
     const { messages } = log;
-    let kept = 0;
+    let keptCount = 0;
     let bytes = 0;
-    while (kept < messages.length && kept < MemoryStreams.maxKept) {
-      const message = messages[messages.length - 1 - kept]!;
+    while (keptCount < messages.length && keptCount < MemoryStreams.maxTailMessages) {
+      const message = messages[messages.length - 1 - keptCount]!;
       bytes += message.payload.length;
-      if (message.at < before || bytes > MemoryStreams.maxBytes) break;
-      kept += 1;
+      if (message.at < before || bytes > MemoryStreams.maxTailBytes) break;
+      keptCount += 1;
     }
-    log.trim(log.head - kept);
+    log.trim(log.head - keptCount);
   }
 
-  /** Looked at in steps as well: only streams of large payloads come near it. */
+  /**
+   * Estimates the size by the last payload. Checked against twice the limit as well: only streams of large payloads
+   * come near it.
+   */
   static #isLarge({ messages }: StreamLog): boolean {
     const last = messages.at(-1);
-    return last !== undefined && messages.length * last.payload.length > 2 * MemoryStreams.maxBytes;
+    return last !== undefined && messages.length * last.payload.length > 2 * MemoryStreams.maxTailBytes;
   }
 }
--- a/packages/log-storage/src/shards/publishHandler.ts
+++ b/packages/log-storage/src/shards/publishHandler.ts
@@ -6,7 +6,7 @@
 import { AwaitedRetries } from "./awaitedRetries.js";
 import type { LeaderAuthority } from "./leaderAuthority.js";
 import type { MemoryStreams } from "./memoryStreams.js";
-import { overloadedReply, refusedReply, replyOf, unavailableReply, unknownReply } from "./publishReplies.js";
+import { overloadedReply, refusedReply, verdictReply, unavailableReply, unknownReply } from "./publishReplies.js";
 import type { PublishReply } from "./publishReplies.js";
 import { findContractViolation, type ContractViolation } from "./publishValidation.js";
 import type { ServedStreams } from "./servedStreams.js";
@@ -23,8 +23,8 @@
   pusher: StreamPusher;
 }
 
-/** Into which incarnation a message goes, and under which contract; a void one uses up its number alone. */
-interface AcceptedInto {
+/** The incarnation that a message goes into, and its contract. A void message only uses up its number. */
+interface AcceptTarget {
   readonly stream: string;
   readonly incarnation: string;
   readonly contract: TopicContract;
@@ -32,11 +32,11 @@
 }
 
 /**
- * Takes publishes for a shard's leader: checks them against the configuration in force and sequences them, in the
- * replicated log or in memory. A refusal is for good; whatever may still be done, or was, is not refused.
+ * Handles publishes for a shard's leader: checks them against the configuration in force and sequences them, in the
+ * replicated log or in memory. A refusal is permanent; a publish that was accepted, or may yet be, is not refused.
  */
 export class PublishHandler {
-  /** Entries that may wait for their commit; above this, publishes are turned down as overloaded. */
+  /** Number of entries that may wait for their commit; above it, publishes are rejected as overloaded. */
   static readonly maxPending = 2000;
 
   readonly #node: ClusterNode;
@@ -58,7 +58,10 @@
     this.#pusher = pusher;
   }
 
-  /** Numbers of one sender in one topic keep the order in which they come, whatever each waits for. */
+  /**
+   * Sequences a publish. Numbers of one sender in one topic keep the order in which they arrive, whatever each of them
+   * waits for.
+   */
   async publish(publish: Publish): Promise<PublishReply> {
     const { topic, session, number } = publish;
     const now = this.#node.parts.clock.now();
@@ -71,25 +74,24 @@
   }
 
   async #validateAndSequence(publish: Publish): Promise<PublishReply> {
-    if (!this.#authority.isOpen) return this.#unavailable();
+    if (!this.#authority.isAuthorized) return this.#unavailable();
     const { statuses } = this.#streams;
     const { topic, number } = publish;
-    await statuses.heard([[statuses.routeOf(topic), publish]]);
-    if (!this.#authority.isOpen) return this.#unavailable();
+    await statuses.waitForConfigurations([[statuses.routeOf(topic), publish]]);
+    if (!this.#authority.isAuthorized) return this.#unavailable();
     const route = this.#node.configuration.route(topic);
-    // One of the two has not heard of the newest configuration yet; a space that this node has seen removed may be
-    // back.
+    // This node or the sender lacks the newest configuration; a space that this node has seen removed may be back.
     if (route === undefined || statuses.ofRequest(route, publish) !== "current")
       return this.#unavailable("the topic's space is changing", 0.2);
     const { configuration } = this.#node.configuration;
     const contract = Configurations.contractFor(configuration, topic);
     if (contract === undefined) return refusedReply("unknown-topic", `the plan in force has no rule for ${topic}`);
-    if (!this.#streams.isOwn(route.stream) || !Number.isSafeInteger(number) || number < 1)
+    if (!this.#streams.isInThisShard(route.stream) || !Number.isSafeInteger(number) || number < 1)
       return refusedReply("malformed", "the topic is another shard's, or the number is none");
     return this.#sequence(publish, route, contract);
   }
 
-  /** Nothing is waited for between the last look at what is known and the moment when the message is sequenced. */
+  /** Does not wait between the last check for a known number and the moment when the message is sequenced. */
   async #sequence(publish: Publish, route: StreamRoute, contract: TopicContract): Promise<PublishReply> {
     const { statuses } = this.#streams;
     const { stream } = route;
@@ -98,13 +100,13 @@
       this.#leader.pendingCount > PublishHandler.maxPending
     )
       return overloadedReply();
-    const incarnation = await this.#streams.incarnationOf(route);
-    if (incarnation === undefined || !this.#authority.isOpen) return this.#unavailable();
+    const incarnation = await this.#streams.ensureIncarnation(route);
+    if (incarnation === undefined || !this.#authority.isAuthorized) return this.#unavailable();
     const isInMemory = statuses.isInMemory(stream);
     if (this.#streams.find(stream)?.incarnation !== incarnation)
       return this.#unavailable("the topic's space is changing", 0.2);
     const known = this.#streams.knownVerdict(route, publish);
-    if (known !== undefined) return isInMemory ? this.#replyFromMemory(stream, known) : replyOf(known);
+    if (known !== undefined) return isInMemory ? this.#replyFromMemory(stream, known) : verdictReply(known);
     const violation = findContractViolation(this.#node.configuration.configuration, contract, publish);
     const accept = this.#acceptCommand(publish, { stream, incarnation, contract, isVoid: violation !== undefined });
     if (isInMemory) {
@@ -115,11 +117,11 @@
     const verdict = await this.#leader.propose({ case: "accept", value: accept });
     if (verdict === undefined) return unknownReply("the holder lost its claim before the message was committed");
     if (verdict.kind === "refused" && violation !== undefined) return refusedReply(violation.code, violation.reason);
-    return replyOf(verdict);
+    return verdictReply(verdict);
   }
 
-  /** A void one uses up its number and delivers nothing. */
-  #acceptCommand(publish: Publish, { stream, incarnation, contract, isVoid }: AcceptedInto): Accept {
+  /** A void command uses up its number and delivers nothing. */
+  #acceptCommand(publish: Publish, { stream, incarnation, contract, isVoid }: AcceptTarget): Accept {
     const { topic, session, number, ownerEpoch } = publish;
     return create(AcceptSchema, {
       topic,
@@ -136,8 +138,8 @@
   }
 
   /**
-   * Whether what an earlier leader may have pushed to some edges could come to others in another order than it had
-   * there: one order for all is promised, and the earlier one died with its leader.
+   * Whether messages that an earlier leader may have pushed to some edges could reach other edges in another order. The
+   * contract promises one order for all, and the earlier order was lost with its leader.
    */
   #wouldReorder(stream: string, { order }: TopicContract): boolean {
     return order !== "sender" && this.#memory.mayHavePredecessor(stream, this.#leader.shardTime);
@@ -150,8 +152,8 @@
   }
 
   /**
-   * What is accepted has been pushed: nothing else remembers it. What an earlier leader may have accepted and pushed
-   * is not refused: a refusal promises that it never was and never will be delivered.
+   * An accepted message is pushed before the reply, because it is stored nowhere else. A number that an earlier leader
+   * may have accepted and pushed is not refused: a refusal promises that it never was and never will be delivered.
    */
   async #replyFromMemory(stream: string, verdict: Verdict): Promise<PublishReply> {
     const isNeverAccepted = verdict.kind === "refused" && verdict.code === StreamLog.numberWentBackwards;
@@ -159,7 +161,7 @@
       return unknownReply("an earlier holder may have accepted this number");
     if (verdict.kind === "accepted" && !(await this.#pusher.push(stream)))
       return unknownReply("the holder lost its claim before the message was pushed");
-    return replyOf(verdict);
+    return verdictReply(verdict);
   }
 
   #unavailable(reason = "", retryAfterSeconds = 0.5): PublishReply {
--- a/packages/log-storage/src/shards/publishValidation.ts
+++ b/packages/log-storage/src/shards/publishValidation.ts
@@ -1,4 +1,4 @@
-/** Whether a publish keeps to the contract of its topic. No I/O: decides from its arguments alone. */
+/** Checks publishes against the contracts of their topics. No I/O: decides from its arguments alone. */
 import {
   Configurations,
   type Configuration,
@@ -6,13 +6,15 @@
 } from "@cranetrack/core/configuration/configuration.js";
 import type { Publish } from "@cranetrack/core/gen/cranetrack_pb.js";
 
-/** Why a publish breaks its contract; the code and reason travel to the client. */
+/** How a publish violates its contract; the code and the reason are sent to the client. */
 export interface ContractViolation {
   readonly code: string;
   readonly reason: string;
 }
 
-/** Undefined where the contract allows the publish. A violation is sequenced too, so that its number is used up. */
+/**
+ * Undefined if the contract allows the publish. A violating publish is sequenced too, so that its number is used up.
+ */
 export function findContractViolation(
   configuration: Configuration | undefined,
   contract: TopicContract,
--- a/packages/log-storage/src/shards/servedStreams.ts
+++ b/packages/log-storage/src/shards/servedStreams.ts
@@ -11,7 +11,7 @@
 
 /**
  * The streams that a shard's leader serves: those of the replicated log, and those that it keeps in memory alone. Owns
- * the latter, and the creation of incarnations.
+ * the latter, and creates incarnations.
  */
 export class ServedStreams {
   readonly statuses: StreamStatuses;
@@ -19,8 +19,8 @@
   readonly #node: ClusterNode;
   readonly #replica: Replica;
   readonly #leader: ShardLeader;
-  /** By stream: incarnations proposed and not yet committed; whoever needs one meanwhile waits for the same. */
-  readonly #creating = new Map<string, Promise<void>>();
+  /** Incarnations that are proposed and not committed yet, by stream; concurrent callers wait for the same one. */
+  readonly #pendingCreations = new Map<string, Promise<void>>();
 
   constructor(node: ClusterNode, replica: Replica, leader: ShardLeader) {
     this.#node = node;
@@ -31,17 +31,17 @@
   }
 
   /** Whether the stream hashes into this shard. */
-  isOwn(stream: string): boolean {
+  isInThisShard(stream: string): boolean {
     return Rendezvous.shardOf(stream, this.#node.parts.settings.shards) === this.#replica.shard;
   }
 
-  /** The stream where the configuration in force keeps it: in memory or in the log. */
+  /** The stream's log where the configuration in force keeps it: in memory or in the replicated log. */
   find(stream: string): StreamLog | undefined {
     return this.statuses.isInMemory(stream) ? this.memory.find(stream) : this.#replica.state.streams.get(stream);
   }
 
-  /** Whether the configuration in force has no such stream, or another incarnation of its space. */
-  isOver(stream: string): boolean {
+  /** Whether the configuration in force has no such stream, or has it in another incarnation of its space. */
+  isEnded(stream: string): boolean {
     const route = this.statuses.routeOfStream(stream);
     if (route === undefined) return true;
     if (route.spaceIncarnation === 0) return false;
@@ -51,20 +51,20 @@
       : log !== undefined && this.statuses.ofLog(log) === "ended";
   }
 
-  /** What the replicated log has of the stream, also where the configuration in force keeps it in memory. */
+  /** The stream's replicated log, also if the configuration in force keeps the stream in memory. */
   findInLog(stream: string): StreamLog | undefined {
     return this.#replica.state.streams.get(stream);
   }
 
   /** The log with this incarnation of the stream, wherever the configuration keeps the stream now. */
-  findIncarnation(stream: string, incarnation: string): StreamLog | undefined {
+  findByIncarnation(stream: string, incarnation: string): StreamLog | undefined {
     const logs = [this.#replica.state.streams.get(stream), this.memory.find(stream)];
     return logs.find((log) => log !== undefined && Incarnations.isSame(log.incarnation, incarnation));
   }
 
   /**
-   * The verdict on a number that the stream knows already, in the same incarnation of its space: also on one that it
-   * took while the configuration kept it elsewhere.
+   * The verdict on a number that the stream already knows in this incarnation of its space, also if it was taken while
+   * the configuration kept the stream elsewhere.
    */
   knownVerdict({ stream, spaceIncarnation }: StreamRoute, { topic, session, number }: Publish): Verdict | undefined {
     const log = this.#replica.state.streams.get(stream);
@@ -76,22 +76,25 @@
   }
 
   /**
-   * The stream's incarnation where the configuration in force keeps it, made where there was none of this incarnation
-   * of its space; undefined where it could not be.
+   * The stream's incarnation where the configuration in force keeps it, created if there is none of this incarnation of
+   * its space; undefined if that failed.
    */
-  async incarnationOf({ stream, spaceIncarnation }: StreamRoute): Promise<string | undefined> {
-    if (this.statuses.isInMemory(stream)) return this.#incarnationInMemory(stream, spaceIncarnation);
+  async ensureIncarnation({ stream, spaceIncarnation }: StreamRoute): Promise<string | undefined> {
+    if (this.statuses.isInMemory(stream)) return this.#ensureMemoryIncarnation(stream, spaceIncarnation);
     const { streams } = this.#replica.state;
-    let creation = this.#creating.get(stream);
+    let creation = this.#pendingCreations.get(stream);
     if (creation === undefined && !ServedStreams.#isCurrent(streams.get(stream), spaceIncarnation))
-      creation = this.#create(stream, Streams.incarnation(spaceIncarnation, this.#node.parts.random.identity()));
+      creation = this.#proposeIncarnation(
+        stream,
+        Streams.incarnation(spaceIncarnation, this.#node.parts.random.identity()),
+      );
     if (creation !== undefined) await creation;
     const log = streams.get(stream);
     return ServedStreams.#isCurrent(log, spaceIncarnation) ? log!.incarnation : undefined;
   }
 
-  /** One in memory begins behind all that this leader has proposed to the stream's log. */
-  async #incarnationInMemory(stream: string, spaceIncarnation: number): Promise<string | undefined> {
+  /** An incarnation in memory begins after everything that this leader has proposed to the stream's log. */
+  async #ensureMemoryIncarnation(stream: string, spaceIncarnation: number): Promise<string | undefined> {
     const at = this.#leader.shardTime;
     const current = this.memory.findCurrent(stream, spaceIncarnation);
     if (current !== undefined) {
@@ -99,33 +102,38 @@
       return current.incarnation;
     }
     const log = this.#replica.state.streams.get(stream);
-    const creation = this.#creating.get(stream);
+    const creation = this.#pendingCreations.get(stream);
     if (creation !== undefined) await creation;
-    else if (log !== undefined && this.#leader.pendingCount > 0) await this.#create(stream, log.incarnation);
+    else if (log !== undefined && this.#leader.pendingCount > 0)
+      await this.#proposeIncarnation(stream, log.incarnation);
     if (!this.statuses.isInMemory(stream)) return undefined;
     return this.memory.findOrCreate(stream, spaceIncarnation, this.#logEnd(stream), at)?.incarnation;
   }
 
+  /** The end of the stream's replicated log, or the position that stands for a log not created yet. */
   #logEnd(stream: string): LogPosition {
     const log = this.#replica.state.streams.get(stream);
     const end = log === undefined ? undefined : Incarnations.logPosition(log.incarnation, log.head);
     return end ?? { identity: Incarnations.noLogIdentity(stream), seq: 0 };
   }
 
-  /** Whoever waits for it waits for all that was proposed before, also where the log has this incarnation already. */
-  #create(stream: string, incarnation: string): Promise<void> {
+  /**
+   * Proposes an incarnation. The result resolves after everything that was proposed before, also if the log already has
+   * this incarnation.
+   */
+  #proposeIncarnation(stream: string, incarnation: string): Promise<void> {
     const value = { stream, incarnation, at: this.#leader.shardTime };
-    // Who comes when it was just made still waits behind those that have waited for it: in a stream's order of
-    // arrival.
-    const forget = (): void => void this.#creating.delete(stream);
+    // A caller that comes just after the creation still waits behind the earlier ones, so that the stream keeps the
+    // order of arrival.
+    const removePending = (): void => void this.#pendingCreations.delete(stream);
     const creation = this.#leader
       .propose({ case: "createStream", value })
-      .then(() => void this.#node.parts.clock.once(0, forget));
-    this.#creating.set(stream, creation);
+      .then(() => void this.#node.parts.clock.once(0, removePending));
+    this.#pendingCreations.set(stream, creation);
     return creation;
   }
 
-  /** A topic's own stream is the same for good; that of a whole space begins anew with the space's incarnations. */
+  /** A topic's own stream never changes; the stream of a whole space begins anew with each incarnation of the space. */
   static #isCurrent(log: StreamLog | undefined, spaceIncarnation: number): boolean {
     return log !== undefined && (spaceIncarnation === 0 || log.spaceIncarnation === spaceIncarnation);
   }
--- a/packages/log-storage/src/shards/shardLeader.ts
+++ b/packages/log-storage/src/shards/shardLeader.ts
@@ -10,8 +10,10 @@
 import type { CommitNotices, CommitSource, UnnotifiedReplica } from "../replication/commitNotices.js";
 import type { AppliedEntry, Replica } from "../replication/replica.js";
 
+/** A command as it is proposed to the shard's log. */
 type CommandInit = NonNullable<MessageInitShape<typeof ShardCommandSchema>["command"]>;
 
+/** `over` is emitted when the leader has stopped, with the reason that goes into the log line. */
 interface ShardLeaderEvents {
   serving: [];
   over: [why: string];
@@ -19,24 +21,28 @@
 }
 
 /**
- * A shard's leader for one epoch. It serves only after a majority has promised its epoch and an entry of
- * that epoch is committed, so everything committed before is in its log.
- * Invariant: once over, it never serves again; the next claim makes another leader.
+ * A shard's leader for one epoch. It serves only after a majority has promised its epoch and an entry of that epoch is
+ * committed, so its log has everything that was committed before.
+ * Invariant: a stopped leader never serves again; the next claim creates another leader.
  */
 export class ShardLeader extends EventEmitter<ShardLeaderEvents> implements CommitSource {
+  /** The leader stops after this many milliseconds without contact to a majority. */
   static readonly majorityTimeoutMs = 700;
-  /** How often replicas that have everything are sent a heartbeat; their replies show that they are alive. */
+  /** Interval in ms of the heartbeats to replicas that have everything; their replies show that they are alive. */
   static readonly idleHeartbeatMs = 250;
-  /** How long a question for a part of a better log may take. */
+  /** Timeout in ms of a request for a part of a more complete log. */
   static readonly pullTimeoutMs = 1500;
 
+  /** Revision of the leader key in the store, so each later leader of the shard has a higher one. */
   readonly epoch: number;
   readonly #replica: Replica;
   readonly #node: ClusterNode;
-  readonly #commits: CommitNotices;
-  readonly #pending = new Map<number, (verdict: Verdict | undefined) => void>();
+  readonly #commitNotices: CommitNotices;
+  /** Proposals that wait for their commit, by log index. */
+  readonly #verdictResolvers = new Map<number, (verdict: Verdict | undefined) => void>();
   readonly #startedAt: number;
-  #timeBase = 0;
+  /** Shard time in ms that corresponds to `#startedAt`. */
+  #shardTimeBase = 0;
   #set: ShardSet;
   #replicator: LogReplicator | undefined;
   #isServing = false;
@@ -44,54 +50,57 @@
   readonly #onReplicaApplied = (applied: AppliedEntry): void => this.#handleApplied(applied);
   readonly #onReplicaDeposed = (): void => this.stop("a higher epoch");
 
-  constructor(replica: Replica, set: ShardSet, epoch: number, node: ClusterNode, commits: CommitNotices) {
+  constructor(replica: Replica, set: ShardSet, epoch: number, node: ClusterNode, commitNotices: CommitNotices) {
     super();
     this.setMaxListeners(0);
     this.#replica = replica;
     this.#set = set;
     this.epoch = epoch;
     this.#node = node;
-    this.#commits = commits;
+    this.#commitNotices = commitNotices;
     this.#startedAt = node.parts.clock.now();
   }
 
-  /** Whether the epoch is promised by a majority, an entry of it committed, and this leader not stopped. */
+  /** Whether a majority has promised the epoch, an entry of it is committed, and this leader has not stopped. */
   get isServing(): boolean {
     return this.#isServing && !this.#isStopped;
   }
 
-  /** Once true, it stays so. */
+  /** Once true, it stays true. */
   get isStopped(): boolean {
     return this.#isStopped;
   }
 
-  /** Entries proposed here that wait for their commit. */
+  /** Number of entries proposed here that wait for their commit. */
   get pendingCount(): number {
-    return this.#pending.size;
+    return this.#verdictResolvers.size;
   }
 
-  /** The replica set that this leader was chosen under. */
+  /** The replica set in force when this leader was chosen. */
   get set(): ShardSet {
     return this.#set;
   }
 
-  /** Undefined until a majority has promised the epoch. */
+  /** Replicates the shard's log; undefined until a majority has promised the epoch. */
   get replicator(): LogReplicator | undefined {
     return this.#replicator;
   }
 
-  /** Shard time now; it goes on from the last entry's and never runs faster than the monotonic clock. */
+  /** Shard time now, in ms. It continues from the last entry's and never runs faster than the monotonic clock. */
   get shardTime(): number {
-    return this.#timeBase + this.#node.parts.clock.now() - this.#startedAt;
+    return this.#shardTimeBase + this.#node.parts.clock.now() - this.#startedAt;
   }
 
-  /** False where no majority could be read. */
+  /**
+   * Collects promises from a majority, completes the log and starts to replicate it. False if no majority promised, the
+   * log could not be completed, or the leader was stopped meanwhile.
+   */
   async takeOver(): Promise<boolean> {
     const replica = this.#replica;
-    const others = this.#set.members.filter((member) => member.id !== replica.id);
+    const otherMembers = this.#set.members.filter((member) => member.id !== replica.id);
     if (this.epoch < replica.log.term) return false;
-    const own = replica.log.promise(this.epoch, "");
-    const requests = others.map(async (member) => {
+    const ownPromise = replica.log.promise(this.epoch, "");
+    const requests = otherMembers.map(async (member) => {
       const body = await this.#node.rpc.call(
         member.name,
         { case: "prepare", value: { group: replica.log.group, epoch: this.epoch, receiver: member.id } },
@@ -99,24 +108,32 @@
       );
       return body?.case === "prepareReply" && body.value.isPromised ? { member, ...body.value } : undefined;
     });
-    await own;
-    const promise = await this.#firstReplies(requests, Math.floor(this.#set.members.length / 2));
-    if (promise === undefined || this.#isStopped) return false;
-    const longest = promise.reduce(
-      (a, b) => (b.lastTerm > a.lastTerm || (b.lastTerm === a.lastTerm && b.lastIndex > a.lastIndex) ? b : a),
+    await ownPromise;
+    const promises = await this.#firstReplies(requests, Math.floor(this.#set.members.length / 2));
+    if (promises === undefined || this.#isStopped) return false;
+    const mostComplete = promises.reduce(
+      (best, candidate) =>
+        candidate.lastTerm > best.lastTerm ||
+        (candidate.lastTerm === best.lastTerm && candidate.lastIndex > best.lastIndex)
+          ? candidate
+          : best,
       {
         member: undefined as unknown,
         lastTerm: replica.log.lastTerm,
         lastIndex: replica.log.lastIndex,
-      } as (typeof promise)[number],
+      } as (typeof promises)[number],
     );
-    if (longest.member !== undefined && !(await this.#pullMissingLog(longest.member, longest.lastIndex))) return false;
+    if (mostComplete.member !== undefined && !(await this.#pullMissingLog(mostComplete.member, mostComplete.lastIndex)))
+      return false;
     if (this.#isStopped || replica.log.term !== this.epoch) return false;
     this.#startReplicating();
     return true;
   }
 
-  /** Appends a command; resolves with its verdict once committed, or undefined: it may yet be committed. */
+  /**
+   * Appends a command. Resolves once it is committed, with its verdict if it is an accept; or with undefined if the
+   * leader stops before, and then the command may still be committed.
+   */
   propose(command: CommandInit): Promise<Verdict | undefined> {
     if (this.#isStopped) return Promise.resolve(undefined);
     const { log } = this.#replica;
@@ -124,7 +141,7 @@
     return this.#append(create(EntrySchema, { index: log.lastIndex + 1, term: this.epoch, kind: 0, data }));
   }
 
-  /** Stops where no majority answers any more; sends idle heartbeats. */
+  /** Stops the leader if no majority answers any more; otherwise sends idle heartbeats. */
   tick(): void {
     if (this.#replicator === undefined) return;
     if (this.#replicator.sinceMajorityContactMs() > ShardLeader.majorityTimeoutMs)
@@ -132,7 +149,10 @@
     this.#replicator.sendHeartbeats(ShardLeader.idleHeartbeatMs);
   }
 
-  /** Whom entries must be synced on from now on: one set, or the old and the new one. */
+  /**
+   * Sets where entries must be synced from now on to be committed: on a majority of one set, or of both the old and the
+   * new one. Learners receive entries and don't count.
+   */
   setQuorums(sets: ShardSet[], learners: string[]): void {
     this.#replicator?.setMembers(
       sets.map((set) => set.members.map((member) => member.id)),
@@ -140,18 +160,26 @@
     );
   }
 
-  /** A majority has answered something sent after the call. */
-  confirm(): Promise<boolean> {
+  /**
+   * Resolves with true once a majority has answered something sent after the call: no later leader had taken over when
+   * the call was made.
+   */
+  confirmLeadership(): Promise<boolean> {
     return this.#replicator?.confirm() ?? Promise.resolve(false);
   }
 
-  /** Which replicas have all that is committed and were not notified of it; they count as notified from now on. */
+  /**
+   * Replicas that have every committed entry and were not notified of the commit; they count as notified from now on.
+   */
   unnotified(): UnnotifiedReplica[] {
     const commit = { shard: this.#replica.shard, term: this.epoch, index: this.#replicator?.commit ?? 0 };
     return (this.#replicator?.takeUnnotified() ?? []).map((id) => ({ id, name: this.#nameOf(id), commit }));
   }
 
-  /** Proposals that wait get no verdict: they may yet be committed. Idempotent; `why` goes into the log line. */
+  /**
+   * Stops this leader for good; idempotent. Pending proposals get no verdict, because they may still be committed.
+   * `why` goes into the log line.
+   */
   stop(why: string): void {
     if (this.#isStopped) return;
     this.#isStopped = true;
@@ -159,14 +187,14 @@
     if (this.#replica.replicator === this.#replicator) this.#replica.replicator = undefined;
     this.#replica.off("applied", this.#onReplicaApplied);
     this.#replica.off("deposed", this.#onReplicaDeposed);
-    for (const resolve of [...this.#pending.values()]) resolve(undefined);
-    this.#pending.clear();
+    for (const resolve of [...this.#verdictResolvers.values()]) resolve(undefined);
+    this.#verdictResolvers.clear();
     this.emit("over", why);
   }
 
   #startReplicating(): void {
     const replica = this.#replica;
-    this.#timeBase = replica.state.at;
+    this.#shardTimeBase = replica.state.shardTime;
     const replicator = new LogReplicator({
       log: replica.log,
       clock: this.#node.parts.clock,
@@ -180,13 +208,13 @@
     replica.on("deposed", this.#onReplicaDeposed);
     replicator.on("committed", (index) => {
       replica.advance(index);
-      this.#commits.add(this);
+      this.#commitNotices.add(this);
     });
     replicator.on("deposed", () => this.stop("a higher epoch"));
     replicator.setMembers([this.#set.members.map((member) => member.id)], []);
     void this.#append(create(EntrySchema, { index: replica.log.lastIndex + 1, term: this.epoch, kind: 1 })).then(() => {
       if (this.#isStopped) return;
-      this.#timeBase = replica.state.at - (this.#node.parts.clock.now() - this.#startedAt);
+      this.#shardTimeBase = replica.state.shardTime - (this.#node.parts.clock.now() - this.#startedAt);
       this.#isServing = true;
       this.emit("serving");
     });
@@ -202,15 +230,15 @@
   }
 
   #append(entry: ReturnType<typeof create<typeof EntrySchema>>): Promise<Verdict | undefined> {
-    const verdict = new Promise<Verdict | undefined>((resolve) => this.#pending.set(entry.index, resolve));
+    const verdict = new Promise<Verdict | undefined>((resolve) => this.#verdictResolvers.set(entry.index, resolve));
     void this.#replica.log.append([entry]).then(() => this.#replicator?.sendNew());
     this.#replicator?.sendNew();
     return verdict;
   }
 
   #handleApplied(applied: AppliedEntry): void {
-    const resolve = this.#pending.get(applied.entry.index);
-    this.#pending.delete(applied.entry.index);
+    const resolve = this.#verdictResolvers.get(applied.entry.index);
+    this.#verdictResolvers.delete(applied.entry.index);
     resolve?.(applied.verdict);
     this.emit("applied", applied);
   }
@@ -234,10 +262,10 @@
     let outstanding = requests.length;
     if (count === 0) return Promise.resolve(replies);
     return new Promise((resolve) => {
-      for (const one of requests) {
-        void one.then((value) => {
+      for (const request of requests) {
+        void request.then((reply) => {
           outstanding -= 1;
-          if (value !== undefined) replies.push(value);
+          if (reply !== undefined) replies.push(reply);
           if (replies.length >= count) resolve(replies);
           else if (replies.length + outstanding < count) resolve(undefined);
         });
--- a/packages/log-storage/src/shards/shardLeadership.ts
+++ b/packages/log-storage/src/shards/shardLeadership.ts
@@ -12,11 +12,16 @@
 import type { PushBatcher } from "../follows/pushBatcher.js";
 import type { Replica } from "../replication/replica.js";
 
-/** Why a leader stops whose disk, or another, leads on under the new set's epoch: its key is not deleted. */
+/**
+ * Reason for stopping a leader when this disk, or another, leads on under the new set's epoch: the leader key is not
+ * deleted then.
+ */
 const replicaSetSwapped = "the replica set was swapped";
 
+/** A shard that this process leads or is about to lead, with the parts that run for it. */
 interface LedShard {
   replica: Replica;
+  /** The lease that the leader key is bound to. */
   lease: string;
   leader: ShardLeader;
   service: ShardService;
@@ -24,30 +29,35 @@
 }
 
 /**
- * Claims free shards for this disk, in rendezvous order, by compare-and-set; nobody assigns them.
- * Invariant: a leader here acts only while the lease that its key is under is held.
+ * Claims free shards for this disk, in rendezvous order, by compare-and-set in the store; no node assigns them.
+ * Invariant: a leader here acts only while the lease that its key is bound to is held.
  */
 export class ShardLeadership {
-  /** How often each held shard's replica set is looked at, and a change of it taken one step further. */
+  /** Interval in ms at which each led shard's replica set is checked, and a change of it taken one step further. */
   static readonly repairIntervalMs = 100;
-  /** Changes that only make sets better, at a time, so that copying does not starve what is served. */
+  /** Limit of concurrent changes that only improve a set, so that copying does not starve the shards' traffic. */
   static readonly maxImprovements = 4;
 
   readonly #node: ClusterNode;
   readonly #lease: LeaseKeepAlive;
   readonly #replicas: readonly Replica[];
   readonly #diskId: string;
-  readonly #led = new Map<number, LedShard>();
+  readonly #ledShards = new Map<number, LedShard>();
+  /** Clock time in ms since which this process has seen the shard free, by shard number. */
   readonly #freeSince = new Map<number, number>();
+  /** Shards whose leader key is being claimed or deleted, or that are being taken over. */
   readonly #inTransition = new Set<number>();
-  /** Shards whose set is being swapped: the feed may bring their key's new epoch before the swap's own reply. */
+  /**
+   * Shards with a repair step in progress. If it swaps the set, the feed may deliver the leader key's new epoch before
+   * the swap's own reply arrives.
+   */
   readonly #changingReplicas = new Set<number>();
   readonly #pushBatcher: PushBatcher;
-  readonly #commits: CommitNotices;
+  readonly #commitNotices: CommitNotices;
   readonly #recentJoins: RecentJoins;
-  readonly #isResponsiveMember = (name: string): boolean =>
-    this.#node.membership.isAlive(name) && !this.#node.rpc.isUnresponsive(name);
-  /** Set once the process stops: it claims no shard any more. */
+  readonly #isResponsiveMember = (member: string): boolean =>
+    this.#node.membership.isAlive(member) && !this.#node.rpc.isUnresponsive(member);
+  /** Set once the process is stopping: it claims no more shards. */
   isDraining = false;
 
   constructor(
@@ -62,13 +72,13 @@
     this.#replicas = replicas;
     this.#diskId = diskId;
     this.#pushBatcher = pushBatcher;
-    this.#commits = new CommitNotices(node);
+    this.#commitNotices = new CommitNotices(node);
     this.#recentJoins = new RecentJoins(node.membership, node.parts.clock);
     lease.on("lost", () => {
-      for (const led of [...this.#led.values()]) led.leader.stop("the lease was lost");
+      for (const led of [...this.#ledShards.values()]) led.leader.stop("the lease was lost");
     });
     node.configuration.on("changed", () => {
-      for (const led of this.#led.values()) if (led.leader.isServing) led.service.configurationChanged();
+      for (const led of this.#ledShards.values()) if (led.leader.isServing) led.service.applyConfiguration();
     });
     node.shards.on("changed", (shard) => this.#onRouteChanged(shard));
     node.parts.clock.every(100, () => this.#tick());
@@ -77,27 +87,27 @@
 
   /** What this process runs for a shard that it leads, or is about to lead. */
   find(shard: number): LedShard | undefined {
-    return this.#led.get(shard);
+    return this.#ledShards.get(shard);
   }
 
-  /** By shard number, in the order in which they were claimed. */
+  /** Shard numbers and led shards, in the order in which they were claimed. */
   all(): Array<[number, LedShard]> {
-    return [...this.#led];
+    return [...this.#ledShards];
   }
 
-  /** Gives every shard back, so that others claim them at once. */
+  /** Releases every shard, so that other nodes can claim them at once. */
   async releaseAll(): Promise<void> {
-    await Promise.all([...this.#led.keys()].map((shard) => this.release(shard, "the process is stopping")));
+    await Promise.all([...this.#ledShards.keys()].map((shard) => this.release(shard, "the process is stopping")));
   }
 
-  /** Stops leading a shard and deletes its leader key; `why` goes into the log line. */
+  /** Stops leading a shard, which also deletes its leader key; `why` goes into the log line. */
   async release(shard: number, why: string): Promise<void> {
-    this.#led.get(shard)?.leader.stop(why);
+    this.#ledShards.get(shard)?.leader.stop(why);
   }
 
   #tick(): void {
     if (!this.#lease.isHeld) return;
-    for (const led of [...this.#led.values()]) {
+    for (const led of [...this.#ledShards.values()]) {
       led.leader.tick();
       if (led.leader.isServing) led.service.tick();
     }
@@ -105,14 +115,14 @@
     for (const replica of this.#replicas) this.#reconcileLeader(replica);
   }
 
-  /** What was lost is repaired for all held shards at once; what is only better goes few at a time. */
+  /** Lost replicas are replaced for all led shards at once; changes that only improve a set run few at a time. */
   #repairAll(): void {
-    let improving = this.all().filter(([, { repair }]) => repair.isImproving).length;
+    let improvementCount = this.all().filter(([, { repair }]) => repair.isImproving).length;
     for (const [shard, led] of this.all()) {
       if (this.#changingReplicas.has(shard)) continue;
       const wasImproving = led.repair.isImproving;
-      void this.#repair(shard, led, improving >= ShardLeadership.maxImprovements);
-      if (!wasImproving && led.repair.isImproving) improving += 1;
+      void this.#repair(shard, led, improvementCount >= ShardLeadership.maxImprovements);
+      if (!wasImproving && led.repair.isImproving) improvementCount += 1;
     }
   }
 
@@ -121,7 +131,7 @@
     const swap = await led.repair.tick(isUrgentOnly);
     this.#changingReplicas.delete(shard);
     if (swap === undefined) return this.#onRouteChanged(shard);
-    if (this.#led.get(shard) === led) this.#led.delete(shard);
+    if (this.#ledShards.get(shard) === led) this.#ledShards.delete(shard);
     led.leader.stop(replicaSetSwapped);
     if (swap.epoch > 0)
       void this.#inOneTransition(shard, () => this.#lead(led.replica, swap.set, swap.epoch, led.lease));
@@ -137,7 +147,7 @@
     const step = decideLeadershipStep({
       route,
       ownName: name,
-      ledEpoch: this.#led.get(shard)?.leader.epoch,
+      ledEpoch: this.#ledShards.get(shard)?.leader.epoch,
       rank: electionRank(shard, route.set?.members ?? [], this.#diskId, this.#isResponsiveMember),
       isDraining: this.isDraining || this.#node.machines.isDraining(name),
       freeForMs: now - freeSince,
@@ -173,10 +183,12 @@
     await this.#lead(replica, set, reply.revision!, lease);
   }
 
-  /** The store names this disk the leader under an epoch: serves once a majority has promised it. */
+  /**
+   * Leads a shard for which the store names this disk the leader under `epoch`: serves once a majority has promised it.
+   */
   async #lead(replica: Replica, set: ShardSet, epoch: number, lease: string): Promise<void> {
     const { shard } = replica;
-    const leader = new ShardLeader(replica, set, epoch, this.#node, this.#commits);
+    const leader = new ShardLeader(replica, set, epoch, this.#node, this.#commitNotices);
     const service = new ShardService(
       this.#node,
       replica,
@@ -191,16 +203,17 @@
       service,
       repair: new ReplicaRepair(this.#node, replica, leader, lease, this.#recentJoins),
     };
-    this.#led.set(shard, led);
+    this.#ledShards.set(shard, led);
     leader.on("over", (why) => void this.#onLeaderStopped(shard, led, why));
-    leader.on("serving", () => led.service.configurationChanged());
+    leader.on("serving", () => led.service.applyConfiguration());
     if (!(await leader.takeOver())) leader.stop("no majority of the replicas promised");
   }
 
   async #onLeaderStopped(shard: number, led: LedShard, why: string): Promise<void> {
-    if (this.#led.get(shard) === led) this.#led.delete(shard);
+    if (this.#ledShards.get(shard) === led) this.#ledShards.delete(shard);
     this.#node.parts.log.note("stopped leading a shard", { shard, epoch: led.leader.epoch, why });
     if (why === replicaSetSwapped) return;
+    // Gives the other members of the set 500 ms to claim the shard first.
     this.#freeSince.set(shard, this.#node.parts.clock.now() + 500);
     await this.#deleteLeaderKey(shard, led.leader.epoch);
   }
@@ -210,14 +223,14 @@
     await this.#node.store.txn({ checks: [{ key, revision: epoch }], deletes: [key] });
   }
 
-  /** The store names another leader: whatever this one thinks, it is over. */
+  /** Stops the local leader if the store names a later one, whatever the state of the local one is. */
   #onRouteChanged(shard: number): void {
-    const led = this.#led.get(shard);
+    const led = this.#ledShards.get(shard);
     const route = this.#node.shards.find(shard);
     const isOwnSwap = this.#changingReplicas.has(shard) && route.leaderId === this.#diskId;
     if (led !== undefined && route.epoch > led.leader.epoch && !isOwnSwap)
       led.leader.stop("the store names another leader");
-    // Freed just now: whose turn it is need not wait for a tick.
+    // A shard that was just freed can be claimed without waiting for the next tick.
     if (route.leader === "" && this.#lease.isHeld && this.#node.feed.isFresh)
       this.#reconcileLeader(this.#replicas[shard]!);
   }
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -15,7 +15,7 @@
 import { StreamFollowers } from "../follows/streamFollowers.js";
 import type { Replica } from "../replication/replica.js";
 
-/** What a shard's leader does for edges, for one epoch. Wires the handlers, one for each kind of request. */
+/** Serves edges for a shard's leader during one epoch. Wires the handlers, one for each kind of request. */
 export class ShardService {
   readonly #replica: Replica;
   readonly #leader: ShardLeader;
@@ -67,9 +67,9 @@
     });
   }
 
-  /** Whether lease, configuration and epoch may be acted on now. */
+  /** See `LeaderAuthority.isAuthorized`. */
   get isOpen(): boolean {
-    return this.#authority.isOpen;
+    return this.#authority.isAuthorized;
   }
 
   /** See `PublishHandler.publish`. */
@@ -97,33 +97,33 @@
     return this.#starts.start(request);
   }
 
-  /** Messages of a stream after an offset, for an edge that missed pushes or reads from further back. */
+  /** Replies with a stream's messages after an offset, for an edge that missed pushes or reads from further back. */
   fetch(fetch: Fetch): BodyInit {
     if (!this.isOpen) return { case: "fetchReply", value: { outcome: "away" } };
     const { stream, incarnation } = fetch;
-    const log = this.#streams.findIncarnation(stream, incarnation) ?? this.#streams.find(stream);
-    if (log === undefined || this.#streams.isOver(stream))
+    const log = this.#streams.findByIncarnation(stream, incarnation) ?? this.#streams.find(stream);
+    if (log === undefined || this.#streams.isEnded(stream))
       return { case: "fetchReply", value: { outcome: "unknown-topic" } };
     return fetchMessages(log, fetch);
   }
 
   /**
-   * Streams that no space has any more end for their followers; those that are kept elsewhere now are followed anew. A
-   * stream that is kept as before costs nothing.
+   * Applies a changed configuration: streams that have no space any more end for their followers, and streams that are
+   * now kept elsewhere have to be followed anew. A stream that is kept as before causes no work.
    */
-  configurationChanged(): void {
+  applyConfiguration(): void {
     const followed = this.#followers.streams();
-    this.#followers.end(followed.filter((stream) => this.#streams.isOver(stream)));
+    this.#followers.end(followed.filter((stream) => this.#streams.isEnded(stream)));
     for (const { stream } of this.#streams.memory.all())
-      if (!this.#streams.statuses.isInMemory(stream) || this.#streams.isOver(stream))
+      if (!this.#streams.statuses.isInMemory(stream) || this.#streams.isEnded(stream))
         this.#streams.memory.retire(stream, this.#leader.shardTime);
-    const moved = this.#followers.streams().filter((stream) => this.#followers.isOtherIncarnation(stream));
-    this.#followers.requestRefollow(moved);
-    const inLog = [...this.#replica.state.streams.values()];
-    if (inLog.some((log) => this.#streams.statuses.ofLog(log) === "ended")) void this.#trimmer.trimLog();
+    const movedStreams = this.#followers.streams().filter((stream) => this.#followers.isOtherIncarnation(stream));
+    this.#followers.requestRefollow(movedStreams);
+    const replicatedLogs = [...this.#replica.state.streams.values()];
+    if (replicatedLogs.some((log) => this.#streams.statuses.ofLog(log) === "ended")) void this.#trimmer.trimLog();
   }
 
-  /** Forgets edges that went unresponsive, and trims what is due. */
+  /** Drops edges that have become unresponsive, and trims what is due. */
   tick(): void {
     this.#followers.dropUnresponsive();
     this.#trimmer.tick();
--- a/packages/log-storage/src/shards/shardState.test.ts
+++ b/packages/log-storage/src/shards/shardState.test.ts
@@ -30,7 +30,7 @@
 }
 
 describe("ShardState", () => {
-  it("reads back from a snapshot all that its streams hold, their incarnation among it", () => {
+  it("restores from a snapshot everything that its streams contain, including their incarnations", () => {
     const state = stateWithMessages(4);
     state.streams.get(stream)!.trim(2);
     const restored = new ShardState();
@@ -44,20 +44,20 @@
     ]);
     const verdict = log.known(stream, "pen", 4);
     expect(verdict).toEqual({ kind: "accepted", stream, incarnation, seq: 4, isFresh: false });
-    expect([restored.at, restored.snapshot()]).toEqual([state.at, state.snapshot()]);
+    expect([restored.shardTime, restored.snapshot()]).toEqual([state.shardTime, state.snapshot()]);
   });
 
-  // Guards against ORDER (review/3), also at a replica that began with a snapshot.
-  it("knows the numbers of a busy session until a trim says that they are old, from a snapshot as well", () => {
+  // Guards against ORDER (review/3), also at a replica that was restored from a snapshot.
+  it("knows the numbers of a busy session until a trim forgets them, also when restored from a snapshot", () => {
     const state = stateWithMessages(300);
     const restored = new ShardState();
     restored.install(state.snapshot());
-    for (const one of [state, restored]) {
-      expect(one.known(stream, stream, "pen", 1)?.kind).toEqual("accepted");
-      expect([one.hasNumbersBefore(6), one.hasNumbersBefore(7)]).toEqual([false, true]);
+    for (const each of [state, restored]) {
+      expect(each.known(stream, stream, "pen", 1)?.kind).toEqual("accepted");
+      expect([each.hasNumbersBefore(6), each.hasNumbersBefore(7)]).toEqual([false, true]);
       const value = { at: 400, forgetNumbersBefore: 105 };
-      one.apply(toBinary(ShardCommandSchema, create(ShardCommandSchema, { command: { case: "trim", value } })));
-      const kinds = [1, 99, 100, 300].map((number) => one.known(stream, stream, "pen", number)?.kind);
+      each.apply(toBinary(ShardCommandSchema, create(ShardCommandSchema, { command: { case: "trim", value } })));
+      const kinds = [1, 99, 100, 300].map((number) => each.known(stream, stream, "pen", number)?.kind);
       expect(kinds).toEqual(["refused", "refused", "accepted", "accepted"]);
     }
     expect(restored.snapshot()).toEqual(state.snapshot());
--- a/packages/log-storage/src/shards/shardState.ts
+++ b/packages/log-storage/src/shards/shardState.ts
@@ -12,32 +12,33 @@
 import { StreamLog, type Verdict } from "./streamLog.js";
 
 /**
- * What a shard's committed log says. Deterministic, and the only one to decide what was sent twice.
+ * The state that results from a shard's committed log. Deterministic, and it alone decides what was sent twice.
  * Invariant: a stream is never replaced by one of an earlier incarnation of its space.
  */
 export class ShardState {
+  /** By the name of the stream. */
   readonly streams = new Map<string, StreamLog>();
-  /** Shard time: rises with the entries, and stands still while nobody leads the shard. */
-  at = 0;
+  /** Shard time in ms: rises with the entries, and stands still while the shard has no leader. */
+  shardTime = 0;
 
-  /** The verdict on a number that the committed log already knows. */
+  /** The verdict on a number that the committed log has already seen; undefined for any other. */
   known(stream: string, topic: string, session: string, number: number): Verdict | undefined {
     return this.streams.get(stream)?.known(topic, session, number);
   }
 
-  /** Applies the next committed command; gives the verdict where it was an accept. */
+  /** Applies the next committed command; returns the verdict if it is an accept. */
   apply(data: Uint8Array): Verdict | undefined {
     const { command } = decodeMessage(ShardCommandSchema, data);
     return this.#apply(command);
   }
 
-  /** All of the state, for compaction and for replicas that lack too much. */
+  /** The whole state, for compaction and for replicas that are too far behind. */
   snapshot(): Uint8Array {
     const streams = [...this.streams.values()].map((log) => log.snapshot());
-    return toBinary(ShardSnapshotSchema, create(ShardSnapshotSchema, { streams, at: this.at }));
+    return toBinary(ShardSnapshotSchema, create(ShardSnapshotSchema, { streams, at: this.shardTime }));
   }
 
-  /** Whether the bytes are a snapshot: asked before anything is replaced by it. */
+  /** Whether the bytes are a valid snapshot; checked before the snapshot replaces anything. */
   static isReadable(snapshot: Uint8Array): boolean {
     try {
       return fromBinary(ShardSnapshotSchema, snapshot).at >= 0;
@@ -46,21 +47,22 @@
     }
   }
 
-  /** Replaces all of the state; throws if the snapshot is unreadable, see `isReadable`. */
+  /** Replaces the whole state; throws if the snapshot is unreadable, see `isReadable`. */
   install(snapshot: Uint8Array): void {
-    const read = fromBinary(ShardSnapshotSchema, snapshot);
+    const decoded = fromBinary(ShardSnapshotSchema, snapshot);
     this.streams.clear();
-    this.at = read.at;
-    for (const one of read.streams) this.streams.set(one.stream, StreamLog.from(one));
+    this.shardTime = decoded.at;
+    for (const streamSnapshot of decoded.streams)
+      this.streams.set(streamSnapshot.stream, StreamLog.from(streamSnapshot));
   }
 
-  /** Whether there is something to forget of before a shard time; asked before each trim. */
+  /** Whether any session's last number was accepted before a shard time; checked before each trim. */
   hasSessionsBefore(at: number): boolean {
     for (const log of this.streams.values()) if (log.hasSessionsBefore(at)) return true;
     return false;
   }
 
-  /** Whether there are numbers to forget of before a shard time. */
+  /** Whether any number was taken before a shard time and can be forgotten. */
   hasNumbersBefore(at: number): boolean {
     for (const log of this.streams.values()) if (log.hasNumbersBefore(at)) return true;
     return false;
@@ -74,7 +76,7 @@
   }
 
   #createStream({ stream, incarnation, at }: CreateStream): undefined {
-    this.at = Math.max(this.at, at);
+    this.shardTime = Math.max(this.shardTime, at);
     const log = this.streams.get(stream);
     if (log === undefined || log.spaceIncarnation < Streams.spaceIncarnationOf(incarnation))
       this.streams.set(stream, new StreamLog(stream, incarnation));
@@ -82,7 +84,7 @@
   }
 
   #accept(accept: Accept): Verdict {
-    this.at = Math.max(this.at, accept.at);
+    this.shardTime = Math.max(this.shardTime, accept.at);
     const log = this.streams.get(accept.stream);
     if (log === undefined || log.incarnation !== accept.incarnation)
       return { kind: "refused", code: "topic-gone", reason: "the topic was removed meanwhile" };
@@ -90,7 +92,7 @@
   }
 
   #trim(trim: Trim): undefined {
-    this.at = Math.max(this.at, trim.at);
+    this.shardTime = Math.max(this.shardTime, trim.at);
     for (const { stream, low, isRemoved, incarnation } of trim.streams) {
       const log = this.streams.get(stream);
       if (log?.incarnation !== incarnation) continue;
--- a/packages/log-storage/src/shards/startHandler.ts
+++ b/packages/log-storage/src/shards/startHandler.ts
@@ -14,14 +14,15 @@
 import type { ShardLeader } from "./shardLeader.js";
 import { startInLog, startInMemory } from "./streamReads.js";
 
+/** A cursor of a request, and the route of its topic. */
 interface RequestedStart {
   readonly cursor: TopicCursor;
   readonly route: StreamRoute | undefined;
-  /** Why there is no start, as it travels; empty where there may be one. */
+  /** Why there is no start, as stated in the reply; empty if there may be one. */
   readonly fault: string;
 }
 
-/** Answers where subscriptions start. Only what the committed head contradicts is an unknown cursor. */
+/** Answers where subscriptions start. A cursor is reported as unknown only if the committed head contradicts it. */
 export class StartHandler {
   readonly #node: ClusterNode;
   readonly #leader: ShardLeader;
@@ -35,19 +36,22 @@
     this.#streams = streams;
   }
 
-  /** The leader confirms itself first: a head may become somebody's start only if nobody has taken over meanwhile. */
+  /**
+   * Confirms the leadership first: a head may become the start of a subscription only if no other node has taken over.
+   */
   async start(request: StartRequest): Promise<BodyInit> {
     const unavailable: BodyInit = { case: "startReply", value: { outcome: "away" } };
-    if (!this.#authority.isOpen) return unavailable;
+    if (!this.#authority.isAuthorized) return unavailable;
     const { statuses } = this.#streams;
-    await statuses.heard(request.cursors.map((cursor) => [statuses.routeOf(cursor.topic), cursor]));
+    await statuses.waitForConfigurations(request.cursors.map((cursor) => [statuses.routeOf(cursor.topic), cursor]));
     const requested = request.cursors.map((cursor) => this.#resolve(cursor));
     const routes = new Map(
       requested.flatMap(({ route, fault }) => (route === undefined || fault !== "" ? [] : [[route.stream, route]])),
     );
-    await Promise.all([...routes.values()].map((route) => this.#streams.incarnationOf(route)));
-    if (!this.#authority.isOpen || !(await this.#leader.confirm()) || !this.#authority.isOpen) return unavailable;
-    const starts = requested.map((one) => this.#startOf(one));
+    await Promise.all([...routes.values()].map((route) => this.#streams.ensureIncarnation(route)));
+    if (!this.#authority.isAuthorized || !(await this.#leader.confirmLeadership()) || !this.#authority.isAuthorized)
+      return unavailable;
+    const starts = requested.map((requestedStart) => this.#startOf(requestedStart));
     return { case: "startReply", value: { outcome: "done", starts } };
   }
 
@@ -55,7 +59,7 @@
     const route = this.#node.configuration.route(cursor.topic);
     const contract = Configurations.contractFor(this.#node.configuration.configuration, cursor.topic);
     const isCurrent = route !== undefined && this.#streams.statuses.ofRequest(route, cursor) === "current";
-    if (!isCurrent || !this.#streams.isOwn(route.stream)) return { cursor, route, fault: "behind" };
+    if (!isCurrent || !this.#streams.isInThisShard(route.stream)) return { cursor, route, fault: "behind" };
     return { cursor, route, fault: contract === undefined ? "unknown-topic" : "" };
   }
 
--- a/packages/log-storage/src/shards/streamLog.ts
+++ b/packages/log-storage/src/shards/streamLog.ts
@@ -8,42 +8,50 @@
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 
+/** A session's numbers in one topic. The snapshot contains its fields under these names. */
 interface SessionRecord {
+  /** Shard time, in ms, of the last number. */
   at: number;
+  /** Epoch of the session's owner that sent the last number; accepts of an earlier owner are refused. */
   ownerEpoch: number;
+  /** Ascending. */
   numbers: number[];
+  /** Sequence number of each number's message; 0 if the number was refused. */
   seqs: number[];
-  /** Shard times of the numbers; those taken by an earlier release have none. */
+  /** Shard times at which the numbers were taken; numbers taken by an earlier release have 0. */
   ats: number[];
 }
+
 /**
- * What a stream says of a number: accepted at `seq`, where `isFresh` tells the first time from a repeat; or refused,
- * with a code and reason that travel to the client.
+ * A stream's verdict on a number: accepted at `seq`, where `isFresh` tells the first time from a repeat; or refused,
+ * with a code and a reason that are sent to the client.
  */
 export type Verdict =
   | { kind: "accepted"; stream: string; incarnation: string; seq: number; isFresh: boolean }
   | { kind: "refused"; code: string; reason: string };
 
 /**
- * One stream's part of a shard's log: its messages in their order, and what was sent before.
- * Invariants: messages are contiguous from low + 1 to head; a session's numbers in a topic only rise, and a
- * number has one verdict until it or its session is forgotten by time; `trims` has for each topic the last message that
- * was trimmed.
+ * One stream's part of a shard's log: its messages in order, and the numbers that were sent before.
+ * Invariants: messages are contiguous from low + 1 to head; a session's numbers in a topic only rise, and a number
+ * keeps its verdict until the number or its session is forgotten because of its age; `trims` has the last trimmed
+ * sequence number of each topic.
  */
 export class StreamLog {
-  /** So many of a session's numbers in a topic stay known, however old they are. */
+  /** This many of a session's latest numbers in a topic stay known, however old they are. */
   static readonly minKnownNumbers = 128;
-  /** The code of a refusal of a number below the last one taken, which this log itself never took. */
+  /** Code of the refusal of a number below the last one taken, where this log itself never took it. */
   static readonly numberWentBackwards = "number-went-backwards";
 
   readonly stream: string;
   readonly incarnation: string;
   readonly trims = new Map<string, number>();
   /** By topic, then by session. */
-  readonly #known = new Map<string, Map<string, SessionRecord>>();
+  readonly #sessionsByTopic = new Map<string, Map<string, SessionRecord>>();
+  /** Sequence number of the newest message; 0 before the first one. */
   head = 0;
+  /** Sequence number of the last trimmed message; 0 while none is trimmed. */
   low = 0;
-  /** For how long the contract in force promised to keep the newest message, in milliseconds. */
+  /** How long the contract in force promised to keep the newest message, in milliseconds. */
   keepMs = 0;
   messages: StreamMessage[] = [];
 
@@ -52,21 +60,21 @@
     this.incarnation = incarnation;
   }
 
-  /** Of the stream's space: the first part of its own. */
+  /** Incarnation of the stream's space: the first part of the stream's own incarnation. */
   get spaceIncarnation(): number {
     return Streams.spaceIncarnationOf(this.incarnation);
   }
 
-  /** How many sessions' numbers are kept, over all topics. */
+  /** Number of sessions whose numbers are known, summed over all topics. */
   get knownCount(): number {
     let count = 0;
-    for (const sessions of this.#known.values()) count += sessions.size;
+    for (const sessions of this.#sessionsByTopic.values()) count += sessions.size;
     return count;
   }
 
-  /** The verdict on a number that is known already. */
+  /** The verdict on a number that was already seen; undefined for any other. */
   known(topic: string, session: string, number: number): Verdict | undefined {
-    const record = this.#known.get(topic)?.get(session);
+    const record = this.#sessionsByTopic.get(topic)?.get(session);
     if (record === undefined || number > record.numbers.at(-1)!) return undefined;
     const seq = record.seqs[record.numbers.indexOf(number)];
     if (seq === undefined) {
@@ -77,12 +85,12 @@
     return { kind: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: false };
   }
 
-  /** Sequences a message, or repeats the verdict on its number. A void one uses up its number alone. */
+  /** Sequences a message, or repeats the verdict on its number. A void accept only uses up its number. */
   accept(accept: Accept): Verdict {
     const { topic, session, number, payload, at } = accept;
-    const known = this.known(topic, session, number);
-    if (known !== undefined) return known;
-    const record = this.#sessions(topic).get(session) ?? { at: 0, ownerEpoch: 0, numbers: [], seqs: [], ats: [] };
+    const knownVerdict = this.known(topic, session, number);
+    if (knownVerdict !== undefined) return knownVerdict;
+    const record = this.#sessionsOf(topic).get(session) ?? { at: 0, ownerEpoch: 0, numbers: [], seqs: [], ats: [] };
     if (accept.ownerEpoch < record.ownerEpoch)
       return { kind: "refused", code: "stale-owner", reason: "the session has moved to another node" };
     const seq = accept.isVoid ? 0 : this.head + 1;
@@ -96,12 +104,12 @@
     record.numbers.push(number);
     record.seqs.push(seq);
     record.ats.push(at);
-    this.#sessions(topic).set(session, record);
+    this.#sessionsOf(topic).set(session, record);
     if (accept.isVoid) return { kind: "refused", code: "refused", reason: "refused for good" };
     return { kind: "accepted", stream: this.stream, incarnation: this.incarnation, seq, isFresh: true };
   }
 
-  /** Removes the messages up to the sequence number `low`; never beyond the head. */
+  /** Removes the messages up to the sequence number `low`, at most up to the head. */
   trim(low: number): void {
     if (low <= this.low) return;
     const trimmedCount = Math.min(low, this.head) - this.low;
@@ -110,33 +118,33 @@
     this.low += trimmedCount;
   }
 
-  /** Known sessions whose last accepted number is older than a shard time. */
+  /** Whether any session's last accepted number is older than a shard time. */
   hasSessionsBefore(at: number): boolean {
-    for (const sessions of this.#known.values())
+    for (const sessions of this.#sessionsByTopic.values())
       for (const record of sessions.values()) if (record.at < at) return true;
     return false;
   }
 
   /** Forgets the numbers of sessions that accepted nothing since a shard time: they are unknown from then on. */
   forgetSessions(before: number): void {
-    for (const [topic, sessions] of this.#known) {
+    for (const [topic, sessions] of this.#sessionsByTopic) {
       for (const [session, record] of sessions) if (record.at < before) sessions.delete(session);
-      if (sessions.size === 0) this.#known.delete(topic);
+      if (sessions.size === 0) this.#sessionsByTopic.delete(topic);
     }
   }
 
   /** Whether `forgetNumbers` would forget any. */
   hasNumbersBefore(at: number): boolean {
-    for (const sessions of this.#known.values())
-      for (const record of sessions.values()) if (countBefore(record, at) > 0) return true;
+    for (const sessions of this.#sessionsByTopic.values())
+      for (const record of sessions.values()) if (countForgettable(record, at) > 0) return true;
     return false;
   }
 
-  /** Forgets the numbers taken before a shard time, but for the last ones of each session. */
+  /** Forgets the numbers taken before a shard time, except for the last `minKnownNumbers` of each session. */
   forgetNumbers(before: number): void {
-    for (const sessions of this.#known.values())
+    for (const sessions of this.#sessionsByTopic.values())
       for (const record of sessions.values()) {
-        const count = countBefore(record, before);
+        const count = countForgettable(record, before);
         if (count === 0) continue;
         record.numbers.splice(0, count);
         record.seqs.splice(0, count);
@@ -144,24 +152,26 @@
       }
   }
 
-  /** Typed as the message's fields: an unknown field would be left out of the snapshot in silence. */
+  /**
+   * The log as a snapshot. The type names the message's fields, because an unknown field would be left out silently.
+   */
   snapshot(): MessageInitShape<typeof StreamSnapshotSchema> {
     const { stream, incarnation, head, low, messages, keepMs } = this;
     const trims = [...this.trims].map(([topic, seq]) => ({ topic, seq }));
-    const dedups = [...this.#known].flatMap(([topic, sessions]) =>
+    const dedups = [...this.#sessionsByTopic].flatMap(([topic, sessions]) =>
       [...sessions].map(([session, record]) => ({ topic, session, ...record })),
     );
     return { stream, incarnation, head, low, messages, trims, dedups, keepMs };
   }
 
-  /** A log of another incarnation that has no messages, and knows the numbers that this one took. */
-  emptied(incarnation: string): StreamLog {
+  /** A log of another incarnation that has no messages but knows the numbers that this one took. */
+  withoutMessages(incarnation: string): StreamLog {
     const log = new StreamLog(this.stream, incarnation);
-    for (const [topic, sessions] of this.#known) log.#known.set(topic, sessions);
+    for (const [topic, sessions] of this.#sessionsByTopic) log.#sessionsByTopic.set(topic, sessions);
     return log;
   }
 
-  /** The log that a snapshot was taken of. */
+  /** Restores a log from its snapshot. */
   static from(snapshot: StreamSnapshot): StreamLog {
     const log = new StreamLog(snapshot.stream, snapshot.incarnation);
     log.head = snapshot.head;
@@ -171,22 +181,22 @@
     for (const { topic, seq } of snapshot.trims) log.trims.set(topic, seq);
     for (const { topic, session, at, ownerEpoch, numbers, seqs, ats } of snapshot.dedups) {
       const times = ats.length === numbers.length ? ats : numbers.map(() => 0);
-      log.#sessions(topic).set(session, { at, ownerEpoch, numbers, seqs, ats: times });
+      log.#sessionsOf(topic).set(session, { at, ownerEpoch, numbers, seqs, ats: times });
     }
     return log;
   }
 
-  #sessions(topic: string): Map<string, SessionRecord> {
-    let sessions = this.#known.get(topic);
-    if (sessions === undefined) this.#known.set(topic, (sessions = new Map()));
+  #sessionsOf(topic: string): Map<string, SessionRecord> {
+    let sessions = this.#sessionsByTopic.get(topic);
+    if (sessions === undefined) this.#sessionsByTopic.set(topic, (sessions = new Map()));
     return sessions;
   }
 }
 
-/** How many of the oldest numbers were taken before a shard time and need not stay. */
-function countBefore({ ats }: SessionRecord, before: number): number {
-  const most = ats.length - StreamLog.minKnownNumbers;
+/** Number of a session's oldest numbers that were taken before a shard time and need not stay known. */
+function countForgettable({ ats }: SessionRecord, before: number): number {
+  const maxCount = ats.length - StreamLog.minKnownNumbers;
   let count = 0;
-  while (count < most && ats[count]! < before) count += 1;
+  while (count < maxCount && ats[count]! < before) count += 1;
   return count;
 }
--- a/packages/log-storage/src/shards/streamReads.test.ts
+++ b/packages/log-storage/src/shards/streamReads.test.ts
@@ -11,7 +11,7 @@
 const logId = "0123456789";
 const noLog = Incarnations.noLogIdentity(stream);
 
-function logOf(incarnation: string, count: number): StreamLog {
+function logWithMessages(incarnation: string, count: number): StreamLog {
   const log = new StreamLog(stream, incarnation);
   for (let number = 1; number <= count; number += 1)
     log.accept(
@@ -24,9 +24,9 @@
   create(TopicCursorSchema, { topic, incarnation, seq, configurationVersion: 9 });
 const inMemory = (identity: string, seq: number): string => Incarnations.inMemory({ identity, seq }, "aaaaaaaaaa");
 
-// Guards against LOST (issue 42): cursors that were given while the space kept nothing were expired.
-test("a cursor of memory is a place in the log that it followed on; those of other streams have none", () => {
-  const log = logOf(`1-${logId}`, 5);
+// Guards against LOST (issue 42): cursors issued while the space kept nothing were reported as expired.
+test("a cursor in memory stands for a position in the log it is based on; those of other streams have none", () => {
+  const log = logWithMessages(`1-${logId}`, 5);
   const at = (incarnation: string, seq: number): unknown[] => {
     const { outcome, seq: start } = startInLog(log, cursor(incarnation, seq));
     return outcome === "known" ? [outcome, start] : [outcome];
@@ -42,9 +42,9 @@
   expect([at(inMemory(logId, 2), 77), at(inMemory(logId, 3), 77)]).toEqual([["expired"], ["known", 3]]);
 });
 
-test("where nothing is kept, a place in the log is read on from there, and all others from the head", () => {
-  const log = logOf(`1-${logId}`, 5);
-  const memory = logOf(inMemory(logId, 5), 3);
+test("where nothing is kept, a cursor in the log continues there, and any other starts at the head", () => {
+  const log = logWithMessages(`1-${logId}`, 5);
+  const memory = logWithMessages(inMemory(logId, 5), 3);
   const at = (incarnation: string, seq: number): unknown[] => {
     const { outcome, incarnation: of, seq: start } = startInMemory(memory, log, cursor(incarnation, seq));
     expect(outcome).toEqual("known");
@@ -67,9 +67,9 @@
   ]);
 });
 
-test("what a log keeps for its messages goes with its snapshot, and its numbers with another incarnation", () => {
-  const log = logOf(`1-${logId}`, 2);
+test("a log records how long its messages are kept, and hands its numbers on to another incarnation", () => {
+  const log = logWithMessages(`1-${logId}`, 2);
   expect(log.keepMs).toEqual(60_000);
-  const emptied = log.emptied("1-9999999999");
+  const emptied = log.withoutMessages("1-9999999999");
   expect([emptied.head, emptied.messages.length, emptied.known(topic, "pen", 2)?.kind]).toEqual([0, 0, "accepted"]);
 });
--- a/packages/log-storage/src/shards/streamReads.ts
+++ b/packages/log-storage/src/shards/streamReads.ts
@@ -12,14 +12,14 @@
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 import type { StreamLog } from "./streamLog.js";
 
-/** Where a topic's subscription starts, by the committed log. Without a cursor it is the head. */
+/** Where a topic's subscription starts, according to the committed log: at the head if the cursor is empty. */
 export function startInLog(log: StreamLog, cursor: TopicCursor): TopicStart {
-  const { topic, incarnation, seq: asked } = cursor;
-  const reply = (outcome: string, at: number, reason = ""): TopicStart =>
-    create(TopicStartSchema, { topic, outcome, incarnation: log.incarnation, seq: at, reason });
+  const { topic, incarnation, seq: cursorSeq } = cursor;
+  const reply = (outcome: string, startSeq: number, reason = ""): TopicStart =>
+    create(TopicStartSchema, { topic, outcome, incarnation: log.incarnation, seq: startSeq, reason });
   if (incarnation === "") return reply("known", log.head);
-  const seq = placeIn(log, incarnation, asked);
-  if (seq === undefined && !isUnheardOf(cursor))
+  const seq = seqInLog(log, incarnation, cursorSeq);
+  if (seq === undefined && !isFromLaterVersion(cursor))
     return reply("expired", log.low, "the place is of another birth of the topic");
   if (seq === undefined || seq > log.head) return reply("unknown-place", 0, "there is no such place");
   const isTrimmed = (log.trims.get(topic) ?? 0) > seq;
@@ -27,35 +27,36 @@
 }
 
 /**
- * The same in a stream that keeps nothing, whose log, if any, has what was kept before. One in the tail goes on from
- * there, and a place in the log from there. All others start at the head, as the contract keeps nothing older.
+ * The same for a stream that keeps nothing; `log`, if any, has what was kept before. A cursor in the memory's tail
+ * continues there, and a cursor in the log continues in the log. Any other starts at the head, because the contract
+ * keeps nothing older.
  */
 export function startInMemory(
   memory: StreamLog,
   log: StreamLog | undefined,
   { topic, incarnation, seq }: TopicCursor,
 ): TopicStart {
-  const reply = (of: string, at: number): TopicStart =>
-    create(TopicStartSchema, { topic, outcome: "known", incarnation: of, seq: at });
+  const reply = (startIncarnation: string, startSeq: number): TopicStart =>
+    create(TopicStartSchema, { topic, outcome: "known", incarnation: startIncarnation, seq: startSeq });
   if (incarnation === memory.incarnation && seq <= memory.head)
     return reply(memory.incarnation, Math.max(seq, memory.low));
-  const place = log === undefined || incarnation === "" ? undefined : placeIn(log, incarnation, seq);
-  const isReadable = place !== undefined && place <= log!.head && (log!.trims.get(topic) ?? 0) <= place;
-  const isNew = isReadable && (place < log!.head || !Incarnations.isInMemory(incarnation));
-  return isNew ? reply(log!.incarnation, place) : reply(memory.incarnation, memory.head);
+  const position = log === undefined || incarnation === "" ? undefined : seqInLog(log, incarnation, seq);
+  const isStillInLog = position !== undefined && position <= log!.head && (log!.trims.get(topic) ?? 0) <= position;
+  const startsInLog = isStillInLog && (position < log!.head || !Incarnations.isInMemory(incarnation));
+  return startsInLog ? reply(log!.incarnation, position) : reply(memory.incarnation, memory.head);
 }
 
-/** No log is of a version that there was not yet. */
-function isUnheardOf({ incarnation, configurationVersion }: TopicCursor): boolean {
-  const isOfMemory = Incarnations.isInMemory(incarnation);
-  return !isOfMemory && Streams.spaceIncarnationOf(incarnation) > Math.max(1, configurationVersion);
+/** Whether the cursor names a log of a later configuration version than its sender knows: there can be no such log. */
+function isFromLaterVersion({ incarnation, configurationVersion }: TopicCursor): boolean {
+  const isInMemory = Incarnations.isInMemory(incarnation);
+  return !isInMemory && Streams.spaceIncarnationOf(incarnation) > Math.max(1, configurationVersion);
 }
 
 /**
- * The place of a cursor in a stream's log; undefined where it is of another stream or log. One that was given before
- * the stream had a log stands before all of it.
+ * The sequence number in a stream's log that a cursor stands for; undefined if the cursor is of another stream or log.
+ * A cursor from before the stream had a log stands for 0, the beginning of the log.
  */
-function placeIn(log: StreamLog, incarnation: string, seq: number): number | undefined {
+function seqInLog(log: StreamLog, incarnation: string, seq: number): number | undefined {
   const position = Incarnations.logPosition(incarnation, seq);
   const own = Incarnations.logPosition(log.incarnation, 0);
   if (position === undefined || own === undefined) return undefined;
@@ -63,29 +64,33 @@
   return position.identity === Incarnations.noLogIdentity(log.stream) ? 0 : undefined;
 }
 
-/** The bytes of messages after which a reply takes no further one; a message counts 64 beside its payload. */
+/** A reply takes no further message after this many bytes. */
 const maxSliceBytes = 1024 * 1024;
+/** Bytes that a message counts in addition to its payload. */
 const messageOverheadBytes = 64;
 
-/** Messages after an offset, as many as fit one reply; `low` is the offset before the first of them. */
+/** Messages after an offset, as many as fit into one reply; `low` is the offset before the first of `messages`. */
 export function sliceMessages(
   messages: readonly StreamMessage[],
   low: number,
   after: number,
   maxCount: number,
 ): StreamMessage[] {
-  const found: StreamMessage[] = [];
+  const slice: StreamMessage[] = [];
   let bytes = 0;
   let i = Math.max(0, after - low);
-  while (i < messages.length && found.length < maxCount && bytes < maxSliceBytes) {
-    found.push(messages[i]!);
+  while (i < messages.length && slice.length < maxCount && bytes < maxSliceBytes) {
+    slice.push(messages[i]!);
     bytes += messages[i]!.payload.length + messageOverheadBytes;
     i += 1;
   }
-  return found;
+  return slice;
 }
 
-/** Messages of a committed log after an offset, or what was trimmed after it. */
+/**
+ * Reply with a log's messages after an offset; where some of them were trimmed, also with the last trimmed sequence
+ * number of each topic concerned.
+ */
 export function fetchMessages(log: StreamLog, fetch: Fetch): BodyInit {
   const { incarnation, low, head } = log;
   if (!Incarnations.isSame(incarnation, fetch.incarnation))
--- a/packages/log-storage/src/shards/streamTrimmer.ts
+++ b/packages/log-storage/src/shards/streamTrimmer.ts
@@ -9,6 +9,7 @@
 import type { LogStatus } from "./streamStatuses.js";
 import type { Replica } from "../replication/replica.js";
 
+/** What a trim command removes of one stream. */
 type StreamTrim = MessageInitShape<typeof TrimStreamSchema>;
 
 interface StreamTrimmerParts {
@@ -17,23 +18,26 @@
   leader: ShardLeader;
   authority: LeaderAuthority;
   streams: ServedStreams;
-  /** Streams in memory that somebody follows stay, though nobody publishes. */
+  /** Whether an edge follows the stream: followed streams in memory stay, even if nothing is published. */
   isFollowed: (stream: string) => boolean;
 }
 
 /**
- * Removes what no contract keeps any more: from memory once a second, from the replicated log by a command every 5 s
- * and at once where a space that is one stream was removed. The streams of topics that no contract covers stay for as
- * long as their messages were promised to: their spaces may be back by then.
- * Invariant: at most one trim command of this leader is under way.
+ * Removes what no contract keeps any more: from memory once a second; from the replicated log by a command every 5 s,
+ * and at once if a space that is one stream was removed. The streams of topics that no contract covers stay for as long
+ * as their messages were promised to be kept: their spaces may be back by then.
+ * Invariant: at most one trim command of this leader is in progress.
  */
 export class StreamTrimmer {
-  /** Messages stay for at least this long, whatever the contract says. */
+  /** Messages stay for at least this many milliseconds, whatever the contract says. */
   static readonly minRetentionMs = 45_000;
-  /** Numbers sent before are known for this long after their session's last one in the topic. */
+  /** A session's numbers in a topic stay known for this many milliseconds after the last of them. */
   static readonly sessionRetentionMs = 600_000;
+  /** Milliseconds for which a publish that was repeated last may be on its way. */
   static readonly repeatMarginMs = 5000;
+  /** Interval in ms of trims in memory. */
   static readonly memoryIntervalMs = 1000;
+  /** Interval in ms of trims of the replicated log. */
   static readonly logIntervalMs = 5000;
 
   readonly #node: ClusterNode;
@@ -45,7 +49,7 @@
   #memoryTrimmedAt = 0;
   #logTrimmedAt = 0;
   #isTrimming = false;
-  /** By stream, shard time since which no contract covers it; counted anew by each leader. */
+  /** Shard time since which no contract covers the stream, by stream; each leader starts counting anew. */
   readonly #uncoveredSince = new Map<string, number>();
 
   constructor({ node, replica, leader, authority, streams, isFollowed }: StreamTrimmerParts) {
@@ -63,21 +67,26 @@
     if (now - this.#memoryTrimmedAt >= StreamTrimmer.memoryIntervalMs) {
       this.#memoryTrimmedAt = now;
       const { shardTime } = this.#leader;
-      this.#streams.memory.expire(shardTime, StreamTrimmer.sessionRetentionMs, this.#numbersMs, this.#isFollowed);
+      this.#streams.memory.expire(
+        shardTime,
+        StreamTrimmer.sessionRetentionMs,
+        this.#numberRetentionMs,
+        this.#isFollowed,
+      );
     }
     if (now - this.#logTrimmedAt < StreamTrimmer.logIntervalMs) return;
     this.#logTrimmedAt = now;
     void this.trimLog();
   }
 
-  /** Proposes one command for all that is to go from the log; does nothing while one is under way. */
+  /** Proposes one command for everything that the log no longer has to keep; does nothing while one is in progress. */
   async trimLog(): Promise<void> {
-    if (!this.#authority.isOpen || this.#isTrimming) return;
+    if (!this.#authority.isAuthorized || this.#isTrimming) return;
     const { state } = this.#replica;
     const at = this.#leader.shardTime;
-    const streams = [...state.streams.values()].flatMap((log) => this.#trimOf(log, at) ?? []);
+    const streams = [...state.streams.values()].flatMap((log) => this.#trimFor(log, at) ?? []);
     const forgetBefore = Math.max(0, at - StreamTrimmer.sessionRetentionMs);
-    const forgetNumbersBefore = Math.max(0, at - this.#numbersMs);
+    const forgetNumbersBefore = Math.max(0, at - this.#numberRetentionMs);
     const hasForgettable = state.hasSessionsBefore(forgetBefore) || state.hasNumbersBefore(forgetNumbersBefore);
     if (streams.length === 0 && !hasForgettable) return;
     this.#isTrimming = true;
@@ -86,28 +95,28 @@
   }
 
   /**
-   * Numbers stay known for this long after they were taken: as long as a client may repeat them, and a publish that it
-   * repeated last may be on its way.
+   * How long numbers stay known after they were taken, in ms: as long as a client may repeat them, and a publish that
+   * it repeated last may be on its way.
    */
-  get #numbersMs(): number {
+  get #numberRetentionMs(): number {
     return this.#node.parts.settings.redeliveryMs + StreamTrimmer.repeatMarginMs;
   }
 
-  /** What is to go of one stream; undefined where nothing is. */
-  #trimOf(log: StreamLog, at: number): StreamTrim | undefined {
+  /** The trim of one stream; undefined if there is nothing to remove. */
+  #trimFor(log: StreamLog, at: number): StreamTrim | undefined {
     const { stream, incarnation } = log;
     const status = this.#streams.statuses.ofLog(log);
-    if (status === "ended" || this.#isOver(log, status, at)) return { stream, incarnation, isRemoved: true };
+    if (status === "ended" || this.#isRetentionOver(log, status, at)) return { stream, incarnation, isRemoved: true };
     const isKept = status === "current" && !this.#streams.statuses.isInMemory(stream);
-    const kept = log.messages.findIndex((message) => {
+    const firstKept = log.messages.findIndex((message) => {
       return message.at >= at - (isKept ? this.#retentionMs(message.topic) : StreamTrimmer.#promisedMs(log));
     });
-    const low = kept === -1 ? log.head : log.messages[kept]!.seq - 1;
+    const low = firstKept === -1 ? log.head : log.messages[firstKept]!.seq - 1;
     return low > log.low ? { stream, incarnation, low } : undefined;
   }
 
-  /** Whether no contract has covered the stream for as long as the last one kept its messages. */
-  #isOver(log: StreamLog, status: LogStatus, at: number): boolean {
+  /** Whether no contract has covered the stream for as long as the last one promised to keep its messages. */
+  #isRetentionOver(log: StreamLog, status: LogStatus, at: number): boolean {
     if (status !== "uncovered") {
       this.#uncoveredSince.delete(log.stream);
       return false;
--- a/packages/testkit/src/mutants/streamMutants.ts
+++ b/packages/testkit/src/mutants/streamMutants.ts
@@ -33,7 +33,7 @@
   {
     name: "numbers that were taken in memory are forgotten with it",
     file: "log-storage/dist/shards/memoryStreams.js",
-    find: "kept.retiredAt ??= at;",
+    find: "entry.retiredAt ??= at;",
     put: "this.#streams.delete(stream);",
     test: "log-storage/dist/shards/memoryStreams.test.js",
   },
