--- a/packages/control/src/drain/drainStatus.ts
+++ b/packages/control/src/drain/drainStatus.ts
@@ -4,36 +4,41 @@
 import { ReplicasKey } from "@cranetrack/core/keys/replicasKey.js";
 import { ShardLeaderKey } from "@cranetrack/core/keys/shardLeaderKey.js";
 
-/** What a confirmed read of the store says about drain requests and about what rests on machines. */
+/** Drain requests and the use of machines, from a confirmed read of the store. */
 export interface DrainStatus {
+  /** The keys of the recorded drain requests. */
   readonly requests: readonly Kv[];
-  /** Revision of the key that each recorded request writes: two requests can't be decided on the same status. */
-  readonly turnRevision: number;
+  /** Revision of the key that every request writes, which ensures that no two requests are decided on one status. */
+  readonly lastRequestRevision: number;
+  /** Each shard with the machines that have a replica of it. */
   readonly replicaSets: ReadonlyArray<{ shard: number; names: string[] }>;
   /** Machines that lead a shard. */
   readonly leaders: ReadonlySet<string>;
-  /** Undefined where the store's leader is of a build that does not tell. */
+  /** Names of the store's voters; undefined if its leader runs a build that does not report them. */
   readonly voters: readonly string[] | undefined;
 }
 
-/** How far the drain of one machine has got. */
+/** Progress of the drain of one machine. */
 export interface DrainProgress {
-  /** Shards with a replica on the machine, ascending. */
-  readonly left: readonly number[];
+  /** Shards that still have a replica on the machine, in ascending order. */
+  readonly shardsLeft: readonly number[];
+  /** Whether the machine leads a shard. */
   readonly isLeader: boolean;
+  /** Whether the machine votes in the store. */
   readonly isVoter: boolean;
+  /** Whether nothing depends on the machine, so that it may be switched off. */
   readonly isEmpty: boolean;
 }
 
-/** The keys and prefixes that a status is made from. */
+/** The keys and prefixes to read for a status. */
 export const drainStatusKeys = {
   keys: [MembersKey.name, DrainKey.turn],
   prefixes: ["shards/", "machines/"],
 } as const;
 
-/** The status from the values under `drainStatusKeys`, which have to be of one revision. */
+/** The status from the values under `drainStatusKeys`, which must come from one read, so of one revision. */
 export function drainStatusOf(kvs: readonly Kv[]): DrainStatus {
-  const members = kvs.find((kv) => kv.key === MembersKey.name);
+  const membersKv = kvs.find((kv) => kv.key === MembersKey.name);
   const leaders = kvs
     .filter((kv) => kv.key.startsWith("shards/") && kv.key.endsWith("/holder"))
     .map((kv) => ShardLeaderKey.read(kv.value)?.name ?? "");
@@ -45,45 +50,45 @@
     }));
   return {
     requests: kvs.filter((kv) => DrainKey.machineOf(kv.key) !== undefined),
-    turnRevision: kvs.find((kv) => kv.key === DrainKey.turn)?.revision ?? 0,
+    lastRequestRevision: kvs.find((kv) => kv.key === DrainKey.turn)?.revision ?? 0,
     replicaSets,
     leaders: new Set(leaders),
-    voters: members === undefined ? undefined : MembersKey.read(members.value)?.voters,
+    voters: membersKv === undefined ? undefined : MembersKey.read(membersKv.value)?.voters,
   };
 }
 
-/** Whether the machine's drain is recorded. */
+/** Whether a request to drain the machine is recorded. */
 export function isDrainRequested({ requests }: DrainStatus, name: string): boolean {
   return requests.some((kv) => kv.key === DrainKey.of(name));
 }
 
-/** Machines that a replica set, a shard's leadership or the store's voters name, up or not. */
+/** Machines that are in a replica set, lead a shard or vote in the store, whether they are up or not. */
 export function machinesInUse({ replicaSets, leaders, voters }: DrainStatus): Set<string> {
   return new Set([...replicaSets.flatMap((set) => set.names), ...leaders, ...(voters ?? [])]);
 }
 
-/** Where the voters aren't known the machine counts as one: it must not be switched off on a guess. */
+/** If the voters are unknown the machine counts as a voter, so that it is not switched off on an assumption. */
 export function drainProgress({ replicaSets, leaders, voters }: DrainStatus, name: string): DrainProgress {
-  const left = replicaSets
+  const shardsLeft = replicaSets
     .filter((set) => set.names.includes(name))
     .map((set) => set.shard)
     .sort((a, b) => a - b);
   const isVoter = voters?.includes(name) ?? true;
   const isLeader = leaders.has(name);
-  return { left, isLeader, isVoter, isEmpty: left.length === 0 && !isLeader && !isVoter };
+  return { shardsLeft, isLeader, isVoter, isEmpty: shardsLeft.length === 0 && !isLeader && !isVoter };
 }
 
 /**
- * The keys of the oldest requests to drop before one more is recorded, so that `max` are kept: only of machines that
- * are gone and not in use. None where the voters aren't known.
+ * The keys of the oldest requests to drop before one more is recorded, so that at most `max` are kept. Only requests
+ * for machines that are down and not in use are dropped; none if the voters are unknown.
  */
-export function requestsToForget(status: DrainStatus, max: number, isAlive: (name: string) => boolean): string[] {
-  const surplus = status.requests.length + 1 - max;
-  if (surplus <= 0 || status.voters === undefined) return [];
-  const used = machinesInUse(status);
+export function requestsToDrop(status: DrainStatus, max: number, isAlive: (name: string) => boolean): string[] {
+  const excess = status.requests.length + 1 - max;
+  if (excess <= 0 || status.voters === undefined) return [];
+  const inUse = machinesInUse(status);
   return status.requests
-    .filter((kv) => !used.has(DrainKey.machineOf(kv.key)!) && !isAlive(DrainKey.machineOf(kv.key)!))
+    .filter((kv) => !inUse.has(DrainKey.machineOf(kv.key)!) && !isAlive(DrainKey.machineOf(kv.key)!))
     .sort((a, b) => a.revision - b.revision)
-    .slice(0, surplus)
+    .slice(0, excess)
     .map((kv) => kv.key);
 }
--- a/packages/testkit/src/mutants/membershipMutants.ts
+++ b/packages/testkit/src/mutants/membershipMutants.ts
@@ -42,8 +42,8 @@
   {
     name: "a drain looks at replicas only",
     file: "control/dist/drain/drainStatus.js",
-    find: "left.length === 0 && !isLeader && !isVoter",
-    put: "left.length === 0",
+    find: "shardsLeft.length === 0 && !isLeader && !isVoter",
+    put: "shardsLeft.length === 0",
     test: `${sim}/drains.test.js`,
   },
   {
@@ -56,7 +56,7 @@
   {
     name: "drains are judged against the same machines",
     file: "control/dist/drain/drainMachine.js",
-    find: "checks: [{ key: DrainKey.turn, revision: status.turnRevision }],",
+    find: "checks: [{ key: DrainKey.turn, revision: status.lastRequestRevision }],",
     put: "",
     test: `${sim}/drains.test.js`,
   },
