--- a/packages/control/src/configuration/configurationArchive.test.ts
+++ b/packages/control/src/configuration/configurationArchive.test.ts
@@ -13,43 +13,40 @@
 
 const textOf = (version: number): string => JSON.stringify({ mark: version, spaces: [] });
 
-test(
-  "accepted plans become commits in order; a lost or damaged archive is made again from the " + "store's plan",
-  async () => {
-    const folder = join(mkdtempSync(join(tmpdir(), "cranetrack-plans-")), "plans");
-    const journal = new ChangeJournal<Change>();
-    const log = new LogBuffer("test", () => undefined);
-    const archive = new ConfigurationArchive(folder, new ConfigurationView(journal), log);
-    const accept = (version: number, text = textOf(version)): void => {
-      journal.append({
-        key: IncarnationsKey.name,
-        value: IncarnationsKey.write({ version, spaces: {} }),
-        revision: version,
-      });
-      journal.append({ key: "plan", value: Buffer.from(text), revision: version });
-    };
-    accept(1);
-    accept(4);
-    accept(3);
-    accept(5, `${textOf(5)}\n`);
-    await archive.whenIdle();
-    expect(await archive.versions()).toEqual([5, 4, 1]);
-    expect(readFileSync(join(folder, ConfigurationArchive.file), "utf8")).toEqual(`${textOf(5)}\n`);
+test("accepted configurations become commits in order; a lost or damaged archive restarts from the store", async () => {
+  const folder = join(mkdtempSync(join(tmpdir(), "cranetrack-plans-")), "plans");
+  const journal = new ChangeJournal<Change>();
+  const log = new LogBuffer("test", () => undefined);
+  const archive = new ConfigurationArchive(folder, new ConfigurationView(journal), log);
+  const accept = (version: number, text = textOf(version)): void => {
+    journal.append({
+      key: IncarnationsKey.name,
+      value: IncarnationsKey.write({ version, spaces: {} }),
+      revision: version,
+    });
+    journal.append({ key: "plan", value: Buffer.from(text), revision: version });
+  };
+  accept(1);
+  accept(4);
+  accept(3);
+  accept(5, `${textOf(5)}\n`);
+  await archive.whenIdle();
+  expect(await archive.versions()).toEqual([5, 4, 1]);
+  expect(readFileSync(join(folder, ConfigurationArchive.fileName), "utf8")).toEqual(`${textOf(5)}\n`);
 
-    rmSync(folder, { recursive: true });
-    accept(6);
-    await archive.whenIdle();
-    expect(await archive.versions()).toEqual([6]);
+  rmSync(folder, { recursive: true });
+  accept(6);
+  await archive.whenIdle();
+  expect(await archive.versions()).toEqual([6]);
 
-    rmSync(folder, { recursive: true });
-    writeFileSync(folder, "in the way");
-    accept(7);
-    await archive.whenIdle();
-    expect([archive.version, log.lines.some((line) => line.includes("could not be archived"))]).toEqual([6, true]);
-  },
-);
+  rmSync(folder, { recursive: true });
+  writeFileSync(folder, "in the way");
+  accept(7);
+  await archive.whenIdle();
+  expect([archive.version, log.lines.some((line) => line.includes("could not be archived"))]).toEqual([6, true]);
+});
 
-test("an archive that is full becomes the earlier one, and its size stays bounded", async () => {
+test("a full archive is rotated out, and the total size stays bounded", async () => {
   const folder = join(mkdtempSync(join(tmpdir(), "cranetrack-plans-")), "plans");
   const journal = new ChangeJournal<Change>();
   const log = new LogBuffer("test", () => undefined);
@@ -68,17 +65,20 @@
     await archive.whenIdle();
     expect(archive.version).toEqual(version);
     if (version % 5 !== 0) continue;
-    const found = [folder, archive.earlierFolder].filter((one) => existsSync(one));
-    const names = found.flatMap((one) => readdirSync(one, { recursive: true }).map((name) => join(one, String(name))));
-    sizes.push(names.reduce((sum, name) => sum + statSync(name).size, 0));
+    const folders = [folder, archive.earlierFolder].filter((path) => existsSync(path));
+    const files = folders.flatMap((path) =>
+      readdirSync(path, { recursive: true }).map((name) => join(path, String(name))),
+    );
+    sizes.push(files.reduce((sum, name) => sum + statSync(name).size, 0));
   }
-  // Two archives, each of what is allowed and what comes between two looks: three objects and their folders a commit.
+  // Two archives, each of the allowed size plus the commits between two size checks: three objects and folders a
+  // commit.
   expect(Math.max(...sizes) < 2 * (maxBytes + ConfigurationArchive.commitsPerSizeCheck * 20_000)).toEqual(true);
   expect((await archive.versions()).length).toEqual(5);
   expect(existsSync(archive.earlierFolder)).toEqual(true);
 });
 
-test("of many configurations at once the newest are committed, and no more wait than a few", async () => {
+test("of many configurations at once only the newest are committed, and the queue stays bounded", async () => {
   const folder = join(mkdtempSync(join(tmpdir(), "cranetrack-plans-")), "plans");
   const journal = new ChangeJournal<Change>();
   const archive = new ConfigurationArchive(
--- a/packages/control/src/configuration/configurationArchive.ts
+++ b/packages/control/src/configuration/configurationArchive.ts
@@ -7,27 +7,28 @@
 import type { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 
 /**
- * Accepted configurations as commits in a Git object store beside the control node's data. Only a copy: it follows what
- * the
- * metadata store accepted, no acceptance waits for it, and what is lost is made again from the store.
- * Its size is bounded: a full archive is rotated out and replaces the earlier one.
- * Invariant: commits are made one at a time, in the order of the versions.
+ * Archives accepted configurations as commits of a Git repository beside the control node's data. It is only a copy: no
+ * acceptance waits for it, and after a loss it starts again from the metadata store. Its size is bounded: a full
+ * archive is rotated out and replaces the one rotated out before.
+ * Invariant: commits are made one at a time, in ascending order of versions.
  */
 export class ConfigurationArchive {
+  /** Author of the commits. */
   static readonly author = { name: "cranetrack", email: "cranetrack@localhost" };
-  static readonly file = "plan.json";
-  /** Bytes on the disk from which on an archive is full; there are at most two of that size. */
+  /** File of the repository that holds the configuration. */
+  static readonly fileName = "plan.json";
+  /** Size in bytes from which an archive counts as full. At most two archives of about that size exist. */
   static readonly maxBytes = 8 * 1024 * 1024;
-  /** The size is checked every so many commits, as that reads the whole folder. */
+  /** Commits between two size checks, each of which reads the whole folder. */
   static readonly commitsPerSizeCheck = 25;
-  /** Configurations that may wait to be committed; beyond that the oldest are dropped. */
+  /** Configurations that may wait to be committed; beyond this number the oldest is dropped. */
   static readonly maxPending = 8;
 
   readonly #folder: string;
   readonly #log: LogBuffer;
   readonly #queue = new PQueue({ concurrency: 1 });
   #committedVersion = 0;
-  readonly #pending: Array<{ version: number; text: string }> = [];
+  readonly #pendingCommits: Array<{ version: number; text: string }> = [];
   readonly #maxBytes: number;
   #commitsSinceSizeCheck = 0;
 
@@ -43,38 +44,38 @@
     configuration.on("changed", () => this.#enqueue(configuration.version, configuration.text));
   }
 
-  /** The newest version that is committed here. */
+  /** The last version committed by this process; 0 if there is none. */
   get version(): number {
     return this.#committedVersion;
   }
 
-  /** Resolves when every configuration that was enqueued is committed or has failed. */
+  /** Resolves when no enqueued configuration is left to commit, including those whose commit failed. */
   whenIdle(): Promise<void> {
     return this.#queue.onIdle();
   }
 
-  /** The versions of the newest commits, newest first; without a number, of all. */
+  /** The versions of the last `max` commits, newest first; of all commits if `max` is omitted. */
   async versions(max?: number): Promise<number[]> {
     const depth = max === undefined ? {} : { depth: max };
     const commits = await git.log({ fs: nodeFs, dir: this.#folder, ...depth }).catch(() => []);
     return commits.map(({ commit }) => Number(/^mark (\d+)/.exec(commit.message)?.[1] ?? 0));
   }
 
-  /** Where the archive that was rotated out is. */
+  /** Folder of the archive that was rotated out. */
   get earlierFolder(): string {
     return `${this.#folder}.earlier`;
   }
 
   #enqueue(version: number, text: string): void {
-    this.#pending.push({ version, text });
-    if (this.#pending.length > ConfigurationArchive.maxPending) this.#pending.shift();
+    this.#pendingCommits.push({ version, text });
+    if (this.#pendingCommits.length > ConfigurationArchive.maxPending) this.#pendingCommits.shift();
     void this.#queue.add(async () => {
-      const next = this.#pending.shift();
-      if (next !== undefined) await this.#archive(next.version, next.text);
+      const next = this.#pendingCommits.shift();
+      if (next !== undefined) await this.#tryCommit(next.version, next.text);
     });
   }
 
-  async #archive(version: number, text: string): Promise<void> {
+  async #tryCommit(version: number, text: string): Promise<void> {
     try {
       await this.#commit(version, text);
       this.#committedVersion = version;
@@ -87,12 +88,12 @@
   async #rotateWhenFull(): Promise<void> {
     this.#commitsSinceSizeCheck += 1;
     if (this.#commitsSinceSizeCheck % ConfigurationArchive.commitsPerSizeCheck !== 0) return;
-    if ((await ConfigurationArchive.#sizeOf(this.#folder)) < this.#maxBytes) return;
+    if ((await ConfigurationArchive.#folderBytes(this.#folder)) < this.#maxBytes) return;
     await fs.rm(this.earlierFolder, { recursive: true, force: true });
     await fs.rename(this.#folder, this.earlierFolder);
   }
 
-  static async #sizeOf(folder: string): Promise<number> {
+  static async #folderBytes(folder: string): Promise<number> {
     const names = await fs.readdir(folder, { recursive: true });
     const stats = await Promise.all(names.map((name) => fs.stat(join(folder, name))));
     return stats.reduce((sum, { size }) => sum + size, 0);
@@ -104,8 +105,8 @@
     await git.init({ fs: nodeFs, dir, defaultBranch: "main" });
     const [newest] = await this.versions(1);
     if (newest !== undefined && newest >= version) return;
-    await fs.writeFile(join(dir, ConfigurationArchive.file), text);
-    await git.add({ fs: nodeFs, dir, filepath: ConfigurationArchive.file });
+    await fs.writeFile(join(dir, ConfigurationArchive.fileName), text);
+    await git.add({ fs: nodeFs, dir, filepath: ConfigurationArchive.fileName });
     await git.commit({ fs: nodeFs, dir, message: `mark ${version}`, author: ConfigurationArchive.author });
   }
 }
--- a/packages/control/src/configuration/configurationCapacity.ts
+++ b/packages/control/src/configuration/configurationCapacity.ts
@@ -1,61 +1,65 @@
 import type { Configuration, ConfigurationFault } from "@cranetrack/core/configuration/configuration.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
-/** What the capacity is computed from. */
-export type CapacityParts = Pick<ClusterNode, "membership" | "machines" | "shards" | "configuration" | "parts">;
+/** The parts of a node from which the capacity of the fleet is computed. */
+export type FleetView = Pick<ClusterNode, "membership" | "machines" | "shards" | "configuration" | "parts">;
 
-/** A fault for each promise of the configuration that the fleet's machines and settings can't keep. Pure. */
-export function checkConfigurationCapacity(node: CapacityParts, configuration: Configuration): ConfigurationFault[] {
-  const disks = diskZones(node);
-  const zones = new Set(disks.values()).size;
+/** A fault for each fault budget of the configuration that the fleet's machines and settings can't meet. Pure. */
+export function checkConfigurationCapacity(fleet: FleetView, configuration: Configuration): ConfigurationFault[] {
+  const zoneByMachine = zonesOfDiskMachines(fleet);
+  const zoneCount = new Set(zoneByMachine.values()).size;
   const faults: ConfigurationFault[] = [];
   configuration.spaces.forEach((space, i) =>
     space.program.forEach(({ contract }, j) => {
       if (contract.keep === 0) return;
       const path = `spaces.${i}.program.${j}.owe.fault_budget`;
-      const lost = contract.fault_budget.machines ?? 0;
-      const problem = machinesProblem(node, lost, disks.size);
+      const lostMachines = contract.fault_budget.machines ?? 0;
+      const problem = machinesProblem(fleet, lostMachines, zoneByMachine.size);
       if (problem !== undefined) faults.push({ path: `${path}.machines`, problem });
-      if ((contract.fault_budget.zones ?? 0) > 0 && zones < 3 && !isPromisedInForce(node, "zones", 1))
-        faults.push({ path: `${path}.zones`, problem: `needs such machines in three zones; there are ${zones}` });
+      if ((contract.fault_budget.zones ?? 0) > 0 && zoneCount < 3 && !isGuaranteedInForce(fleet, "zones", 1))
+        faults.push({ path: `${path}.zones`, problem: `needs such machines in three zones; there are ${zoneCount}` });
     }),
   );
   return faults;
 }
 
-/** Why the loss of so many machines at once could not be survived: that takes a majority of 2f + 1 replicas. */
-function machinesProblem(node: CapacityParts, lost: number, disks: number): string | undefined {
-  const needed = 2 * lost + 1;
-  const { replicas } = node.parts.settings;
-  if (lost === 0) return undefined;
+/**
+ * Why the simultaneous loss of this many machines could not be survived; undefined if it could. Surviving the loss of f
+ * machines takes 2f + 1 replicas, so that a majority remains.
+ */
+function machinesProblem(fleet: FleetView, lostMachines: number, machineCount: number): string | undefined {
+  const needed = 2 * lostMachines + 1;
+  const { replicas } = fleet.parts.settings;
+  if (lostMachines === 0) return undefined;
   if (replicas < needed)
     return `needs replica sets of ${needed}; this deployment's settings ask for sets of ${replicas}`;
-  if (disks < needed && !isPromisedInForce(node, "machines", lost))
-    return `needs ${needed} machines with a disk for topic logs; there are ${disks}`;
+  if (machineCount < needed && !isGuaranteedInForce(fleet, "machines", lostMachines))
+    return `needs ${needed} machines with a disk for topic logs; there are ${machineCount}`;
   return undefined;
 }
 
 /**
- * The fleet's machines with a disk for topic logs, by name, each with its zone. One that is down belongs to it as
- * long as a member knows it or a replica set names it; one that was drained and has left does not.
+ * The zones of the fleet's machines with a disk for topic logs, by machine name. A machine that is down counts as long
+ * as the membership or a replica set contains it; a machine that was drained and is not up does not count.
  */
-function diskZones({ membership, machines, shards }: CapacityParts): Map<string, string> {
-  const disks = new Map<string, string>();
-  const isGone = (name: string): boolean => machines.isDraining(name) && membership.find(name)?.state !== "up";
+function zonesOfDiskMachines({ membership, machines, shards }: FleetView): Map<string, string> {
+  const zoneByMachine = new Map<string, string>();
+  const hasLeft = (name: string): boolean => machines.isDraining(name) && membership.find(name)?.state !== "up";
   for (const [, { set }] of shards.all())
-    for (const { name, zone } of set?.members ?? []) if (!isGone(name)) disks.set(name, zone);
-  for (const { name, zone, logDisk } of membership.all()) if (logDisk !== "" && !isGone(name)) disks.set(name, zone);
-  return disks;
+    for (const { name, zone } of set?.members ?? []) if (!hasLeft(name)) zoneByMachine.set(name, zone);
+  for (const { name, zone, logDisk } of membership.all())
+    if (logDisk !== "" && !hasLeft(name)) zoneByMachine.set(name, zone);
+  return zoneByMachine;
 }
 
 /**
- * Whether the configuration in force promises as much: it was accepted by what the fleet has, and no machine leaves
- * that.
+ * Whether the configuration in force already has a fault budget of at least this many losses. The fleet had the
+ * capacity for it when it was accepted, and drains do not take machines below it.
  */
-function isPromisedInForce({ configuration }: CapacityParts, budget: "machines" | "zones", lost: number): boolean {
+function isGuaranteedInForce({ configuration }: FleetView, budget: "machines" | "zones", losses: number): boolean {
   return (
     configuration.configuration?.spaces.some(({ program }) =>
-      program.some(({ contract }) => contract.keep > 0 && (contract.fault_budget[budget] ?? 0) >= lost),
+      program.some(({ contract }) => contract.keep > 0 && (contract.fault_budget[budget] ?? 0) >= losses),
     ) ?? false
   );
 }
--- a/packages/control/src/configuration/decideConfigurationChange.ts
+++ b/packages/control/src/configuration/decideConfigurationChange.ts
@@ -10,35 +10,38 @@
 import { DocumentKey } from "@cranetrack/core/keys/documentKey.js";
 
 /**
- * What becomes of a configuration change: pure decisions from what was sent and what was read.
+ * Decides what happens to a configuration change. The decisions are pure functions of the change and of what was read
+ * from the store.
  *
- * Once a version is acknowledged it never stands for other content, through crashes, retries and other control nodes.
+ * Once a version is acknowledged it never stands for other content, across crashes, retries and control nodes.
  */
 
-/** A complete configuration under a version, as an operator sent it. */
+/** A complete configuration with its version, as an operator sent it. */
 export interface ConfigurationChange {
   version: number;
   body: Uint8Array;
-  /** The operators' own document, of which `body` is this node's translation; none where the body is what was sent. */
+  /** The operator's document from which this node translated `body`; undefined if the operator sent `body` itself. */
   document: Uint8Array | undefined;
 }
 
-/** What the store knows about the configuration in force and about one version; a confirmed read. */
+/** The stored state of the configuration in force and of one version, from a confirmed read. */
 export interface ConfigurationChangeInputs {
   configuration: Kv | undefined;
+  /** The document of the configuration in force. */
   document: Kv | undefined;
+  /** The record of the content that was acknowledged under the version. */
   record: Kv | undefined;
-  /** Up to this version it may be forgotten which content was acknowledged. */
+  /** Up to this version the record of the acknowledged content may have been dropped. */
   floor: number;
 }
 
-/** What a change is to the store. */
+/** How a change relates to the stored state. */
 export type ConfigurationChangeDecision =
-  /** Acknowledged before with this very content. */
+  /** Already acknowledged with the same content. */
   | { kind: "acknowledged"; revision: number }
-  /** Acknowledged or in force with other content: this one never will be. */
+  /** The version is acknowledged or in force with other content; this content never will be. */
   | { kind: "other-content"; versionInForce: number }
-  /** Below the version in force, and which content was acknowledged under it, if any, may be forgotten. */
+  /** Below the version in force; the record of what was acknowledged under it, if anything, may have been dropped. */
   | { kind: "forgotten"; versionInForce: number }
   /** Below the version in force and never acknowledged. */
   | { kind: "superseded"; versionInForce: number }
@@ -46,8 +49,8 @@
   | { kind: "newer" };
 
 /**
- * Depends on what the operator sent and what was committed alone, not on settings or the fleet's state: every node
- * decides the same.
+ * Depends only on what the operator sent and what was committed, not on settings or the state of the fleet, so every
+ * node comes to the same decision.
  */
 export function decideConfigurationChange(
   change: ConfigurationChange,
@@ -67,19 +70,19 @@
   return { kind: change.version <= inputs.floor ? "forgotten" : "superseded", versionInForce };
 }
 
-/** What is recorded beside an acknowledged version: of the document where there is one, else of the body. */
+/** The digest recorded for an acknowledged version: of the document if there is one, otherwise of the body. */
 export function contentDigestOf({ body, document }: ConfigurationChange): Uint8Array {
   return document === undefined
     ? contentDigest(contentKind.configuration, body)
     : contentDigest(contentKind.document, document);
 }
 
-/** The keys to read before a change is decided; the document comes on top where the version has no record. */
+/** The keys to read before a decision; if the version has no record, the document has to be read as well. */
 export function inputKeys(version: number): string[] {
   return [ConfigurationKey.name, AcceptedChangeKey.of(version), AcceptedChangeKey.floor];
 }
 
-/** The inputs from what was read under these keys. */
+/** The inputs of the decision, from the keys that were read. */
 export function inputsOf(version: number, kvs: readonly Kv[]): ConfigurationChangeInputs {
   const find = (key: string): Kv | undefined => kvs.find((kv) => kv.key === key);
   return {
@@ -91,22 +94,25 @@
 }
 
 /**
- * Faults of spaces whose order of messages would change. A space is one stream, or one stream a topic, for its whole
- * life: where its messages are stored follows from that.
+ * Faults for spaces whose message order would change. A space is either one stream or one stream per topic as long as
+ * it exists, because this determines where its messages are stored.
  */
 export function messageOrderFaults(inForce: Uint8Array, configuration: Configuration): ConfigurationFault[] {
-  const before = new Map(ConfigurationKey.outline(inForce)?.spaces.map((space) => [space.prefix, space]));
+  const spacesInForce = new Map(ConfigurationKey.outline(inForce)?.spaces.map((space) => [space.prefix, space]));
   return configuration.spaces.flatMap((space, i) => {
-    const earlier = before.get(Configurations.prefixOf(space));
-    const isWhole = space.program[0]!.contract.order === "space";
-    if (earlier === undefined || earlier.isWhole === isWhole) return [];
-    const order = earlier.isWhole ? "space" : "sender or topic";
+    const spaceInForce = spacesInForce.get(Configurations.prefixOf(space));
+    const isOneStream = space.program[0]!.contract.order === "space";
+    if (spaceInForce === undefined || spaceInForce.isWhole === isOneStream) return [];
+    const order = spaceInForce.isWhole ? "space" : "sender or topic";
     const problem = `space ${space.name} keeps order ${order} while it exists; remove the space and create it again`;
     return [{ path: `spaces.${i}.program.0.owe.order`, problem }];
   });
 }
 
-/** A configuration that was sent alone is compared with the one in force, whatever document came with that. */
+/**
+ * Whether the change has the content in force. A change without a document is compared with the configuration in force,
+ * regardless of that configuration's document.
+ */
 function isContentInForce({ body, document }: ConfigurationChange, inputs: ConfigurationChangeInputs): boolean {
   if (document === undefined)
     return isEqual(
--- a/packages/control/src/configuration/getRollout.ts
+++ b/packages/control/src/configuration/getRollout.ts
@@ -4,14 +4,17 @@
 import { ApiReplies, type ApiReply } from "@cranetrack/core/http/apiReply.js";
 import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
-/** How long another control node may take to say what its feeds have acknowledged. */
+/** Timeout for a control node's report of its feeds. */
 const feedsTimeoutMs = 600;
 
-/** How far the configuration in force has got: the acknowledgements of all control nodes' feeds, counted by node. */
+/**
+ * The rollout of the configuration in force: for each node whether it has acknowledged it, collected from the feeds of
+ * all control nodes. Replies: 404 `no-plan`, or unavailable without a majority.
+ */
 export async function getRollout(node: ClusterNode): Promise<ApiReply> {
-  const present = await node.store.read([ConfigurationKey.name]);
-  if (present.outcome !== "done") return ApiReplies.unavailable("no majority of the control nodes answers");
-  const inForce = present.kvs![0];
+  const readOutcome = await node.store.read([ConfigurationKey.name]);
+  if (readOutcome.outcome !== "done") return ApiReplies.unavailable("no majority of the control nodes answers");
+  const inForce = readOutcome.kvs![0];
   if (inForce === undefined) return ApiReplies.fault(404, "no-plan", "no configuration was ever accepted");
   const version = ConfigurationKey.versionOf(inForce.value);
   const controlNodes = node.membership
@@ -23,16 +26,16 @@
       node.rpc.call(name, { case: "storeCall", value: { call: { case: "feeds", value: {} } } }, feedsTimeoutMs),
     ),
   );
-  const newest = newestByNode(replies.flatMap((body) => (body?.case === "storeReply" ? body.value.feeds : [])));
+  const newestFeeds = newestByNode(replies.flatMap((body) => (body?.case === "storeReply" ? body.value.feeds : [])));
   const nodes = node.membership
     .all()
     .filter((member) => member.state === "up")
-    .map((member) => rolloutOf(member, newest.get(member.name), version, node.membership.isAlive(member.name)));
-  const taken = nodes.filter(({ hasTakenUp }) => hasTakenUp).length;
-  return ApiReplies.done({ mark: version, taken, of: nodes.length, nodes });
+    .map((member) => nodeRollout(member, newestFeeds.get(member.name), version, node.membership.isAlive(member.name)));
+  const upToDateCount = nodes.filter(({ hasTakenUp }) => hasTakenUp).length;
+  return ApiReplies.done({ mark: version, taken: upToDateCount, of: nodes.length, nodes });
 }
 
-/** A node that went on at another control node has a feed at both for a while: the one heard from last counts. */
+/** A node that changed to another control node may have feeds at both for a while: the most recent one counts. */
 function newestByNode(feeds: readonly FeedState[]): Map<string, FeedState> {
   const newest = new Map<string, FeedState>();
   for (const feed of feeds) {
@@ -42,22 +45,22 @@
   return newest;
 }
 
-/** One node's entry, in the fields of the HTTP API v1: `mark` is the version that it has in force. */
-function rolloutOf(member: Member, feed: FeedState | undefined, version: number, isAlive: boolean) {
-  const atNode = feed?.configurationVersion ?? 0;
-  const why = whyLate(feed, version);
+/** One node's entry, in the fields of the HTTP API v1; `mark` is the version in force at the node. */
+function nodeRollout(member: Member, feed: FeedState | undefined, version: number, isAlive: boolean) {
+  const versionAtNode = feed?.configurationVersion ?? 0;
+  const reason = lateReason(feed, version);
   return {
     name: member.name,
     role: member.role,
-    mark: atNode,
-    hasTakenUp: atNode >= version,
-    ...(why === "" ? {} : { why }),
+    mark: versionAtNode,
+    hasTakenUp: versionAtNode >= version,
+    ...(reason === "" ? {} : { why: reason }),
     isAlive,
   };
 }
 
-/** Empty where the node is not late. */
-function whyLate(feed: FeedState | undefined, version: number): string {
+/** Why the node does not have the version yet; empty if it has. */
+function lateReason(feed: FeedState | undefined, version: number): string {
   if (feed === undefined) return "has no feed open";
   if (feed.fault !== "") return feed.fault;
   return feed.configurationVersion >= version ? "" : "has not acknowledged yet";
--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -24,17 +24,17 @@
 } from "./decideConfigurationChange.js";
 import { checkConfigurationCapacity } from "./configurationCapacity.js";
 
-/** Of a change that loses a race again and again, each time to another one that was accepted. */
+/** Attempts for a change whose transaction conflicts each time with another accepted change. */
 const maxAttempts = 8;
 
 /**
- * Puts a complete configuration in force under a rising version, with the operators' own document about it. Accepted
- * once a majority of the control nodes has both on disk, with a record of the content. Idempotent. A configuration
- * without a document leaves none.
+ * Puts a complete configuration in force under a higher version, together with the operator's document that it was
+ * translated from. Accepted once a majority of the control nodes has both on disk, with a record of the content.
+ * Idempotent. A configuration without a document removes the stored document.
  *
- * First it is decided whether it was acknowledged before, by its content as it was sent; only a new one is validated
- * against the fleet and the configuration in force. With a document, a version below the one in force is acknowledged
- * without effect, once its content is recorded; without one it is rejected as stale.
+ * A change that was acknowledged before is recognized by its content as it was sent; only a new one is validated
+ * against the fleet and the configuration in force. A version below the one in force is rejected as stale, unless it
+ * comes with a document: then it is acknowledged without effect once its content is recorded.
  *
  * Replies: 409 `stale-mark`, 413 `too-large`, 422 `invalid-plan`, 503 `no-capacity`, unavailable (not done and never
  * will be) or unknown (may have been done).
@@ -52,13 +52,13 @@
     );
   const json = JsonBody.read(body);
   if ("reply" in json) return json.reply;
-  const read = ConfigurationSchema.read(json.value);
-  const version = "configuration" in read ? read.configuration.version : ConfigurationKey.versionOf(body);
-  // With a document the body is this node's translation, and its faults may be those of this node's settings.
-  if ("faults" in read && (document === undefined || version === 0)) return invalid(read.faults);
+  const parsed = ConfigurationSchema.read(json.value);
+  const version = "configuration" in parsed ? parsed.configuration.version : ConfigurationKey.versionOf(body);
+  // With a document the body is this node's translation, so its faults may come from this node's settings.
+  if ("faults" in parsed && (document === undefined || version === 0)) return invalidReply(parsed.faults);
   const change = { version, body, document };
   for (let attempt = 0; attempt < maxAttempts; attempt += 1) {
-    const reply = await attemptChange(node, change, read);
+    const reply = await attemptChange(node, change, parsed);
     if (reply !== "conflict") return reply;
   }
   return ApiReplies.unknown("other configurations came between; the same configuration again resolves it");
@@ -67,46 +67,50 @@
 async function attemptChange(
   node: ClusterNode,
   change: ConfigurationChange,
-  read: ConfigurationRead,
+  parsed: ConfigurationRead,
 ): Promise<ApiReply | "conflict"> {
   const { version, document } = change;
   const { bound } = node.configurationVerifier;
   const inputs = await readInputs(node, change);
   if (inputs === undefined || !node.configurationVerifier.isCurrent(bound, inputs.configuration?.revision ?? 0))
-    return noMajority();
+    return noMajorityReply();
   const decision = decideConfigurationChange(change, inputs);
   switch (decision.kind) {
     case "acknowledged":
-      return accepted(version, decision.revision);
+      return acceptedReply(version, decision.revision);
     case "other-content":
-      return stale(version, decision.versionInForce, "was accepted with other content");
+      return staleVersionReply(version, decision.versionInForce, "was accepted with other content");
     case "forgotten":
       return ApiReplies.unavailable(`version ${version} is so old that its content is forgotten`);
     case "superseded":
-      if (document === undefined) return stale(version, decision.versionInForce, "is not above the one in force");
-      return "faults" in read ? invalid(read.faults) : recordSuperseded(node, change, inputs);
+      if (document === undefined)
+        return staleVersionReply(version, decision.versionInForce, "is not above the one in force");
+      return "faults" in parsed ? invalidReply(parsed.faults) : recordSuperseded(node, change, inputs);
     case "newer":
-      return "faults" in read ? invalid(read.faults) : putInForce(node, change, read.configuration, inputs);
+      return "faults" in parsed ? invalidReply(parsed.faults) : putInForce(node, change, parsed.configuration, inputs);
   }
 }
 
-/** A confirmed read. The document is as large as the configuration, and needed only where its version has no record. */
+/**
+ * Reads the inputs of the decision, confirmed by a majority; undefined if none confirms. The document, as large as the
+ * configuration, is read only if it is needed: the version is in force and has no record.
+ */
 async function readInputs(
   node: ClusterNode,
   { version, document }: ConfigurationChange,
 ): Promise<ConfigurationChangeInputs | undefined> {
-  const read = async (keys: string[]): Promise<ConfigurationChangeInputs | undefined> => {
-    const present = await node.store.read(keys);
-    return present.outcome === "done" ? inputsOf(version, present.kvs ?? []) : undefined;
+  const readKeys = async (keys: string[]): Promise<ConfigurationChangeInputs | undefined> => {
+    const readOutcome = await node.store.read(keys);
+    return readOutcome.outcome === "done" ? inputsOf(version, readOutcome.kvs ?? []) : undefined;
   };
-  const inputs = await read(inputKeys(version));
+  const inputs = await readKeys(inputKeys(version));
   const isUnrecorded = inputs?.configuration !== undefined && inputs.record === undefined;
   if (document === undefined || !isUnrecorded || ConfigurationKey.versionOf(inputs.configuration!.value) !== version)
     return inputs;
-  return read([...inputKeys(version), DocumentKey.name]);
+  return readKeys([...inputKeys(version), DocumentKey.name]);
 }
 
-/** A version above all so far: put in force and recorded in one transaction, if no other was put meanwhile. */
+/** Puts a new highest version in force and records it in one transaction; `conflict` if another change came first. */
 async function putInForce(
   node: ClusterNode,
   change: ConfigurationChange,
@@ -116,10 +120,10 @@
   const { body, document } = change;
   const orderFaults =
     inputs.configuration === undefined ? [] : messageOrderFaults(inputs.configuration.value, configuration);
-  if (orderFaults.length > 0) return invalid(orderFaults);
+  if (orderFaults.length > 0) return invalidReply(orderFaults);
   const capacityFaults = checkConfigurationCapacity(node, configuration);
-  if (capacityFaults.length > 0) return noCapacity(capacityFaults);
-  const written = await node.store.txn({
+  if (capacityFaults.length > 0) return noCapacityReply(capacityFaults);
+  const txnOutcome = await node.store.txn({
     checks: [{ key: ConfigurationKey.name, revision: inputs.configuration?.revision ?? 0 }],
     puts: [
       { key: ConfigurationKey.name, value: body },
@@ -129,13 +133,13 @@
     ],
     deletes: document === undefined ? [DocumentKey.name] : [],
   });
-  if (written.outcome === "done") node.configurationVerifier.saw(written.revision ?? 0);
-  return replyToWrite(change, written);
+  if (txnOutcome.outcome === "done") node.configurationVerifier.saw(txnOutcome.revision ?? 0);
+  return replyToWrite(change, txnOutcome);
 }
 
 /**
- * A version below the one in force, never acknowledged so far, changes nothing; but its content is committed before it
- * is acknowledged, so that no other content under that version can be.
+ * Records the content of a version that is below the one in force and was never acknowledged. The version has no
+ * effect, but recording it before it is acknowledged ensures that the version is never acknowledged with other content.
  */
 async function recordSuperseded(
   node: ClusterNode,
@@ -152,42 +156,42 @@
 
 function replyToWrite(
   change: ConfigurationChange,
-  written: { outcome: string; revision?: number },
+  txnOutcome: { outcome: string; revision?: number },
 ): ApiReply | "conflict" {
-  switch (written.outcome) {
+  switch (txnOutcome.outcome) {
     case "done":
-      return accepted(change.version, written.revision);
+      return acceptedReply(change.version, txnOutcome.revision);
     case "conflict":
       return "conflict";
     case "unsure":
       return ApiReplies.unknown("the control nodes did not answer in time; the same configuration again resolves it");
     default:
-      return noMajority();
+      return noMajorityReply();
   }
 }
 
 /** The fields are those of the HTTP API v1; `mark` is the version. */
-function accepted(version: number, revision: number | undefined): ApiReply {
+function acceptedReply(version: number, revision: number | undefined): ApiReply {
   return ApiReplies.done({ receipt: "accepted", mark: version, revision });
 }
 
-function noMajority(): ApiReply {
+function noMajorityReply(): ApiReply {
   return ApiReplies.unavailable("no majority of the control nodes answers");
 }
 
-function invalid(problems: ConfigurationFault[]): ApiReply {
+function invalidReply(problems: ConfigurationFault[]): ApiReply {
   const message = `the configuration has ${problems.length} problem(s); nothing was changed`;
   return ApiReplies.fault(422, "invalid-plan", message, { problems });
 }
 
-/** What this node sees of the fleet may be incomplete, and may change: never a final rejection. */
-function noCapacity(problems: ConfigurationFault[]): ApiReply {
+/** Never a final rejection: this node's view of the fleet may be incomplete and may change. */
+function noCapacityReply(problems: ConfigurationFault[]): ApiReply {
   const message =
     "machines are missing for what the configuration promises, as this node sees the fleet; nothing was changed";
   return ApiReplies.fault(503, "no-capacity", message, { problems, retryAfterSeconds: 1 });
 }
 
-function stale(version: number, versionInForce: number, why: string): ApiReply {
-  const message = `version ${version} ${why}; version ${versionInForce} is in force`;
+function staleVersionReply(version: number, versionInForce: number, reason: string): ApiReply {
+  const message = `version ${version} ${reason}; version ${versionInForce} is in force`;
   return ApiReplies.fault(409, "stale-mark", message, { details: { markInForce: versionInForce } });
 }
--- a/packages/control/src/configuration/readDocument.ts
+++ b/packages/control/src/configuration/readDocument.ts
@@ -2,32 +2,35 @@
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
-/** `away`: not known, as no majority confirmed the read or the value is older than what was seen before. */
+/**
+ * `none`: there is no value. `away`: the value is not known, because no majority confirmed the read or because it is
+ * older than what this process has seen.
+ */
 export type DocumentRead = { outcome: "done"; document: Uint8Array } | { outcome: "none" } | { outcome: "away" };
 
 /**
- * The operators' own document about the configuration in force, byte for byte; none where the configuration came
- * without one.
+ * Reads the operator's document of the configuration in force, byte for byte; `none` if the configuration came
+ * without a document.
  */
 export function readDocument(node: ClusterNode): Promise<DocumentRead> {
-  return readNewest(node, DocumentKey.name);
+  return readConfirmed(node, DocumentKey.name);
 }
 
-/** The configuration in force, byte for byte; none where none was ever accepted. */
+/** Reads the configuration in force, byte for byte; `none` if no configuration was ever accepted. */
 export function readConfiguration(node: ClusterNode): Promise<DocumentRead> {
-  return readNewest(node, ConfigurationKey.name);
+  return readConfirmed(node, ConfigurationKey.name);
 }
 
 /**
- * A confirmed read of a key that is written whenever the configuration changes. `away` where no majority confirms it,
- * or where it is older than what this process has seen of the configuration before.
+ * Confirmed read of a key that is written whenever the configuration changes. `away` if no majority confirms it or if
+ * its revision is below one of the configuration that this process has already seen.
  */
-async function readNewest(node: ClusterNode, key: string): Promise<DocumentRead> {
-  const { bound } = node.configurationVerifier;
-  const present = await node.store.read([key]);
-  if (present.outcome !== "done") return { outcome: "away" };
-  const kept = present.kvs?.[0];
-  if (kept === undefined) return { outcome: "none" };
-  if (!node.configurationVerifier.isCurrent(bound, kept.revision)) return { outcome: "away" };
-  return { outcome: "done", document: kept.value };
+async function readConfirmed(node: ClusterNode, key: string): Promise<DocumentRead> {
+  const { bound: seenRevision } = node.configurationVerifier;
+  const readOutcome = await node.store.read([key]);
+  if (readOutcome.outcome !== "done") return { outcome: "away" };
+  const stored = readOutcome.kvs?.[0];
+  if (stored === undefined) return { outcome: "none" };
+  if (!node.configurationVerifier.isCurrent(seenRevision, stored.revision)) return { outcome: "away" };
+  return { outcome: "done", document: stored.value };
 }
--- a/packages/control/src/store/acceptedConfigurations.ts
+++ b/packages/control/src/store/acceptedConfigurations.ts
@@ -4,59 +4,60 @@
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { ConfigurationKey } from "@cranetrack/core/keys/configurationKey.js";
 
-/** The keys of the state machine, for reading. */
+/** Read access to the keys of the state machine. */
 export interface KeyReader {
   get(key: string): Kv | undefined;
   range(prefix: string): Kv[];
 }
 
 /**
- * The state machine's part in the records of acknowledged versions. Deterministic: it depends on the keys alone.
- * Invariants: at most `AcceptedOrderKey.maxRecords` are kept, the highest ones. Whatever has no record and was
- * acknowledged once is at or below the floor, and there no record is made any more: a version has one content for
- * good, or none.
+ * Maintains the records of acknowledged configuration versions in the state machine. Deterministic: it depends only on
+ * the keys.
+ * Invariants: at most `AcceptedChangeKey.maxRecords` records are kept, those of the highest versions. Every
+ * acknowledged version without a record is at or below the floor, and no record is written at or below the floor. A
+ * version therefore never stands for two different contents.
  */
 export const AcceptedConfigurations = {
   /**
-   * The version up to which it is not known which content was acknowledged: what was dropped, and what is
-   * at or below a configuration without a record, as earlier releases wrote.
+   * The highest version whose acknowledged content may be unknown: its record was dropped, or the version is not above
+   * a configuration without a record, as earlier releases wrote them. 0 if there is none.
    */
   floor(keys: KeyReader): number {
-    const kept = AcceptedChangeKey.readFloor(keys.get(AcceptedChangeKey.floor)?.value);
-    return Math.max(kept, unrecordedVersion(keys));
+    const recordedFloor = AcceptedChangeKey.readFloor(keys.get(AcceptedChangeKey.floor)?.value);
+    return Math.max(recordedFloor, unrecordedVersion(keys));
   },
 
-  /** Whether a transaction would record a version whose first content may be forgotten. */
-  isTooOld(keys: KeyReader, puts: readonly Kv[]): boolean {
-    const versions = versionsIn(puts);
+  /** Whether the puts record a version at or below the floor, whose first content may be forgotten. */
+  recordsForgottenVersion(keys: KeyReader, puts: readonly Kv[]): boolean {
+    const versions = recordedVersions(puts);
     return versions.length > 0 && Math.min(...versions) <= AcceptedConfigurations.floor(keys);
   },
 
-  /** What goes with a transaction's puts: the floor, where one that was only implied is lost with them. */
+  /** Adds the floor to puts that replace a configuration without a record, which implied the floor until then. */
   withFloor(keys: KeyReader, puts: readonly Kv[]): Kv[] {
-    const implied = puts.some(({ key }) => key === ConfigurationKey.name) ? unrecordedVersion(keys) : 0;
-    return implied === 0 ? [...puts] : [floorKv(AcceptedConfigurations.floor(keys)), ...puts];
+    const impliedFloor = puts.some(({ key }) => key === ConfigurationKey.name) ? unrecordedVersion(keys) : 0;
+    return impliedFloor === 0 ? [...puts] : [floorKv(AcceptedConfigurations.floor(keys)), ...puts];
   },
 
-  /** The records beyond the bound, lowest first, and the floor that stands for them. */
-  surplus(keys: KeyReader, puts: readonly Kv[]): { floor: Kv; dropped: string[] } | undefined {
-    if (versionsIn(puts).length === 0) return undefined;
+  /** The keys of the records beyond the limit, lowest first, and the floor that replaces them. */
+  overflow(keys: KeyReader, puts: readonly Kv[]): { floor: Kv; dropped: string[] } | undefined {
+    if (recordedVersions(puts).length === 0) return undefined;
     const records = keys.range(AcceptedChangeKey.prefix);
     const dropped = records.slice(0, Math.max(0, records.length - AcceptedChangeKey.maxRecords)).map(({ key }) => key);
     if (dropped.length === 0) return undefined;
-    const highest = AcceptedChangeKey.versionOf(dropped.at(-1)!) ?? 0;
-    return { floor: floorKv(Math.max(highest, AcceptedConfigurations.floor(keys))), dropped };
+    const highestDropped = AcceptedChangeKey.versionOf(dropped.at(-1)!) ?? 0;
+    return { floor: floorKv(Math.max(highestDropped, AcceptedConfigurations.floor(keys))), dropped };
   },
 };
 
-/** The version of the configuration in force where that has no record; else 0. */
+/** The version of the configuration in force if it has no record, otherwise 0. */
 function unrecordedVersion(keys: KeyReader): number {
   const incarnations = keys.get(IncarnationsKey.name);
   const version = (incarnations === undefined ? undefined : IncarnationsKey.read(incarnations.value)?.version) ?? 0;
   return version === 0 || keys.get(AcceptedChangeKey.of(version)) !== undefined ? 0 : version;
 }
 
-function versionsIn(puts: readonly Kv[]): number[] {
+function recordedVersions(puts: readonly Kv[]): number[] {
   return puts.map(({ key }) => AcceptedChangeKey.versionOf(key)).filter((version) => version !== undefined);
 }
 
--- a/packages/control/src/store/feed.ts
+++ b/packages/control/src/store/feed.ts
@@ -12,31 +12,37 @@
 import { ValueHistory } from "./valueHistory.js";
 
 /**
- * One node's feed: what was sent to it, what it has acknowledged, and what it lacks. Times in milliseconds.
- * Invariant: at most one push is unacknowledged, the one with `number`.
+ * The feed of one node: what was sent to the node and what it has acknowledged. Times are in milliseconds.
+ * Invariant: at most one push is unacknowledged, the one numbered `pushNumber`.
  */
 export class Feed {
   readonly id: string;
   readonly nodeName: string;
   readonly prefixes: readonly string[];
+  /** Revision that the node has reached, as it acknowledged last. */
   ackedRevision: number;
-  /** Of the last push, or where a push that was lost is to begin again. */
+  /** Revision of the last push; after a lost push, the revision from which it is repeated. */
   sentRevision: number;
-  /** Revision up to which nothing that the node follows has changed since. */
-  unchangedTo = 0;
-  number = 0;
+  /** No key that the node follows changed after `sentRevision` up to this revision. */
+  unchangedUpTo = 0;
+  /** Number of the last push. */
+  pushNumber = 0;
+  /** Number of the last acknowledged push. */
   ackedNumber = 0;
+  /** When the last push was sent. */
   sentAt = -Infinity;
-  /** No large value is sent before this, unless something else is. */
-  largeNotBefore = -Infinity;
+  /** Before this time a push does not go out for large values alone. */
+  largeValuesNotBefore = -Infinity;
+  /** When the feed was opened or its last acknowledgement arrived. */
   lastContactAt: number;
-  /** The configuration in force at the node, and why it can't read a newer one, if it can't; as it says. */
+  /** Version of the configuration in force at the node, as the node reports. */
   configurationVersion = 0;
-  fault = "";
-  /** Whether pushes may go out: this control node has `requiredRevision`. */
+  /** Why the node can't read a newer configuration, as the node reports; empty if there is no fault. */
+  configurationFault = "";
+  /** Whether pushes may go out: this control node has applied `requiredRevision`. */
   isReady = false;
   readonly openedAt: number;
-  /** What the leader had committed once the feed was open; undefined until the leader has said so. */
+  /** Revision committed at the leader after the feed was opened; undefined until the leader has confirmed it. */
   requiredRevision: number | undefined;
 
   constructor({ feed, name, prefixes, revision }: FeedOpen, now: number) {
@@ -49,7 +55,7 @@
 
   /** Whether a push is in flight. */
   get isUnacknowledged(): boolean {
-    return this.number !== this.ackedNumber;
+    return this.pushNumber !== this.ackedNumber;
   }
 
   /** Whether the node asked for changes of this key. */
@@ -57,46 +63,46 @@
     return this.prefixes.some((prefix) => kv.key.startsWith(prefix));
   }
 
-  /** Whether something that the node follows has changed and may be sent; for the rest the next heartbeat will do. */
-  hasPending(changes: ChangeLog, revision: number, clock: Clock): boolean {
+  /** Whether a push is due for changed keys that the node follows; other changes wait for the next heartbeat. */
+  hasChangesToPush(changes: ChangeLog, revision: number, clock: Clock): boolean {
     if (!this.isReady || this.sentRevision >= revision) return false;
-    if (this.sentRevision < changes.since) return true;
-    const unsent = changes.after(Math.max(this.sentRevision, this.unchangedTo)).filter((kv) => this.follows(kv));
-    if (unsent.length > 0) return clock.now() >= this.largeNotBefore || !unsent.every(mayWait);
-    this.unchangedTo = revision;
+    if (this.sentRevision < changes.completeAfter) return true;
+    const unsent = changes.after(Math.max(this.sentRevision, this.unchangedUpTo)).filter((kv) => this.follows(kv));
+    if (unsent.length > 0) return clock.now() >= this.largeValuesNotBefore || !unsent.every(isDeferrable);
+    this.unchangedUpTo = revision;
     return false;
   }
 
-  /** True where the newest push was acknowledged; what the node says of itself is noted in any case. */
-  onAck(ack: FeedAck, now: number): boolean {
+  /** Records the node's report. True if the acknowledgement is for the last push. */
+  acknowledge(ack: FeedAck, now: number): boolean {
     this.lastContactAt = now;
     this.configurationVersion = ack.configurationVersion;
-    this.fault = ack.fault;
-    if (ack.number !== this.number) return false;
+    this.configurationFault = ack.fault;
+    if (ack.number !== this.pushNumber) return false;
     this.ackedNumber = ack.number;
     this.sentRevision = this.ackedRevision = ack.revision;
     return true;
   }
 
-  /** Goes back to what the node has acknowledged: the next push has the same number as the lost one. */
+  /** Returns to the acknowledged revision, so that the next push repeats the lost one under the same number. */
   rewind(): void {
-    this.number -= 1;
+    this.pushNumber -= 1;
     this.sentRevision = this.ackedRevision;
   }
 
-  /** What operators are shown; `age` counts milliseconds since the node was heard from. */
+  /** The state shown to operators; `age` is the time in milliseconds since the node's last message. */
   state(now: number): FeedState {
     return create(FeedStateSchema, {
       name: this.nodeName,
       revision: this.ackedRevision,
       configurationVersion: this.configurationVersion,
       age: Math.round(now - this.lastContactAt),
-      fault: this.fault,
+      fault: this.configurationFault,
     });
   }
 }
 
-/** Incarnations are of no use before the configuration that they were written with. */
-function mayWait(kv: Kv): boolean {
+/** Large values may wait, and so may incarnations: they are useless without the configuration written with them. */
+function isDeferrable(kv: Kv): boolean {
   return ValueHistory.isLarge(kv) || kv.key === IncarnationsKey.name;
 }
--- a/packages/control/src/store/leaderForwarding.ts
+++ b/packages/control/src/store/leaderForwarding.ts
@@ -5,57 +5,57 @@
 import type { RaftNode } from "../consensus/raftNode.js";
 
 /**
- * Sends store calls that only the leader can answer on to it, once: a call that was forwarded is not forwarded again.
- * Outcomes: `away`, not done and never will be; `unsure`, may have been done.
+ * Forwards store calls to the leader. A call that was already forwarded is not forwarded again.
+ * Outcomes: `away`, the call was not and will not be executed; `unsure`, it may have been executed.
  */
 export class LeaderForwarding {
-  /** A renewal waits longer than other calls: a lease that is lost costs more than a late reply. */
+  /** Lease renewals wait longer than other calls, as a lost lease costs more than a late reply. */
   static readonly #renewTimeoutMs = 800;
   static readonly #timeoutMs = 450;
 
   readonly #node: ClusterNode;
   readonly #raft: RaftNode;
-  readonly #runAgain: (calls: StoreCall[]) => Promise<Outcome[]>;
+  readonly #retry: (calls: StoreCall[]) => Promise<Outcome[]>;
 
-  /** `runAgain`: runs calls at the next leader, which may be this control node itself. */
-  constructor(node: ClusterNode, raft: RaftNode, runAgain: (calls: StoreCall[]) => Promise<Outcome[]>) {
+  /** `retry` executes calls at the next leader, which may be this control node itself. */
+  constructor(node: ClusterNode, raft: RaftNode, retry: (calls: StoreCall[]) => Promise<Outcome[]>) {
     this.#node = node;
     this.#raft = raft;
-    this.#runAgain = runAgain;
+    this.#retry = retry;
   }
 
-  /** An outcome for each call, in their order. */
+  /** The outcome of each call, in the order of the calls. */
   async forward(calls: StoreCall[]): Promise<Outcome[]> {
-    const all = (outcome: Outcome): Outcome[] => calls.map(() => outcome);
+    const sameForAll = (outcome: Outcome): Outcome[] => calls.map(() => outcome);
     const leader = this.#raft.leaderName;
     if (calls.some((call) => call.isForwarded) || leader === "" || leader === this.#node.rpc.name)
-      return all({ outcome: "away", retryAfterSeconds: 1, reason: "no leader is known" });
+      return sameForAll({ outcome: "away", retryAfterSeconds: 1, reason: "no leader is known" });
     const kinds = new Set(calls.map((call) => call.call.case));
     const isRepeatable = calls.every((call) => mayRepeatStoreCall(call.call.case));
-    const forwarded = this.#node.rpc.call(
+    const pendingReply = this.#node.rpc.call(
       leader,
       { case: "storeBatch", value: { calls: calls.map(({ call }) => ({ call, isForwarded: true })) } },
       kinds.has("renew") ? LeaderForwarding.#renewTimeoutMs : LeaderForwarding.#timeoutMs,
     );
-    // What may be repeated may as well be asked of the next leader, once there is one.
-    const body = await (isRepeatable ? this.#unlessLeaderChanges(forwarded) : forwarded);
-    if (body === "leader-changed") return this.#runAgain(calls);
-    if (body?.case === "storeBatchReply" && body.value.replies.length === calls.length) return body.value.replies;
-    return all({ outcome: "unsure", retryAfterSeconds: 0.5 });
+    // Repeatable calls do not wait for a deposed leader's reply: they are retried as soon as there is a new leader.
+    const reply = await (isRepeatable ? this.#replyOrLeaderChange(pendingReply) : pendingReply);
+    if (reply === "leader-changed") return this.#retry(calls);
+    if (reply?.case === "storeBatchReply" && reply.value.replies.length === calls.length) return reply.value.replies;
+    return sameForAll({ outcome: "unsure", retryAfterSeconds: 0.5 });
   }
 
-  /** The reply, or word that there is another leader by now: maybe this control node itself. */
-  #unlessLeaderChanges<T>(reply: Promise<T>): Promise<T | "leader-changed"> {
+  /** The reply, or `leader-changed` if another leader, maybe this control node, is elected first. */
+  #replyOrLeaderChange<T>(reply: Promise<T>): Promise<T | "leader-changed"> {
     return new Promise((resolve) => {
-      const end = (first: T | "leader-changed"): void => {
+      const finish = (result: T | "leader-changed"): void => {
         this.#raft.off("led", onLeader);
         this.#raft.off("elected", onLeader);
-        resolve(first);
+        resolve(result);
       };
-      const onLeader = (): void => end("leader-changed");
+      const onLeader = (): void => finish("leader-changed");
       this.#raft.on("led", onLeader);
       this.#raft.on("elected", onLeader);
-      void reply.then(end);
+      void reply.then(finish);
     });
   }
 }
--- a/packages/control/src/store/leases.ts
+++ b/packages/control/src/store/leases.ts
@@ -2,31 +2,32 @@
 import type { RaftNode } from "../consensus/raftNode.js";
 
 /**
- * When each lease ends by the clock of the present leader, in milliseconds. Expiry itself is a log entry.
+ * Lease deadlines by the clock of the present leader, in milliseconds. A lease ends only when a log entry revokes it.
  * Invariant: a lease's deadline is never earlier than its full length after the last renewal confirmed by a
  * majority, or after the present leader was elected.
  */
 export class Leases {
+  /** Interval between checks for expired leases. */
   static readonly tickIntervalMs = 25;
 
   readonly #raft: RaftNode;
   readonly #clock: Clock;
-  readonly #revoke: (lease: string) => void;
+  readonly #proposeRevoke: (lease: string) => void;
   readonly #deadlines = new Map<string, number>();
-  /** Leases whose expiry is proposed; a renewal can't save them. */
+  /** Leases whose revocation is proposed; they can't be renewed any more. */
   readonly #expiring = new Set<string>();
 
-  constructor(raft: RaftNode, clock: Clock, revoke: (lease: string) => void) {
+  constructor(raft: RaftNode, clock: Clock, proposeRevoke: (lease: string) => void) {
     this.#raft = raft;
     this.#clock = clock;
-    this.#revoke = revoke;
+    this.#proposeRevoke = proposeRevoke;
     raft.on("elected", () => this.#onElected());
     raft.on("deposed", () => this.#deadlines.clear());
     raft.on("applied", () => this.#onApplied());
     clock.every(Leases.tickIntervalMs, () => this.#tick());
   }
 
-  /** True where the lease was there to renew. The caller confirms the leader before and answers after. */
+  /** False if the lease is gone or expiring. The caller has to confirm the leadership before it replies. */
   renew(lease: string): boolean {
     const record = this.#raft.metadata.leases.get(lease);
     if (record === undefined || this.#expiring.has(lease)) return false;
@@ -34,7 +35,7 @@
     return true;
   }
 
-  /** Milliseconds until a lease may be lost if nobody renews it; 0 where it is none or the leader can't tell. */
+  /** Milliseconds until the lease expires unless it is renewed; 0 if the lease or its deadline is not known here. */
   remainingMs(lease: string): number {
     return Math.max(0, (this.#deadlines.get(lease) ?? 0) - this.#clock.now());
   }
@@ -60,7 +61,7 @@
     for (const [lease, deadline] of this.#deadlines) {
       if (this.#clock.now() < deadline || this.#expiring.has(lease)) continue;
       this.#expiring.add(lease);
-      this.#revoke(lease);
+      this.#proposeRevoke(lease);
     }
   }
 }
--- a/packages/control/src/store/metadata.test.ts
+++ b/packages/control/src/store/metadata.test.ts
@@ -25,7 +25,7 @@
 
 const text = (state: Metadata, key = "plan"): string => Buffer.from(state.get(key)?.value ?? []).toString();
 
-test("a difference applies to exactly the version that it was made from; else nothing of its step is done", () => {
+test("a difference applies only to the version that it was made from; else its transaction changes nothing", () => {
   const state = new Metadata();
   apply(state, { puts: [{ key: "plan", value: configuration(1, 0) }] });
   const difference = {
@@ -40,18 +40,18 @@
     0,
   ]);
 
-  const again = apply(state, { puts: [{ key: "other", value: Buffer.from("x") }, difference], deletes: ["plan"] });
-  expect([again.outcome, again.changes.length, state.get("other"), text(state)]).toEqual([
+  const repeated = apply(state, { puts: [{ key: "other", value: Buffer.from("x") }, difference], deletes: ["plan"] });
+  expect([repeated.outcome, repeated.changes.length, state.get("other"), text(state)]).toEqual([
     "rebase",
     0,
     undefined,
     configuration(2, 1).toString(),
   ]);
-  const nowhere = apply(state, { puts: [{ ...difference, key: "nowhere" }] });
-  expect([nowhere.outcome, state.get("nowhere")]).toEqual(["rebase", undefined]);
+  const withoutBase = apply(state, { puts: [{ ...difference, key: "nowhere" }] });
+  expect([withoutBase.outcome, state.get("nowhere")]).toEqual(["rebase", undefined]);
 });
 
-test("packed and whole entries give the same state, and a snapshot of it is whole", () => {
+test("packed and complete values give the same state, and a snapshot holds complete values", () => {
   const [packed, whole] = [new Metadata(), new Metadata()];
   for (let version = 1; version <= 5; version += 1) {
     const before = packed.get("plan");
@@ -65,8 +65,9 @@
   expect(text(restored)).toEqual(configuration(5, 5).toString());
 });
 
-// Guards against ORDER (review/4): a session without an owner key was taken for one that nobody had owned.
-test("the end of a lease with owner keys under it is noted in the same step, that of another lease is not", () => {
+// Guards against messages out of order (ORDER, review/4): a session whose owner key had ended with its lease was
+// treated as one that never had an owner.
+test("revoking a lease records ended owners in the same entry, but only if owner keys were under the lease", () => {
   const state = new Metadata();
   const run = (command: MessageInitShape<typeof StoreCommandSchema>["command"]): Applied =>
     state.apply(state.revision + 1, toBinary(StoreCommandSchema, create(StoreCommandSchema, { command })));
@@ -86,9 +87,9 @@
   expect(ended()).toEqual(revision);
 });
 
-// Guards against LOST after an upgrade (issue 42): entries of an earlier release were replayed as if this one had
-// proposed them, and the streams that they stand for were not found again.
-test("an entry makes the incarnations that the release which proposed it makes, however it is replayed", () => {
+// Guards against lost messages after an upgrade (LOST, issue 42): entries proposed by an earlier release were replayed
+// as if this release had proposed them, and the streams that they name were not found again.
+test("an entry yields the incarnations of the release that proposed it, also after a snapshot", () => {
   const put = (
     version: number,
     prefixes: readonly string[],
@@ -118,13 +119,13 @@
     apply(state, put(4, ["a/", "d/"], true));
     expect(text(state, IncarnationsKey.name)).toEqual(`{"mark":4,"spaces":{},"nested":[],${roots}`);
   }
-  const founded = new Metadata();
-  apply(founded, put(1, ["a/"], true));
-  expect(text(founded, IncarnationsKey.name)).toEqual('{"mark":1,"spaces":{},"nested":[]}');
+  const newSystem = new Metadata();
+  apply(newSystem, put(1, ["a/"], true));
+  expect(text(newSystem, IncarnationsKey.name)).toEqual('{"mark":1,"spaces":{},"nested":[]}');
 });
 
-/** Guards against a crowd's claims that are decided together: one that comes too late held up the others. */
-test("claims of owners in one entry are granted or not each by itself, and none without the lease", () => {
+// Guards against deciding the claims of one entry together: a claim that came too late blocked all others.
+test("owner claims in one entry are granted independently, and none without the lease", () => {
   const state = new Metadata();
   const run = (command: MessageInitShape<typeof StoreCommandSchema>["command"]): Applied =>
     state.apply(state.revision + 1, toBinary(StoreCommandSchema, create(StoreCommandSchema, { command })));
--- a/packages/control/src/store/metadata.ts
+++ b/packages/control/src/store/metadata.ts
@@ -21,27 +21,32 @@
 
 const BTree = BTreeModule.default;
 
-/** What applying one log entry did. */
+/** The result of applying one log entry. */
 export interface Applied {
   /**
-   * But for `done` nothing was done. `conflict`: a check failed, or a version's record is too old; `lost`: the lease is
-   * gone; `rebase`: a difference whose base is not the key's value.
+   * Only `done` changes the state. `conflict`: a check failed, or the entry would record a configuration version whose
+   * first content may be forgotten; `lost`: the lease does not exist; `rebase`: a difference was made from another
+   * version than the key's present value.
    */
   outcome: "done" | "conflict" | "lost" | "rebase";
+  /** Index of the entry. */
   revision: number;
+  /** After a failed check: the present values of the keys whose checks failed. */
   kvs: Kv[];
+  /** Keys that the entry wrote or removed, in order, as feeds send them. */
   changes: Kv[];
 }
 
 /**
- * What the committed log says: keys and leases. Deterministic: the same entries give the same state.
- * Invariants: a key's revision is the index of the entry that wrote it; a key under a lease is here
- * only while the lease is.
+ * The state machine of the metadata store: keys and leases, built from the committed log entries. Deterministic: the
+ * same entries give the same state.
+ * Invariants: a key's revision is the index of the entry that wrote it; a key under a lease exists only as long as the
+ * lease does.
  */
 export class Metadata {
   readonly #keys = new BTree<string, Kv>();
   readonly #leases = new Map<string, { length: number; keys: Set<string> }>();
-  /** Index of the entry that was applied last. */
+  /** Index of the last applied entry. */
   revision = 0;
 
   /** Every lease, with its length in milliseconds. */
@@ -49,19 +54,19 @@
     return this.#leases;
   }
 
-  /** The key's value, whole; undefined where it has none. */
+  /** The key with its complete value; undefined if the key does not exist. */
   get(key: string): Kv | undefined {
     return this.#keys.get(key);
   }
 
-  /** All keys with this prefix, ascending. */
+  /** All keys with this prefix, in ascending order. */
   range(prefix: string): Kv[] {
-    const found: Kv[] = [];
-    this.#keys.forRange(prefix, `${prefix}\u{10ffff}`, true, (_key, kv) => void found.push(kv));
-    return found;
+    const matches: Kv[] = [];
+    this.#keys.forRange(prefix, `${prefix}\u{10ffff}`, true, (_key, kv) => void matches.push(kv));
+    return matches;
   }
 
-  /** Carries out the committed log entry of this index; `changes` are what feeds are to be sent. */
+  /** Applies the committed log entry with this index. */
   apply(index: number, data: Uint8Array): Applied {
     const { command } = decodeMessage(StoreCommandSchema, data);
     const changes: Kv[] = [];
@@ -76,20 +81,21 @@
       this.#leases.delete(command.value.lease);
       const keys = [...(lease?.keys ?? [])].sort();
       for (const key of keys) this.#remove(key, index, changes);
-      if (keys.some((key) => sessionOfOwnerKey(key) !== undefined)) this.#noteEndedOwners(command.value.lease, changes);
+      if (keys.some((key) => sessionOfOwnerKey(key) !== undefined))
+        this.#recordEndedOwners(command.value.lease, changes);
       return { outcome: lease === undefined ? "lost" : "done", revision: index, kvs: [], changes };
     }
-    if (command.case === "txn") return this.#txn(index, command.value, changes);
-    if (command.case === "claimOwners") return this.#claimOwners(index, command.value, changes);
+    if (command.case === "txn") return this.#applyTxn(index, command.value, changes);
+    if (command.case === "claimOwners") return this.#applyOwnerClaims(index, command.value, changes);
     return { outcome: "done", revision: index, kvs: [], changes };
   }
 
-  /** Whether the session's owner key is the one that the claim expects. */
+  /** Whether the session's owner key has the revision that the claim expects; 0 stands for no owner key. */
   isGrantable({ session, revision }: OwnerClaim): boolean {
     return (this.#keys.get(OwnerKey.of(session))?.revision ?? 0) === revision;
   }
 
-  /** The whole state as bytes, with the members that the caller hands it. */
+  /** Encodes the whole state, together with the cluster members passed by the caller. */
   snapshot(members: Members | undefined): Uint8Array {
     const leases = [...this.#leases].map(([lease, { length }]) => ({ lease, length }));
     return toBinary(
@@ -98,7 +104,7 @@
     );
   }
 
-  /** Whether the bytes are a snapshot. */
+  /** Whether the bytes can be decoded as a snapshot. */
   static isReadable(snapshot: Uint8Array): boolean {
     try {
       return fromBinary(StoreSnapshotSchema, snapshot).revision >= 0;
@@ -107,45 +113,45 @@
     }
   }
 
-  /** Replaces the whole state by a snapshot and returns the members it names. */
+  /** Replaces the whole state with a snapshot and returns the members that it contains. Throws if it is unreadable. */
   install(snapshot: Uint8Array): Members | undefined {
-    const read = fromBinary(StoreSnapshotSchema, snapshot);
+    const decoded = fromBinary(StoreSnapshotSchema, snapshot);
     this.#keys.clear();
     this.#leases.clear();
-    this.revision = read.revision;
-    for (const { lease, length } of read.leases) this.#leases.set(lease, { length, keys: new Set() });
-    for (const kv of read.kvs) {
+    this.revision = decoded.revision;
+    for (const { lease, length } of decoded.leases) this.#leases.set(lease, { length, keys: new Set() });
+    for (const kv of decoded.kvs) {
       this.#keys.set(kv.key, kv);
       this.#leases.get(kv.lease)?.keys.add(kv.key);
     }
-    return read.members;
+    return decoded.members;
   }
 
-  #txn(index: number, txn: Txn, changes: Kv[]): Applied {
+  #applyTxn(index: number, txn: Txn, changes: Kv[]): Applied {
     const revisionOf = (key: string): number => this.#keys.get(key)?.revision ?? 0;
-    const failed = txn.checks.filter((check) => revisionOf(check.key) !== check.revision);
-    if (failed.length > 0) {
-      const kvs = failed.map((check) => this.#keys.get(check.key)).filter((kv) => kv !== undefined);
+    const failedChecks = txn.checks.filter((check) => revisionOf(check.key) !== check.revision);
+    if (failedChecks.length > 0) {
+      const kvs = failedChecks.map((check) => this.#keys.get(check.key)).filter((kv) => kv !== undefined);
       return { outcome: "conflict", revision: index, kvs, changes };
     }
     if (txn.puts.some((kv) => kv.lease !== "" && !this.#leases.has(kv.lease)))
       return { outcome: "lost", revision: index, kvs: [], changes };
-    if (!txn.puts.every((kv) => this.#unpack(kv))) return { outcome: "rebase", revision: index, kvs: [], changes };
-    if (AcceptedConfigurations.isTooOld(this, txn.puts))
+    if (!txn.puts.every((kv) => this.#tryUnpack(kv))) return { outcome: "rebase", revision: index, kvs: [], changes };
+    if (AcceptedConfigurations.recordsForgottenVersion(this, txn.puts))
       return { outcome: "conflict", revision: index, kvs: [], changes };
     const puts = this.#withIncarnations(AcceptedConfigurations.withFloor(this, txn.puts));
     for (const key of txn.deletes) this.#remove(key, index, changes);
     this.#putAll(puts, index, changes);
-    const surplus = AcceptedConfigurations.surplus(this, puts);
-    if (surplus !== undefined) {
-      for (const key of surplus.dropped) this.#remove(key, index, changes);
-      this.#putAll([surplus.floor], index, changes);
+    const overflow = AcceptedConfigurations.overflow(this, puts);
+    if (overflow !== undefined) {
+      for (const key of overflow.dropped) this.#remove(key, index, changes);
+      this.#putAll([overflow.floor], index, changes);
     }
     return { outcome: "done", revision: index, kvs: [], changes };
   }
 
-  /** Each claim is granted or not by itself: one that comes too late doesn't hold up the others. */
-  #claimOwners(index: number, { node, lease, claims }: ClaimOwners, changes: Kv[]): Applied {
+  /** Each claim is granted or rejected independently, so a claim that comes too late does not block the others. */
+  #applyOwnerClaims(index: number, { node, lease, claims }: ClaimOwners, changes: Kv[]): Applied {
     if (!this.#leases.has(lease)) return { outcome: "lost", revision: index, kvs: [], changes };
     const value = OwnerKey.write({ node, lease });
     const granted = claims.filter((claim) => this.isGrantable(claim));
@@ -166,8 +172,11 @@
     }
   }
 
-  /** Values are kept whole. A difference applies to exactly the version it was made from. */
-  #unpack(kv: Kv): boolean {
+  /**
+   * Replaces a packed value by the complete one, as the state holds complete values only. False if it is a difference
+   * from another version than the key's present value.
+   */
+  #tryUnpack(kv: Kv): boolean {
     const value = PackedValue.unpack(kv, this.#keys.get(kv.key));
     if (value === undefined) return false;
     kv.value = value;
@@ -176,8 +185,8 @@
   }
 
   /**
-   * A configuration is kept with its spaces' incarnations, which follow from the configuration before it and from
-   * nothing else.
+   * Adds the record of the spaces' incarnations to puts that write a configuration. It is derived only from the
+   * configuration and the previous record.
    */
   #withIncarnations(puts: readonly Kv[]): readonly Kv[] {
     if (!puts.some((kv) => kv.key === ConfigurationKey.name)) return puts;
@@ -201,7 +210,7 @@
     return EarlierIncarnations.next(this.#keys.get(IncarnationsKey.name)?.value, outline);
   }
 
-  #noteEndedOwners(lease: string, changes: Kv[]): void {
+  #recordEndedOwners(lease: string, changes: Kv[]): void {
     const value = EndedOwnersKey.write(lease);
     this.#putAll([create(KvSchema, { key: EndedOwnersKey.name, value })], this.revision, changes);
   }
--- a/packages/control/src/store/ownerClaims.ts
+++ b/packages/control/src/store/ownerClaims.ts
@@ -14,75 +14,83 @@
 import type { RaftNode } from "../consensus/raftNode.js";
 import { encodeCommand } from "./encodeCommand.js";
 
-/** What a control node that does not lead can say of a call by itself, and what it has to pass on. */
-interface AppliedAnswer {
-  applied: Outcome;
-  /** Undefined where nothing is left. */
-  left: StoreCall | undefined;
+/** What a control node that is not the leader can answer of a call, and what it has to forward. */
+interface LocalAnswer {
+  /** Outcome of the part that was answered here. */
+  outcome: Outcome;
+  /** The part for the leader; undefined if the whole call was answered here. */
+  remainder: StoreCall | undefined;
 }
 
 /**
- * Claims of owner keys, many in one log entry, each granted or not by itself. What is granted is decided by the entry
- * alone. A claim that is not granted is told the present owner, whom the claiming node asks to ship the session; that
- * answer may be old where the claim does not want it confirmed, as the next claim names the revision it goes by.
+ * Claims of owner keys. One log entry holds many claims; applying the entry alone decides which of them are granted,
+ * each independently. The reply to a rejected claim is the present owner, which the claiming node then asks to transfer
+ * the session. Unless the claim asks for confirmation this owner may be outdated, which is harmless: the next claim
+ * states the revision that it is based on.
  */
 export class OwnerClaims {
   readonly #raft: RaftNode;
-  readonly #leaseLeft: (lease: string) => number;
+  readonly #remainingLeaseMs: (lease: string) => number;
 
-  /** `leaseLeft`: milliseconds that a lease still runs if nobody renews it; 0 where that is not known. */
-  constructor(raft: RaftNode, leaseLeft: (lease: string) => number) {
+  /** `remainingLeaseMs`: milliseconds until a lease expires unless it is renewed; 0 if that is not known here. */
+  constructor(raft: RaftNode, remainingLeaseMs: (lease: string) => number) {
     this.#raft = raft;
-    this.#leaseLeft = leaseLeft;
+    this.#remainingLeaseMs = remainingLeaseMs;
   }
 
-  /** Carries claims out at the leader: `unsure` where some may have been granted. */
+  /** Executes claims at the leader. `unsure`: some of them may have been granted. */
   async run({ node, lease, claims }: ClaimOwners): Promise<Outcome> {
     const grantable = claims.filter((claim) => this.#raft.metadata.isGrantable(claim));
     if (grantable.length === 0) {
       const isConfirmed = !claims.some((claim) => claim.isConfirmed) || (await this.#raft.confirm());
-      return isConfirmed ? this.#answer(claims, 0) : { outcome: "away", retryAfterSeconds: 1 };
+      return isConfirmed ? this.#claimsReply(claims, 0) : { outcome: "away", retryAfterSeconds: 1 };
     }
     const command = create(ClaimOwnersSchema, { node, lease, claims: grantable });
     const applied = await this.#raft.propose(encodeCommand({ case: "claimOwners", value: command }));
     if (applied === undefined) return { outcome: "unsure", retryAfterSeconds: 0.5 };
     if (applied.outcome !== "done") return { outcome: applied.outcome, revision: applied.revision };
-    return this.#answer(claims, applied.revision);
+    return this.#claimsReply(claims, applied.revision);
   }
 
-  /** Splits a call into the claims whose present owner is known here, and all else; out of touch nothing is known. */
-  answerApplied(call: StoreCall): AppliedAnswer {
+  /**
+   * Answers the unconfirmed first claims whose owner is known here and leaves the rest of the call to the leader. A
+   * node that knows no leader answers nothing, as its state may be outdated.
+   */
+  answerLocally(call: StoreCall): LocalAnswer {
     if (call.call.case !== "claimOwners" || call.isForwarded || !this.#raft.hasLeader)
-      return { applied: { outcome: "done" }, left: call };
+      return { outcome: { outcome: "done" }, remainder: call };
     const { node, lease, claims } = call.call.value;
     const isOwned = ({ session, revision, isConfirmed }: OwnerClaim): boolean =>
       revision === 0 && !isConfirmed && this.#raft.metadata.get(OwnerKey.of(session)) !== undefined;
-    const owned = claims.filter(isOwned);
-    const left = claims.filter((claim) => !isOwned(claim));
-    const value = create(ClaimOwnersSchema, { node, lease, claims: left });
+    const ownedClaims = claims.filter(isOwned);
+    const unansweredClaims = claims.filter((claim) => !isOwned(claim));
+    const value = create(ClaimOwnersSchema, { node, lease, claims: unansweredClaims });
     return {
-      applied: this.#answer(owned, 0),
-      left: left.length === 0 ? undefined : create(StoreCallSchema, { call: { case: "claimOwners", value } }),
+      outcome: this.#claimsReply(ownedClaims, 0),
+      remainder:
+        unansweredClaims.length === 0 ? undefined : create(StoreCallSchema, { call: { case: "claimOwners", value } }),
     };
   }
 
-  /** The leader's outcome with what was answered here; where the leader says nothing, that part is not answered. */
-  static merge(outcome: Outcome, applied: Outcome): Outcome {
-    return applied.kvs === undefined ? outcome : { ...outcome, kvs: [...applied.kvs, ...(outcome.kvs ?? [])] };
+  /** The leader's outcome, with the keys that were answered here put before its own. */
+  static merge(leaderOutcome: Outcome, localOutcome: Outcome): Outcome {
+    return localOutcome.kvs === undefined
+      ? leaderOutcome
+      : { ...leaderOutcome, kvs: [...localOutcome.kvs, ...(leaderOutcome.kvs ?? [])] };
   }
 
-  /** Owner keys as they are now, and the kept subscriptions of the sessions that were granted at this revision. */
-  #answer(claims: readonly OwnerClaim[], revision: number): Outcome {
+  /** The present owner keys, and for sessions granted at this revision also their stored subscriptions. */
+  #claimsReply(claims: readonly OwnerClaim[], revision: number): Outcome {
     const { metadata } = this.#raft;
-    const kvs = claims.flatMap(({ session }) => this.#keysOf(session, revision));
-    const ended = metadata.get(EndedOwnersKey.name);
-    return { outcome: "done", revision, kvs: ended === undefined ? kvs : [...kvs, ended] };
+    const kvs = claims.flatMap(({ session }) => this.#sessionKeys(session, revision));
+    const endedOwners = metadata.get(EndedOwnersKey.name);
+    return { outcome: "done", revision, kvs: endedOwners === undefined ? kvs : [...kvs, endedOwners] };
   }
 
-  #keysOf(session: string, revision: number): Kv[] {
+  #sessionKeys(session: string, revision: number): Kv[] {
     const owner = this.#raft.metadata.get(OwnerKey.of(session));
     if (owner === undefined) return [];
     if (owner.revision === revision) return this.#raft.metadata.range(OwnerKey.prefix(session));
-    return [create(KvSchema, { ...owner, leaseLeft: this.#leaseLeft(owner.lease) })];
+    return [create(KvSchema, { ...owner, leaseLeft: this.#remainingLeaseMs(owner.lease) })];
   }
 }
--- a/packages/control/src/store/storeService.ts
+++ b/packages/control/src/store/storeService.ts
@@ -25,25 +25,25 @@
 import { MemberChanges } from "../membership/memberChanges.js";
 
 /**
- * Answers every call on the metadata store. The leader answers it itself, with reads confirmed by a majority; another
- * control node forwards it.
- * Outcomes: `away`, not done and never will be; `unsure`, may have been done; `lost`, the lease is gone; `rebase`, the
- * value is wanted whole.
+ * Serves all calls on the metadata store. The leader executes them, with reads confirmed by a majority; other control
+ * nodes forward them to the leader.
+ * Outcomes: `away`, the call was not and will not be executed; `unsure`, it may have been executed; `lost`, the lease
+ * does not exist; `rebase`, the caller has to send the complete value instead of a difference.
  */
 export class StoreService {
   readonly #raft: RaftNode;
   readonly #leases: Leases;
   readonly #feeds: Feeds;
-  readonly #values = new ValueHistory();
+  readonly #valueHistory = new ValueHistory();
   readonly #memberChanges: MemberChanges;
   readonly #forwarding: LeaderForwarding;
-  readonly #times: StepTimes<string>;
+  readonly #stepTimes: StepTimes<string>;
   readonly #ownerClaims: OwnerClaims;
 
   constructor(node: ClusterNode, raft: RaftNode) {
     this.#raft = raft;
-    this.#times = new StepTimes(node.parts.clock);
-    node.load.add("storeCalls", () => ({ fields: this.#times.takeInterval(), isNotable: false }));
+    this.#stepTimes = new StepTimes(node.parts.clock);
+    node.load.add("storeCalls", () => ({ fields: this.#stepTimes.takeInterval(), isNotable: false }));
     this.#forwarding = new LeaderForwarding(node, raft, (calls) => this.#runAll(calls));
     this.#leases = new Leases(
       raft,
@@ -52,10 +52,10 @@
     );
     this.#ownerClaims = new OwnerClaims(raft, (lease) => this.#leases.remainingMs(lease));
     const emptyRead = create(StoreCallSchema, { call: { case: "read", value: {} } });
-    this.#values.reset(raft.metadata.range(""));
-    raft.on("applied", ({ changes }) => this.#values.keep(changes));
-    raft.on("snapshotInstalled", () => this.#values.reset(raft.metadata.range("")));
-    this.#feeds = new Feeds(node, raft, this.#values, async () => {
+    this.#valueHistory.reset(raft.metadata.range(""));
+    raft.on("applied", ({ changes }) => this.#valueHistory.record(changes));
+    raft.on("snapshotInstalled", () => this.#valueHistory.reset(raft.metadata.range("")));
+    this.#feeds = new Feeds(node, raft, this.#valueHistory, async () => {
       const { outcome, revision } = await this.run(emptyRead);
       return outcome === "done" ? revision : undefined;
     });
@@ -70,37 +70,37 @@
     this.#memberChanges = new MemberChanges(node, raft);
   }
 
-  /** By kind of call, how long the leader took; of this control node, as far as it led. */
+  /** How long calls took on this control node while it was the leader, by kind of call. */
   get callTimes(): Record<string, StepTime> {
-    return this.#times.totals();
+    return this.#stepTimes.totals();
   }
 
-  /** Carries out one call, here or at the leader. */
+  /** Executes one call, here or at the leader. */
   async run(call: StoreCall): Promise<Outcome> {
     if (call.call.case === "feeds") return { outcome: "done", feeds: this.#feeds.states() };
-    if (!this.#raft.isLeader) return (await this.#runElsewhere([call]))[0]!;
-    return this.#times.measure(call.call.case ?? "unknown", () => this.#runAsLeader(call));
+    if (!this.#raft.isLeader) return (await this.#answerOrForward([call]))[0]!;
+    return this.#stepTimes.measure(call.call.case ?? "unknown", () => this.#runAsLeader(call));
   }
 
   async #runAsLeader(call: StoreCall): Promise<Outcome> {
     switch (call.call.case) {
       case "txn":
-        if (!this.#rebase(call.call.value)) return { outcome: "rebase" };
+        if (!this.#tryRebase(call.call.value)) return { outcome: "rebase" };
       // falls through
       case "grant":
       case "revoke": {
         const applied = await this.#raft.propose(encodeCommand(call.call));
         return applied === undefined
           ? { outcome: "unsure", retryAfterSeconds: 1 }
-          : { outcome: applied.outcome, revision: applied.revision, kvs: this.#packed(applied.kvs) };
+          : { outcome: applied.outcome, revision: applied.revision, kvs: this.#packForReceiver(applied.kvs) };
       }
       case "read":
         return this.#read(call.call.value);
       case "renew": {
         const { lease } = call.call.value;
-        const isThere = this.#leases.renew(lease);
+        const isRenewed = this.#leases.renew(lease);
         if (!(await this.#raft.confirm())) return { outcome: "away", retryAfterSeconds: 1 };
-        return { outcome: isThere ? "done" : "lost" };
+        return { outcome: isRenewed ? "done" : "lost" };
       }
       case "claimOwners":
         return this.#ownerClaims.run(call.call.value);
@@ -112,71 +112,77 @@
     }
   }
 
-  /** Calls that a node made in one turn: forwarded in one frame. */
+  /** Executes the calls of one batch; on another node than the leader they are forwarded in one frame. */
   #runAll(calls: StoreCall[]): Promise<Outcome[]> {
-    return this.#raft.isLeader ? Promise.all(calls.map((call) => this.run(call))) : this.#runElsewhere(calls);
+    return this.#raft.isLeader ? Promise.all(calls.map((call) => this.run(call))) : this.#answerOrForward(calls);
   }
 
-  /** At the leader; but first claims of sessions that have an owner are answered from what is applied here. */
-  async #runElsewhere(calls: StoreCall[]): Promise<Outcome[]> {
-    const split = calls.map((call) => this.#ownerClaims.answerApplied(call));
-    const left = split.flatMap(({ left }) => left ?? []);
-    const outcomes = left.length === 0 ? [] : await this.#forwarding.forward(left);
-    return split.map((one) =>
-      one.left === undefined ? one.applied : OwnerClaims.merge(outcomes.shift()!, one.applied),
+  /**
+   * Forwards calls to the leader, except for first claims of sessions that already have an owner: these are answered
+   * from the state applied here.
+   */
+  async #answerOrForward(calls: StoreCall[]): Promise<Outcome[]> {
+    const localAnswers = calls.map((call) => this.#ownerClaims.answerLocally(call));
+    const remainders = localAnswers.flatMap(({ remainder }) => remainder ?? []);
+    const outcomes = remainders.length === 0 ? [] : await this.#forwarding.forward(remainders);
+    return localAnswers.map((answer) =>
+      answer.remainder === undefined ? answer.outcome : OwnerClaims.merge(outcomes.shift()!, answer.outcome),
     );
   }
 
-  /** Tells the nodes that follow the store here to go on at other control nodes at once. */
+  /** Closes all feeds here with this reason; their nodes open feeds at other control nodes at once. */
   closeFeeds(reason: string): void {
     this.#feeds.closeAll(reason);
   }
 
-  /** What each node with a feed at this control node has acknowledged. */
+  /** The state of each feed at this control node. */
   get feeds(): FeedState[] {
     return this.#feeds.states();
   }
 
   /**
-   * Turns differences from earlier versions into differences from the present one: only to that do the log's entries
-   * apply. False where an earlier version is no longer known here.
+   * Converts differences from earlier versions into differences from the present version, the only one that a log
+   * entry can apply to. False if an earlier version is no longer in the history here.
    */
-  #rebase({ puts }: Txn): boolean {
+  #tryRebase({ puts }: Txn): boolean {
     for (const put of puts) {
       const present = this.#raft.metadata.get(put.key);
       if (put.packing !== packing.difference || put.baseRevision === present?.revision) continue;
-      const value = this.#values.unpack(put);
+      const value = this.#valueHistory.unpack(put);
       if (value === undefined) return false;
       Object.assign(put, PackedValue.pack(value, present));
     }
     return true;
   }
 
-  /** Large values packed for a receiver that has these versions, and maybe none. */
-  #packed(kvs: readonly Kv[], known: readonly Check[] = []): Kv[] {
+  /** Packs large values for a receiver that has the `known` versions of keys; none by default. */
+  #packForReceiver(kvs: readonly Kv[], known: readonly Check[] = []): Kv[] {
     const revisionOf = (key: string): number => known.find((check) => check.key === key)?.revision ?? 0;
-    return kvs.map((kv) => this.#values.packFrom(kv, revisionOf(kv.key)));
+    return kvs.map((kv) => this.#valueHistory.packForValueRevision(kv, revisionOf(kv.key)));
   }
 
   async #read({ keys, prefixes, known }: Read): Promise<Outcome> {
     if (!(await this.#raft.confirm())) return { outcome: "away", retryAfterSeconds: 1 };
     const { metadata } = this.#raft;
-    const members = keys.includes(MembersKey.name) ? this.#members() : [];
-    const single = keys
+    const voterKeys = keys.includes(MembersKey.name) ? this.#votersAsKeys() : [];
+    const keyValues = keys
       .map((key) => metadata.get(key))
       .filter((kv) => kv !== undefined)
       .map((kv) => (kv.lease === "" ? kv : create(KvSchema, { ...kv, leaseLeft: this.#leases.remainingMs(kv.lease) })));
     return {
       outcome: "done",
-      kvs: this.#packed([...members, ...single, ...prefixes.flatMap((prefix) => metadata.range(prefix))], known),
+      kvs: this.#packForReceiver(
+        [...voterKeys, ...keyValues, ...prefixes.flatMap((prefix) => metadata.range(prefix))],
+        known,
+      ),
       revision: metadata.revision,
     };
   }
 
-  /** The voters as a key of the store, which they are not: for reading only. */
-  #members(): Kv[] {
-    const voting = this.#raft.membershipChange.electorate(this.#raft.commit);
-    const voters = [...new Set(voting.map((member) => member.name))];
+  /** The voters as a read-only key; they are not stored as a key. */
+  #votersAsKeys(): Kv[] {
+    const votingMembers = this.#raft.membershipChange.electorate(this.#raft.commit);
+    const voters = [...new Set(votingMembers.map((member) => member.name))];
     return [create(KvSchema, { key: MembersKey.name, value: MembersKey.write({ voters }) })];
   }
 }
--- a/packages/testkit/src/mutants/configurationMutants.ts
+++ b/packages/testkit/src/mutants/configurationMutants.ts
@@ -21,8 +21,8 @@
   {
     name: "the store takes differences without their base",
     file: "control/dist/store/metadata.js",
-    find: "!txn.puts.every((kv) => this.#unpack(kv))",
-    put: "(txn.puts.forEach((kv) => this.#unpack(kv)), false)",
+    find: "!txn.puts.every((kv) => this.#tryUnpack(kv))",
+    put: "(txn.puts.forEach((kv) => this.#tryUnpack(kv)), false)",
     test: "control/dist/store/metadata.test.js",
   },
   {
@@ -56,7 +56,7 @@
   {
     name: "each node gets every change whole",
     file: "control/dist/store/feeds.js",
-    find: "this.#values.packSince(kv, isSnapshot ? 0 : from)",
+    find: "this.#valueHistory.packForStoreRevision(kv, isSnapshot ? 0 : fromRevision)",
     put: "kv",
     test: storm,
   },
@@ -70,8 +70,8 @@
   {
     name: "a node is told each change of a large configuration at once",
     file: "control/dist/store/feeds.js",
-    find: "feed.largeNotBefore = now +",
-    put: "feed.largeNotBefore = 0 *",
+    find: "feed.largeValuesNotBefore =\n                now +\n                    Math.min(",
+    put: "feed.largeValuesNotBefore =\n                0 *\n                    Math.min(",
     test: storm,
   },
   {
@@ -84,7 +84,7 @@
   {
     name: "a leader takes differences from the newest version alone",
     file: "control/dist/store/storeService.js",
-    find: "const value = this.#values.unpack(put)",
+    find: "const value = this.#valueHistory.unpack(put)",
     put: "const value = undefined",
     test: storm,
   },
--- a/packages/testkit/src/mutants/logMutants.ts
+++ b/packages/testkit/src/mutants/logMutants.ts
@@ -180,7 +180,7 @@
   {
     name: "any number of plans wait for the archive",
     file: "control/dist/configuration/configurationArchive.js",
-    find: "if (this.#pending.length > _a.maxPending)",
+    find: "if (this.#pendingCommits.length > _a.maxPending)",
     put: "if (false)",
     test: "control/dist/configuration/configurationArchive.test.js",
   },
--- a/packages/testkit/src/mutants/orderMutants.ts
+++ b/packages/testkit/src/mutants/orderMutants.ts
@@ -29,7 +29,7 @@
     name: "a superseded order is acknowledged before its record is committed",
     file: "control/dist/configuration/proposeConfiguration.js",
     find: "return replyToWrite(change, await node.store.txn({ checks: [check]",
-    put: "return accepted(change.version, 0); replyToWrite(change, await node.store.txn({ checks: [check]",
+    put: "return acceptedReply(change.version, 0); replyToWrite(change, await node.store.txn({ checks: [check]",
     test: `${sim}/orders.test.js`,
   },
   {
@@ -77,8 +77,8 @@
   {
     name: "what an earlier release acknowledged counts as never seen",
     file: "control/dist/store/acceptedConfigurations.js",
-    find: "Math.max(kept, unrecordedVersion(keys))",
-    put: "kept",
+    find: "Math.max(recordedFloor, unrecordedVersion(keys))",
+    put: "recordedFloor",
     test: "control/dist/store/acceptedConfigurations.test.js",
   },
   {
@@ -106,13 +106,13 @@
     name: "histories: a lost answer of the store is a refusal",
     file: "control/dist/configuration/proposeConfiguration.js",
     find: 'return ApiReplies.unknown("the control nodes did not answer',
-    put: 'return stale(change.version, 0, "the control nodes did not answer',
+    put: 'return staleVersionReply(change.version, 0, "the control nodes did not answer',
     test: `${sim}/orderHistories.test.js`,
   },
   {
     name: "histories of the store: transactions check nothing",
     file: "control/dist/store/metadata.js",
-    find: "failed.length > 0",
+    find: "failedChecks.length > 0",
     put: "false",
     test: `${sim}/storeHistories.test.js`,
   },
