--- a/packages/core/src/keys/acceptedChangeKey.ts
+++ b/packages/core/src/keys/acceptedChangeKey.ts
@@ -1,33 +1,34 @@
 import { JsonValue } from "./jsonValue.js";
 
 /**
- * Keys that say which content each acknowledged version of the configuration had, one key a version. They are
- * written in the transaction that takes the version (or that acknowledges a superseded one) and pushed to nobody.
+ * Keys that record the content of each acknowledged version of the configuration, one key per version. They are written
+ * in the transaction that accepts the version (or acknowledges a superseded one) and are not pushed to other nodes.
  */
 export const AcceptedChangeKey = {
   prefix: "documents/orders/",
-  /** Holds the highest version whose record may have been dropped; at or below it no record is made any more. */
+  /** The key of the highest version whose record may have been dropped; no record is created up to that version. */
   floor: "documents/orders-floor",
-  /** So many versions are remembered, the highest ones: about 0.3 MB of a snapshot. */
+  /** How many records are kept, those of the highest versions: about 0.3 MB in a snapshot. */
   maxRecords: 2048,
 
-  /** Of equal length, so the order of the keys is that of the versions. */
+  /** The key of a version. All keys have the same length, so that they sort by version. */
   of(version: number): string {
     return `${AcceptedChangeKey.prefix}${String(version).padStart(16, "0")}`;
   },
 
-  /** Undefined where the key is of another kind. */
+  /** The version in a key; undefined if the key is of another kind. */
   versionOf(key: string): number | undefined {
     if (!key.startsWith(AcceptedChangeKey.prefix)) return undefined;
     const version = Number(key.slice(AcceptedChangeKey.prefix.length));
     return Number.isSafeInteger(version) && version > 0 ? version : undefined;
   },
 
+  /** The stored value of the `floor` key. */
   writeFloor(version: number): Uint8Array {
     return JsonValue.write({ version });
   },
 
-  /** 0 where there is none. */
+  /** The version in the value of the `floor` key; 0 if there is none. */
   readFloor(value: Uint8Array | undefined): number {
     const version = value === undefined ? undefined : JsonValue.read(value)?.["version"];
     return typeof version === "number" ? version : 0;
--- a/packages/core/src/keys/configurationKey.ts
+++ b/packages/core/src/keys/configurationKey.ts
@@ -1,19 +1,20 @@
 import { Configurations } from "../configuration/configuration.js";
 import { documentFields } from "../configuration/configurationDocument.js";
 
-/** What a configuration's spaces are to those who need not know their contracts. */
+/** The properties of a space that code needs which does not evaluate the space's rules. */
 export interface SpaceOutline {
   prefix: string;
-  /** The whole space is one stream. */
+  /** Whether the whole space is one stream, rather than each of its topics. */
   isWhole: boolean;
-  /** Where its messages are: in logs, in the memory of shard leaders, or some in one and some in the other. */
+  /** Where messages are stored: in logs (`kept`), in the memory of shard leaders (`unkept`), or in both (`mixed`). */
   storage: "kept" | "unkept" | "mixed";
 }
+/** The version and the spaces of a configuration. */
 export interface ConfigurationOutline {
   version: number;
   spaces: SpaceOutline[];
 }
-/** As much of a stored document as the outline needs; nothing in it was checked. */
+/** The fields of a stored document that the outline needs, before validation. */
 interface RawDocument {
   [documentFields.version]: unknown;
   spaces: Array<{
@@ -26,18 +27,21 @@
   [documentFields.contract]?: { order?: unknown; keep?: unknown };
 }
 
-/** The key that holds the configuration in force, byte for byte as it was sent. */
+/** The key of the current configuration, stored byte for byte as the operator sent it. */
 export const ConfigurationKey = {
   name: "plan",
 
-  /** The version and the spaces, whatever else this version can't read; undefined where there are none. */
+  /**
+   * The version and the spaces, even if this release cannot read the rest of the document; undefined if they are
+   * missing or invalid.
+   */
   outline(value: Uint8Array): ConfigurationOutline | undefined {
     try {
       const { [documentFields.version]: version, spaces } = JSON.parse(Buffer.from(value).toString()) as RawDocument;
       const outlines = spaces.map((space) => {
         const order = space.program?.[0]?.[documentFields.contract]?.order;
-        const isGood = typeof space.name === "string" && ["undefined", "string"].includes(typeof space.prefix);
-        return isGood
+        const isValid = typeof space.name === "string" && ["undefined", "string"].includes(typeof space.prefix);
+        return isValid
           ? {
               prefix: Configurations.prefixOf(space),
               isWhole: order === "space" || order === "one",
@@ -45,13 +49,14 @@
             }
           : undefined;
       });
-      const isGood = Number.isSafeInteger(version) && outlines.every((one) => one !== undefined);
-      return isGood ? { version: version as number, spaces: outlines as SpaceOutline[] } : undefined;
+      const isValid = Number.isSafeInteger(version) && outlines.every((outline) => outline !== undefined);
+      return isValid ? { version: version as number, spaces: outlines as SpaceOutline[] } : undefined;
     } catch {
       return undefined;
     }
   },
 
+  /** The version of a stored configuration; 0 if it cannot be read. */
   versionOf(value: Uint8Array): number {
     return ConfigurationKey.outline(value)?.version ?? 0;
   },
--- a/packages/core/src/keys/documentKey.ts
+++ b/packages/core/src/keys/documentKey.ts
@@ -1,5 +1,5 @@
 /**
- * The key of the operators' own document about the configuration in force; written with the configuration, and pushed
- * to nobody.
+ * The key of the document that operators keep with the current configuration. It is written together with the
+ * configuration and not pushed to other nodes.
  */
 export const DocumentKey = { name: "documents/plan" };
--- a/packages/core/src/keys/drainKey.ts
+++ b/packages/core/src/keys/drainKey.ts
@@ -1,17 +1,18 @@
-/** The key of an operator's request to drain a machine; its stored name is that of earlier versions. */
+/** The key of an operator's request to drain a machine. Stored names date from earlier releases and must stay. */
 export const DrainKey = {
-  /** Written with every request: a decision that was made by the requests before has to be made again. */
+  /** A key written with every request; if its revision changed, a decision based on earlier requests is stale. */
   turn: "drains",
 
   of(machine: string): string {
     return `machines/${machine}/emptying`;
   },
 
+  /** The stored value; `rampSeconds` is the time over which the machine is drained. */
   write(rampSeconds?: number): Uint8Array {
     return Buffer.from(JSON.stringify({ rampSeconds }));
   },
 
-  /** The machine that a key is about, if it is such a key. */
+  /** The machine in a drain key; undefined if the key is of another kind. */
   machineOf(key: string): string | undefined {
     return /^machines\/([^/]+)\/emptying$/.exec(key)?.[1];
   },
--- a/packages/core/src/keys/endedOwnersKey.ts
+++ b/packages/core/src/keys/endedOwnersKey.ts
@@ -1,20 +1,20 @@
-/** The name of a key that says which node owns a session. It rests in the store: it stays as it is. */
-const ownerKey = /^sessions\/([^/]+)\/owner$/;
+/** The stored name of a session's owner key; it must not change. */
+const ownerKeyPattern = /^sessions\/([^/]+)\/owner$/;
 
-/** The session that an owner key is about; undefined where the key is another one. */
+/** The session in an owner key; undefined if the key is of another kind. */
 export function sessionOfOwnerKey(key: string): string | undefined {
-  return ownerKey.exec(key)?.[1];
+  return ownerKeyPattern.exec(key)?.[1];
 }
 
 /**
- * The key whose revision rises whenever sessions lose their owner without a transfer of its state: with the lease that
- * their owner keys were under, or where an owner gives one up. Written in the same step as the owner keys end, so a
- * read that finds a session without an owner sees the revision of that end, or a later one.
+ * The key whose revision rises whenever sessions lose their owner without a transfer of state: because the lease of
+ * their owner keys ended, or because an owner gave a session up. It is written in the same step in which the owner keys
+ * are removed, so a read that finds a session without an owner sees the revision of that removal or a later one.
  */
 export const EndedOwnersKey = {
   name: "owners-ended",
 
-  /** Only the revision has a meaning; the value says whose end it was, for whoever looks. */
+  /** The stored value: the lease of the lost owner, for diagnosis. Only the key's revision has a meaning. */
   write(lease: string): Uint8Array {
     return Buffer.from(lease);
   },
--- a/packages/core/src/keys/incarnationsKey.ts
+++ b/packages/core/src/keys/incarnationsKey.ts
@@ -2,70 +2,78 @@
 import { JsonValue } from "./jsonValue.js";
 import type { ConfigurationOutline, SpaceOutline } from "./configurationKey.js";
 
-/** What the names and incarnations of streams need beside the configuration. */
+/** What the names and incarnations of streams depend on besides the configuration. */
 export interface IncarnationsRecord {
-  /** The configuration that this belongs to. */
+  /** The version of the configuration to which the record belongs. */
   readonly version: number;
-  /** For each space that is one stream, the version since which it has the topics that it has. */
+  /** For each space that is one stream, the version since which it has its present topics. */
   readonly spaces: Readonly<Record<string, number>>;
-  /** Prefixes within such a space whose topics are not in its stream: they come back where the prefix is removed. */
+  /** Prefixes within such a space whose topics are not in its stream; they return to it if the prefix is removed. */
   readonly nested: readonly string[];
   /**
-   * Names of streams that an earlier release made: for each of its spaces the prefix that its topics' streams are named
-   * after. Never changes; empty in systems that this release founded.
+   * For each space that an earlier release created, the prefix after which the streams of its topics are named. Never
+   * changes; empty in clusters that were created by this release.
    */
   readonly roots: Readonly<Record<string, string>>;
 }
 
-/** The field of stored records for the configuration's version; older than the term. */
-const storedVersion = "mark";
+/** The name of the stored field for the configuration's version; it dates from earlier releases and must stay. */
+const storedVersionField = "mark";
 
 /**
- * The key beside the configuration that says since when each space that is one stream has its topics; written with the
- * configuration, in one step. A topic's own stream needs nothing of it, but for the names that an earlier release gave.
+ * The key that records since which version each space that is one stream has its topics. It is written in the same step
+ * as the configuration. Streams of single topics use only the names in it that an earlier release assigned.
  *
- * A space that is one stream has one sequence over all its topics: topics that come back to it have messages elsewhere,
- * so that no cursor in it is of use any more, and it begins anew.
+ * A space that is one stream has one sequence over all its topics. When topics return to it, their recent messages are
+ * in other streams, so existing cursors become invalid and the space starts a new incarnation.
  */
 export const IncarnationsKey = {
   name: "plan/births",
   /**
-   * Put beside a configuration by whoever proposes it: the state machine puts the record in its place. Entries without
-   * it are of earlier releases, see `EarlierIncarnations`.
+   * The placeholder that a proposal of a configuration contains; the state machine replaces it by the record. Log
+   * entries without it were proposed by earlier releases, see `EarlierIncarnations`.
    */
   requested: Buffer.from("{}") as Uint8Array,
 
+  /** The stored value of a record. */
   write(record: Pick<IncarnationsRecord, "version" | "spaces"> & Partial<IncarnationsRecord>): Uint8Array {
     const { version, spaces, nested = [], roots = {} } = record;
     return JsonValue.write({
-      [storedVersion]: version,
+      [storedVersionField]: version,
       spaces,
       nested,
       ...(Object.keys(roots).length === 0 ? {} : { roots }),
     });
   },
 
-  /** Undefined where the value is no such record. The same value is parsed once: values of the store never change. */
+  /** The record in a stored value; undefined if it is invalid. Each value is parsed once, as values never change. */
   read(value: Uint8Array): IncarnationsRecord | undefined {
-    const known = parsedValues.get(value);
-    if (known !== undefined) return known;
+    const cached = parsedValues.get(value);
+    if (cached !== undefined) return cached;
     const record = parse(value);
     if (record !== undefined) parsedValues.set(value, record);
     return record;
   },
 
-  /** The incarnations that follow on earlier ones with the next configuration. Deterministic. */
+  /** The record after the next configuration, from the previous record. Deterministic. */
   next(before: IncarnationsRecord | undefined, { version, spaces }: ConfigurationOutline): IncarnationsRecord {
     const index = new PrefixIndex(spaces, ({ prefix }) => prefix);
-    const earlier = new Map(Object.entries(before?.spaces ?? {}));
-    const removed = [...earlier.keys(), ...(before?.nested ?? [])].filter((prefix) => index.get(prefix) === undefined);
-    const enclosing = removed.map((prefix) => index.longest(prefix, prefix.length - 1));
-    const extended = new Set(enclosing.map((space) => space?.prefix));
-    const whole = spaces.filter(({ isWhole }) => isWhole);
-    const since = whole.map(({ prefix }): [string, number] => {
-      return [prefix, extended.has(prefix) ? version : (earlier.get(prefix) ?? version)];
+    const previousVersions = new Map(Object.entries(before?.spaces ?? {}));
+    const removed = [...previousVersions.keys(), ...(before?.nested ?? [])].filter(
+      (prefix) => index.get(prefix) === undefined,
+    );
+    const enclosingSpaces = removed.map((prefix) => index.longest(prefix, prefix.length - 1));
+    const extendedPrefixes = new Set(enclosingSpaces.map((space) => space?.prefix));
+    const singleStreamSpaces = spaces.filter(({ isWhole }) => isWhole);
+    const versions = singleStreamSpaces.map(({ prefix }): [string, number] => {
+      return [prefix, extendedPrefixes.has(prefix) ? version : (previousVersions.get(prefix) ?? version)];
     });
-    return { version, spaces: Object.fromEntries(since), nested: nestedIn(whole, spaces), roots: before?.roots ?? {} };
+    return {
+      version,
+      spaces: Object.fromEntries(versions),
+      nested: nestedPrefixes(singleStreamSpaces, spaces),
+      roots: before?.roots ?? {},
+    };
   },
 };
 
@@ -73,36 +81,36 @@
 
 function parse(value: Uint8Array): IncarnationsRecord | undefined {
   const record = JsonValue.read(value);
-  const spaces = JsonValue.numbers(record?.["spaces"]);
-  const roots = JsonValue.textTable(record?.["roots"] ?? {});
-  const version = record?.[storedVersion];
+  const spaces = JsonValue.numberTable(record?.["spaces"]);
+  const roots = JsonValue.stringTable(record?.["roots"] ?? {});
+  const version = record?.[storedVersionField];
   const nested = record?.["nested"];
   if (typeof version !== "number" || spaces === undefined || roots === undefined) return undefined;
-  if (nested === undefined) return ofEarlierRelease(version, spaces, roots);
-  const isGood = Array.isArray(nested) && nested.every((one) => typeof one === "string");
-  return isGood ? { version, spaces, nested, roots } : undefined;
+  if (nested === undefined) return fromEarlierRelease(version, spaces, roots);
+  const isValid = Array.isArray(nested) && nested.every((prefix) => typeof prefix === "string");
+  return isValid ? { version, spaces, nested, roots } : undefined;
 }
 
 /**
- * A record of an earlier release, which named streams after spaces: it lists all spaces, and roots for those that
- * inherited their streams.
+ * Converts a record of an earlier release, which named streams after spaces: it lists all spaces, and roots for the
+ * spaces that inherited their streams.
  */
-function ofEarlierRelease(
+function fromEarlierRelease(
   version: number,
   spaces: Record<string, number>,
   roots: Record<string, string>,
 ): IncarnationsRecord {
   const prefixes = Object.keys(spaces);
-  const names = prefixes.map((prefix): [string, string] => {
+  const rootEntries = prefixes.map((prefix): [string, string] => {
     return [prefix, Object.hasOwn(roots, prefix) ? roots[prefix]! : prefix];
   });
-  return { version, spaces, nested: prefixes, roots: Object.fromEntries(names) };
+  return { version, spaces, nested: prefixes, roots: Object.fromEntries(rootEntries) };
 }
 
-/** Prefixes of spaces with a stream for each topic that lie within a space that is one stream. */
-function nestedIn(whole: readonly SpaceOutline[], spaces: readonly SpaceOutline[]): string[] {
-  if (whole.length === 0) return [];
-  const index = new PrefixIndex(whole, ({ prefix }) => prefix);
+/** The prefixes of spaces with one stream per topic that lie within a space that is one stream. */
+function nestedPrefixes(singleStreamSpaces: readonly SpaceOutline[], spaces: readonly SpaceOutline[]): string[] {
+  if (singleStreamSpaces.length === 0) return [];
+  const index = new PrefixIndex(singleStreamSpaces, ({ prefix }) => prefix);
   return spaces
     .filter(({ prefix, isWhole }) => !isWhole && index.longest(prefix, prefix.length - 1) !== undefined)
     .map(({ prefix }) => prefix);
--- a/packages/core/src/keys/keys.test.ts
+++ b/packages/core/src/keys/keys.test.ts
@@ -5,7 +5,7 @@
 
 const bytes = (value: unknown): Uint8Array => Buffer.from(typeof value === "string" ? value : JSON.stringify(value));
 
-test("a leader's and a replica set's keys read back what was written, and take no other shape", () => {
+test("values of leader and replica set keys are read back as written, and invalid ones are rejected", () => {
   const leader = { name: "anvil-1", id: "d1", lease: "l1" };
   expect(ShardLeaderKey.read(ShardLeaderKey.write(leader))).toEqual(leader);
   expect(ShardLeaderKey.read(bytes({ ...leader, newer: 1 }))).toEqual(leader);
--- a/packages/core/src/keys/membersKey.ts
+++ b/packages/core/src/keys/membersKey.ts
@@ -1,13 +1,13 @@
 import { JsonValue } from "./jsonValue.js";
 
-/** Who votes in the metadata store, by machine. */
+/** The machines that vote in the metadata store. */
 export interface VotersRecord {
   voters: string[];
 }
 
 /**
- * A key that is in no log: a read of it, confirmed like any other, is answered by the leader from the configuration of
- * the store's members. While that is being changed it names all who vote before, meanwhile or after.
+ * A key that is not stored: the leader answers a read of it, confirmed like any other, from the membership of the
+ * metadata store. During a change of members it lists all machines that vote before, during or after the change.
  */
 export const MembersKey = {
   name: "members",
@@ -18,7 +18,7 @@
 
   read(value: Uint8Array): VotersRecord | undefined {
     const voters = JsonValue.read(value)?.["voters"];
-    if (!Array.isArray(voters) || !voters.every((one) => typeof one === "string")) return undefined;
+    if (!Array.isArray(voters) || !voters.every((voter) => typeof voter === "string")) return undefined;
     return { voters };
   },
 };
--- a/packages/core/src/keys/ownerKey.ts
+++ b/packages/core/src/keys/ownerKey.ts
@@ -1,33 +1,33 @@
 import { sessionOfOwnerKey } from "./endedOwnersKey.js";
 import { JsonValue } from "./jsonValue.js";
 
-/** The stored value: the owning node, and its lease, with which the key ends. */
+/** The stored value: the owning node and its lease; the key is removed when the lease ends. */
 export interface OwnerRecord {
   node: string;
   lease: string;
 }
 
 /**
- * The key that names a session's owner, under the owning node's lease: when the node dies, its lease runs out and all
- * its owner keys end with it (FluxMQ paper, "etcd Keyspace" and "Session Ownership"). Key and value rest in the store:
- * they stay byte for byte.
+ * The key that names the owner of a session, attached to the owning node's lease: when the node fails, its lease
+ * expires and all its owner keys are removed (FluxMQ paper, "etcd Keyspace" and "Session Ownership"). Key and value are
+ * stored, so their format must stay byte for byte.
  */
 export const OwnerKey = {
   of(session: string): string {
     return `sessions/${session}/owner`;
   },
 
-  /** What all keys of a session begin with: its owner and its kept subscriptions. */
+  /** The prefix of all keys of a session: its owner and its stored subscriptions. */
   prefix(session: string): string {
     return `sessions/${session}/`;
   },
 
-  /** The session that a key is about, if it is such a key. */
+  /** The session in an owner key; undefined if the key is of another kind. */
   sessionOf(key: string): string | undefined {
     return sessionOfOwnerKey(key);
   },
 
-  /** The session that has a key among its own, whichever it is. */
+  /** The session to which any key with a session's prefix belongs; undefined for other keys. */
   sessionWith(key: string): string | undefined {
     return /^sessions\/([^/]+)\//.exec(key)?.[1];
   },
@@ -37,6 +37,6 @@
   },
 
   read(value: Uint8Array): OwnerRecord | undefined {
-    return JsonValue.texts(JsonValue.read(value), ["node", "lease"]);
+    return JsonValue.stringFields(JsonValue.read(value), ["node", "lease"]);
   },
 };
--- a/packages/core/src/keys/replicasKey.ts
+++ b/packages/core/src/keys/replicasKey.ts
@@ -1,7 +1,7 @@
 import { JsonValue } from "./jsonValue.js";
 import type { ShardSet } from "../feeds/shardSet.js";
 
-/** The key that names a shard's replica set. */
+/** The key of a shard's replica set. */
 export const ReplicasKey = {
   of(shard: number): string {
     return `shards/${shard}/replicas`;
@@ -14,7 +14,7 @@
   read(value: Uint8Array): ShardSet | undefined {
     const members = JsonValue.read(value)?.["members"];
     if (!Array.isArray(members)) return undefined;
-    const read = members.map((member) => JsonValue.texts(member, ["id", "name", "zone"]));
-    return read.every((member) => member !== undefined) ? { members: read } : undefined;
+    const parsed = members.map((member) => JsonValue.stringFields(member, ["id", "name", "zone"]));
+    return parsed.every((member) => member !== undefined) ? { members: parsed } : undefined;
   },
 };
--- a/packages/core/src/keys/shardLeaderKey.ts
+++ b/packages/core/src/keys/shardLeaderKey.ts
@@ -1,6 +1,6 @@
 import { JsonValue } from "./jsonValue.js";
 
-/** The leader's node, the identity of its disk, and the lease that the key is under. */
+/** The stored value: the leader's node name, the identity of its disk, and the lease to which the key is attached. */
 export interface ShardLeaderRecord {
   name: string;
   id: string;
@@ -18,6 +18,6 @@
   },
 
   read(value: Uint8Array): ShardLeaderRecord | undefined {
-    return JsonValue.texts(JsonValue.read(value), ["name", "id", "lease"]);
+    return JsonValue.stringFields(JsonValue.read(value), ["name", "id", "lease"]);
   },
 };
--- a/packages/core/src/replication/followerLog.test.ts
+++ b/packages/core/src/replication/followerLog.test.ts
@@ -17,40 +17,40 @@
 import { LogReplicator } from "./logReplicator.js";
 import { ReplicaLog } from "./replicaLog.js";
 
-/** A disk that keeps what was written before the last sync, and syncs only when told to. */
-class SteppedDisk implements Disk {
-  readonly #waiting: Array<{ changes: DiskChange[]; done: () => void }> = [];
-  readonly #kept = new Map<string, Uint8Array>();
+/** A disk that stores and acknowledges writes only when the test calls `sync`. */
+class ManualSyncDisk implements Disk {
+  readonly #pendingWrites: Array<{ changes: DiskChange[]; done: () => void }> = [];
+  readonly #stored = new Map<string, Uint8Array>();
 
   read(prefix: string): Array<{ key: string; value: Uint8Array }> {
-    const keys = [...this.#kept.keys()].filter((key) => key.startsWith(prefix)).sort();
-    return keys.map((key) => ({ key, value: this.#kept.get(key)! }));
+    const keys = [...this.#stored.keys()].filter((key) => key.startsWith(prefix)).sort();
+    return keys.map((key) => ({ key, value: this.#stored.get(key)! }));
   }
 
   write(changes: DiskChange[]): Promise<void> {
-    return new Promise((done) => this.#waiting.push({ changes, done }));
+    return new Promise((done) => this.#pendingWrites.push({ changes, done }));
   }
 
   async sync(): Promise<void> {
-    for (const { changes, done } of this.#waiting.splice(0)) {
+    for (const { changes, done } of this.#pendingWrites.splice(0)) {
       for (const change of changes)
-        if ("isRemoved" in change) this.#kept.delete(change.key);
-        else this.#kept.set(change.key, change.value);
+        if ("isRemoved" in change) this.#stored.delete(change.key);
+        else this.#stored.set(change.key, change.value);
       done();
     }
-    await turn();
+    await nextTurn();
   }
 }
 
-const turn = (): Promise<void> => new Promise((resolve) => void setImmediate(resolve));
+const nextTurn = (): Promise<void> => new Promise((resolve) => void setImmediate(resolve));
 const clock = { now: () => 0, once: () => ({ stop: () => undefined }), every: () => ({ stop: () => undefined }) };
 const entry = (index: number, term: number): Entry =>
   create(EntrySchema, { index, term, data: new Uint8Array([index]) });
-const run = (first: number, last: number, term: number): Entry[] =>
+const entryRun = (first: number, last: number, term: number): Entry[] =>
   Array.from({ length: last - first + 1 }, (_, i) => entry(first + i, term));
 
 interface Follower {
-  disk: SteppedDisk;
+  disk: ManualSyncDisk;
   log: ReplicaLog;
   follower: FollowerLog;
   commits: number[];
@@ -58,9 +58,9 @@
   diverged: number[];
 }
 
-/** A follower that holds these entries, synced. */
-async function holding(entries: Entry[], isReadable = true): Promise<Follower> {
-  const disk = new SteppedDisk();
+/** A follower whose log contains these entries, synced. */
+async function followerHolding(entries: Entry[], isReadable = true): Promise<Follower> {
+  const disk = new ManualSyncDisk();
   const log = new ReplicaLog(disk, "g");
   void log.append(entries);
   await disk.sync();
@@ -94,35 +94,37 @@
     checksum: crc32(state),
   });
 
-/** What was answered: taken or not, match or hint, term. Undefined while nothing was. */
-function watch(answer: Promise<BodyInit>): { got: unknown } {
-  const seen: { got: unknown } = { got: undefined };
+/** Observes a reply as [isAccepted, match or hint, term]; undefined until it arrives. */
+function observeReply(answer: Promise<BodyInit>): { got: unknown } {
+  const observed: { got: unknown } = { got: undefined };
   void answer.then((body) => {
-    if (body.case === "appendReply") seen.got = [body.value.isAccepted, body.value.match, body.value.term];
+    if (body.case === "appendReply") observed.got = [body.value.isAccepted, body.value.match, body.value.term];
   });
-  return seen;
+  return observed;
 }
 
-test("entries other than what is committed are refused, and told of; others are an ordinary conflict", async () => {
-  const { disk, log, follower, diverged } = await holding(run(1, 6, 1));
-  const say = async (prevIndex: number, prevTerm: number, entries: Entry[]): Promise<unknown> => {
-    const answer = watch(follower.take(append({ term: 3, prevIndex, prevTerm, commit: 0, round: 1, entries }), 4));
+test("entries that differ from committed ones are refused and reported, other differences only refused", async () => {
+  const { disk, log, follower, diverged } = await followerHolding(entryRun(1, 6, 1));
+  const takeAppend = async (prevIndex: number, prevTerm: number, entries: Entry[]): Promise<unknown> => {
+    const answer = observeReply(
+      follower.take(append({ term: 3, prevIndex, prevTerm, commit: 0, round: 1, entries }), 4),
+    );
     await disk.sync();
     return answer.got;
   };
-  expect(await say(2, 1, run(3, 4, 2))).toEqual([false, 1, 3]);
+  expect(await takeAppend(2, 1, entryRun(3, 4, 2))).toEqual([false, 1, 3]);
   expect(diverged).toEqual([3]);
-  expect(await say(4, 2, [])).toEqual([false, 3, 3]);
+  expect(await takeAppend(4, 2, [])).toEqual([false, 3, 3]);
   expect(diverged).toEqual([3, 4]);
-  // Behind the commit index a new leader's entries take the place of what an earlier one left.
-  expect(await say(6, 2, [])).toEqual([false, 4, 3]);
-  expect(await say(4, 1, run(5, 5, 3))).toEqual([true, 5, 3]);
+  // After the commit index a new leader's entries replace those of an earlier leader.
+  expect(await takeAppend(6, 2, [])).toEqual([false, 4, 3]);
+  expect(await takeAppend(4, 1, entryRun(5, 5, 3))).toEqual([true, 5, 3]);
   expect([diverged, log.lastIndex]).toEqual([[3, 4], 5]);
 });
 
-test("a snapshot below the last entry takes away nothing that was synced and answered for", async () => {
-  const { disk, log, follower, commits, installed } = await holding(run(1, 10, 1));
-  const answer = watch(follower.takeSnapshot(snapshot(2, 5, 1), 0));
+test("a snapshot that ends before the last entry removes no entry that was synced and acknowledged", async () => {
+  const { disk, log, follower, commits, installed } = await followerHolding(entryRun(1, 10, 1));
+  const answer = observeReply(follower.takeSnapshot(snapshot(2, 5, 1), 0));
   await disk.sync();
   expect(answer.got).toEqual([true, 5, 2]);
   expect([log.lastIndex, log.syncedIndex]).toEqual([10, 10]);
@@ -130,11 +132,11 @@
   expect(new ReplicaLog(disk, "g").lastIndex).toEqual(10);
 });
 
-test("a snapshot takes the place of a log that has another entry at its index, or none", async () => {
-  for (const entries of [run(1, 10, 1), run(1, 3, 1)]) {
-    const { disk, log, follower, installed } = await holding(entries);
-    const answer = watch(follower.takeSnapshot(snapshot(3, 5, 2), 0));
-    await turn();
+test("a snapshot replaces a log that has another entry or none at its index", async () => {
+  for (const entries of [entryRun(1, 10, 1), entryRun(1, 3, 1)]) {
+    const { disk, log, follower, installed } = await followerHolding(entries);
+    const answer = observeReply(follower.takeSnapshot(snapshot(3, 5, 2), 0));
+    await nextTurn();
     expect(answer.got).toEqual(undefined);
     await disk.sync();
     expect(answer.got).toEqual([true, 5, 3]);
@@ -144,55 +146,57 @@
 });
 
 test("an unreadable snapshot is refused and replaces nothing", async () => {
-  const { disk, log, follower, installed } = await holding(run(1, 3, 1), false);
-  const answer = watch(follower.takeSnapshot(snapshot(2, 5, 1), 0));
+  const { disk, log, follower, installed } = await followerHolding(entryRun(1, 3, 1), false);
+  const answer = observeReply(follower.takeSnapshot(snapshot(2, 5, 1), 0));
   await disk.sync();
   expect(answer.got).toEqual([false, 0, 2]);
   expect([log.lastIndex, installed]).toEqual([3, []]);
 });
 
-test("a restarted follower hints at its own last entry, not at what it knows to be committed", async () => {
-  const { disk, follower } = await holding(run(1, 10, 1));
-  const answer = watch(follower.take(append({ term: 2, prevIndex: 20, prevTerm: 2 }), 0));
+test("a restarted follower hints at its last entry, not at its commit index", async () => {
+  const { disk, follower } = await followerHolding(entryRun(1, 10, 1));
+  const answer = observeReply(follower.take(append({ term: 2, prevIndex: 20, prevTerm: 2 }), 0));
   await disk.sync();
   expect(answer.got).toEqual([false, 10, 2]);
 });
 
-test("the hint passes over the whole run of a term that conflicts, but not over what is committed", async () => {
-  const { disk, follower } = await holding([...run(1, 3, 1), ...run(4, 10, 2)]);
-  const early = watch(follower.take(append({ term: 3, prevIndex: 8, prevTerm: 3 }), 0));
-  const late = watch(follower.take(append({ term: 3, prevIndex: 8, prevTerm: 3 }), 5));
+test("the hint skips all entries of the conflicting term, but no committed ones", async () => {
+  const { disk, follower } = await followerHolding([...entryRun(1, 3, 1), ...entryRun(4, 10, 2)]);
+  const early = observeReply(follower.take(append({ term: 3, prevIndex: 8, prevTerm: 3 }), 0));
+  const late = observeReply(follower.take(append({ term: 3, prevIndex: 8, prevTerm: 3 }), 5));
   await disk.sync();
   expect(early.got).toEqual([false, 3, 3]);
   expect(late.got).toEqual([false, 5, 3]);
 });
 
-test("an append that would cut off what is committed is refused and cuts nothing", async () => {
-  const { disk, log, follower } = await holding(run(1, 5, 1));
-  const answer = watch(follower.take(append({ term: 2, prevIndex: 2, prevTerm: 1, entries: run(3, 3, 2) }), 4));
+test("an append that would remove a committed entry is refused and removes nothing", async () => {
+  const { disk, log, follower } = await followerHolding(entryRun(1, 5, 1));
+  const answer = observeReply(
+    follower.take(append({ term: 2, prevIndex: 2, prevTerm: 1, entries: entryRun(3, 3, 2) }), 4),
+  );
   await disk.sync();
   expect((answer.got as unknown[])[0]).toEqual(false);
   expect([log.lastIndex, log.termAt(3)]).toEqual([5, 1]);
 });
 
-test("no answer leaves in a term that is not synced: to a snapshot of what is committed", async () => {
-  const { disk, follower } = await holding(run(1, 5, 1));
-  const answer = watch(follower.takeSnapshot(snapshot(4, 3, 1), 5));
-  await turn();
+test("no reply is sent before its term is synced: reply to a snapshot of committed entries", async () => {
+  const { disk, follower } = await followerHolding(entryRun(1, 5, 1));
+  const answer = observeReply(follower.takeSnapshot(snapshot(4, 3, 1), 5));
+  await nextTurn();
   expect(answer.got).toEqual(undefined);
   await disk.sync();
   expect(answer.got).toEqual([true, 3, 4]);
 });
 
-test("no answer leaves in a term that is not synced: to a second append while the promise is under way", async () => {
-  const { disk, follower } = await holding(run(1, 5, 1));
+test("no reply is sent before its term is synced: reply to a second append during the write of the term", async () => {
+  const { disk, follower } = await followerHolding(entryRun(1, 5, 1));
   void follower.take(append({ term: 4, prevIndex: 9, prevTerm: 3 }), 0);
   const answers = [
-    watch(follower.take(append({ term: 4, prevIndex: 9, prevTerm: 3 }), 0)),
-    watch(follower.take(append({ term: 4, prevIndex: 5, prevTerm: 1 }), 0)),
-    watch(follower.take(append({ term: 3, prevIndex: 5, prevTerm: 1 }), 0)),
+    observeReply(follower.take(append({ term: 4, prevIndex: 9, prevTerm: 3 }), 0)),
+    observeReply(follower.take(append({ term: 4, prevIndex: 5, prevTerm: 1 }), 0)),
+    observeReply(follower.take(append({ term: 3, prevIndex: 5, prevTerm: 1 }), 0)),
   ];
-  await turn();
+  await nextTurn();
   expect(answers.map(({ got }) => got)).toEqual([undefined, undefined, undefined]);
   await disk.sync();
   expect(answers.map(({ got }) => got)).toEqual([
@@ -202,30 +206,30 @@
   ]);
 });
 
-test("what was taken in a term is not answered as taken in a later one that came meanwhile", async () => {
-  const { disk, log, follower } = await holding(run(1, 3, 1));
-  const answer = watch(follower.takeSnapshot(snapshot(2, 5, 1), 0));
+test("a snapshot accepted in one term is not acknowledged if a later term began in the meantime", async () => {
+  const { disk, log, follower } = await followerHolding(entryRun(1, 3, 1));
+  const answer = observeReply(follower.takeSnapshot(snapshot(2, 5, 1), 0));
   void log.promise(3, "");
   await disk.sync();
   expect(answer.got).toEqual([false, 5, 3]);
 });
 
-test("entries that are committed but not synced yet are not answered for by a snapshot", async () => {
-  const { disk, log, follower } = await holding([]);
+test("a snapshot does not acknowledge committed entries that are not synced yet", async () => {
+  const { disk, log, follower } = await followerHolding([]);
   void log.promise(2, "");
   await disk.sync();
-  void log.append(run(1, 5, 1));
-  const answer = watch(follower.takeSnapshot(snapshot(2, 5, 1), 5));
-  await turn();
+  void log.append(entryRun(1, 5, 1));
+  const answer = observeReply(follower.takeSnapshot(snapshot(2, 5, 1), 5));
+  await nextTurn();
   expect(answer.got).toEqual(undefined);
   await disk.sync();
   expect(answer.got).toEqual([true, 5, 2]);
 });
 
-test("late answers and a restarted follower cost no snapshot where the entries are still there", async () => {
-  const disk = new SteppedDisk();
+test("late replies and a restarted follower cause no snapshot while the log still holds the entries", async () => {
+  const disk = new ManualSyncDisk();
   const log = new ReplicaLog(disk, "g");
-  void log.append(run(1, 20, 1));
+  void log.append(entryRun(1, 20, 1));
   void log.compact(5, new Uint8Array([9]));
   await disk.sync();
   let now = 0;
--- a/packages/core/src/replication/followerLog.ts
+++ b/packages/core/src/replication/followerLog.ts
@@ -4,22 +4,24 @@
 import { SnapshotAssembly } from "./snapshotAssembly.js";
 
 /**
- * The taking side of a replicated log. Answers only after the disk has what it answers for.
- * Invariant: a lower term than the promised one is refused, whoever sends it.
+ * The follower of a replicated log: stores the entries and snapshots that the leader sends. It replies only after
+ * everything that the reply vouches for is synced to disk.
+ * Invariant: a message with a term below the stored one is refused, whichever node sends it.
  */
 export class FollowerLog {
   readonly #log: ReplicaLog;
   readonly #self: string;
-  /** Called with how far the log may be applied, after the entries are in it. */
+  /** Called with the index up to which the log may be applied, once the entries are in the log. */
   readonly #onCommit: (index: number) => void;
+  /** Called with a complete snapshot that has replaced the log, before the snapshot is synced. */
   readonly #onSnapshot: (index: number, state: Uint8Array) => void;
-  /** Up to where this log is known to be the one of the term's sender. */
-  #agreed = { term: 0, index: 0 };
+  /** The highest index up to which this log is known to match the log of the term's leader. */
+  #matched = { term: 0, index: 0 };
   readonly #assembly = new SnapshotAssembly();
 
-  /** Called where the sender of a term has another entry than this log at an index that is committed here. */
+  /** Called with a committed index at which the leader's log has another entry than this one. */
   readonly #onDivergence: (index: number) => void;
-  /** What cannot be read is refused before anything is replaced by it. */
+  /** Checks a snapshot before it replaces anything; a snapshot that cannot be read is refused. */
   readonly #isReadable: (state: Uint8Array) => boolean;
 
   constructor(
@@ -38,32 +40,36 @@
     this.#onDivergence = onDivergence;
   }
 
+  /**
+   * Appends the leader's entries, replacing entries that conflict; `commit` is the index committed on this node. The
+   * reply is a refusal with a hint if the logs differ at `prevIndex` or the append would remove a committed entry.
+   */
   async take(append: Append, commit: number): Promise<BodyInit> {
-    if (append.term < this.#log.term || !FollowerLog.#isSane(append)) return this.#replyTo(append, false, 0);
-    this.#promise(append.term);
+    if (append.term < this.#log.term || !FollowerLog.#isWellFormed(append)) return this.#replyTo(append, false, 0);
+    this.#adoptTerm(append.term);
     if (this.#isConflicting(append, commit))
       return this.#replyTo(append, false, this.#conflictHint(append.prevIndex, commit));
-    this.#assembly.drop();
+    this.#assembly.reset();
     const match = append.prevIndex + append.entries.length;
-    this.#agree(append.term, match);
-    const synced = this.#log.agree(append.prevIndex, append.entries);
+    this.#recordMatch(append.term, match);
+    const entriesSynced = this.#log.agree(append.prevIndex, append.entries);
     this.#onCommit(Math.min(append.commit, match));
-    await synced;
+    await entriesSynced;
     return this.#replyTo(append, true, match);
   }
 
   /**
-   * Takes a piece of a snapshot, which stands for committed entries. Where the log has its last entry, it has all of
-   * them, and what follows stays (Raft, section 7, rule 6); else, once all pieces are there, the snapshot takes the
-   * place of the whole log.
+   * Handles one piece of a snapshot, which covers committed entries. If the log contains the last entry that the
+   * snapshot covers, it contains all of them, and the entries after it are kept (Raft, section 7, rule 6). Otherwise
+   * the snapshot replaces the whole log once all its pieces have arrived.
    */
   async takeSnapshot(piece: Snapshot, commit: number): Promise<BodyInit> {
     const { term, index, indexTerm } = piece;
-    const isSane = [term, index, indexTerm].every(FollowerLog.#isCount);
-    if (term < this.#log.term || !isSane) return this.#replyTo(piece, false, 0);
-    this.#promise(term);
+    const isWellFormed = [term, index, indexTerm].every(FollowerLog.#isNonNegativeInteger);
+    if (term < this.#log.term || !isWellFormed) return this.#replyTo(piece, false, 0);
+    this.#adoptTerm(term);
     if (index <= commit || this.#log.termAt(index) === indexTerm) {
-      this.#agree(term, index);
+      this.#recordMatch(term, index);
       this.#onCommit(index);
       await this.#log.syncedUpTo(index);
       return this.#replyTo(piece, true, index);
@@ -71,69 +77,73 @@
     const outcome = this.#assembly.take(piece);
     if (outcome.kind !== "whole") return this.#replyTo(piece, false, 0, outcome.received);
     if (!this.#isReadable(outcome.state)) return this.#replyTo(piece, false, 0);
-    this.#agree(term, index);
+    this.#recordMatch(term, index);
     const installed = this.#log.install(index, indexTerm, outcome.state);
     this.#onSnapshot(index, outcome.state);
     await installed;
     return this.#replyTo(piece, true, index);
   }
 
-  /** The sender of a term has committed its log up to an index. */
+  /** Handles the news that the leader of `term` has committed its log up to `index`. */
   onHeartbeatReply(term: number, index: number): void {
-    if (term === this.#log.term && term === this.#agreed.term && FollowerLog.#isCount(index))
-      this.#onCommit(Math.min(index, this.#agreed.index));
+    if (term === this.#log.term && term === this.#matched.term && FollowerLog.#isNonNegativeInteger(index))
+      this.#onCommit(Math.min(index, this.#matched.index));
   }
 
-  #agree(term: number, index: number): void {
-    this.#agreed = { term, index: this.#agreed.term === term ? Math.max(this.#agreed.index, index) : index };
+  #recordMatch(term: number, index: number): void {
+    this.#matched = { term, index: this.#matched.term === term ? Math.max(this.#matched.index, index) : index };
   }
 
-  /** No answer leaves before the term is synced: each waits for it in `#reply`. */
-  #promise(term: number): void {
+  /** Does not wait for the write: every reply waits in `#replyTo` until the term is synced. */
+  #adoptTerm(term: number): void {
     if (term > this.#log.term) void this.#log.promise(term, "");
   }
 
-  /** Whether the log differs at prevIndex, or would lose what is committed. */
+  /** Whether the log differs from the leader's at prevIndex, or the append would remove a committed entry. */
   #isConflicting({ prevIndex, prevTerm, entries }: Append, commit: number): boolean {
     const isBehindBase = prevIndex < this.#log.baseIndex;
     if (!isBehindBase && this.#log.termAt(prevIndex) !== prevTerm) {
       if (prevIndex <= commit) this.#onDivergence(prevIndex);
       return true;
     }
-    const other = entries.find(
+    const conflicting = entries.find(
       ({ index, term }) => index > this.#log.baseIndex && index <= commit && this.#log.termAt(index) !== term,
     );
-    if (other !== undefined) this.#onDivergence(other.index);
-    return other !== undefined;
+    if (conflicting !== undefined) this.#onDivergence(conflicting.index);
+    return conflicting !== undefined;
   }
 
   /**
-   * Where the sender may try next: before the whole run of a term that conflicts (Raft, section 5.3), not before
-   * what is committed. It only says where to ask; what is agreed on is judged by the append that follows.
+   * The prevIndex that the leader may try next: before all entries of the conflicting term (Raft, section 5.3), but
+   * not below the committed index. It is only a hint; the next append checks whether the logs match there.
    */
   #conflictHint(prevIndex: number, commit: number): number {
     const { lastIndex, baseIndex } = this.#log;
-    const shared = prevIndex > lastIndex ? lastIndex : this.#log.beforeTermOf(prevIndex);
-    return Math.min(prevIndex - 1, Math.max(shared, commit, baseIndex));
+    const candidate = prevIndex > lastIndex ? lastIndex : this.#log.beforeTermOf(prevIndex);
+    return Math.min(prevIndex - 1, Math.max(candidate, commit, baseIndex));
   }
 
-  static #isCount(value: number): boolean {
+  static #isNonNegativeInteger(value: number): boolean {
     return Number.isSafeInteger(value) && value >= 0;
   }
 
-  /** Counts are counts, and entries follow one another from prevIndex on. */
-  static #isSane({ term, prevIndex, prevTerm, commit, entries }: Append): boolean {
+  /** Numbers are non-negative integers, and the entries are contiguous from prevIndex on. */
+  static #isWellFormed({ term, prevIndex, prevTerm, commit, entries }: Append): boolean {
     return (
-      [term, prevIndex, prevTerm, commit].every(FollowerLog.#isCount) &&
+      [term, prevIndex, prevTerm, commit].every(FollowerLog.#isNonNegativeInteger) &&
       entries.every(
-        (entry, i) => entry.index === prevIndex + 1 + i && FollowerLog.#isCount(entry.term) && entry.term <= term,
+        (entry, i) =>
+          entry.index === prevIndex + 1 + i && FollowerLog.#isNonNegativeInteger(entry.term) && entry.term <= term,
       )
     );
   }
 
-  /** Resolves once the term it names is synced; what was taken in an earlier term is not taken in that one. */
+  /**
+   * Resolves once the term that the reply contains is synced. If the term has risen since the request, the reply is a
+   * refusal: a request accepted in an earlier term does not count as accepted in the later one.
+   */
   async #replyTo(
-    to: { group: string; term: number; round: number; sender: string; index?: number },
+    request: { group: string; term: number; round: number; sender: string; index?: number },
     isAccepted: boolean,
     match: number,
     received = 0,
@@ -142,14 +152,14 @@
     return {
       case: "appendReply",
       value: {
-        group: to.group,
+        group: request.group,
         term: this.#log.term,
         sender: this.#self,
-        receiver: to.sender,
-        isAccepted: isAccepted && to.term === this.#log.term,
+        receiver: request.sender,
+        isAccepted: isAccepted && request.term === this.#log.term,
         match,
-        round: to.round,
-        snapshotIndex: to.index ?? 0,
+        round: request.round,
+        snapshotIndex: request.index ?? 0,
         received,
       },
     };
--- a/packages/core/src/replication/logCompaction.test.ts
+++ b/packages/core/src/replication/logCompaction.test.ts
@@ -10,23 +10,23 @@
 import { LogCompaction, type CompactionBounds } from "./logCompaction.js";
 import { ReplicaLog } from "./replicaLog.js";
 
-class MapDisk implements Disk {
-  readonly kept = new Map<string, Uint8Array>();
+class MemoryDisk implements Disk {
+  readonly stored = new Map<string, Uint8Array>();
 
   read(prefix: string): Array<{ key: string; value: Uint8Array }> {
-    const keys = [...this.kept.keys()].filter((key) => key.startsWith(prefix)).sort();
-    return keys.map((key) => ({ key, value: this.kept.get(key)! }));
+    const keys = [...this.stored.keys()].filter((key) => key.startsWith(prefix)).sort();
+    return keys.map((key) => ({ key, value: this.stored.get(key)! }));
   }
 
   write(changes: DiskChange[]): Promise<void> {
     for (const change of changes)
-      if ("isRemoved" in change) this.kept.delete(change.key);
-      else this.kept.set(change.key, change.value);
+      if ("isRemoved" in change) this.stored.delete(change.key);
+      else this.stored.set(change.key, change.value);
     return Promise.resolve();
   }
 
   get bytes(): number {
-    return [...this.kept.values()].reduce((sum, value) => sum + value.length, 0);
+    return [...this.stored.values()].reduce((sum, value) => sum + value.length, 0);
   }
 }
 
@@ -34,7 +34,7 @@
   create(EntrySchema, { index, term, data: new Uint8Array(bytes).fill(index % 256) });
 const bounds: CompactionBounds = { entries: 1000, bytes: 100_000, kept: { entries: 20, bytes: 30_000 } };
 
-/** Appends and applies entries of one size, as a replica does, with a snapshot of 1,000 bytes. */
+/** Appends and applies entries of the same size as a replica does, compacting with a snapshot of 1,000 bytes. */
 async function applyAll(log: ReplicaLog, count: number, bytes: number): Promise<void> {
   const compaction = new LogCompaction(log, bounds);
   for (let i = 0; i < count; i += 1) {
@@ -45,8 +45,8 @@
   }
 }
 
-test("a log of big entries stays within its bytes in memory, on the disk and in what is replayed", async () => {
-  const disk = new MapDisk();
+test("a log of large entries stays within its byte bounds in memory, on disk and in what is replayed", async () => {
+  const disk = new MemoryDisk();
   const log = new ReplicaLog(disk, "g");
   for (let i = 0; i < 50; i += 1) {
     await applyAll(log, 10, 10_000);
@@ -57,14 +57,14 @@
 });
 
 test("a log of small entries is compacted by their number", async () => {
-  const disk = new MapDisk();
+  const disk = new MemoryDisk();
   const log = new ReplicaLog(disk, "g");
   await applyAll(log, 2500, 10);
   expect([log.snapshotIndex, log.baseIndex, log.length]).toEqual([2000, 1980, 520]);
 });
 
-test("a tail stays behind a snapshot, by number and bytes, and is there again after a start", async () => {
-  const disk = new MapDisk();
+test("compaction keeps a tail bounded by number and bytes, and the tail is loaded after a restart", async () => {
+  const disk = new MemoryDisk();
   const log = new ReplicaLog(disk, "g");
   await applyAll(log, 12, 10_000);
   expect([log.baseIndex, log.snapshotIndex, log.lastIndex]).toEqual([7, 10, 12]);
@@ -73,24 +73,24 @@
   expect(again.fault()).toEqual(undefined);
   expect([again.baseIndex, again.baseTerm, again.snapshotIndex, again.lastIndex]).toEqual([7, 1, 10, 12]);
   expect(again.after(7).map(({ index }) => index)).toEqual([8, 9, 10, 11, 12]);
-  // The next snapshot moves the tail on, and takes away what says where the old one began.
+  // The next snapshot moves the tail and removes the stored base entry of the old one.
   await applyAll(again, 10, 10_000);
-  const keys = [...disk.kept.keys()].filter((key) => key.includes("/e/")).sort();
+  const keys = [...disk.stored.keys()].filter((key) => key.includes("/e/")).sort();
   expect(Number(keys[0]!.slice(4))).toEqual(again.baseIndex);
 });
 
-test("an installed snapshot leaves no entry of the tail before it on the disk", async () => {
-  const disk = new MapDisk();
+test("installing a snapshot removes all entries of the previous tail from disk", async () => {
+  const disk = new MemoryDisk();
   const log = new ReplicaLog(disk, "g");
   await applyAll(log, 12, 10_000);
   await log.install(30, 2, new Uint8Array(10));
-  expect([...disk.kept.keys()]).toEqual(["g/p"]);
+  expect([...disk.stored.keys()]).toEqual(["g/p"]);
   const again = new ReplicaLog(disk, "g");
   expect([again.baseIndex, again.baseTerm, again.lastIndex, again.fault()]).toEqual([30, 2, 30, undefined]);
 });
 
-test("a data folder from before tails is read, and one that misses entries up to its snapshot is not", async () => {
-  const disk = new MapDisk();
+test("a data folder written before tails existed is loaded, a gap before the snapshot's end is reported", async () => {
+  const disk = new MemoryDisk();
   const stored = create(SnapshotSchema, { index: 5, indexTerm: 2, state: new Uint8Array(1) });
   const put = (entry: Entry): Promise<void> =>
     disk.write([{ key: `g/e/${String(entry.index).padStart(16, "0")}`, value: toBinary(EntrySchema, entry) }]);
@@ -103,8 +103,8 @@
   expect(new ReplicaLog(disk, "g").fault()).toEqual(expect.includes("misses entry 4"));
 });
 
-test("a snapshot longer than the bound is not written again for each bound's worth of entries", async () => {
-  const log = new ReplicaLog(new MapDisk(), "g");
+test("a snapshot larger than the byte bound is not rewritten each time the entries reach the bound", async () => {
+  const log = new ReplicaLog(new MemoryDisk(), "g");
   const compaction = new LogCompaction(log, bounds);
   let snapshots = 0;
   for (let i = 0; i < 200; i += 1) {
@@ -118,7 +118,7 @@
   expect(snapshots).toEqual(4);
 });
 
-test("hundreds of big changes never fill a small disk", async () => {
+test("hundreds of large entries never fill a small disk", async () => {
   const folder = mkdtempSync(join(tmpdir(), "cranetrack-compaction-"));
   try {
     let isFull = false;
--- a/packages/core/src/replication/logCompaction.ts
+++ b/packages/core/src/replication/logCompaction.ts
@@ -1,7 +1,10 @@
 import type { Entry } from "../gen/cranetrack_pb.js";
 import type { KeptTail, ReplicaLog } from "./replicaLog.js";
 
-/** When a log is compacted: at so many applied entries, or bytes of them, since its snapshot; and what stays. */
+/**
+ * When a log is compacted: after this many applied entries, or bytes of them, since its last snapshot; `kept` is the
+ * tail of entries that stays in the log.
+ */
 export interface CompactionBounds {
   readonly entries: number;
   readonly bytes: number;
@@ -9,44 +12,46 @@
 }
 
 /**
- * Bounds what a replicated log takes in memory and on the disk, and what a start has to replay. Only applied entries
- * count: those that wait for a majority cannot be dropped.
+ * Decides when to compact a replicated log. This bounds its size in memory and on disk, and the entries to be replayed
+ * at startup. Only applied entries count: entries that wait for a majority cannot be dropped.
  */
 export class LogCompaction {
   readonly #log: ReplicaLog;
   readonly #bounds: CompactionBounds;
-  /** Which snapshot it counts from: one that is installed starts the count anew. */
-  #from = 0;
-  #entries = 0;
-  #bytes = 0;
+  /** The index of the snapshot from which entries are counted; installing a snapshot restarts the count. */
+  #countedFrom = 0;
+  #appliedEntries = 0;
+  #appliedBytes = 0;
 
   constructor(log: ReplicaLog, bounds: CompactionBounds) {
     this.#log = log;
     this.#bounds = bounds;
   }
 
+  /** Counts an entry that was applied. */
   applied(entry: Entry): void {
-    if (this.#from !== this.#log.snapshotIndex) this.#begin();
-    this.#entries += 1;
-    this.#bytes += entry.data.length;
+    if (this.#countedFrom !== this.#log.snapshotIndex) this.#restartCount();
+    this.#appliedEntries += 1;
+    this.#appliedBytes += entry.data.length;
   }
 
-  /** A snapshot that is itself longer than the bound is not written more often than its length of entries. */
+  /** If the snapshot is larger than the byte bound, it is rewritten only after as many bytes of entries. */
   get shouldCompact(): boolean {
     return (
-      this.#entries >= this.#bounds.entries || this.#bytes >= Math.max(this.#bounds.bytes, this.#log.snapshot.length)
+      this.#appliedEntries >= this.#bounds.entries ||
+      this.#appliedBytes >= Math.max(this.#bounds.bytes, this.#log.snapshot.length)
     );
   }
 
-  /** A snapshot stands for all that was applied. */
+  /** Replaces the entries up to `index` by a snapshot of the state that they led to; resolves once that is synced. */
   compact(index: number, snapshot: Uint8Array): Promise<void> {
     const written = this.#log.compact(index, snapshot, this.#bounds.kept);
-    this.#begin();
+    this.#restartCount();
     return written;
   }
 
-  #begin(): void {
-    this.#from = this.#log.snapshotIndex;
-    this.#entries = this.#bytes = 0;
+  #restartCount(): void {
+    this.#countedFrom = this.#log.snapshotIndex;
+    this.#appliedEntries = this.#appliedBytes = 0;
   }
 }
--- a/packages/core/src/replication/logReplicator.ts
+++ b/packages/core/src/replication/logReplicator.ts
@@ -5,29 +5,38 @@
 import type { ReplicaLog } from "./replicaLog.js";
 import { SnapshotSender, type SnapshotImage } from "./snapshotSender.js";
 
-interface Peer {
-  next: number;
-  match: number;
-  sentAt: number;
-  /** The commit index it was last sent. */
-  sentCommit: number;
-  /** An append or a snapshot's piece is unanswered, and up to where its answer will tell of the log. */
-  isWaiting: boolean;
-  awaited: number;
-  /** When the oldest unanswered heartbeat was sent, and its round; how long answers take, slow ones remembered. */
-  askedAt: number | undefined;
-  askedRound: number;
-  answerMs: number;
-  round: number;
-  lastContactAt: number;
-  /** Set while it is sent a snapshot, because the entries that it lacks are not here any more. */
-  transfer: SnapshotSender | undefined;
+/** What the leader knows about one replica. Times are in milliseconds of the clock. */
+interface ReplicaProgress {
+  /** The index of the next entry to send. */
+  nextIndex: number;
+  /** The highest index known to be synced on the replica. */
+  matchIndex: number;
+  /** When the last append or snapshot piece was sent. */
+  lastSentAt: number;
+  /** The commit index that the replica was last sent. */
+  lastSentCommit: number;
+  /** Whether an append or a snapshot piece is unanswered. */
+  isAwaitingReply: boolean;
+  /** The match index that the reply to that append will confirm; 0 for a snapshot piece. */
+  awaitedMatch: number;
+  /** When the oldest unanswered heartbeat was sent, and its round. */
+  heartbeatSentAt: number | undefined;
+  heartbeatRound: number;
+  /** The time that replies to heartbeats take: a maximum that decays with every faster reply. */
+  replyMs: number;
+  /** The highest round that the replica has answered. */
+  answeredRound: number;
+  lastReplyAt: number;
+  /** Set while the replica is sent a snapshot because the log no longer holds the entries that it lacks. */
+  snapshotTransfer: SnapshotSender | undefined;
 }
 
 /**
- * The leader of a replicated log: sends what each replica lacks, and decides what is committed (Raft, section 5.3).
- * Invariant: `commit` only rises, and passes an entry only when it is synced on a majority of every
- * voter set and an entry of this term is behind or at it.
+ * The leader of a replicated log in one term: sends each replica the entries that it lacks and decides which are
+ * committed (Raft, sections 5.3 and 5.4.2). Emits `committed` with the new commit index, and `deposed` with the higher
+ * term that a reply contained.
+ * Invariant: `commit` only rises, and covers an entry only when the entry is synced on a majority of every voter set
+ * and so is an entry of this term at or after it.
  */
 export class LogReplicator extends EventEmitter<{ committed: [index: number]; deposed: [term: number] }> {
   readonly #log: ReplicaLog;
@@ -35,15 +44,17 @@
   readonly #self: string;
   readonly #term: number;
   readonly #send: (id: string, body: BodyInit) => void;
-  readonly #peers = new Map<string, Peer>();
-  readonly #rounds: Array<{ round: number; resolve: (isConfirmed: boolean) => void }> = [];
-  /** One set, or two while a set is being swapped: both must agree. */
-  #sets: string[][] = [];
+  readonly #peers = new Map<string, ReplicaProgress>();
+  /** Calls of `confirm` that wait until a majority has answered their round. */
+  readonly #pendingConfirmations: Array<{ round: number; resolve: (isConfirmed: boolean) => void }> = [];
+  /** One voter set, or two during a change of members: then a majority of both is needed. */
+  #voterSets: string[][] = [];
+  /** Number of the newest round of heartbeats; replies contain the round that they answer. */
   #round = 0;
-  #isOver = false;
+  #isStopped = false;
   commit: number;
-  /** The newest snapshot that some replica was sent. */
-  #image: SnapshotImage | undefined;
+  /** The newest snapshot that was sent to any replica. */
+  #snapshotImage: SnapshotImage | undefined;
 
   constructor(parts: {
     log: ReplicaLog;
@@ -62,115 +73,128 @@
     this.commit = parts.commit;
   }
 
-  /** Who counts, and who else gets a copy. */
-  setMembers(sets: string[][], learners: readonly string[]): void {
-    this.#sets = sets.map((set) => [...set]);
-    const wanted = new Set([...sets.flat(), ...learners]);
-    wanted.delete(this.#self);
-    for (const id of this.#peers.keys()) if (!wanted.has(id)) this.#peers.delete(id);
-    for (const id of wanted) {
+  /** Sets the voter sets, whose majorities commit, and the learners, which get the log but do not vote. */
+  setMembers(voterSets: string[][], learners: readonly string[]): void {
+    this.#voterSets = voterSets.map((set) => [...set]);
+    const memberIds = new Set([...voterSets.flat(), ...learners]);
+    memberIds.delete(this.#self);
+    for (const id of this.#peers.keys()) if (!memberIds.has(id)) this.#peers.delete(id);
+    for (const id of memberIds) {
       if (!this.#peers.has(id))
         this.#peers.set(id, {
-          next: this.#log.lastIndex + 1,
-          match: 0,
-          sentAt: -Infinity,
-          sentCommit: -1,
-          isWaiting: false,
-          awaited: 0,
-          askedAt: undefined,
-          askedRound: 0,
-          answerMs: 0,
-          round: 0,
-          lastContactAt: this.#clock.now(),
-          transfer: undefined,
+          nextIndex: this.#log.lastIndex + 1,
+          matchIndex: 0,
+          lastSentAt: -Infinity,
+          lastSentCommit: -1,
+          isAwaitingReply: false,
+          awaitedMatch: 0,
+          heartbeatSentAt: undefined,
+          heartbeatRound: 0,
+          replyMs: 0,
+          answeredRound: 0,
+          lastReplyAt: this.#clock.now(),
+          snapshotTransfer: undefined,
         });
     }
-    this.#advance();
+    this.#advanceCommit();
   }
 
-  /** The highest index that is known to be synced on a replica. */
+  /** The highest index known to be synced on a replica; 0 if the replica is unknown. */
   matchOf(id: string): number {
-    return id === this.#self ? this.#log.syncedIndex : (this.#peers.get(id)?.match ?? 0);
+    return id === this.#self ? this.#log.syncedIndex : (this.#peers.get(id)?.matchIndex ?? 0);
   }
 
-  /** Milliseconds since a replica last replied; 0 for this node. */
+  /** Milliseconds since a replica last replied; 0 for this node, Infinity for an unknown replica. */
   sinceContactMs(id: string): number {
-    return id === this.#self ? 0 : this.#clock.now() - (this.#peers.get(id)?.lastContactAt ?? -Infinity);
+    return id === this.#self ? 0 : this.#clock.now() - (this.#peers.get(id)?.lastReplyAt ?? -Infinity);
   }
 
-  /** Milliseconds since a majority of every set was last heard. */
+  /** Milliseconds since this node last had contact with a majority of every voter set. */
   sinceMajorityContactMs(): number {
     return Math.max(
-      ...this.#sets.map((set) => {
-        const ages = set.map((id) => this.sinceContactMs(id)).sort((a, b) => a - b);
-        return ages[Math.floor(set.length / 2)] ?? Infinity;
+      ...this.#voterSets.map((set) => {
+        const silencesMs = set.map((id) => this.sinceContactMs(id)).sort((a, b) => a - b);
+        return silencesMs[Math.floor(set.length / 2)] ?? Infinity;
       }),
     );
   }
 
   /**
-   * How long a majority of every set takes to answer heartbeats, or has not answered yet. Entries are answered once
-   * they are synced: that a disk takes long says nothing of the sender.
+   * How long a majority of every voter set takes to answer heartbeats, in milliseconds, counting the wait for an
+   * overdue reply. Appends with entries don't count: replicas answer them after a sync, and a slow disk of a replica
+   * says nothing about the leader.
    */
   get answerMs(): number {
     const now = this.#clock.now();
-    const timeOf = (peer: Peer): number => Math.max(peer.answerMs, now - (peer.askedAt ?? now));
-    const slowest = this.#sets.map((set) => {
+    const replyMsOf = (peer: ReplicaProgress): number => Math.max(peer.replyMs, now - (peer.heartbeatSentAt ?? now));
+    const majorityMs = this.#voterSets.map((set) => {
       const peers = set.map((id) => this.#peers.get(id));
-      const times = peers.map((peer) => (peer === undefined ? 0 : timeOf(peer)));
-      return times.sort((a, b) => a - b)[Math.floor(set.length / 2)] ?? 0;
+      const replyTimes = peers.map((peer) => (peer === undefined ? 0 : replyMsOf(peer)));
+      return replyTimes.sort((a, b) => a - b)[Math.floor(set.length / 2)] ?? 0;
     });
-    return Math.max(0, ...slowest);
+    return Math.max(0, ...majorityMs);
   }
 
-  /** Own entries were synced, or new ones are there to send. */
+  /** To be called when this node has synced entries, or the log has new entries to send. */
   sendNew(): void {
-    this.#advance();
+    this.#advanceCommit();
     for (const [id, peer] of this.#peers)
-      if (!peer.isWaiting && peer.next <= this.#log.lastIndex) this.#sendTo(id, peer);
+      if (!peer.isAwaitingReply && peer.nextIndex <= this.#log.lastIndex) this.#sendTo(id, peer);
   }
 
   /**
-   * Sends heartbeats to every replica. What got lost on the way is found out by the refusal of the next append,
-   * whose hint says
-   * what to send again; an answer that is late changes nothing in what is known. A replica that has heard everything
-   * is sent nothing until `idleMs` after the last time.
+   * Sends heartbeats to every replica. Lost entries are detected when the replica refuses the next append: the hint in
+   * the refusal says where to resume. Late replies are harmless. A replica that has all entries and the current commit
+   * index is sent nothing until `idleMs` milliseconds after the last message.
    */
   sendHeartbeats(idleMs = 0): void {
     for (const [id, peer] of this.#peers) {
-      const isUpToDate = !peer.isWaiting && peer.next > this.#log.lastIndex && peer.sentCommit === this.commit;
-      if (isUpToDate && this.#clock.now() - peer.sentAt < idleMs) continue;
+      const isUpToDate =
+        !peer.isAwaitingReply && peer.nextIndex > this.#log.lastIndex && peer.lastSentCommit === this.commit;
+      if (isUpToDate && this.#clock.now() - peer.lastSentAt < idleMs) continue;
       this.#sendTo(id, peer);
     }
   }
 
-  /** Asks those who still owe the answer of a disk for one of the network. */
+  /** Sends a heartbeat to each replica that is still syncing entries; the reply to it does not wait for the disk. */
   heartbeatWaiting(): void {
     this.#round += 1;
     for (const [id, peer] of this.#peers)
-      if (peer.isWaiting && peer.transfer === undefined) this.#sendHeartbeat(id, peer);
+      if (peer.isAwaitingReply && peer.snapshotTransfer === undefined) this.#sendHeartbeat(id, peer);
   }
 
-  /** Replicas that have all that is committed and were not sent that it is: they count as notified from now on. */
+  /**
+   * The replicas that were sent all committed entries but not the current commit index. The caller notifies them: they
+   * count as notified from now on.
+   */
   takeUnnotified(): string[] {
-    if (this.#isOver) return [];
-    const found = [...this.#peers].filter(([, peer]) => peer.sentCommit < this.commit && peer.next > this.commit);
-    for (const [, peer] of found) peer.sentCommit = this.commit;
-    return found.map(([id]) => id);
+    if (this.#isStopped) return [];
+    const unnotified = [...this.#peers].filter(
+      ([, peer]) => peer.lastSentCommit < this.commit && peer.nextIndex > this.commit,
+    );
+    for (const [, peer] of unnotified) peer.lastSentCommit = this.commit;
+    return unnotified.map(([id]) => id);
   }
 
-  /** Resolves true once a majority has answered something sent after this call: nobody has taken over. */
+  /**
+   * Resolves to true once a majority has answered a message sent after this call, which proves that no other leader
+   * had been elected at the time of the call; to false if this leader stops first.
+   */
   confirm(): Promise<boolean> {
-    if (this.#isOver) return Promise.resolve(false);
+    if (this.#isStopped) return Promise.resolve(false);
     return new Promise((resolve) => {
-      const isFirst = this.#rounds.length === 0 || this.#rounds.at(-1)!.round <= this.#round;
-      this.#rounds.push({ round: this.#round + 1, resolve });
-      if (isFirst && this.#rounds[0]!.round === this.#round + 1) this.#nextRound();
-      this.#resolveRounds();
+      const isFirst =
+        this.#pendingConfirmations.length === 0 || this.#pendingConfirmations.at(-1)!.round <= this.#round;
+      this.#pendingConfirmations.push({ round: this.#round + 1, resolve });
+      if (isFirst && this.#pendingConfirmations[0]!.round === this.#round + 1) this.#startRound();
+      this.#resolveConfirmations();
     });
   }
 
-  /** A reply that is late, repeated or of another term changes nothing but what it proves. */
+  /**
+   * Handles a reply from a replica; one with a higher term deposes this leader. Late or repeated replies and replies of
+   * earlier terms are harmless.
+   */
   handleReply(reply: AppendReply): void {
     const peer = this.#peers.get(reply.sender);
     if (peer === undefined || ![reply.term, reply.round, reply.match].every(Number.isSafeInteger)) return;
@@ -178,101 +202,116 @@
       this.emit("deposed", reply.term);
       return;
     }
-    if (reply.term !== this.#term || this.#isOver) return;
-    peer.lastContactAt = this.#clock.now();
+    if (reply.term !== this.#term || this.#isStopped) return;
+    peer.lastReplyAt = this.#clock.now();
     this.#onRoundAnswered(peer, reply.round);
-    if (!reply.isAccepted || reply.match >= peer.awaited) peer.isWaiting = false;
-    const before = peer.next;
-    const isPieceTaken = LogReplicator.#applyReply(peer, reply);
-    this.#advance();
-    this.#resolveRounds();
-    // A refusal that taught nothing new is not answered at once, or two nodes could keep each other busy for ever.
-    const hasMore = reply.isAccepted ? peer.next <= this.#log.lastIndex : isPieceTaken || peer.next !== before;
-    if (hasMore && !peer.isWaiting) this.#sendTo(reply.sender, peer);
+    if (!reply.isAccepted || reply.match >= peer.awaitedMatch) peer.isAwaitingReply = false;
+    const previousNext = peer.nextIndex;
+    const isPieceAcknowledged = LogReplicator.#applyReply(peer, reply);
+    this.#advanceCommit();
+    this.#resolveConfirmations();
+    // After a refusal that changes nothing, the next heartbeat sends again: sending at once could loop forever.
+    const hasMore = reply.isAccepted
+      ? peer.nextIndex <= this.#log.lastIndex
+      : isPieceAcknowledged || peer.nextIndex !== previousNext;
+    if (hasMore && !peer.isAwaitingReply) this.#sendTo(reply.sender, peer);
   }
 
-  #onRoundAnswered(peer: Peer, round: number): void {
-    peer.round = Math.max(peer.round, round);
-    if (peer.askedAt === undefined || round < peer.askedRound) return;
-    peer.answerMs = Math.max(this.#clock.now() - peer.askedAt, peer.answerMs * 0.9);
-    peer.askedAt = undefined;
+  #onRoundAnswered(peer: ReplicaProgress, round: number): void {
+    peer.answeredRound = Math.max(peer.answeredRound, round);
+    if (peer.heartbeatSentAt === undefined || round < peer.heartbeatRound) return;
+    peer.replyMs = Math.max(this.#clock.now() - peer.heartbeatSentAt, peer.replyMs * 0.9);
+    peer.heartbeatSentAt = undefined;
   }
 
-  /** Takes in what a reply says of a replica's log; true where the next piece of a snapshot may go. */
-  static #applyReply(peer: Peer, reply: AppendReply): boolean {
+  /** Updates a replica's progress from its reply; true if the next piece of a snapshot may be sent at once. */
+  static #applyReply(peer: ReplicaProgress, reply: AppendReply): boolean {
     if (reply.isAccepted) {
-      peer.match = Math.max(peer.match, reply.match);
-      peer.next = Math.max(peer.next, peer.match + 1);
-      if (peer.transfer !== undefined && peer.match >= peer.transfer.image.index) peer.transfer = undefined;
+      peer.matchIndex = Math.max(peer.matchIndex, reply.match);
+      peer.nextIndex = Math.max(peer.nextIndex, peer.matchIndex + 1);
+      if (peer.snapshotTransfer !== undefined && peer.matchIndex >= peer.snapshotTransfer.image.index)
+        peer.snapshotTransfer = undefined;
       return false;
     }
-    if (peer.transfer !== undefined) return peer.transfer.acknowledge(reply.snapshotIndex, reply.received);
-    if (reply.snapshotIndex === 0) peer.next = Math.max(peer.match + 1, Math.min(peer.next - 1, reply.match + 1));
+    if (peer.snapshotTransfer !== undefined)
+      return peer.snapshotTransfer.acknowledge(reply.snapshotIndex, reply.received);
+    if (reply.snapshotIndex === 0)
+      peer.nextIndex = Math.max(peer.matchIndex + 1, Math.min(peer.nextIndex - 1, reply.match + 1));
     return false;
   }
 
-  /** Sends nothing any more; reads that wait for a confirmation are refused. */
+  /** Stops sending and committing; pending calls of `confirm` resolve to false. */
   stop(): void {
-    this.#isOver = true;
-    for (const { resolve } of this.#rounds.splice(0)) resolve(false);
+    this.#isStopped = true;
+    for (const { resolve } of this.#pendingConfirmations.splice(0)) resolve(false);
   }
 
-  #nextRound(): void {
+  #startRound(): void {
     this.#round += 1;
     for (const [id, peer] of this.#peers) this.#sendHeartbeat(id, peer);
   }
 
   /**
-   * A replica that has everything is sent an empty append. One that has not is sent such a one behind what it is known
-   * to have synced: it is answered without its disk, so that reads and the watch over slow leaders wait for the
-   * network alone (thesis, 6.4).
+   * Sends an empty append. For a replica that lacks entries it follows the last entry known to be synced there, so the
+   * replica answers without waiting for its disk: linearizable reads and the detection of slow leaders then depend on
+   * the network alone (Raft thesis, section 6.4).
    */
-  #sendHeartbeat(id: string, peer: Peer): void {
-    if (!peer.isWaiting && peer.next > this.#log.lastIndex) return this.#sendTo(id, peer);
-    const prevTerm = peer.match < this.#log.baseIndex ? undefined : this.#log.termAt(peer.match);
-    if (this.#isOver || peer.transfer !== undefined || prevTerm === undefined) return this.#sendTo(id, peer);
-    this.#expectAnswer(peer);
-    this.#send(id, { case: "append", value: { ...this.#head(id), prevIndex: peer.match, prevTerm, entries: [] } });
+  #sendHeartbeat(id: string, peer: ReplicaProgress): void {
+    if (!peer.isAwaitingReply && peer.nextIndex > this.#log.lastIndex) return this.#sendTo(id, peer);
+    const prevTerm = peer.matchIndex < this.#log.baseIndex ? undefined : this.#log.termAt(peer.matchIndex);
+    if (this.#isStopped || peer.snapshotTransfer !== undefined || prevTerm === undefined) return this.#sendTo(id, peer);
+    this.#trackHeartbeat(peer);
+    this.#send(id, {
+      case: "append",
+      value: { ...this.#appendHeader(id), prevIndex: peer.matchIndex, prevTerm, entries: [] },
+    });
   }
 
-  #expectAnswer(peer: Peer): void {
-    if (peer.askedAt !== undefined) return;
-    peer.askedAt = this.#clock.now();
-    peer.askedRound = this.#round;
+  #trackHeartbeat(peer: ReplicaProgress): void {
+    if (peer.heartbeatSentAt !== undefined) return;
+    peer.heartbeatSentAt = this.#clock.now();
+    peer.heartbeatRound = this.#round;
   }
 
-  #head(id: string): { group: string; term: number; sender: string; receiver: string; commit: number; round: number } {
+  #appendHeader(id: string): {
+    group: string;
+    term: number;
+    sender: string;
+    receiver: string;
+    commit: number;
+    round: number;
+  } {
     const { group } = this.#log;
     return { group, term: this.#term, sender: this.#self, receiver: id, commit: this.commit, round: this.#round };
   }
 
-  #sendTo(id: string, peer: Peer): void {
-    if (this.#isOver) return;
-    const prevTerm = peer.next - 1 < this.#log.baseIndex ? undefined : this.#log.termAt(peer.next - 1);
-    const body = prevTerm === undefined ? this.#nextPiece(id, peer) : this.#nextAppend(id, peer, prevTerm);
+  #sendTo(id: string, peer: ReplicaProgress): void {
+    if (this.#isStopped) return;
+    const prevTerm = peer.nextIndex - 1 < this.#log.baseIndex ? undefined : this.#log.termAt(peer.nextIndex - 1);
+    const body = prevTerm === undefined ? this.#createSnapshotPiece(id, peer) : this.#createAppend(id, peer, prevTerm);
     if (body === undefined) return;
-    peer.sentAt = this.#clock.now();
-    peer.sentCommit = this.commit;
-    peer.isWaiting = true;
+    peer.lastSentAt = this.#clock.now();
+    peer.lastSentCommit = this.commit;
+    peer.isAwaitingReply = true;
     this.#send(id, body);
   }
 
-  #nextAppend(id: string, peer: Peer, prevTerm: number): BodyInit {
-    peer.transfer = undefined;
-    const entries = this.#log.after(peer.next - 1);
-    const append = { ...this.#head(id), prevIndex: peer.next - 1, prevTerm, entries };
-    peer.next += entries.length;
-    peer.awaited = peer.next - 1;
-    if (entries.length === 0 && !peer.isWaiting) this.#expectAnswer(peer);
+  #createAppend(id: string, peer: ReplicaProgress, prevTerm: number): BodyInit {
+    peer.snapshotTransfer = undefined;
+    const entries = this.#log.after(peer.nextIndex - 1);
+    const append = { ...this.#appendHeader(id), prevIndex: peer.nextIndex - 1, prevTerm, entries };
+    peer.nextIndex += entries.length;
+    peer.awaitedMatch = peer.nextIndex - 1;
+    if (entries.length === 0 && !peer.isAwaitingReply) this.#trackHeartbeat(peer);
     return { case: "append", value: append };
   }
 
-  #nextPiece(id: string, peer: Peer): BodyInit | undefined {
-    peer.transfer ??= new SnapshotSender(this.#newestImage());
-    const piece = peer.transfer.next(this.#clock.now());
+  #createSnapshotPiece(id: string, peer: ReplicaProgress): BodyInit | undefined {
+    peer.snapshotTransfer ??= new SnapshotSender(this.#newestImage());
+    const piece = peer.snapshotTransfer.nextPiece(this.#clock.now());
     if (piece === undefined) return undefined;
-    peer.awaited = 0;
-    const { index, indexTerm, state, checksum } = peer.transfer.image;
+    peer.awaitedMatch = 0;
+    const { index, indexTerm, state, checksum } = peer.snapshotTransfer.image;
     const value = {
       group: this.#log.group,
       term: this.#term,
@@ -290,33 +329,34 @@
   }
 
   #newestImage(): SnapshotImage {
-    if (this.#image?.index !== this.#log.snapshotIndex) this.#image = SnapshotSender.imageOf(this.#log);
-    return this.#image!;
+    if (this.#snapshotImage?.index !== this.#log.snapshotIndex) this.#snapshotImage = SnapshotSender.imageOf(this.#log);
+    return this.#snapshotImage!;
   }
 
-  #resolveRounds(): void {
-    const confirmed = Math.min(
-      ...this.#sets.map((set) => {
+  #resolveConfirmations(): void {
+    const confirmedRound = Math.min(
+      ...this.#voterSets.map((set) => {
         const rounds = set
-          .map((id) => (id === this.#self ? this.#round : (this.#peers.get(id)?.round ?? 0)))
+          .map((id) => (id === this.#self ? this.#round : (this.#peers.get(id)?.answeredRound ?? 0)))
           .sort((a, b) => b - a);
         return rounds[Math.floor(set.length / 2)] ?? 0;
       }),
     );
-    while (this.#rounds.length > 0 && this.#rounds[0]!.round <= confirmed) this.#rounds.shift()!.resolve(true);
-    if (this.#rounds.length > 0 && confirmed >= this.#round) this.#nextRound();
+    while (this.#pendingConfirmations.length > 0 && this.#pendingConfirmations[0]!.round <= confirmedRound)
+      this.#pendingConfirmations.shift()!.resolve(true);
+    if (this.#pendingConfirmations.length > 0 && confirmedRound >= this.#round) this.#startRound();
   }
 
-  #advance(): void {
-    if (this.#sets.length === 0 || this.#isOver) return;
-    const agreed = Math.min(
-      ...this.#sets.map((set) => {
+  #advanceCommit(): void {
+    if (this.#voterSets.length === 0 || this.#isStopped) return;
+    const majorityIndex = Math.min(
+      ...this.#voterSets.map((set) => {
         const matches = set.map((id) => this.matchOf(id)).sort((a, b) => b - a);
         return matches[Math.floor(set.length / 2)] ?? 0;
       }),
     );
-    if (agreed <= this.commit || this.#log.termAt(agreed) !== this.#term) return;
-    this.commit = agreed;
-    this.emit("committed", agreed);
+    if (majorityIndex <= this.commit || this.#log.termAt(majorityIndex) !== this.#term) return;
+    this.commit = majorityIndex;
+    this.emit("committed", majorityIndex);
   }
 }
--- a/packages/core/src/replication/replication.test.ts
+++ b/packages/core/src/replication/replication.test.ts
@@ -15,13 +15,13 @@
 import { ReplicaLog } from "./replicaLog.js";
 import { LogReplicator } from "./logReplicator.js";
 
-/** A disk whose syncs happen only when told to. */
-class HeldDisk implements Disk {
-  readonly #waiting: Array<() => void> = [];
-  readonly kept = new Map<string, Uint8Array>();
+/** A disk that stores and acknowledges writes only when the test calls `sync`. */
+class ManualSyncDisk implements Disk {
+  readonly #pendingWrites: Array<() => void> = [];
+  readonly stored = new Map<string, Uint8Array>();
 
   read(prefix: string): Array<{ key: string; value: Uint8Array }> {
-    return [...this.kept]
+    return [...this.stored]
       .filter(([key]) => key.startsWith(prefix))
       .sort(([a], [b]) => (a < b ? -1 : 1))
       .map(([key, value]) => ({ key, value }));
@@ -29,17 +29,17 @@
 
   write(changes: DiskChange[]): Promise<void> {
     return new Promise((resolve) =>
-      this.#waiting.push(() => {
+      this.#pendingWrites.push(() => {
         for (const change of changes)
-          if ("isRemoved" in change) this.kept.delete(change.key);
-          else this.kept.set(change.key, change.value);
+          if ("isRemoved" in change) this.stored.delete(change.key);
+          else this.stored.set(change.key, change.value);
         resolve();
       }),
     );
   }
 
   async sync(): Promise<void> {
-    for (const done of this.#waiting.splice(0)) done();
+    for (const done of this.#pendingWrites.splice(0)) done();
     await new Promise((resolve) => setImmediate(resolve));
   }
 }
@@ -55,7 +55,7 @@
 }
 
 test("an entry counts for its own replica only once it is synced, and commits only on a majority", async () => {
-  const disk = new HeldDisk();
+  const disk = new ManualSyncDisk();
   const log = new ReplicaLog(disk, "g");
   const replicator = replicatorOver(log, 2);
   replicator.setMembers([["a", "b", "c"]], []);
@@ -66,8 +66,8 @@
   expect(replicator.commit).toEqual(1);
 });
 
-test("entries of an earlier term commit only behind one of this term", async () => {
-  const disk = new HeldDisk();
+test("entries of an earlier term commit only together with a later one of this term", async () => {
+  const disk = new ManualSyncDisk();
   const log = new ReplicaLog(disk, "g");
   void log.append([entry(1, 1)]);
   await disk.sync();
@@ -82,8 +82,8 @@
   expect(replicator.commit).toEqual(2);
 });
 
-test("while a set is swapped an entry needs a majority of the old set and of the new one", async () => {
-  const disk = new HeldDisk();
+test("during a change of members an entry needs a majority of the old voter set and of the new one", async () => {
+  const disk = new ManualSyncDisk();
   const log = new ReplicaLog(disk, "g");
   const replicator = replicatorOver(log, 2);
   replicator.setMembers(
@@ -101,8 +101,8 @@
   expect(replicator.commit).toEqual(1);
 });
 
-test("a replica answers after its disk, refuses lower terms, and cuts off what conflicts", async () => {
-  const disk = new HeldDisk();
+test("a replica replies after syncing, refuses lower terms and truncates conflicting entries", async () => {
+  const disk = new ManualSyncDisk();
   const log = new ReplicaLog(disk, "g");
   const follower = new FollowerLog(
     log,
@@ -128,7 +128,7 @@
   await disk.sync();
   expect(await cut).toEqual([true, 2, 3]);
   expect(log.termAt(2)).toEqual(3);
-  // The hint is the end of this log: what of it the sender shares is judged by its next append.
+  // The hint is the end of this log; the leader's next append finds out up to where the logs match.
   expect(await append(3, 5, 3, [entry(6, 3)])).toEqual([false, 2, 3]);
 
   const again = new ReplicaLog(disk, "g");
@@ -136,16 +136,16 @@
 });
 
 test(
-  "entries that do not follow one another, or count in no numbers, are refused and leave the " + "log as it was",
+  "entries that are not contiguous, or contain invalid numbers, are refused and leave the " + "log unchanged",
   async () => {
-    const log = new ReplicaLog(new HeldDisk(), "g");
+    const log = new ReplicaLog(new ManualSyncDisk(), "g");
     const follower = new FollowerLog(
       log,
       "b",
       () => undefined,
       () => undefined,
     );
-    const wrongs = [
+    const malformedAppends = [
       { entries: [entry(2, 1)] },
       { entries: [entry(1, 1), entry(3, 1)] },
       { entries: [entry(1, 9)] },
@@ -154,9 +154,9 @@
       { prevIndex: -1 },
       { commit: Infinity },
     ];
-    for (const wrong of wrongs) {
+    for (const malformed of malformedAppends) {
       const body = await follower.take(
-        create(AppendSchema, { group: "g", term: 2, sender: "a", receiver: "b", ...wrong }),
+        create(AppendSchema, { group: "g", term: 2, sender: "a", receiver: "b", ...malformed }),
         0,
       );
       expect(body.case === "appendReply" && body.value.isAccepted).toEqual(false);
@@ -165,8 +165,8 @@
   },
 );
 
-test("within a term, too, a replica answers only after its disk", async () => {
-  const disk = new HeldDisk();
+test("also without a change of term a replica replies only after syncing", async () => {
+  const disk = new ManualSyncDisk();
   const log = new ReplicaLog(disk, "g");
   const follower = new FollowerLog(
     log,
@@ -186,10 +186,10 @@
   expect(isAnswered).toEqual(true);
 });
 
-test("a replica that has heard everything is sent nothing until the idle time is over", async () => {
+test("a replica that is up to date is sent nothing until the idle time is over", async () => {
   let now = 0;
   const sent: string[] = [];
-  const disk = new HeldDisk();
+  const disk = new ManualSyncDisk();
   const log = new ReplicaLog(disk, "g");
   const send = (id: string): void => void sent.push(id);
   const replicator = new LogReplicator({
@@ -200,7 +200,7 @@
     commit: 0,
     send,
   });
-  const beatAt = (time: number): string => {
+  const heartbeatRecipientsAt = (time: number): string => {
     now = time;
     sent.length = 0;
     replicator.sendHeartbeats(250);
@@ -212,20 +212,20 @@
   expect(sent).toEqual(["b", "c"]);
   replicator.handleReply(reply("b", 1));
   expect(replicator.commit).toEqual(1);
-  // One has not heard of the commit, the other has not answered.
-  expect(beatAt(100)).toEqual("b,c");
+  // Replica b was not sent the commit index yet, and replica c has not replied.
+  expect(heartbeatRecipientsAt(100)).toEqual("b,c");
   replicator.handleReply(reply("b", 1));
-  expect(beatAt(200)).toEqual("c");
+  expect(heartbeatRecipientsAt(200)).toEqual("c");
   replicator.handleReply(reply("c", 1));
-  expect(beatAt(300)).toEqual("");
-  expect(beatAt(400)).toEqual("b");
-  expect(beatAt(500)).toEqual("b,c");
-  expect(beatAt(600)).toEqual("b,c");
+  expect(heartbeatRecipientsAt(300)).toEqual("");
+  expect(heartbeatRecipientsAt(400)).toEqual("b");
+  expect(heartbeatRecipientsAt(500)).toEqual("b,c");
+  expect(heartbeatRecipientsAt(600)).toEqual("b,c");
 });
 
-test("an answer that is still owed counts as slow for as long as it is owed", async () => {
+test("an overdue reply counts in the reply time for as long as it is overdue", async () => {
   let now = 0;
-  const log = new ReplicaLog(new HeldDisk(), "g");
+  const log = new ReplicaLog(new ManualSyncDisk(), "g");
   const ticking = { ...clock, now: () => now };
   const replicator = new LogReplicator({ log, clock: ticking, self: "a", term: 2, commit: 0, send: () => undefined });
   replicator.setMembers([["a", "b", "c"]], []);
@@ -240,16 +240,16 @@
   expect(replicator.answerMs).toEqual(400);
 });
 
-/** A leader whose entry 1 both others have; and what it sends. */
-async function settledLeader(): Promise<{
+/** A leader whose entry 1 is synced on both other replicas, and the appends that it sends from then on. */
+async function leaderWithSyncedEntry(): Promise<{
   log: ReplicaLog;
   replicator: LogReplicator;
   sent: Append[];
-  at: (ms: number) => void;
+  setTime: (ms: number) => void;
 }> {
   let now = 0;
   const sent: Append[] = [];
-  const disk = new HeldDisk();
+  const disk = new ManualSyncDisk();
   const log = new ReplicaLog(disk, "g");
   const send = (_id: string, body: BodyInit): void => {
     if (body.case === "append") sent.push(create(AppendSchema, body.value));
@@ -267,45 +267,45 @@
   await disk.sync();
   for (const id of ["b", "c"]) replicator.handleReply(reply(id, 1));
   sent.length = 0;
-  return { log, replicator, sent, at: (ms) => (now = ms) };
+  return { log, replicator, sent, setTime: (ms) => (now = ms) };
 }
 
-/** What a replica answers that has synced up to an index, and no further for now. */
-const answersOf = (sent: readonly Append[], synced: number): AppendReply[] =>
+/** The replies of replicas that have synced entries up to an index and are still syncing later ones. */
+const repliesOf = (sent: readonly Append[], synced: number): AppendReply[] =>
   sent
     .filter(({ prevIndex, entries }) => prevIndex + entries.length <= synced)
     .map(({ receiver, prevIndex, entries, round }) =>
       create(AppendReplySchema, { ...reply(receiver, prevIndex + entries.length), round }),
     );
 
-test("a read is confirmed by the others' word while their disks still write", async () => {
-  const { log, replicator, sent } = await settledLeader();
+test("a read is confirmed by the other replicas while they are still syncing entries", async () => {
+  const { log, replicator, sent } = await leaderWithSyncedEntry();
   void log.append([entry(2, 2)]);
   replicator.sendNew();
   let isConfirmed = false;
   void replicator.confirm().then((outcome) => (isConfirmed = outcome));
-  for (const answer of answersOf(sent, 1)) replicator.handleReply(answer);
+  for (const answer of repliesOf(sent, 1)) replicator.handleReply(answer);
   await new Promise((resolve) => setImmediate(resolve));
   expect([isConfirmed, replicator.commit]).toEqual([true, 1]);
 });
 
-test("a heartbeat's answer is not taken for the entries': nothing is sent again, or committed", async () => {
-  const { log, replicator, sent } = await settledLeader();
+test("a reply to a heartbeat does not acknowledge entries: nothing is sent again or committed", async () => {
+  const { log, replicator, sent } = await leaderWithSyncedEntry();
   void log.append([entry(2, 2)]);
   replicator.sendNew();
   void replicator.confirm();
   const before = sent.length;
-  for (const answer of answersOf(sent, 1)) replicator.handleReply(answer);
+  for (const answer of repliesOf(sent, 1)) replicator.handleReply(answer);
   expect([replicator.commit, sent.length]).toEqual([1, before]);
   void log.append([entry(3, 2)]);
   replicator.sendNew();
   expect(sent.length).toEqual(before);
-  for (const answer of answersOf(sent, 2)) replicator.handleReply(answer);
+  for (const answer of repliesOf(sent, 2)) replicator.handleReply(answer);
   expect(sent.slice(before).map(({ entries }) => entries.map(({ index }) => index))).toEqual([[3], [3]]);
 });
 
-test("disks that take long make no slow leader, and others that answer late do", async () => {
-  const { log, replicator, sent, at } = await settledLeader();
+test("slow disks of the replicas do not raise the reply time, late replies to heartbeats do", async () => {
+  const { log, replicator, sent, setTime: at } = await leaderWithSyncedEntry();
   void log.append([entry(2, 2)]);
   replicator.sendNew();
   for (let ms = 75; ms <= 750; ms += 75) {
@@ -313,20 +313,20 @@
     sent.length = 0;
     replicator.heartbeatWaiting();
     at(ms + 20);
-    for (const answer of answersOf(sent, 1)) replicator.handleReply(answer);
+    for (const answer of repliesOf(sent, 1)) replicator.handleReply(answer);
   }
   expect(replicator.answerMs).toEqual(20);
   sent.length = 0;
   replicator.heartbeatWaiting();
   at(1270);
   expect(replicator.answerMs).toEqual(500);
-  for (const answer of answersOf(sent, 1)) replicator.handleReply(answer);
+  for (const answer of repliesOf(sent, 1)) replicator.handleReply(answer);
   expect(replicator.answerMs).toEqual(500);
 });
 
-test("a commit notice commits no more than what this log shares with its term's sender", async () => {
+test("a commit notice commits only entries up to where this log matches the log of the term's leader", async () => {
   const commits: number[] = [];
-  const log = new ReplicaLog(new HeldDisk(), "g");
+  const log = new ReplicaLog(new ManualSyncDisk(), "g");
   const follower = new FollowerLog(
     log,
     "b",
@@ -345,7 +345,7 @@
   follower.onHeartbeatReply(1, 3);
   follower.onHeartbeatReply(2, NaN);
   expect(commits).toEqual([2, 3]);
-  // The next term's sender has shared its log up to 1 only; entries 2 and 3 may not be in it.
+  // The logs are known to match the next leader's up to index 1 only; entries 2 and 3 may not be in its log.
   take(3, [], 1, 2);
   commits.length = 0;
   follower.onHeartbeatReply(2, 3);
@@ -353,8 +353,8 @@
   expect(commits).toEqual([1]);
 });
 
-test("who has all that is committed is told so once, by an append where one goes out anyway", async () => {
-  const disk = new HeldDisk();
+test("a replica that has all committed entries is notified once, by an append if one is sent anyway", async () => {
+  const disk = new ManualSyncDisk();
   const log = new ReplicaLog(disk, "g");
   const replicator = new LogReplicator({ log, clock, self: "a", term: 2, commit: 0, send: () => undefined });
   replicator.setMembers([["a", "b", "c"]], []);
--- a/packages/core/src/replication/snapshotAssembly.ts
+++ b/packages/core/src/replication/snapshotAssembly.ts
@@ -1,21 +1,23 @@
 import { crc32 } from "node:zlib";
 import type { Snapshot } from "../gen/cranetrack_pb.js";
 
-type Identity = Pick<Snapshot, "term" | "sender" | "index" | "indexTerm" | "size" | "checksum">;
+/** The fields that are equal in all pieces of one snapshot. */
+type SnapshotIdentity = Pick<Snapshot, "term" | "sender" | "index" | "indexTerm" | "size" | "checksum">;
 
-/** What became of a piece. `received` says from which byte on the sender is to go on. */
+/** The result of adding a piece. `received` is the offset in bytes at which the sender must continue. */
 export type PieceOutcome =
   { kind: "taken"; received: number } | { kind: "refused"; received: number } | { kind: "whole"; state: Uint8Array };
 
 /**
- * Puts the pieces of one snapshot together. Nothing of it is used before all of it is there and has its checksum.
- * Invariant: holds at most one snapshot, of at most `mostBytes`, and of it the first `received` bytes.
+ * Assembles a snapshot from its pieces. The snapshot is returned only when it is complete and its checksum matches.
+ * Invariant: holds at most one snapshot, of at most `maxBytes`, and of that the first `#received` bytes.
  */
 export class SnapshotAssembly {
+  /** The default limit of a snapshot's size, in bytes. */
   static readonly maxBytes = 64 * 1024 * 1024;
 
   readonly #maxBytes: number;
-  #of: Identity | undefined;
+  #identity: SnapshotIdentity | undefined;
   #bytes: Uint8Array = new Uint8Array();
   #received = 0;
 
@@ -23,9 +25,10 @@
     this.#maxBytes = maxBytes;
   }
 
+  /** Adds the next piece. A first piece of another snapshot replaces the one in progress. */
   take(piece: Snapshot): PieceOutcome {
-    if (!this.#isSane(piece)) return { kind: "refused", received: 0 };
-    if (!this.#isOfThis(piece)) {
+    if (!this.#isWellFormed(piece)) return { kind: "refused", received: 0 };
+    if (!this.#isSameSnapshot(piece)) {
       if (piece.offset !== 0) return { kind: "refused", received: 0 };
       this.#begin(piece);
     }
@@ -34,38 +37,38 @@
     this.#received += piece.state.length;
     if (this.#received < piece.size) return { kind: "taken", received: this.#received };
     const state = this.#bytes;
-    this.drop();
+    this.reset();
     return crc32(state) === piece.checksum ? { kind: "whole", state } : { kind: "refused", received: 0 };
   }
 
-  /** Lets go of what was put together so far. */
-  drop(): void {
-    this.#of = undefined;
+  /** Discards the pieces received so far. */
+  reset(): void {
+    this.#identity = undefined;
     this.#bytes = new Uint8Array();
     this.#received = 0;
   }
 
-  #isSane({ offset, size, state }: Snapshot): boolean {
-    const areCounts = [offset, size].every((count) => Number.isSafeInteger(count) && count >= 0);
-    const isEmpty = state.length === 0 && size > 0;
-    return areCounts && !isEmpty && size <= this.#maxBytes && offset + state.length <= size;
+  #isWellFormed({ offset, size, state }: Snapshot): boolean {
+    const areNonNegativeIntegers = [offset, size].every((value) => Number.isSafeInteger(value) && value >= 0);
+    const isEmptyPiece = state.length === 0 && size > 0;
+    return areNonNegativeIntegers && !isEmptyPiece && size <= this.#maxBytes && offset + state.length <= size;
   }
 
-  #isOfThis(piece: Identity): boolean {
-    const of = this.#of;
-    if (of === undefined) return false;
+  #isSameSnapshot(piece: SnapshotIdentity): boolean {
+    const current = this.#identity;
+    if (current === undefined) return false;
     return (
-      of.term === piece.term &&
-      of.sender === piece.sender &&
-      of.index === piece.index &&
-      of.indexTerm === piece.indexTerm &&
-      of.size === piece.size &&
-      of.checksum === piece.checksum
+      current.term === piece.term &&
+      current.sender === piece.sender &&
+      current.index === piece.index &&
+      current.indexTerm === piece.indexTerm &&
+      current.size === piece.size &&
+      current.checksum === piece.checksum
     );
   }
 
-  #begin({ term, sender, index, indexTerm, size, checksum }: Identity): void {
-    this.#of = { term, sender, index, indexTerm, size, checksum };
+  #begin({ term, sender, index, indexTerm, size, checksum }: SnapshotIdentity): void {
+    this.#identity = { term, sender, index, indexTerm, size, checksum };
     this.#bytes = Buffer.allocUnsafeSlow(size);
     this.#received = 0;
   }
--- a/packages/core/src/replication/snapshotPieces.test.ts
+++ b/packages/core/src/replication/snapshotPieces.test.ts
@@ -13,15 +13,15 @@
 
 const kib = 1024;
 const heartbeatIntervalMs = 75;
-const disk = (): Disk => ({ read: () => [], write: () => Promise.resolve() });
-const turn = (): Promise<void> => new Promise((resolve) => void setImmediate(resolve));
-const image = (bytes: number): Uint8Array => Uint8Array.from({ length: bytes }, (_, i) => (i * 31) % 251);
-const noClock = { once: () => ({ stop: () => undefined }), every: () => ({ stop: () => undefined }) };
+const blankDisk = (): Disk => ({ read: () => [], write: () => Promise.resolve() });
+const nextTurn = (): Promise<void> => new Promise((resolve) => void setImmediate(resolve));
+const patternBytes = (bytes: number): Uint8Array => Uint8Array.from({ length: bytes }, (_, i) => (i * 31) % 251);
+const noTimers = { once: () => ({ stop: () => undefined }), every: () => ({ stop: () => undefined }) };
 
-/** A leader whose log begins behind a snapshot, and a blank follower that it has to catch up. */
-class Pair {
+/** A leader whose log begins after a snapshot, and a blank follower that needs the snapshot. */
+class LeaderAndFollower {
   now = 0;
-  readonly log = new ReplicaLog(disk(), "g");
+  readonly log = new ReplicaLog(blankDisk(), "g");
   readonly replicator: LogReplicator;
   follower!: FollowerLog;
   followerLog!: ReplicaLog;
@@ -34,7 +34,7 @@
   private constructor() {
     this.replicator = new LogReplicator({
       log: this.log,
-      clock: { ...noClock, now: () => this.now },
+      clock: { ...noTimers, now: () => this.now },
       self: "a",
       term: 2,
       commit: 100,
@@ -46,8 +46,8 @@
     this.restartFollower();
   }
 
-  static async over(snapshot: Uint8Array): Promise<Pair> {
-    const pair = new Pair();
+  static async withSnapshot(snapshot: Uint8Array): Promise<LeaderAndFollower> {
+    const pair = new LeaderAndFollower();
     await pair.log.install(100, 1, snapshot);
     await pair.append(5);
     pair.replicator.setMembers([["a"]], ["b"]);
@@ -63,7 +63,7 @@
 
   restartFollower(): void {
     this.commit = 0;
-    this.followerLog = new ReplicaLog(disk(), "g");
+    this.followerLog = new ReplicaLog(blankDisk(), "g");
     this.follower = new FollowerLog(
       this.followerLog,
       "b",
@@ -99,14 +99,14 @@
       if (body.case === "snapshot")
         answer = await this.follower.takeSnapshot(create(SnapshotSchema, body.value), this.commit);
       if (answer?.case === "appendReply") this.replicator.handleReply(create(AppendReplySchema, answer.value));
-      await turn();
+      await nextTurn();
     }
   }
 }
 
-test("a snapshot goes in pieces, each once where nothing is lost, and the entries behind it follow", async () => {
-  const snapshot = image(1200 * kib);
-  const pair = await Pair.over(snapshot);
+test("a snapshot is sent in pieces, each once if nothing is lost, followed by the entries after it", async () => {
+  const snapshot = patternBytes(1200 * kib);
+  const pair = await LeaderAndFollower.withSnapshot(snapshot);
   await pair.run(300);
   expect(pair.pieces.map(({ offset }) => offset / kib)).toEqual([0, 256, 512, 768, 1024]);
   expect(pair.pieces.every(({ length }) => length <= 256 * kib)).toEqual(true);
@@ -114,8 +114,8 @@
   expect([pair.followerLog.lastIndex, pair.replicator.matchOf("b")]).toEqual([105, 105]);
 });
 
-test("after losses a snapshot goes on where it was, never from its beginning", async () => {
-  const pair = await Pair.over(image(1200 * kib));
+test("after losses a transfer continues where it was and never restarts", async () => {
+  const pair = await LeaderAndFollower.withSnapshot(patternBytes(1200 * kib));
   pair.isLost = (_body, count) => (count * 7) % 5 < 2;
   await pair.run(10_000);
   const offsets = pair.pieces.map(({ offset }) => offset);
@@ -124,25 +124,25 @@
   expect(pair.sentBytes <= 2 * 1200 * kib).toEqual(true);
 });
 
-test("a follower that does not answer is sent a piece more and more rarely", async () => {
-  const pair = await Pair.over(image(1200 * kib));
+test("a piece is sent less and less often to a follower that does not reply", async () => {
+  const pair = await LeaderAndFollower.withSnapshot(patternBytes(1200 * kib));
   pair.isLost = (body) => body.case === "snapshot";
   await pair.run(20_000);
   expect(pair.pieces.length >= 4 && pair.pieces.length <= 10).toEqual(true);
   expect(new Set(pair.pieces.map(({ offset }) => offset))).toEqual(new Set([0]));
 });
 
-test("confirming that nobody has taken over sends no piece again", async () => {
-  const pair = await Pair.over(image(600 * kib));
+test("confirming leadership sends no piece again", async () => {
+  const pair = await LeaderAndFollower.withSnapshot(patternBytes(600 * kib));
   pair.isLost = (body) => body.case === "snapshot";
   await pair.run(heartbeatIntervalMs);
   for (let i = 0; i < 50; i += 1) void pair.replicator.confirm();
   expect(pair.pieces.length).toEqual(1);
 });
 
-test("a follower that restarts in between is sent the snapshot again from its beginning, and takes it", async () => {
-  const snapshot = image(1200 * kib);
-  const pair = await Pair.over(snapshot);
+test("a follower that restarts during a transfer is sent the whole snapshot again, and installs it", async () => {
+  const snapshot = patternBytes(1200 * kib);
+  const pair = await LeaderAndFollower.withSnapshot(snapshot);
   pair.isLost = () => pair.pieces.length > 3;
   await pair.run(200);
   pair.restartFollower();
@@ -152,12 +152,12 @@
   expect(pair.replicator.matchOf("b")).toEqual(105);
 });
 
-test("a snapshot under way is finished although the log is compacted meanwhile", async () => {
-  const snapshot = image(1200 * kib);
-  const pair = await Pair.over(snapshot);
+test("a transfer is completed with the same snapshot if the log is compacted in the meantime", async () => {
+  const snapshot = patternBytes(1200 * kib);
+  const pair = await LeaderAndFollower.withSnapshot(snapshot);
   pair.isLost = () => pair.pieces.length > 2;
   await pair.run(200);
-  await pair.log.compact(105, image(500 * kib), { entries: 10, bytes: 1000 });
+  await pair.log.compact(105, patternBytes(500 * kib), { entries: 10, bytes: 1000 });
   pair.isLost = () => false;
   await pair.run(2000);
   expect(Buffer.compare(pair.installed!, snapshot)).toEqual(0);
@@ -165,7 +165,7 @@
   expect(pair.sentBytes < 1800 * kib).toEqual(true);
 });
 
-const whole = image(600 * kib);
+const whole = patternBytes(600 * kib);
 const pieceAt = (offset: number, change: Partial<Omit<Snapshot, "$typeName" | "$unknown">> = {}): Snapshot =>
   create(SnapshotSchema, {
     group: "g",
@@ -181,7 +181,7 @@
   });
 const step = SnapshotSender.pieceBytes;
 
-test("a piece out of order is refused with the place to go on from", () => {
+test("a piece out of order is refused with the offset to continue from", () => {
   const assembly = new SnapshotAssembly();
   expect(assembly.take(pieceAt(step))).toEqual({ kind: "refused", received: 0 });
   expect(assembly.take(pieceAt(0))).toEqual({ kind: "taken", received: step });
@@ -192,7 +192,7 @@
   expect(last.kind === "whole" && Buffer.compare(last.state, whole)).toEqual(0);
 });
 
-test("a piece of another snapshot, term or sender never mixes into the one under way", () => {
+test("a piece of another snapshot, term or sender is never mixed into the one in progress", () => {
   for (const change of [{ index: 8 }, { indexTerm: 2 }, { term: 3 }, { sender: "c" }, { checksum: 1 }]) {
     const assembly = new SnapshotAssembly();
     assembly.take(pieceAt(0));
@@ -201,7 +201,7 @@
   }
 });
 
-test("a snapshot whose bytes were altered is never whole", () => {
+test("a snapshot whose bytes were altered is refused", () => {
   const assembly = new SnapshotAssembly();
   assembly.take(pieceAt(0));
   assembly.take(pieceAt(step, { state: new Uint8Array(step) }));
@@ -209,15 +209,22 @@
   expect(assembly.take(pieceAt(0))).toEqual({ kind: "taken", received: step });
 });
 
-test("a snapshot that is too big, or a piece that overruns it or counts in no numbers, is refused", () => {
+test("a snapshot that is too large, and a piece beyond its end or with invalid numbers, are refused", () => {
   const assembly = new SnapshotAssembly(1000 * kib);
-  const wrongs = [{ size: 1001 * kib }, { size: 100 }, { size: NaN }, { offset: -1 }, { state: new Uint8Array() }];
-  for (const wrong of wrongs) expect(assembly.take(pieceAt(0, wrong))).toEqual({ kind: "refused", received: 0 });
+  const malformedPieces = [
+    { size: 1001 * kib },
+    { size: 100 },
+    { size: NaN },
+    { offset: -1 },
+    { state: new Uint8Array() },
+  ];
+  for (const malformed of malformedPieces)
+    expect(assembly.take(pieceAt(0, malformed))).toEqual({ kind: "refused", received: 0 });
 });
 
-test("a follower replaces nothing before all pieces are there, and nothing by what it cannot read", async () => {
+test("a follower replaces its log only once it has all pieces, and never by an unreadable snapshot", async () => {
   for (const isReadable of [true, false]) {
-    const log = new ReplicaLog(disk(), "g");
+    const log = new ReplicaLog(blankDisk(), "g");
     await log.append([create(EntrySchema, { index: 1, term: 1 })]);
     const follower = new FollowerLog(
       log,
--- a/packages/core/src/replication/snapshotSender.ts
+++ b/packages/core/src/replication/snapshotSender.ts
@@ -1,6 +1,6 @@
 import { crc32 } from "node:zlib";
 
-/** A snapshot as all followers that need it get it: encoded once, its pieces are views of the same bytes. */
+/** An encoded snapshot, shared by all transfers of it: the pieces are views of the same bytes. */
 export interface SnapshotImage {
   readonly index: number;
   readonly indexTerm: number;
@@ -8,31 +8,35 @@
   readonly checksum: number;
 }
 
+/** A part of a snapshot; `offset` is its position in bytes. */
 export interface SnapshotPiece {
   readonly offset: number;
   readonly bytes: Uint8Array;
 }
 
 /**
- * One snapshot on its way to one follower, a piece at a time. It stays the same until the follower has all of it,
- * also when the log is compacted meanwhile, so that a slow follower is not begun with again and again.
+ * The transfer of one snapshot to one follower, one piece at a time. It continues with the same snapshot even if the
+ * log is compacted in the meantime; otherwise the transfer to a slow follower would restart again and again.
  */
 export class SnapshotSender {
+  /** The largest size of a piece, in bytes. */
   static readonly pieceBytes = 256 * 1024;
-  /** After how long an unanswered piece is sent again; doubled each time, up to the most. */
-  static readonly firstRetryMs = 400;
-  static readonly maxRetryMs = 3200;
+  /** Delay before an unanswered piece is sent again, in milliseconds; doubled each time up to the maximum. */
+  static readonly firstRetryDelayMs = 400;
+  static readonly maxRetryDelayMs = 3200;
 
   readonly image: SnapshotImage;
-  #offset = 0;
+  #acknowledgedBytes = 0;
   #sentAt = -Infinity;
-  #retryMs = SnapshotSender.firstRetryMs;
-  #isNew = true;
+  #retryDelayMs = SnapshotSender.firstRetryDelayMs;
+  /** Whether the piece at the current offset has not been sent yet. */
+  #isUnsent = true;
 
   constructor(image: SnapshotImage) {
     this.image = image;
   }
 
+  /** The log's current snapshot with its checksum. */
   static imageOf(log: { snapshotIndex: number; snapshotTerm: number; snapshot: Uint8Array }): SnapshotImage {
     return {
       index: log.snapshotIndex,
@@ -42,26 +46,28 @@
     };
   }
 
-  /** The piece to be sent now; undefined while an answer to the last one is still waited for. */
-  next(now: number): SnapshotPiece | undefined {
-    if (!this.#isNew && now - this.#sentAt < this.#retryMs) return undefined;
-    this.#retryMs = this.#isNew ? SnapshotSender.firstRetryMs : Math.min(this.#retryMs * 2, SnapshotSender.maxRetryMs);
-    this.#isNew = false;
+  /** The piece to send now; undefined until the retry delay of an unanswered piece is over. */
+  nextPiece(now: number): SnapshotPiece | undefined {
+    if (!this.#isUnsent && now - this.#sentAt < this.#retryDelayMs) return undefined;
+    this.#retryDelayMs = this.#isUnsent
+      ? SnapshotSender.firstRetryDelayMs
+      : Math.min(this.#retryDelayMs * 2, SnapshotSender.maxRetryDelayMs);
+    this.#isUnsent = false;
     this.#sentAt = now;
-    const end = Math.min(this.#offset + SnapshotSender.pieceBytes, this.image.state.length);
-    return { offset: this.#offset, bytes: this.image.state.subarray(this.#offset, end) };
+    const end = Math.min(this.#acknowledgedBytes + SnapshotSender.pieceBytes, this.image.state.length);
+    return { offset: this.#acknowledgedBytes, bytes: this.image.state.subarray(this.#acknowledgedBytes, end) };
   }
 
   /**
-   * The follower has the first bytes of a snapshot. True where that is progress, and the next piece may go at once;
-   * a follower that has fewer than were sent is sent them when the retry is due.
+   * Records that the follower has the first `received` bytes of the snapshot. True if that is progress, so that the
+   * next piece may be sent at once; missing bytes are sent again when the retry is due.
    */
   acknowledge(index: number, received: number): boolean {
-    const isOurs = index === this.image.index && Number.isSafeInteger(received);
-    if (!isOurs || received < 0 || received > this.image.state.length) return false;
-    const isProgress = received > this.#offset;
-    this.#offset = received;
-    this.#isNew ||= isProgress;
+    const isThisSnapshot = index === this.image.index && Number.isSafeInteger(received);
+    if (!isThisSnapshot || received < 0 || received > this.image.state.length) return false;
+    const isProgress = received > this.#acknowledgedBytes;
+    this.#acknowledgedBytes = received;
+    this.#isUnsent ||= isProgress;
     return isProgress;
   }
 }
--- a/packages/core/src/storage/checksummedDisk.ts
+++ b/packages/core/src/storage/checksummedDisk.ts
@@ -2,7 +2,7 @@
 import type { Disk, DiskChange } from "./disk.js";
 import { Checksum } from "../rpc/checksum.js";
 
-/** A disk whose values carry checksums; a damaged one stops the process rather than be believed. */
+/** Adds checksums to the values of a disk. Reading a damaged value throws `DataFolderError`. */
 export class ChecksummedDisk implements Disk {
   readonly #disk: Disk;
 
@@ -12,9 +12,9 @@
 
   read(prefix: string): Array<{ key: string; value: Uint8Array }> {
     return this.#disk.read(prefix).map(({ key, value }) => {
-      const opened = Checksum.verify(value);
-      if (opened === undefined) throw new DataFolderError(`the data folder is damaged at ${key}`);
-      return { key, value: opened };
+      const verified = Checksum.verify(value);
+      if (verified === undefined) throw new DataFolderError(`the data folder is damaged at ${key}`);
+      return { key, value: verified };
     });
   }
 
--- a/packages/core/src/storage/disk.ts
+++ b/packages/core/src/storage/disk.ts
@@ -1,13 +1,14 @@
-/** A key with its new value, or its removal. */
+/** Sets a key to a value, or removes it. */
 export type DiskChange = { key: string; value: Uint8Array } | { key: string; isRemoved: true };
 
 /**
- * The disk seam: an ordered map of keys to bytes.
- * Invariants: writes become durable in the order they were asked for, each whole or not at all;
- * `write` resolves only once its changes would survive a loss of power.
+ * Durable storage: an ordered map of keys to bytes.
+ * Invariants: writes become durable in the order of the calls, each completely or not at all; `write` resolves only
+ * once its changes would survive a power failure.
  */
 export interface Disk {
-  /** Every key that begins with the prefix, in order. Throws `DataFolderError` where a value is damaged. */
+  /** All keys with the prefix and their values, in order. Throws `DataFolderError` if a value is damaged. */
   read(prefix: string): Array<{ key: string; value: Uint8Array }>;
+  /** Applies all changes atomically; resolves once they are durable. */
   write(changes: DiskChange[]): Promise<void>;
 }
--- a/packages/core/src/storage/journalDisk.test.ts
+++ b/packages/core/src/storage/journalDisk.test.ts
@@ -5,9 +5,9 @@
 import { expect } from "earl";
 import { JournalDisk, type JournalOptions } from "./journalDisk.js";
 
-const folderOf = (): string => mkdtempSync(join(tmpdir(), "cranetrack-journal-"));
-const imageOf = (files: Record<string, Uint8Array>): string => {
-  const folder = folderOf();
+const createFolder = (): string => mkdtempSync(join(tmpdir(), "cranetrack-journal-"));
+const folderWith = (files: Record<string, Uint8Array>): string => {
+  const folder = createFolder();
   for (const [name, bytes] of Object.entries(files)) writeFileSync(join(folder, name), bytes);
   return folder;
 };
@@ -26,8 +26,8 @@
 const upTo = (last: number): Array<[string, string]> =>
   Array.from({ length: last + 1 }, (_, i) => [keyOf(i), text(valueOf(i))]);
 
-/** What a disk may hold of a write that no sync covered. */
-function* tears(before: Buffer, after: Buffer): Generator<Buffer> {
+/** The states in which a power failure may leave a file after a write that no sync covered. */
+function* tornStates(before: Buffer, after: Buffer): Generator<Buffer> {
   const grown = Buffer.concat([before, Buffer.alloc(after.length - before.length)]);
   yield before;
   yield after;
@@ -43,8 +43,8 @@
   }
 }
 
-test("a loss of power takes nothing acknowledged, however the write behind it was torn", async () => {
-  const folder = folderOf();
+test("a power failure loses no acknowledged write, however the write after it was torn", async () => {
+  const folder = createFolder();
   const disk = await JournalDisk.open(folder);
   const copies: Buffer[] = [];
   for (let i = 0; i < 8; i += 1) {
@@ -53,11 +53,11 @@
   }
   await disk.close();
   for (let i = 0; i + 1 < copies.length; i += 1) {
-    for (const journal of tears(copies[i]!, copies[i + 1]!)) {
-      const image = imageOf({ journal });
+    for (const journal of tornStates(copies[i]!, copies[i + 1]!)) {
+      const image = folderWith({ journal });
       const read = await readAll(image);
       expect([upTo(i), upTo(i + 1)]).toInclude(read);
-      // What was cut off stays away, and the journal goes on.
+      // A truncated record does not reappear, and the journal accepts writes.
       const again = await JournalDisk.open(image);
       await again.write([{ key: "k/more", value: Buffer.from("more") }]);
       await again.close();
@@ -66,36 +66,36 @@
   }
 });
 
-test("a write resolves only after a sync that began when all of it was in the file", async () => {
-  const folder = folderOf();
+test("a write resolves only after a sync that began once the whole record was in the file", async () => {
+  const folder = createFolder();
   let isOpening = true;
   const released: Array<() => void> = [];
-  let seen = Buffer.alloc(0);
-  let told = (): void => undefined;
+  let journalAtSync = Buffer.alloc(0);
+  let notifySyncing = (): void => undefined;
   const disk = await JournalDisk.open(folder, {
     sync: (file) => {
       if (isOpening) return file.datasync();
-      seen = readFileSync(join(folder, "journal"));
-      told();
+      journalAtSync = readFileSync(join(folder, "journal"));
+      notifySyncing();
       return new Promise((resolve) => released.push(resolve));
     },
   });
   isOpening = false;
-  const syncing = new Promise<void>((resolve) => (told = resolve));
+  const syncing = new Promise<void>((resolve) => (notifySyncing = resolve));
   const order: string[] = [];
   const written = disk.write([put(0)]).then(() => void order.push("written"));
   await syncing;
   await new Promise(setImmediate);
   order.push("synced");
-  expect(await readAll(imageOf({ journal: seen }))).toEqual(upTo(0));
+  expect(await readAll(folderWith({ journal: journalAtSync }))).toEqual(upTo(0));
   released[0]!();
   await written;
   expect(order).toEqual(["synced", "written"]);
   await disk.close();
 });
 
-test("writes that are asked for together are one group with one sync; opening is one more", async () => {
-  const folder = folderOf();
+test("writes requested together form one group with one sync; opening syncs once", async () => {
+  const folder = createFolder();
   let syncs = 0;
   const disk = await JournalDisk.open(folder, { sync: (file) => ((syncs += 1), file.datasync()) });
   expect(syncs).toEqual(1);
@@ -112,8 +112,8 @@
   ]);
 });
 
-test("the journal is compacted, and a loss of power at any of its syncs takes nothing", async () => {
-  const folder = folderOf();
+test("the journal is compacted, and a power failure at any of its syncs loses no acknowledged write", async () => {
+  const folder = createFolder();
   const expected = new Map<string, string>();
   const images: Array<{ files: Record<string, Buffer>; acknowledged: Array<[string, string]> }> = [];
   const options: JournalOptions = {
@@ -134,58 +134,58 @@
   expect(await readAll(folder)).toEqual([...expected].sort());
   expect(images.some(({ files }) => files["journal.new"] !== undefined)).toEqual(true);
   for (const { files, acknowledged } of images) {
-    const read = new Map(await readAll(imageOf(files)));
+    const read = new Map(await readAll(folderWith(files)));
     const lost = acknowledged.filter(([key, value]) => read.get(key) !== value);
-    // At most the one key whose next write was on its way.
+    // At most the one key whose next write was in progress.
     expect(lost.length <= 1).toEqual(true);
   }
 });
 
-test("of a renaming that a loss of power kept by half, the new file alone is the journal", async () => {
-  const folder = folderOf();
+test("if a power failure kept only half of a rename, the new file alone is the journal", async () => {
+  const folder = createFolder();
   const disk = await JournalDisk.open(folder);
   for (let i = 0; i < 5; i += 1) await disk.write([put(i)]);
   await disk.close();
   const journal = readFileSync(join(folder, "journal"));
-  expect(await readAll(imageOf({ "journal.new": journal }))).toEqual(upTo(4));
-  // Beside a journal it may be unfinished.
+  expect(await readAll(folderWith({ "journal.new": journal }))).toEqual(upTo(4));
+  // Beside a journal the compacted file may be incomplete.
   const torn = journal.subarray(0, journal.length - 7);
-  expect(await readAll(imageOf({ journal, "journal.new": torn }))).toEqual(upTo(4));
+  expect(await readAll(folderWith({ journal, "journal.new": torn }))).toEqual(upTo(4));
 });
 
-test("a full disk makes writes wait and says so, and removing makes room", async () => {
-  const folder = folderOf();
-  const said: string[] = [];
-  let told = (): void => undefined;
-  const full = new Promise<void>((resolve) => (told = resolve));
+test("a full disk makes writes wait and reports it, and removals free space", async () => {
+  const folder = createFolder();
+  const messages: string[] = [];
+  let notifyFull = (): void => undefined;
+  const full = new Promise<void>((resolve) => (notifyFull = resolve));
   const onFull = (fault: string): void => {
-    said.push(fault);
-    told();
+    messages.push(fault);
+    notifyFull();
   };
   const disk = await JournalDisk.open(folder, { maxBytes: 4000, compactAt: 1000, retryMs: 1, onFull });
   const big = Buffer.alloc(900, "x");
   await disk.write([{ key: "a", value: big }]);
   let isWritten = false;
-  const waits = disk.write([1, 2, 3].map((i) => ({ key: `b${i}`, value: big }))).then(() => (isWritten = true));
+  const waitingWrites = disk.write([1, 2, 3].map((i) => ({ key: `b${i}`, value: big }))).then(() => (isWritten = true));
   await full;
   expect(disk.fault).toEqual(expect.includes("the data folder is full, writes wait"));
   expect(isWritten).toEqual(false);
   await Promise.all([
-    waits,
+    waitingWrites,
     disk.write([
       { key: "b2", isRemoved: true },
       { key: "b3", isRemoved: true },
     ]),
   ]);
   expect(disk.fault).toEqual("");
-  expect(said.length).toEqual(1);
+  expect(messages.length).toEqual(1);
   await disk.close();
   expect((await readAll(folder, "")).map(([key]) => key)).toEqual(["a", "b1"]);
 });
 
-test("a disk without room is no fault of the program; any other failure of a sync closes the journal", async () => {
+test("a sync that fails for lack of space is retried; any other failure of a sync closes the journal", async () => {
   const faults: string[] = [];
-  const disk = await JournalDisk.open(folderOf(), {
+  const disk = await JournalDisk.open(createFolder(), {
     retryMs: 1,
     sync: (file) => {
       const code = faults.shift();
@@ -197,17 +197,17 @@
   await disk.close();
 });
 
-test("a disk without room for a second file still takes the record that makes room", async () => {
-  const folder = folderOf();
+test("a disk without space for a second file still accepts the record that frees space", async () => {
+  const folder = createFolder();
   let hasRoom = true;
   let refused = 0;
-  const said: string[] = [];
+  const messages: string[] = [];
   const disk = await JournalDisk.open(folder, {
     compactAt: 2000,
     retryMs: 1,
-    onFull: (why) => said.push(why),
+    onFull: (why) => messages.push(why),
     sync: async (file) => {
-      // A file beside the journal is a compaction's.
+      // The file journal.new exists only during compaction.
       if (!hasRoom && existsSync(join(folder, "journal.new"))) {
         refused += 1;
         throw Object.assign(new Error("no room"), { code: "ENOSPC" });
@@ -224,26 +224,26 @@
   await disk.write([{ key: "a", isRemoved: true }]);
   hasRoom = true;
   for (let i = 0; i < 30; i += 1) await disk.write([{ key: "c", value: Buffer.alloc(100, `${i}`) }]);
-  expect([disk.fault, said]).toEqual(["", []]);
+  expect([disk.fault, messages]).toEqual(["", []]);
   expect(readFileSync(join(folder, "journal")).length < 4000).toEqual(true);
   await disk.close();
   expect((await readAll(folder, "")).map(([key]) => key)).toEqual(["b", "c"]);
 });
 
-test("what was synced and altered since, and what is no journal, is refused and not cut off", async () => {
-  const folder = folderOf();
+test("synced data that was altered, and files that are no journal, are refused and not truncated", async () => {
+  const folder = createFolder();
   const disk = await JournalDisk.open(folder);
   for (let i = 0; i < 3; i += 1) await disk.write([put(i)]);
   await disk.close();
   const journal = readFileSync(join(folder, "journal"));
   const altered = Buffer.from(journal);
   altered[60]! ^= 1;
-  await expect(readAll(imageOf({ journal: altered }))).toBeRejectedWith(/cannot be used.*damaged at/);
-  await expect(readAll(imageOf({ journal: Buffer.alloc(100, "?") }))).toBeRejectedWith(/no journal of ours/);
-  await expect(readAll(imageOf({ "data.mdb": Buffer.from("?") }))).toBeRejectedWith(/another disk format/);
-  // The head alone may be torn: nothing was ever acknowledged in such a file.
+  await expect(readAll(folderWith({ journal: altered }))).toBeRejectedWith(/cannot be used.*damaged at/);
+  await expect(readAll(folderWith({ journal: Buffer.alloc(100, "?") }))).toBeRejectedWith(/no journal header/);
+  await expect(readAll(folderWith({ "data.mdb": Buffer.from("?") }))).toBeRejectedWith(/another disk format/);
+  // A file with only a torn header is accepted: no write was ever acknowledged in it.
   for (let length = 0; length <= 21; length += 1)
-    expect(await readAll(imageOf({ journal: journal.subarray(0, length) }))).toEqual([]);
+    expect(await readAll(folderWith({ journal: journal.subarray(0, length) }))).toEqual([]);
   mkdirSync(join(folder, "sub"));
   appendFileSync(join(folder, "journal"), Buffer.alloc(70_000));
   expect(await readAll(folder)).toEqual(upTo(2));
--- a/packages/core/src/storage/journalDisk.ts
+++ b/packages/core/src/storage/journalDisk.ts
@@ -7,53 +7,62 @@
 import { JournalRecord, type ReadRecord } from "./journalRecord.js";
 import { NewFolder } from "./newFolder.js";
 
+/** Where a value is in the journal file. */
 interface ValueLocation {
-  at: number;
+  offset: number;
   length: number;
-  /** What the change takes in a record. */
-  size: number;
+  /** The size of the encoded change, in bytes. */
+  changeSize: number;
 }
+/** A call of `write` that is not committed yet. */
 interface PendingWrite {
   changes: readonly DiskChange[];
   resolve: () => void;
   reject: (cause: unknown) => void;
 }
-/** How a journal is kept; sizes in bytes. */
+/** Options of a journal. */
 export interface JournalOptions {
-  /** Room for everything in the folder; none given, none minded. */
+  /** The limit of the folder's size, in bytes; unlimited by default. */
   maxBytes?: number | undefined;
-  /** The seam of the tests. */
+  /** Syncs the file; tests replace it. */
   sync?: (file: FileHandle) => Promise<void>;
+  /** Called with the reason when writes begin to wait because the disk has no space. */
   onFull?: (text: string) => void;
+  /** Up to this file size in bytes the journal is compacted only when space runs out; 4 MiB by default. */
   compactAt?: number;
+  /** The delay in milliseconds between attempts to write while the disk has no space; 500 by default. */
   retryMs?: number;
 }
 
 /**
- * A disk in one append-only file of checksummed records: one write and one fdatasync a group commit. Values stay in
- * the file; memory holds where. What a loss of power tore is the last record, which was acknowledged to nobody.
- * Invariants: at most one record is not covered by a sync; `#end` is behind the last record that is;
- * a file gets its name only when all of it is synced.
+ * A disk in one append-only file of checksummed records, with one write and one fdatasync per group commit. Values
+ * stay in the file; memory holds only their locations. A power failure can tear only the last record, whose writes
+ * were not acknowledged yet.
+ * Invariants: at most one record is not covered by a sync; `#endOffset` is the end of the last record that is covered;
+ * a compacted file gets the journal's name only when all of it is synced.
  */
 export class JournalDisk implements Disk {
-  static readonly #head = Buffer.from("cranetrack journal 1\n");
-  static readonly #chunk = 65_536;
-  static readonly #room = new Set(["ENOSPC", "EDQUOT", "EFBIG"]);
+  static readonly #fileHeader = Buffer.from("cranetrack journal 1\n");
+  /** Size in bytes of reads during replay, and of groups of values during compaction. */
+  static readonly #chunkBytes = 65_536;
+  /** Error codes of the system that mean that the disk, the quota or the file has no space left. */
+  static readonly #noSpaceCodes = new Set(["ENOSPC", "EDQUOT", "EFBIG"]);
 
   readonly #folder: string;
   readonly #options: Required<Omit<JournalOptions, "maxBytes">>;
   readonly #maxBytes: number;
-  readonly #index = new Map<string, ValueLocation>();
+  readonly #locations = new Map<string, ValueLocation>();
   #file: FileHandle;
-  #end = JournalDisk.#head.length;
-  /** After a compaction that found no room: how long the file may become before the next one. */
-  #longFrom = 0;
+  #endOffset = JournalDisk.#fileHeader.length;
+  /** The file size at which compaction is tried again after it ran out of space, in bytes; otherwise 0. */
+  #compactionFloorBytes = 0;
   #sequence = 0;
+  /** The size of the newest changes of all present keys, in bytes: what compaction would keep. */
   #liveBytes = 0;
-  #pending: PendingWrite[] = [];
-  #running: Promise<void> | undefined;
+  #pendingWrites: PendingWrite[] = [];
+  #commitLoop: Promise<void> | undefined;
   #isClosed = false;
-  /** Why writes wait, while the disk has no room; empty else. */
+  /** Why writes wait while the disk has no space; otherwise empty. */
   fault = "";
 
   private constructor(folder: string, file: FileHandle, options: JournalOptions) {
@@ -68,17 +77,17 @@
     };
   }
 
-  /** Opens a folder or makes it. Throws `DataFolderError` where it is not ours or is damaged. */
+  /** Opens the journal in a folder, creating both if needed. Throws `DataFolderError` if it is damaged or foreign. */
   static async open(folder: string, options: JournalOptions = {}): Promise<JournalDisk> {
     try {
       NewFolder.make(folder);
       if (existsSync(join(folder, "data.mdb"))) throw new Error("it holds the data of another disk format");
       const path = join(folder, "journal");
       JournalDisk.#finishCompaction(path, join(folder, "journal.new"));
-      JournalDisk.#prepare(path);
+      JournalDisk.#prepareHeader(path);
       const disk = new JournalDisk(folder, await open(path, "r+"), options);
-      disk.#load();
-      // A process that was killed left writes that no sync covers: what was read must stay from here on.
+      disk.#replay();
+      // A killed process may have left writes that no sync covers. They were replayed, so they must be made durable.
       await disk.#options.sync(disk.#file);
       NewFolder.sync(folder);
       return disk;
@@ -88,142 +97,152 @@
   }
 
   read(prefix: string): Array<{ key: string; value: Uint8Array }> {
-    const keys = [...this.#index.keys()].filter((key) => key.startsWith(prefix)).sort();
-    return keys.map((key) => ({ key, value: this.#value(this.#index.get(key)!) }));
+    const keys = [...this.#locations.keys()].filter((key) => key.startsWith(prefix)).sort();
+    return keys.map((key) => ({ key, value: this.#readValue(this.#locations.get(key)!) }));
   }
 
   write(changes: DiskChange[]): Promise<void> {
     return new Promise((resolve, reject) => {
       if (this.#isClosed) return;
-      this.#pending.push({ changes, resolve, reject });
-      this.#running ??= this.#run();
+      this.#pendingWrites.push({ changes, resolve, reject });
+      this.#commitLoop ??= this.#runCommitLoop();
     });
   }
 
   async close(): Promise<void> {
     this.#isClosed = true;
-    if (this.fault === "") await this.#running;
+    if (this.fault === "") await this.#commitLoop;
     await this.#file.close();
   }
 
-  /** One group after the other; a group without room waits for it, and takes in what may make some. */
-  async #run(): Promise<void> {
-    // What is asked for in one go by the callers is one group.
+  /**
+   * Commits one group of writes after the other. While a group does not fit on the disk, it is retried together with
+   * the writes requested since, whose removals may free space.
+   */
+  async #runCommitLoop(): Promise<void> {
+    // Writes that are requested in the same turn of the event loop form one group.
     await Promise.resolve();
-    while (this.#pending.length > 0) {
-      const group: PendingWrite[] = [];
+    while (this.#pendingWrites.length > 0) {
+      const writes: PendingWrite[] = [];
       try {
         do {
-          group.push(...this.#pending.splice(0));
-          if (await this.#commit(group.flatMap((one) => one.changes))) break;
+          writes.push(...this.#pendingWrites.splice(0));
+          if (await this.#commit(writes.flatMap((write) => write.changes))) break;
           await new Promise((resolve) => setTimeout(resolve, this.#options.retryMs));
         } while (!this.#isClosed);
         if (this.fault !== "") return;
-        for (const one of group) one.resolve();
+        for (const write of writes) write.resolve();
       } catch (cause) {
-        // After a failed sync nobody knows what the file holds: only a new start may read it.
+        // After a failed sync the content of the file is unknown: it may be read again only after a restart.
         this.#isClosed = true;
-        for (const one of [...group, ...this.#pending.splice(0)]) one.reject(cause);
+        for (const write of [...writes, ...this.#pendingWrites.splice(0)]) write.reject(cause);
       }
     }
-    this.#running = undefined;
+    this.#commitLoop = undefined;
   }
 
-  /** False where there is no room for it now. */
-  async #commit(asked: readonly DiskChange[]): Promise<boolean> {
-    const changes = [...new Map(asked.map((change) => [change.key, change])).values()];
-    const size = JournalRecord.headBytes + changes.reduce((sum, change) => sum + JournalRecord.sizeOf(change), 0);
-    const live = this.#liveBytes + changes.reduce((sum, change) => sum + this.#growth(change), 0);
-    // Beside the file there is always room for the next one.
-    const hasRoom = (): boolean => this.#end + size + live <= this.#maxBytes;
+  /** Commits the changes as one record; false if there is no space for it now. */
+  async #commit(requested: readonly DiskChange[]): Promise<boolean> {
+    const changes = [...new Map(requested.map((change) => [change.key, change])).values()];
+    const recordSize =
+      JournalRecord.headerBytes + changes.reduce((sum, change) => sum + JournalRecord.changeSize(change), 0);
+    const liveBytesAfter = this.#liveBytes + changes.reduce((sum, change) => sum + this.#liveBytesGrowth(change), 0);
+    // Besides the file itself there must be space for the compacted file that replaces it.
+    const hasRoom = (): boolean => this.#endOffset + recordSize + liveBytesAfter <= this.#maxBytes;
     try {
-      const isLong = this.#end + size > Math.max(this.#options.compactAt, 2 * this.#liveBytes, this.#longFrom);
-      if (isLong || (!hasRoom() && this.#end > 1.25 * this.#liveBytes)) await this.#tryCompact();
-      if (!hasRoom()) return this.#isFull(`${this.#liveBytes} bytes are kept, ${this.#maxBytes} is the room`);
+      const isCompactionDue =
+        this.#endOffset + recordSize >
+        Math.max(this.#options.compactAt, 2 * this.#liveBytes, this.#compactionFloorBytes);
+      if (isCompactionDue || (!hasRoom() && this.#endOffset > 1.25 * this.#liveBytes)) await this.#tryCompact();
+      if (!hasRoom()) return this.#reportFull(`${this.#liveBytes} bytes are kept, ${this.#maxBytes} is the limit`);
       const record = JournalRecord.encode(this.#sequence + 1, changes);
-      await JournalDisk.#writeAt(this.#file, record, this.#end);
+      await JournalDisk.#writeAt(this.#file, record, this.#endOffset);
       await this.#options.sync(this.#file);
       this.#apply(JournalRecord.decode(record, 0) as ReadRecord);
     } catch (cause) {
-      if (JournalDisk.#isRoomMissing(cause)) return this.#isFull((cause as Error).message);
+      if (JournalDisk.#isOutOfSpace(cause)) return this.#reportFull((cause as Error).message);
       throw cause;
     }
     this.fault = "";
     return true;
   }
 
-  #growth(change: DiskChange): number {
-    const held = this.#index.get(change.key)?.size ?? 0;
-    return ("isRemoved" in change ? 0 : JournalRecord.sizeOf(change)) - held;
+  #liveBytesGrowth(change: DiskChange): number {
+    const replacedSize = this.#locations.get(change.key)?.changeSize ?? 0;
+    return ("isRemoved" in change ? 0 : JournalRecord.changeSize(change)) - replacedSize;
   }
 
-  #isFull(why: string): false {
-    if (this.fault === "") this.#options.onFull(`the data folder is full, writes wait: ${why}`);
-    this.fault = `the data folder is full, writes wait: ${why}`;
+  /** Sets the fault and reports it once, when the disk becomes full. Returns false for `#commit` to return. */
+  #reportFull(reason: string): false {
+    if (this.fault === "") this.#options.onFull(`the data folder is full, writes wait: ${reason}`);
+    this.fault = `the data folder is full, writes wait: ${reason}`;
     return false;
   }
 
   #apply(record: ReadRecord): void {
     for (const { key, value } of record.changes) {
-      this.#liveBytes -= this.#index.get(key)?.size ?? 0;
-      if (value === undefined) this.#index.delete(key);
+      this.#liveBytes -= this.#locations.get(key)?.changeSize ?? 0;
+      if (value === undefined) this.#locations.delete(key);
       else {
-        const size = JournalRecord.changeBytes + Buffer.byteLength(key) + value.length;
-        this.#index.set(key, { at: this.#end + value.at, length: value.length, size });
+        const size = JournalRecord.changeHeaderBytes + Buffer.byteLength(key) + value.length;
+        this.#locations.set(key, { offset: this.#endOffset + value.at, length: value.length, changeSize: size });
         this.#liveBytes += size;
       }
     }
     this.#sequence = record.sequence;
-    this.#end += record.end;
+    this.#endOffset += record.end;
   }
 
   /**
-   * A disk without room for a second file may have room for one more record, and that may be the one that removes
-   * what takes the room: so a compaction without room is put off, and the record is tried all the same.
+   * Compacts the journal, or postpones that if a second file does not fit on the disk. The caller tries to write its
+   * record in any case: it may still fit, and may contain the removals that free space.
    */
   async #tryCompact(): Promise<void> {
     try {
       await this.#compact();
-      this.#longFrom = 0;
+      this.#compactionFloorBytes = 0;
     } catch (cause) {
-      if (!JournalDisk.#isRoomMissing(cause)) throw cause;
-      this.#longFrom = this.#end + this.#options.compactAt / 4;
+      if (!JournalDisk.#isOutOfSpace(cause)) throw cause;
+      this.#compactionFloorBytes = this.#endOffset + this.#options.compactAt / 4;
     }
   }
 
-  static #isRoomMissing(cause: unknown): boolean {
+  static #isOutOfSpace(cause: unknown): boolean {
     const { code } = cause as NodeJS.ErrnoException;
-    return code !== undefined && JournalDisk.#room.has(code);
+    return code !== undefined && JournalDisk.#noSpaceCodes.has(code);
   }
 
-  /** Everything that is kept, in a new file that takes the old one's name once it is synced. */
+  /** Writes all present values to a new file, which replaces the old one once it is synced. */
   async #compact(): Promise<void> {
     const path = join(this.#folder, "journal.new");
     const file = await open(path, "w+");
-    const kept: Array<[string, ValueLocation]> = [];
-    let end = JournalDisk.#head.length;
+    const newLocations: Array<[string, ValueLocation]> = [];
+    let endOffset = JournalDisk.#fileHeader.length;
     let sequence = this.#sequence;
     try {
-      await JournalDisk.#writeAt(file, JournalDisk.#head, 0);
+      await JournalDisk.#writeAt(file, JournalDisk.#fileHeader, 0);
       let group: Array<{ key: string; value: Uint8Array }> = [];
-      const flush = async (): Promise<void> => {
+      const writeGroup = async (): Promise<void> => {
         const bytes = JournalRecord.encode((sequence += 1), group);
         const record = JournalRecord.decode(bytes, 0) as ReadRecord;
         for (const { key, value } of record.changes)
-          kept.push([key, { at: end + value!.at, length: value!.length, size: this.#index.get(key)!.size }]);
-        await JournalDisk.#writeAt(file, bytes, end);
-        end += bytes.length;
+          newLocations.push([
+            key,
+            { offset: endOffset + value!.at, length: value!.length, changeSize: this.#locations.get(key)!.changeSize },
+          ]);
+        await JournalDisk.#writeAt(file, bytes, endOffset);
+        endOffset += bytes.length;
         group = [];
       };
-      let size = 0;
-      for (const [key, entry] of this.#index) {
-        group.push({ key, value: this.#value(entry) });
-        size += entry.size;
-        if (size < JournalDisk.#chunk) continue;
-        size = 0;
-        await flush();
+      let groupSize = 0;
+      for (const [key, entry] of this.#locations) {
+        group.push({ key, value: this.#readValue(entry) });
+        groupSize += entry.changeSize;
+        if (groupSize < JournalDisk.#chunkBytes) continue;
+        groupSize = 0;
+        await writeGroup();
       }
-      if (group.length > 0) await flush();
+      if (group.length > 0) await writeGroup();
       await this.#options.sync(file);
       await rename(path, join(this.#folder, "journal"));
     } catch (cause) {
@@ -231,81 +250,88 @@
       await rm(path, { force: true });
       throw cause;
     }
-    const old = this.#file;
+    const oldFile = this.#file;
     this.#file = file;
-    this.#end = end;
+    this.#endOffset = endOffset;
     this.#sequence = sequence;
-    for (const [key, entry] of kept) this.#index.set(key, entry);
+    for (const [key, entry] of newLocations) this.#locations.set(key, entry);
     NewFolder.sync(this.#folder);
-    await old.close();
+    await oldFile.close();
   }
 
-  #value({ at, length }: ValueLocation): Buffer {
+  #readValue({ offset: at, length }: ValueLocation): Buffer {
     const value = Buffer.allocUnsafeSlow(length);
-    if (readSync(this.#file.fd, value, 0, length, at) !== length) throw new Error("the journal became shorter");
+    if (readSync(this.#file.fd, value, 0, length, at) !== length)
+      throw new Error("the journal file was truncated while open");
     return value;
   }
 
-  /** Takes record after record; cuts off what a loss of power tore, and believes nothing else that is damaged. */
-  #load(): void {
+  /** Replays all records. Truncates a last record that a power failure tore; throws on any other damage. */
+  #replay(): void {
     const { size } = fstatSync(this.#file.fd);
     let bytes = Buffer.alloc(0);
     let start = 0;
-    while (this.#end < size) {
+    while (this.#endOffset < size) {
       const record = JournalDisk.#decodeNext(bytes, start, this.#sequence);
       if (record !== undefined && "wants" in record) {
-        const wanted = Math.max(record.wants, JournalDisk.#chunk);
-        const chunk = Buffer.allocUnsafe(Math.min(wanted, size - this.#end));
-        readSync(this.#file.fd, chunk, 0, chunk.length, this.#end);
+        const wanted = Math.max(record.wants, JournalDisk.#chunkBytes);
+        const chunk = Buffer.allocUnsafe(Math.min(wanted, size - this.#endOffset));
+        readSync(this.#file.fd, chunk, 0, chunk.length, this.#endOffset);
         if (chunk.length < record.wants) break;
         bytes = chunk;
         start = 0;
         continue;
       }
       if (record === undefined) break;
-      const next = record.end - start;
-      this.#apply({ ...record, end: next });
-      start += next;
+      const recordLength = record.end - start;
+      this.#apply({ ...record, end: recordLength });
+      start += recordLength;
     }
-    if (this.#end >= size) return;
-    this.#refuseDamage(size);
-    ftruncateSync(this.#file.fd, this.#end);
+    if (this.#endOffset >= size) return;
+    this.#throwIfDamaged(size);
+    ftruncateSync(this.#file.fd, this.#endOffset);
   }
 
-  static #decodeNext(bytes: Buffer, start: number, last: number): ReturnType<typeof JournalRecord.decode> {
+  /** Decodes the next record; undefined also if its sequence is not higher than the last one. */
+  static #decodeNext(bytes: Buffer, start: number, lastSequence: number): ReturnType<typeof JournalRecord.decode> {
     const record = JournalRecord.decode(bytes, start);
-    return record !== undefined && "sequence" in record && record.sequence <= last ? undefined : record;
+    return record !== undefined && "sequence" in record && record.sequence <= lastSequence ? undefined : record;
   }
 
-  /** Behind a torn record there is nothing: a whole one there means that something synced was altered. */
-  #refuseDamage(size: number): void {
-    const rest = Buffer.alloc(size - this.#end);
-    readSync(this.#file.fd, rest, 0, rest.length, this.#end);
-    for (let at = rest.indexOf(JournalRecord.magic, 1); at >= 0; at = rest.indexOf(JournalRecord.magic, at + 1)) {
-      const record = JournalRecord.decode(rest, at);
+  /** Nothing follows a torn record. Throws if a valid record does: then synced data was altered. */
+  #throwIfDamaged(size: number): void {
+    const remainder = Buffer.alloc(size - this.#endOffset);
+    readSync(this.#file.fd, remainder, 0, remainder.length, this.#endOffset);
+    for (
+      let offset = remainder.indexOf(JournalRecord.magic, 1);
+      offset >= 0;
+      offset = remainder.indexOf(JournalRecord.magic, offset + 1)
+    ) {
+      const record = JournalRecord.decode(remainder, offset);
       if (record !== undefined && "sequence" in record && record.sequence > this.#sequence)
-        throw new Error(`its journal is damaged at ${this.#end}`);
+        throw new Error(`its journal is damaged at ${this.#endOffset}`);
     }
   }
 
   /**
-   * A new file is given the journal's name only when all of it is synced. So where it is there alone, a loss of power
-   * kept one half of the renaming, and it has everything; beside a journal it may be unfinished, and is dropped.
+   * Finishes or discards a compaction that was interrupted. A compacted file is renamed only when all of it is synced.
+   * If it exists without a journal, a power failure kept only half of the rename, and it is complete; beside a journal
+   * it may be incomplete and is removed.
    */
-  static #finishCompaction(path: string, successor: string): void {
-    if (!existsSync(path) && existsSync(successor)) renameSync(successor, path);
-    else rmSync(successor, { force: true });
+  static #finishCompaction(path: string, compactedPath: string): void {
+    if (!existsSync(path) && existsSync(compactedPath)) renameSync(compactedPath, path);
+    else rmSync(compactedPath, { force: true });
   }
 
-  /** A journal without records, unless one is there; one whose head is torn has never had a record. */
-  static #prepare(path: string): void {
-    const head = JournalDisk.#head;
+  /** Creates a journal without records if there is none, or its header is torn: then it never had a record. */
+  static #prepareHeader(path: string): void {
+    const head = JournalDisk.#fileHeader;
     const file = openSync(path, existsSync(path) ? "r+" : "w+");
     try {
       const found = Buffer.alloc(head.length);
       readSync(file, found, 0, found.length, 0);
       if (found.equals(head)) return;
-      if (fstatSync(file).size > head.length) throw new Error("its journal is no journal of ours");
+      if (fstatSync(file).size > head.length) throw new Error("its journal file has no journal header");
       ftruncateSync(file, 0);
       writeSync(file, head, 0, head.length, 0);
       fsyncSync(file);
@@ -314,8 +340,8 @@
     }
   }
 
-  static async #writeAt(file: FileHandle, bytes: Uint8Array, place: number): Promise<void> {
-    for (let done = 0; done < bytes.length;)
-      done += (await file.write(bytes, done, bytes.length - done, place + done)).bytesWritten;
+  static async #writeAt(file: FileHandle, bytes: Uint8Array, offset: number): Promise<void> {
+    for (let written = 0; written < bytes.length;)
+      written += (await file.write(bytes, written, bytes.length - written, offset + written)).bytesWritten;
   }
 }
--- a/packages/core/src/storage/journalRecord.ts
+++ b/packages/core/src/storage/journalRecord.ts
@@ -1,67 +1,81 @@
 import { crc32 } from "node:zlib";
 import type { DiskChange } from "./disk.js";
 
+/** A decoded record; the values are given by their position in bytes from the start of the record. */
 export interface ReadRecord {
+  /** Rises from record to record in a journal. */
   sequence: number;
-  /** Where the next record begins. */
+  /** The offset of the next record in the decoded bytes. */
   end: number;
   changes: Array<{ key: string; value: { at: number; length: number } | undefined }>;
 }
 
 /**
- * One group commit in a journal: a head, then its changes. The head's checksum covers the length, the
- * sequence and all changes, so that a record is whole or not believed at all.
+ * The format of one group commit in a journal: a header, then the changes. The header's checksum covers the length,
+ * the sequence and all changes, so a partly written record is never accepted.
  */
 export const JournalRecord = {
+  /** The bytes at the start of every record. */
   magic: Buffer.from("\u0007crj", "latin1"),
-  headBytes: 20,
-  /** A key's length, its kind and a value's length. */
-  changeBytes: 7,
+  /** The size of a record's header: magic, checksum, length and sequence. */
+  headerBytes: 20,
+  /** The header of a change: its kind, the length of the key and the length of the value. */
+  changeHeaderBytes: 7,
 
-  sizeOf(change: DiskChange): number {
+  /** The size of an encoded change, in bytes. */
+  changeSize(change: DiskChange): number {
     return (
-      JournalRecord.changeBytes + Buffer.byteLength(change.key) + ("isRemoved" in change ? 0 : change.value.length)
+      JournalRecord.changeHeaderBytes +
+      Buffer.byteLength(change.key) +
+      ("isRemoved" in change ? 0 : change.value.length)
     );
   },
 
+  /** Encodes a record. */
   encode(sequence: number, changes: readonly DiskChange[]): Buffer {
-    const size = changes.reduce((sum, change) => sum + JournalRecord.sizeOf(change), JournalRecord.headBytes);
-    const bytes = Buffer.allocUnsafe(size);
+    const recordSize = changes.reduce(
+      (sum, change) => sum + JournalRecord.changeSize(change),
+      JournalRecord.headerBytes,
+    );
+    const bytes = Buffer.allocUnsafe(recordSize);
     JournalRecord.magic.copy(bytes, 0);
-    bytes.writeUInt32BE(size - JournalRecord.headBytes, 8);
+    bytes.writeUInt32BE(recordSize - JournalRecord.headerBytes, 8);
     bytes.writeDoubleBE(sequence, 12);
-    let at = JournalRecord.headBytes;
+    let position = JournalRecord.headerBytes;
     for (const change of changes) {
       const value = "isRemoved" in change ? undefined : change.value;
-      const keyLength = bytes.write(change.key, at + JournalRecord.changeBytes);
-      bytes.writeUInt8(value === undefined ? 0 : 1, at);
-      bytes.writeUInt16BE(keyLength, at + 1);
-      bytes.writeUInt32BE(value?.length ?? 0, at + 3);
-      at += JournalRecord.changeBytes + keyLength;
-      if (value !== undefined) bytes.set(value, at);
-      at += value?.length ?? 0;
+      const keyLength = bytes.write(change.key, position + JournalRecord.changeHeaderBytes);
+      bytes.writeUInt8(value === undefined ? 0 : 1, position);
+      bytes.writeUInt16BE(keyLength, position + 1);
+      bytes.writeUInt32BE(value?.length ?? 0, position + 3);
+      position += JournalRecord.changeHeaderBytes + keyLength;
+      if (value !== undefined) bytes.set(value, position);
+      position += value?.length ?? 0;
     }
     bytes.writeUInt32BE(crc32(bytes.subarray(8)), 4);
     return bytes;
   },
 
-  /** The record at a place in the bytes; how many bytes it wants where there are too few; else undefined. */
+  /**
+   * Decodes the record at an offset. If the bytes end too early, returns how many the record needs at least; undefined
+   * if there is no valid record.
+   */
   decode(bytes: Buffer, start: number): ReadRecord | { wants: number } | undefined {
-    if (bytes.length - start < JournalRecord.headBytes) return { wants: JournalRecord.headBytes };
+    if (bytes.length - start < JournalRecord.headerBytes) return { wants: JournalRecord.headerBytes };
     if (bytes.compare(JournalRecord.magic, 0, 4, start, start + 4) !== 0) return undefined;
-    const length = bytes.readUInt32BE(start + 8);
-    const end = start + JournalRecord.headBytes + length;
-    if (bytes.length < end) return { wants: JournalRecord.headBytes + length };
+    const changesLength = bytes.readUInt32BE(start + 8);
+    const end = start + JournalRecord.headerBytes + changesLength;
+    if (bytes.length < end) return { wants: JournalRecord.headerBytes + changesLength };
     if (crc32(bytes.subarray(start + 8, end)) !== bytes.readUInt32BE(start + 4)) return undefined;
     const changes: ReadRecord["changes"] = [];
-    let at = start + JournalRecord.headBytes;
-    while (at < end) {
-      const keyAt = at + JournalRecord.changeBytes;
-      const valueAt = keyAt + bytes.readUInt16BE(at + 1);
-      const valueLength = bytes.readUInt32BE(at + 3);
-      const value = bytes[at] === 0 ? undefined : { at: valueAt - start, length: valueLength };
-      changes.push({ key: bytes.toString("utf8", keyAt, valueAt), value });
-      at = valueAt + valueLength;
+    let position = start + JournalRecord.headerBytes;
+    while (position < end) {
+      const keyStart = position + JournalRecord.changeHeaderBytes;
+      const valueStart = keyStart + bytes.readUInt16BE(position + 1);
+      const valueLength = bytes.readUInt32BE(position + 3);
+      const value = bytes[position] === 0 ? undefined : { at: valueStart - start, length: valueLength };
+      changes.push({ key: bytes.toString("utf8", keyStart, valueStart), value });
+      position = valueStart + valueLength;
     }
     return { sequence: bytes.readDoubleBE(start + 12), end, changes };
   },
--- a/packages/core/src/storage/lmdbDisk.test.ts
+++ b/packages/core/src/storage/lmdbDisk.test.ts
@@ -8,10 +8,10 @@
 import { LmdbDisk } from "./lmdbDisk.js";
 import { ChecksummedDisk } from "./checksummedDisk.js";
 
-const folderOf = (name: string): string => join(mkdtempSync(join(tmpdir(), "cranetrack-disk-")), name);
+const createFolder = (name: string): string => join(mkdtempSync(join(tmpdir(), "cranetrack-disk-")), name);
 
-test("what a write resolved for is there after the process was killed without a word", () => {
-  const folder = folderOf("data");
+test("acknowledged writes are present after the process was killed", () => {
+  const folder = createFolder("data");
   const program = `
     import { LmdbDisk } from ${JSON.stringify(new URL("./lmdbDisk.js", import.meta.url).href)};
     const disk = new LmdbDisk(${JSON.stringify(folder)});
@@ -30,7 +30,7 @@
 
 test("a write resolves only after the flush that covers it", async () => {
   const order: string[] = [];
-  const root = open<Uint8Array, string>({ path: folderOf("order"), overlappingSync: true, noSubdir: false });
+  const root = open<Uint8Array, string>({ path: createFolder("order"), overlappingSync: true, noSubdir: false });
   let release = (): void => undefined;
   const flushed = new Promise<void>((resolve) => (release = resolve));
   const slow = new Proxy(root, {
@@ -48,19 +48,19 @@
 });
 
 test(
-  "another program's data, a file in the folder's place and a damaged value are refused, " + "each with its reason",
+  "another program's data, a file instead of the folder and a damaged value are refused, " + "each with its reason",
   async () => {
-    const foreign = folderOf("foreign");
+    const foreign = createFolder("foreign");
     const other = open({ path: foreign, noSubdir: false });
     await other.put("x", "y");
     await other.close();
     expect(() => new LmdbDisk(foreign)).toThrow(/another program's data/);
 
-    const garbage = folderOf("garbage");
+    const garbage = createFolder("garbage");
     writeFileSync(garbage, "not a folder");
     expect(() => new LmdbDisk(garbage)).toThrow(/cannot be used/);
 
-    const folder = folderOf("damaged");
+    const folder = createFolder("damaged");
     const disk = new LmdbDisk(folder);
     await new ChecksummedDisk(disk).write([{ key: "log/1", value: Buffer.from("hello") }]);
     const { value } = disk.read("log/")[0]!;
--- a/packages/core/src/storage/lmdbDisk.ts
+++ b/packages/core/src/storage/lmdbDisk.ts
@@ -6,14 +6,15 @@
 import { NewFolder } from "./newFolder.js";
 
 /**
- * lmdb-js may resolve a commit before it is flushed (overlapping sync), so a write here
- * waits for the flush that covers it.
+ * A disk in an LMDB database. lmdb-js may resolve a commit before it is flushed (overlapping sync), so `write` waits
+ * for the flush that covers it.
  */
 export class LmdbDisk implements Disk {
-  /** What lmdb writes into both of its first pages. */
-  static readonly #magic = 0xbeefc0de;
+  /** The magic number that LMDB writes into both of its first two pages. */
+  static readonly #pageMagic = 0xbeefc0de;
   readonly #db: RootDatabase<Uint8Array, string>;
 
+  /** Opens or creates the database in a folder. Throws `DataFolderError` if it is damaged or of another program. */
   constructor(folder: string) {
     try {
       this.#db = LmdbDisk.#open(folder);
@@ -22,17 +23,17 @@
     }
   }
 
-  /** The adapter over a database that is open already. */
+  /** Wraps a database that is already open; for tests. */
   static over(db: RootDatabase<Uint8Array, string>): Pick<LmdbDisk, "write"> {
     return { write: (changes) => LmdbDisk.#write(db, changes) };
   }
 
   read(prefix: string): Array<{ key: string; value: Uint8Array }> {
-    const found: Array<{ key: string; value: Uint8Array }> = [];
+    const entries: Array<{ key: string; value: Uint8Array }> = [];
     for (const { key, value } of this.#db.getRange({ start: prefix, end: `${prefix}\u{10ffff}` })) {
-      found.push({ key, value: Uint8Array.from(value) });
+      entries.push({ key, value: Uint8Array.from(value) });
     }
-    return found;
+    return entries;
   }
 
   write(changes: DiskChange[]): Promise<void> {
@@ -45,7 +46,7 @@
 
   static #open(folder: string): RootDatabase<Uint8Array, string> {
     NewFolder.make(folder);
-    LmdbDisk.#look(join(folder, "data.mdb"));
+    LmdbDisk.#checkFileHeader(join(folder, "data.mdb"));
     const db = open<Uint8Array, string>({ path: folder, encoding: "binary", overlappingSync: true, noSubdir: false });
     NewFolder.sync(folder);
     const format = db.get("format");
@@ -56,16 +57,16 @@
     return db;
   }
 
-  /** Opening a file that is no lmdb database would take the whole process down without a word. */
-  static #look(path: string): void {
+  /** Throws if an existing file is not an LMDB database: opening it would crash the process without a message. */
+  static #checkFileHeader(path: string): void {
     if (!existsSync(path) || statSync(path).size === 0) return;
-    const head = Buffer.alloc(8192);
+    const header = Buffer.alloc(8192);
     const file = openSync(path, "r");
-    const length = readSync(file, head, 0, head.length, 0);
+    const length = readSync(file, header, 0, header.length, 0);
     closeSync(file);
-    const isMarked =
-      length === head.length && [0, 4096].every((page) => head.readUInt32LE(page + 24) === LmdbDisk.#magic);
-    if (!isMarked) throw new Error("its data.mdb is damaged or no database of ours");
+    const hasMagic =
+      length === header.length && [0, 4096].every((page) => header.readUInt32LE(page + 24) === LmdbDisk.#pageMagic);
+    if (!hasMagic) throw new Error("its data.mdb is damaged or not an LMDB database");
   }
 
   static async #write(db: RootDatabase<Uint8Array, string>, changes: DiskChange[]): Promise<void> {
--- a/packages/core/src/storage/newFolder.test.ts
+++ b/packages/core/src/storage/newFolder.test.ts
@@ -7,7 +7,7 @@
 import { expect } from "earl";
 import { JournalDisk } from "./journalDisk.js";
 
-test("a data folder that is made, and those above it, have their names synced before anything is kept", async (t) => {
+test("a created data folder and its created parents have their names synced before anything is stored", async (t) => {
   const base = mkdtempSync(join(tmpdir(), "cranetrack-folder-"));
   const opened = new Map<number, string>();
   const synced: string[] = [];
@@ -29,7 +29,7 @@
     expect(existsSync(join(folder, "journal"))).toEqual(true);
     expect([join(base, "state"), base, folder].filter((one) => !synced.includes(one))).toEqual([]);
     await disk.close();
-    // What was there is not made again.
+    // For an existing folder no parent is synced again.
     synced.length = 0;
     await (await JournalDisk.open(folder)).close();
     expect(synced).toEqual([folder]);
@@ -39,10 +39,10 @@
   }
 });
 
-test("a journal that takes another's name keeps what is acknowledged though the name may be lost", async (t) => {
+test("acknowledged writes survive if a power failure undoes the rename of a compacted journal", async (t) => {
   const folder = mkdtempSync(join(tmpdir(), "cranetrack-names-"));
   const path = join(folder, "journal");
-  /** What has the journal's name if power is lost now; the present one's where its name was synced. */
+  /** The journal's content after a power failure now, if the rename is not synced; otherwise undefined. */
   let earlier: Buffer | undefined;
   let renames = 0;
   const { rename } = promises;
--- a/packages/core/src/storage/newFolder.ts
+++ b/packages/core/src/storage/newFolder.ts
@@ -2,22 +2,22 @@
 import { dirname, resolve } from "node:path";
 
 /**
- * Folders whose names outlast a loss of power.
- * Invariant: a folder that was made has its name synced in the folder above before anything is kept in it.
+ * Creates folders that survive a power failure.
+ * Invariant: the entry of a created folder is synced in its parent before anything is stored in the folder.
  */
 export const NewFolder = {
-  /** Makes a folder and those above it that are missing. */
+  /** Creates a folder and its missing parents. */
   make(folder: string): void {
-    const first = mkdirSync(folder, { recursive: true });
-    if (first === undefined) return;
-    const top = dirname(resolve(first));
-    for (let above = dirname(resolve(folder)); above.length >= top.length; above = dirname(above)) {
-      NewFolder.sync(above);
-      if (above === top) return;
+    const firstCreated = mkdirSync(folder, { recursive: true });
+    if (firstCreated === undefined) return;
+    const topmostParent = dirname(resolve(firstCreated));
+    for (let parent = dirname(resolve(folder)); parent.length >= topmostParent.length; parent = dirname(parent)) {
+      NewFolder.sync(parent);
+      if (parent === topmostParent) return;
     }
   },
 
-  /** The names in a folder, as they are now. */
+  /** Syncs the entries of a folder, so that files created or renamed in it keep their names. */
   sync(folder: string): void {
     const file = openSync(folder, "r");
     fsyncSync(file);
--- a/packages/testkit/src/mutants/diskMutants.ts
+++ b/packages/testkit/src/mutants/diskMutants.ts
@@ -7,7 +7,7 @@
   {
     name: "a folder that is made has its name synced by nobody",
     file: "core/dist/storage/newFolder.js",
-    find: "if (first === undefined)",
+    find: "if (firstCreated === undefined)",
     put: "if (true)",
     test,
   },
--- a/packages/testkit/src/mutants/exploreMutants.ts
+++ b/packages/testkit/src/mutants/exploreMutants.ts
@@ -13,8 +13,8 @@
   {
     name: "explorer: a promise resolves before its sync",
     file: replicaLog,
-    find: "this.#promised = this.#disk.write([this.#meta()]);",
-    put: "void this.#disk.write([this.#meta()]);",
+    find: "this.#termWrite = this.#disk.write([this.#termAndVoteChange()]);",
+    put: "void this.#disk.write([this.#termAndVoteChange()]);",
     test,
   },
   {
@@ -34,15 +34,15 @@
   {
     name: "explorer: older terms commit by counting",
     file: logReplicator,
-    find: " || this.#log.termAt(agreed) !== this.#term",
+    find: " || this.#log.termAt(majorityIndex) !== this.#term",
     put: "",
     test: traces,
   },
   {
     name: "explorer: only the new set commits in an exchange",
     file: logReplicator,
-    find: "this.#sets = sets.map((set) => [...set]);",
-    put: "this.#sets = [[...sets.at(-1)]];",
+    find: "this.#voterSets = voterSets.map((set) => [...set]);",
+    put: "this.#voterSets = [[...voterSets.at(-1)]];",
     test,
   },
   {
@@ -90,7 +90,7 @@
   {
     name: "explorer: a follower answers before its disk",
     file: followerLog,
-    find: "await synced;",
+    find: "await entriesSynced;",
     put: "",
     test,
   },
--- a/packages/testkit/src/mutants/incidentMutants.ts
+++ b/packages/testkit/src/mutants/incidentMutants.ts
@@ -57,7 +57,7 @@
   {
     name: "entries that diverge from committed ones are not counted",
     file: "core/dist/replication/followerLog.js",
-    find: "if (other !== undefined)",
+    find: "if (conflicting !== undefined)",
     put: "if (false)",
     test: "core/dist/replication/followerLog.test.js",
   },
@@ -71,7 +71,7 @@
   {
     name: "a journal whose renaming was kept by half is taken for none",
     file: "core/dist/storage/journalDisk.js",
-    find: "if (!existsSync(path) && existsSync(successor))",
+    find: "if (!existsSync(path) && existsSync(compactedPath))",
     put: "if (false)",
     test: "core/dist/storage/journalDisk.test.js",
   },
--- a/packages/testkit/src/mutants/logMutants.ts
+++ b/packages/testkit/src/mutants/logMutants.ts
@@ -19,7 +19,7 @@
   {
     name: "what was taken in an earlier term counts in a later one",
     file: "core/dist/replication/followerLog.js",
-    find: "isAccepted: isAccepted && to.term === this.#log.term",
+    find: "isAccepted: isAccepted && request.term === this.#log.term",
     put: "isAccepted",
     test: "core/dist/replication/followerLog.test.js",
   },
@@ -47,7 +47,7 @@
   {
     name: "logs are compacted by number alone",
     file: "core/dist/replication/logCompaction.js",
-    find: "this.#bytes >= Math.max(this.#bounds.bytes, this.#log.snapshot.length)",
+    find: "this.#appliedBytes >= Math.max(this.#bounds.bytes, this.#log.snapshot.length)",
     put: "false",
     test: "core/dist/replication/logCompaction.test.js",
   },
@@ -75,15 +75,15 @@
   {
     name: "a piece is sent again at the same pace for ever",
     file: "core/dist/replication/snapshotSender.js",
-    find: "Math.min(this.#retryMs * 2, ",
+    find: "Math.min(this.#retryDelayMs * 2, ",
     put: "Math.min(400, ",
     test: "core/dist/replication/snapshotPieces.test.js",
   },
   {
     name: "a snapshot is begun with again at each piece",
     file: "core/dist/replication/logReplicator.js",
-    find: "peer.transfer ??= new",
-    put: "peer.transfer = new",
+    find: "peer.snapshotTransfer ??= new",
+    put: "peer.snapshotTransfer = new",
     test: "core/dist/replication/snapshotPieces.test.js",
   },
   {
@@ -103,8 +103,8 @@
   {
     name: "pieces of two snapshots mix",
     file: "core/dist/replication/snapshotAssembly.js",
-    find: "if (!this.#isOfThis(piece))",
-    put: "if (this.#of === undefined)",
+    find: "if (!this.#isSameSnapshot(piece))",
+    put: "if (this.#identity === undefined)",
     test: "core/dist/replication/snapshotPieces.test.js",
   },
   {
@@ -194,7 +194,7 @@
   {
     name: "a heartbeat's answer counts as that of the entries",
     file: "core/dist/replication/logReplicator.js",
-    find: "if (!reply.isAccepted || reply.match >= peer.awaited)",
+    find: "if (!reply.isAccepted || reply.match >= peer.awaitedMatch)",
     put: "if (true)",
     test: "core/dist/replication/replication.test.js",
   },
--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -22,7 +22,7 @@
   {
     name: "a replica answers before its disk",
     file: "core/dist/replication/followerLog.js",
-    find: "await synced;",
+    find: "await entriesSynced;",
     put: "",
     test: "core/dist/replication/replication.test.js",
   },
@@ -43,15 +43,15 @@
   {
     name: "older terms commit by counting",
     file: "core/dist/replication/logReplicator.js",
-    find: " || this.#log.termAt(agreed) !== this.#term",
+    find: " || this.#log.termAt(majorityIndex) !== this.#term",
     put: "",
     test: "core/dist/replication/replication.test.js",
   },
   {
     name: "only the first set counts in a swap",
     file: "core/dist/replication/logReplicator.js",
-    find: "this.#sets = sets.map((set) => [...set]);",
-    put: "this.#sets = [[...sets[0]]];",
+    find: "this.#voterSets = voterSets.map((set) => [...set]);",
+    put: "this.#voterSets = [[...voterSets[0]]];",
     test: "core/dist/replication/replication.test.js",
   },
   {
@@ -215,7 +215,7 @@
   {
     name: "topics that come back to a space that is one stream go on in it",
     file: "core/dist/keys/incarnationsKey.js",
-    find: "extended.has(prefix) ? version : ",
+    find: "extendedPrefixes.has(prefix) ? version : ",
     put: "",
     test: "core/dist/configuration/streams.test.js",
   },
@@ -292,7 +292,7 @@
   {
     name: "an answer that is owed takes no time",
     file: "core/dist/replication/logReplicator.js",
-    find: "now - (peer.askedAt ?? now)",
+    find: "now - (peer.heartbeatSentAt ?? now)",
     put: "0",
     test: "core/dist/replication/replication.test.js",
   },
