--- a/packages/core/src/replication/replication.test.ts
+++ b/packages/core/src/replication/replication.test.ts
@@ -305,20 +305,20 @@
 });
 
 test("slow disks of the replicas do not raise the reply time, late replies to heartbeats do", async () => {
-  const { log, replicator, sent, setTime: at } = await leaderWithSyncedEntry();
+  const { log, replicator, sent, setTime } = await leaderWithSyncedEntry();
   void log.append([entry(2, 2)]);
   replicator.sendNew();
   for (let ms = 75; ms <= 750; ms += 75) {
-    at(ms);
+    setTime(ms);
     sent.length = 0;
     replicator.heartbeatWaiting();
-    at(ms + 20);
+    setTime(ms + 20);
     for (const answer of repliesOf(sent, 1)) replicator.handleReply(answer);
   }
   expect(replicator.answerMs).toEqual(20);
   sent.length = 0;
   replicator.heartbeatWaiting();
-  at(1270);
+  setTime(1270);
   expect(replicator.answerMs).toEqual(500);
   for (const answer of repliesOf(sent, 1)) replicator.handleReply(answer);
   expect(replicator.answerMs).toEqual(500);
