--- a/packages/core/src/configuration/configuration.test.ts
+++ b/packages/core/src/configuration/configuration.test.ts
@@ -23,7 +23,7 @@
   ],
 };
 
-test("the first rule that matches says what is owed; without one nothing is", () => {
+test("the first matching rule gives the contract; without one there is none", () => {
   expect(Configurations.contractFor(configuration, "clips/live/7")?.publishers).toEqual(["desk-*", "boss"]);
   expect(Configurations.contractFor(configuration, "clips/archive")?.keep).toEqual(900);
   expect(Configurations.contractFor(configuration, "clips/other")).toEqual(undefined);
@@ -37,7 +37,7 @@
   ]);
 });
 
-test("every problem of a configuration is named with its path", () => {
+test("every problem of a configuration is reported with its path", () => {
   const faultsOf = (value: unknown): string[] => {
     const read = ConfigurationSchema.read(documentOf(value));
     return "faults" in read ? read.faults.map((fault) => fault.path) : [];
@@ -130,7 +130,7 @@
   expect(none.filter((topic) => Configurations.isTopic(topic))).toEqual([]);
 });
 
-test("what a configuration may have (prefixes, three orders, no retention, limits, deadlines) and may not", () => {
+test("prefixes, three orders, no retention, limits and deadlines are accepted, and invalid ones are reported", () => {
   const faultsOf = (...spaces: object[]): string[] => {
     const read = ConfigurationSchema.read(documentOf({ mark: 1, spaces }));
     return "faults" in read ? read.faults.map((fault) => fault.path) : [];
@@ -150,7 +150,7 @@
     expect(faultsOf(space("a", { prefix }))).toEqual(["spaces.0.prefix"]);
   expect(faultsOf(space("a", { deadlineMs: 0 }))).toEqual(["spaces.0.deadlineMs"]);
   const rules = (...contracts: object[]): object => ({
-    program: contracts.map((one) => ({ when: {}, contract: { ...contract, ...one } })),
+    program: contracts.map((contractFields) => ({ when: {}, contract: { ...contract, ...contractFields } })),
   });
   expect(faultsOf({ name: "a", ...rules({ order: "sender" }, { order: "topic", keep: 0 }) })).toEqual([]);
   expect(faultsOf({ name: "a", ...rules({ order: "topic" }, { order: "space" }) })).toEqual([
@@ -161,7 +161,7 @@
   ]);
 });
 
-test("the reader of accepted configurations takes what the whole check takes, and distrusts every shape", () => {
+test("the reader of accepted configurations accepts what the full check accepts, and rejects every other shape", () => {
   const full = {
     version: 3,
     spaces: [space("a", { prefix: "a.", deadlineMs: 9 }, { order: "one", publishers: ["x"], maxBytes: 1 })],
@@ -196,7 +196,7 @@
   expect("faults" in ConfigurationReader.parse("{")).toEqual(true);
 });
 
-test("the whole check takes no list for an object: no node could read what was accepted", () => {
+test("the full check rejects an array in place of an object, which no node could read", () => {
   const rules = (rule: object): object => ({ mark: 1, spaces: [{ name: "a", program: [rule] }] });
   const listed: Array<[string, object]> = [
     ["limits", { mark: 1, spaces: [], limits: [] }],
--- a/packages/core/src/configuration/configuration.ts
+++ b/packages/core/src/configuration/configuration.ts
@@ -3,8 +3,9 @@
 /** `sender` and `topic` give each topic one sequence, which `topic` promises; `space` gives one to a whole space. */
 export type Order = "sender" | "topic" | "space";
 
+/** What the operators promise for topics that a rule matches. */
 export interface TopicContract {
-  /** Seconds; 0 keeps nothing. */
+  /** How long messages are kept, in seconds; 0 keeps none. */
   keep: number;
   order: Order;
   fault_budget: { machines?: number; zones?: number };
@@ -13,9 +14,9 @@
 }
 export interface Space {
   name: string;
-  /** Each topic that starts with it is the space's, unless a longer one of another space fits too. */
+  /** Topics that start with it belong to the space, unless a longer prefix of another space matches. */
   prefix?: string;
-  /** How long a call may wait. */
+  /** How long a call may wait, in milliseconds. */
   deadlineMs?: number;
   program: Array<{ when: { topic?: string; topicPrefix?: string }; contract: TopicContract }>;
 }
@@ -31,34 +32,34 @@
 }
 
 /**
- * Made at the first question about a configuration. Invariant: a configuration that was asked about is never changed.
+ * Built at the first lookup in a configuration. Invariant: a configuration is never changed after its first lookup.
  */
-const indexes = new WeakMap<Configuration, PrefixIndex<Space>>();
+const spaceIndexes = new WeakMap<Configuration, PrefixIndex<Space>>();
 
-function indexOf(configuration: Configuration): PrefixIndex<Space> {
+function spaceIndexOf(configuration: Configuration): PrefixIndex<Space> {
   const index =
-    indexes.get(configuration) ?? new PrefixIndex(configuration.spaces, (space) => Configurations.prefixOf(space));
-  indexes.set(configuration, index);
+    spaceIndexes.get(configuration) ?? new PrefixIndex(configuration.spaces, (space) => Configurations.prefixOf(space));
+  spaceIndexes.set(configuration, index);
   return index;
 }
 
-/** The operators' configuration: data, checked whole where it is put, judged by pure functions on every node. */
+/** Pure functions on the operators' configuration, which is checked in full when it is written. */
 export const Configurations = {
-  /** Of a configuration, and of the operators' document about it: 5,000 routes have about 1.2 MB. */
+  /** Largest configuration, and largest operators' document about it, in bytes: 5,000 routes take about 1.2 MB. */
   maxBytes: 4 * 1024 * 1024,
   maxSpaces: 16_384,
-  /** Bytes of a payload, and topics of a connection, where the configuration names no other limit. */
-  usualPayloadBytes: 65_536,
-  usualSubscriptions: 500,
+  /** Largest payload in bytes, and most topics of a connection, unless the configuration sets other limits. */
+  defaultPayloadBytes: 65_536,
+  defaultSubscriptions: 500,
 
-  /** What identifies a space: a space of another prefix is another space, whatever it is called. */
+  /** The prefix identifies a space: another prefix makes another space, whatever its name. */
   prefixOf(space: { name: string; prefix?: string }): string {
     return space.prefix ?? `${space.name}/`;
   },
 
   /** The space that owns a topic: the longest prefix wins. */
   spaceOf(configuration: Configuration | undefined, topic: string): Space | undefined {
-    return configuration === undefined ? undefined : indexOf(configuration).longest(topic);
+    return configuration === undefined ? undefined : spaceIndexOf(configuration).longest(topic);
   },
 
   isTopic(topic: unknown): topic is string {
@@ -67,42 +68,46 @@
 
   /** The order of the space with this prefix. Its rules may differ between `sender` and `topic` only. */
   orderOf(configuration: Configuration | undefined, prefix: string): Order | undefined {
-    return configuration === undefined ? undefined : indexOf(configuration).get(prefix)?.program[0]?.contract.order;
+    return configuration === undefined
+      ? undefined
+      : spaceIndexOf(configuration).get(prefix)?.program[0]?.contract.order;
   },
 
-  /** What the configuration owes a topic: its space's first rule that matches; undefined where none does. */
+  /** The contract of a topic: that of the first matching rule of its space; undefined if none matches. */
   contractFor(configuration: Configuration | undefined, topic: string): TopicContract | undefined {
     const space = Configurations.spaceOf(configuration, topic);
     if (space === undefined) return undefined;
-    const rest = topic.slice(Configurations.prefixOf(space).length);
+    const topicInSpace = topic.slice(Configurations.prefixOf(space).length);
     const rule = space.program.find(
-      ({ when: cond }) =>
-        (cond.topic === undefined || cond.topic === rest) &&
-        (cond.topicPrefix === undefined || rest.startsWith(cond.topicPrefix)),
+      ({ when: conditions }) =>
+        (conditions.topic === undefined || conditions.topic === topicInSpace) &&
+        (conditions.topicPrefix === undefined || topicInSpace.startsWith(conditions.topicPrefix)),
     );
     return rule?.contract;
   },
 
   /**
-   * Bytes that a message under this contract may have: the configuration's limit holds for all, whatever a contract
-   * allows.
+   * The largest payload under this contract, in bytes. The configuration's limit applies to all contracts, even to one
+   * that allows more.
    */
   maxPayload(configuration: Configuration | undefined, contract: TopicContract): number {
     return Math.min(
-      contract.maxBytes ?? Configurations.usualPayloadBytes,
+      contract.maxBytes ?? Configurations.defaultPayloadBytes,
       configuration?.limits?.payloadBytes ?? Infinity,
     );
   },
 
-  /** Topics that one connection may have. */
+  /** The most topics of one connection. */
   maxSubscriptions(configuration: Configuration | undefined): number {
-    return configuration?.limits?.subscriptions ?? Configurations.usualSubscriptions;
+    return configuration?.limits?.subscriptions ?? Configurations.defaultSubscriptions;
   },
 
   mayPublish(contract: TopicContract, session: string): boolean {
     return (
       contract.publishers === undefined ||
-      contract.publishers.some((one) => one === session || (one.endsWith("*") && session.startsWith(one.slice(0, -1))))
+      contract.publishers.some(
+        (pattern) => pattern === session || (pattern.endsWith("*") && session.startsWith(pattern.slice(0, -1))),
+      )
     );
   },
 };
--- a/packages/core/src/configuration/configurationDocument.ts
+++ b/packages/core/src/configuration/configurationDocument.ts
@@ -1,8 +1,8 @@
 import type { Configuration, Space, TopicContract } from "./configuration.js";
 
 /**
- * Field names of a configuration in API v1, and so also in the store and in the archive. They are older than the
- * code's terms and rest in stored values whose digests are compared: they never change.
+ * Field names of a configuration in API v1, and so also in the store and in the archive. They differ from the code's
+ * terms and never change, because they are part of stored values whose digests are compared.
  */
 export const documentFields = { version: "mark", contract: "owe" } as const;
 
@@ -17,9 +17,9 @@
 };
 
 /** An earlier word for the order `space`, still accepted. */
-const earlierSpaceOrder = "one";
+const legacySpaceOrder = "one";
 
-/** The configuration that a document of a checked shape stands for. */
+/** Converts a document whose shape was checked. */
 export function fromDocument(document: ConfigurationDocument): Configuration {
   const { [documentFields.version]: version, spaces, ...rest } = document;
   return { version, ...rest, spaces: spaces.map(spaceFrom) };
@@ -36,11 +36,11 @@
 }
 
 function contractFrom(contract: RuleDocument[typeof documentFields.contract]): TopicContract {
-  const order = contract.order === earlierSpaceOrder ? "space" : contract.order;
+  const order = contract.order === legacySpaceOrder ? "space" : contract.order;
   return { ...contract, order: order as TopicContract["order"] };
 }
 
-/** The document of a configuration; fields keep the order in which the configuration has them. */
+/** Converts a configuration to its document; fields keep their order. */
 export function toDocument({ version, ...rest }: Configuration): ConfigurationDocument {
   const spaces = rest.spaces.map(({ program, ...space }) => ({
     ...space,
--- a/packages/core/src/configuration/configurationReader.ts
+++ b/packages/core/src/configuration/configurationReader.ts
@@ -3,71 +3,75 @@
 
 type Check = (value: unknown, path: string) => ConfigurationFault | undefined;
 
-const text: Check = (value, path) => (typeof value === "string" ? undefined : { path, problem: "must be a string" });
-const number: Check = (value, path) => (Number.isFinite(value) ? undefined : { path, problem: "must be a number" });
-const version: Check = (value, path) =>
-  Number.isSafeInteger(value) && (value as number) > 0 ? undefined : { path, problem: "must be a mark" };
-const order: Check = (value, path) =>
+const checkString: Check = (value, path) =>
+  typeof value === "string" ? undefined : { path, problem: "must be a string" };
+const checkNumber: Check = (value, path) =>
+  Number.isFinite(value) ? undefined : { path, problem: "must be a number" };
+const checkVersion: Check = (value, path) =>
+  Number.isSafeInteger(value) && (value as number) > 0
+    ? undefined
+    : { path, problem: "must be a positive whole number" };
+const checkOrder: Check = (value, path) =>
   ["sender", "topic", "space", "one"].includes(value as string) ? undefined : { path, problem: "must be an order" };
 
-function list(check: Check): Check {
+function checkArray(check: Check): Check {
   return (value, path) => {
     if (!Array.isArray(value)) return { path, problem: "must be an array" };
-    for (const [i, one] of value.entries()) {
-      const fault = check(one, `${path}.${i}`);
+    for (const [i, element] of value.entries()) {
+      const fault = check(element, `${path}.${i}`);
       if (fault !== undefined) return fault;
     }
     return undefined;
   };
 }
 
-/** Keys that end with a question version may be absent; no others may be there. */
-function record(fields: Record<string, Check>): Check {
+/** Keys that end with a question mark are optional; keys that are not listed are faults. */
+function checkObject(fields: Record<string, Check>): Check {
   const checks = new Map(Object.entries(fields).map(([key, check]) => [key.replace("?", ""), check]));
-  const needed = Object.keys(fields).filter((key) => !key.endsWith("?"));
+  const required = Object.keys(fields).filter((name) => !name.endsWith("?"));
   return (value, path) => {
     if (typeof value !== "object" || value === null || Array.isArray(value))
       return { path, problem: "must be an object" };
-    const within = (key: string): string => (path === "" ? key : `${path}.${key}`);
-    const absent = needed.find((key) => !Object.hasOwn(value, key));
-    if (absent !== undefined) return { path: within(absent), problem: "is missing" };
-    for (const [key, one] of Object.entries(value)) {
+    const pathOf = (key: string): string => (path === "" ? key : `${path}.${key}`);
+    const missing = required.find((key) => !Object.hasOwn(value, key));
+    if (missing !== undefined) return { path: pathOf(missing), problem: "is missing" };
+    for (const [key, field] of Object.entries(value)) {
       const fault = checks.has(key)
-        ? checks.get(key)!(one, within(key))
-        : { path: within(key), problem: "is not known to this version" };
+        ? checks.get(key)!(field, pathOf(key))
+        : { path: pathOf(key), problem: "is not known to this version" };
       if (fault !== undefined) return fault;
     }
     return undefined;
   };
 }
 
-const configurationCheck = record({
-  [documentFields.version]: version,
-  spaces: list(
-    record({
-      name: text,
-      "prefix?": text,
-      "deadlineMs?": number,
-      program: list(
-        record({
-          when: record({ "topic?": text, "topicPrefix?": text }),
-          [documentFields.contract]: record({
-            keep: number,
-            order,
-            fault_budget: record({ "machines?": number, "zones?": number }),
-            "publishers?": list(text),
-            "maxBytes?": number,
+const configurationCheck = checkObject({
+  [documentFields.version]: checkVersion,
+  spaces: checkArray(
+    checkObject({
+      name: checkString,
+      "prefix?": checkString,
+      "deadlineMs?": checkNumber,
+      program: checkArray(
+        checkObject({
+          when: checkObject({ "topic?": checkString, "topicPrefix?": checkString }),
+          [documentFields.contract]: checkObject({
+            keep: checkNumber,
+            order: checkOrder,
+            fault_budget: checkObject({ "machines?": checkNumber, "zones?": checkNumber }),
+            "publishers?": checkArray(checkString),
+            "maxBytes?": checkNumber,
           }),
         }),
       ),
     }),
   ),
-  "limits?": record({ "subscriptions?": number, "payloadBytes?": number }),
+  "limits?": checkObject({ "subscriptions?": checkNumber, "payloadBytes?": checkNumber }),
 });
 
 /**
- * Reads configurations that were checked when they were put, on every node and without a library: only whether the data
- * has the shape that this version knows.
+ * Reads configurations that were checked in full when they were written. Checks only whether the data has the shape
+ * that this version knows, on every node and without a library.
  */
 export const ConfigurationReader = {
   read(value: unknown): ConfigurationRead {
@@ -75,7 +79,7 @@
     return fault === undefined ? { configuration: fromDocument(value as ConfigurationDocument) } : { faults: [fault] };
   },
 
-  /** Whatever the text is. */
+  /** Reads any text; text that is not JSON is a fault. */
   parse(configuration: string): ConfigurationRead {
     try {
       return ConfigurationReader.read(JSON.parse(configuration));
--- a/packages/core/src/configuration/configurationSchema.ts
+++ b/packages/core/src/configuration/configurationSchema.ts
@@ -3,14 +3,13 @@
 import { documentFields } from "./configurationDocument.js";
 import { ConfigurationReader } from "./configurationReader.js";
 
-/** Versions are exact in a double. */
+/** Up to here versions are exact in a double. */
 const maxVersion = Number.MAX_SAFE_INTEGER;
 /** Ten years. */
 const maxRetentionSeconds = 315_360_000;
 const maxPayloadBytes = 262_144;
 
-const wholeNumber = (least: number, most: number) =>
-  v.pipe(v.number(), v.integer(), v.minValue(least), v.maxValue(most));
+const wholeNumber = (min: number, max: number) => v.pipe(v.number(), v.integer(), v.minValue(min), v.maxValue(max));
 const shortText = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 
 const contract = v.strictObject({
@@ -49,22 +48,22 @@
 });
 
 /**
- * The whole check of an operator's configuration: every problem with its path. Its library is one that is loaded in
- * milliseconds, for a control node stands still meanwhile.
+ * The full check of an operator's configuration, which reports every problem with its path. The library was chosen
+ * because it loads within milliseconds: a control node is blocked meanwhile.
  */
 export const ConfigurationSchema = {
   read(value: unknown): ConfigurationRead {
     const checked = v.safeParse(configurationType, value);
     if (!checked.success) return { faults: checked.issues.map(faultOf) };
-    // The schema takes a list for an object; no node could read that configuration.
+    // The schema accepts an array as an object; no node could read such a configuration.
     const read = ConfigurationReader.read(value);
     if ("faults" in read) return read;
     const { configuration } = read;
-    const faults = [...sameSpaces(configuration.spaces), ...configuration.spaces.flatMap(mixedRules)];
+    const faults = [...duplicateSpaces(configuration.spaces), ...configuration.spaces.flatMap(conflictingRules)];
     return faults.length > 0 ? { faults } : { configuration };
   },
 
-  /** Whatever the text is. */
+  /** Checks any text; text that is not JSON is a fault. */
   parse(text: string): ConfigurationRead {
     try {
       return ConfigurationSchema.read(JSON.parse(text));
@@ -78,37 +77,42 @@
   return { path: v.getDotPath(issue) ?? "", problem: issue.message };
 }
 
-function sameSpaces(spaces: readonly Space[]): ConfigurationFault[] {
+function duplicateSpaces(spaces: readonly Space[]): ConfigurationFault[] {
   const faults: ConfigurationFault[] = [];
   const names = new Set<string>();
   const prefixes = new Set<string>();
   spaces.forEach((space, i) => {
     const prefix = Configurations.prefixOf(space);
     if (names.has(space.name))
-      faults.push({ path: `spaces.${i}.name`, problem: `a second space is called ${space.name}` });
+      faults.push({ path: `spaces.${i}.name`, problem: `another space already has the name ${space.name}` });
     else if (prefixes.has(prefix))
-      faults.push({ path: `spaces.${i}.prefix`, problem: `a second space has the prefix ${prefix}` });
+      faults.push({ path: `spaces.${i}.prefix`, problem: `another space already has the prefix ${prefix}` });
     names.add(space.name);
     prefixes.add(prefix);
   });
   return faults;
 }
 
-/** A space is one stream or a stream a topic; and one stream is kept or not as a whole. */
-function mixedRules({ program }: Space, i: number): ConfigurationFault[] {
+/** A space is either one stream or one stream for each topic; and a stream is kept or not as a whole. */
+function conflictingRules({ program }: Space, i: number): ConfigurationFault[] {
   const first = program[0]!.contract;
-  const isWhole = first.order === "space";
+  const isOneStream = first.order === "space";
   return program.flatMap(({ contract: { order, keep } }, j) => {
     const path = `spaces.${i}.program.${j}.${documentFields.contract}`;
-    if ((order === "space") !== isWhole)
+    if ((order === "space") !== isOneStream)
       return [
         {
           path: `${path}.order`,
           problem: `must be ${first.order}, as in the space's first rule: a space has one order`,
         },
       ];
-    if (isWhole && (keep === 0) !== (first.keep === 0))
-      return [{ path: `${path}.keep`, problem: "a space of order space keeps under all its rules, or under none" }];
+    if (isOneStream && (keep === 0) !== (first.keep === 0))
+      return [
+        {
+          path: `${path}.keep`,
+          problem: "a space of order space must keep messages under all of its rules or under none",
+        },
+      ];
     return [];
   });
 }
--- a/packages/core/src/configuration/configurationVerifier.ts
+++ b/packages/core/src/configuration/configurationVerifier.ts
@@ -1,30 +1,30 @@
 import type { InvariantMonitor } from "../runtime/invariantMonitor.js";
 
 /**
- * The newest revision of the configuration that this process has seen: committed, read, or told by its feed.
- * Invariant: no confirmed read that begins afterwards gives an older one; one that does is not to be believed.
+ * Tracks the newest revision of the configuration that this process has committed, read, or received by its feed.
+ * Invariant: no confirmed read that begins afterwards returns an older one; such a result must not be used.
  */
 export class ConfigurationVerifier {
   readonly #invariants: Pick<InvariantMonitor, "violated">;
-  readonly #followed: () => number;
-  #seen = 0;
+  readonly #revisionInForce: () => number;
+  #newestSeen = 0;
 
-  /** `followed` is the revision of the configuration in force on this node. */
-  constructor(invariants: Pick<InvariantMonitor, "violated">, followed: () => number) {
+  /** `revisionInForce` gives the revision of the configuration in force on this node. */
+  constructor(invariants: Pick<InvariantMonitor, "violated">, revisionInForce: () => number) {
     this.#invariants = invariants;
-    this.#followed = followed;
+    this.#revisionInForce = revisionInForce;
   }
 
-  /** What a read that begins now must reach. */
+  /** The least revision that a read that begins now must return. */
   get bound(): number {
-    return Math.max(this.#seen, this.#followed());
+    return Math.max(this.#newestSeen, this.#revisionInForce());
   }
 
   saw(revision: number): void {
-    this.#seen = Math.max(this.#seen, revision);
+    this.#newestSeen = Math.max(this.#newestSeen, revision);
   }
 
-  /** Whether a read that began when `bound` was this gives a configuration that may be believed; 0 for none. */
+  /** Whether a read that began at this `bound` returned a current revision; 0 stands for no configuration. */
   isCurrent(bound: number, revision: number): boolean {
     if (revision < bound) {
       this.#invariants.violated("configurationRead", { bound, revision });
--- a/packages/core/src/configuration/configurationView.ts
+++ b/packages/core/src/configuration/configurationView.ts
@@ -12,7 +12,7 @@
 
 /**
  * The configuration in force on this node, and its spaces' incarnations.
- * Invariants: the version only rises; configuration and incarnations are taken up together, those of one version.
+ * Invariants: the version only rises; configuration and incarnations of one version come into force together.
  */
 export class ConfigurationView extends EventEmitter<{ changed: [] }> {
   configuration: Configuration | undefined;
@@ -23,21 +23,21 @@
   fault = "";
   #incarnations: IncarnationsRecord | undefined;
   readonly #invariants: Pick<InvariantMonitor, "violated"> | undefined;
-  #next: { configuration: Configuration; text: string; revision: number } | undefined;
-  #nextIncarnations: IncarnationsRecord | undefined;
+  #pendingConfiguration: { configuration: Configuration; text: string; revision: number } | undefined;
+  #pendingIncarnations: IncarnationsRecord | undefined;
 
   constructor(journal: ChangeJournal<Change>, invariants?: Pick<InvariantMonitor, "violated">) {
     super();
     this.#invariants = invariants;
     this.setMaxListeners(0);
-    journal.fold((change) => this.#fold(change));
+    journal.subscribe((change) => this.#handleChange(change));
   }
 
   get version(): number {
     return this.configuration?.version ?? 0;
   }
 
-  /** Where a topic's messages go; undefined where this node knows no such space. */
+  /** The stream of a topic; undefined if this node knows no space for it. */
   route(topic: string): StreamRoute | undefined {
     return Streams.route(this.configuration, this.#incarnations, topic);
   }
@@ -46,49 +46,49 @@
   reached(version: number, clock: Clock, timeoutMs: number): Promise<void> {
     if (this.version >= version) return Promise.resolve();
     return new Promise((resolve) => {
-      const look = (): void => {
-        if (this.version >= version) end();
+      const onChanged = (): void => {
+        if (this.version >= version) finish();
       };
-      const end = (): void => {
+      const finish = (): void => {
         timer.stop();
-        this.off("changed", look);
+        this.off("changed", onChanged);
         resolve();
       };
-      const timer = clock.once(timeoutMs, end);
-      this.on("changed", look);
+      const timer = clock.once(timeoutMs, finish);
+      this.on("changed", onChanged);
     });
   }
 
-  /** Whether messages of the stream outlive the leader that took them, by the configuration in force here. */
+  /** Whether messages of the stream outlive the leader that accepted them, by the configuration in force here. */
   isKept(stream: string): boolean {
     return !keepsNothing(this.configuration, stream);
   }
 
   /**
-   * The space's incarnation that a stream must have to be in force; undefined where the configuration has no such
-   * stream.
+   * The space incarnation that a stream must have to be in force; undefined if the configuration has no such stream.
    */
   spaceIncarnationOf(stream: string): number | undefined {
     return Streams.spaceIncarnationIn(this.configuration, this.#incarnations, stream);
   }
 
-  #fold(change: Change): void {
+  #handleChange(change: Change): void {
     if (change.value === undefined) return;
-    if (change.key === IncarnationsKey.name) this.#nextIncarnations = IncarnationsKey.read(change.value);
-    else if (change.key === ConfigurationKey.name) this.#read(Buffer.from(change.value).toString(), change.revision);
+    if (change.key === IncarnationsKey.name) this.#pendingIncarnations = IncarnationsKey.read(change.value);
+    else if (change.key === ConfigurationKey.name)
+      this.#readConfiguration(Buffer.from(change.value).toString(), change.revision);
     else return;
-    this.#takeUp();
+    this.#applyPending();
   }
 
-  #read(text: string, revision: number): void {
+  #readConfiguration(text: string, revision: number): void {
     const read = ConfigurationReader.parse(text);
     if ("faults" in read) this.fault = `cannot read the plan: ${read.faults[0]!.path} ${read.faults[0]!.problem}`;
-    else this.#next = { configuration: read.configuration, text, revision };
+    else this.#pendingConfiguration = { configuration: read.configuration, text, revision };
   }
 
-  #takeUp(): void {
-    const next = this.#next;
-    const incarnations = this.#nextIncarnations;
+  #applyPending(): void {
+    const next = this.#pendingConfiguration;
+    const incarnations = this.#pendingIncarnations;
     if (next === undefined || incarnations?.version !== next.configuration.version) return;
     if (next.configuration.version < this.version)
       this.#invariants?.violated("configurationVersion", {
--- a/packages/core/src/configuration/contentDigest.ts
+++ b/packages/core/src/configuration/contentDigest.ts
@@ -1,8 +1,8 @@
 import { createHash } from "node:crypto";
 
 /**
- * What a digest is of; the texts are hashed with the content. They rest in the store beside acknowledged versions and
- * never change, whatever the code calls these contents.
+ * The kinds of hashed content. The texts are hashed with the content, and the digests are stored with acknowledged
+ * versions, so the texts never change, whatever the code calls these contents.
  */
 export const contentKind = { configuration: "plan", document: "document" } as const;
 
@@ -10,7 +10,7 @@
 
 /**
  * SHA-256 over what an operator sent, in canonical form: equal for JSON texts that differ only in white space, the
- * order of an object's keys and the spelling of numbers and strings. What is no JSON is taken byte for byte.
+ * order of an object's keys and the spelling of numbers and strings. Content that is not JSON is hashed byte for byte.
  * A configuration alone and a document about a configuration never have the same digest.
  */
 export function contentDigest(kind: ContentKind, bytes: Uint8Array): Uint8Array {
--- a/packages/core/src/configuration/documentBuilder.ts
+++ b/packages/core/src/configuration/documentBuilder.ts
@@ -4,8 +4,8 @@
 const fieldNames = new Map<string, string>(Object.entries(documentFields));
 
 /**
- * For tests: what an operator sends for a configuration, also for one that is broken on purpose. Fields are renamed
- * wherever they stand, and keep their order.
+ * For tests: the document that an operator sends for a configuration, which may be invalid on purpose. Fields are
+ * renamed at every depth and keep their order.
  */
 export function documentOf(value: unknown): unknown {
   if (Array.isArray(value)) return value.map(documentOf);
@@ -15,7 +15,7 @@
   );
 }
 
-/** The same as JSON text. */
+/** The document as JSON text. */
 export function documentTextOf(configuration: unknown): string {
   return JSON.stringify(documentOf(configuration));
 }
--- a/packages/core/src/configuration/incarnation.test.ts
+++ b/packages/core/src/configuration/incarnation.test.ts
@@ -6,7 +6,7 @@
 const logId = "0123456789";
 const memoryId = "abcdefabcdef0000";
 
-test("an incarnation in memory names the end of the log that it follows on", () => {
+test("an incarnation in memory contains the end of the log that it continues", () => {
   const inMemory = Incarnations.inMemory({ identity: logId, seq: 300 }, memoryId);
   expect(inMemory).toEqual("12c-0123456789abcdefabcd");
   expect([inMemory, Streams.incarnation(0, memoryId), "9-a1b2c3"].map(Incarnations.isInMemory)).toEqual([
@@ -20,7 +20,7 @@
     expect(Incarnations.logPosition(text, 1)).toEqual(undefined);
 });
 
-test("a log is known by its identity, whatever release named it; a stream without one has its own", () => {
+test("a log is recognised by its identity, whatever release named it; a stream without one has its own", () => {
   expect(Incarnations.isSame(`2a-${logId}`, Incarnations.inLog(logId))).toEqual(true);
   expect(Incarnations.isSame(`2a-${logId}`, "2a-0123456788")).toEqual(false);
   const inMemory = Incarnations.inMemory({ identity: logId, seq: 1 }, memoryId);
--- a/packages/core/src/configuration/keepsNothing.ts
+++ b/packages/core/src/configuration/keepsNothing.ts
@@ -1,7 +1,7 @@
 import { Configurations, type Configuration } from "./configuration.js";
 import { Streams } from "./streams.js";
 
-/** Whether a stream lives in its leader's memory alone: all that the configuration owes in it is kept for no time. */
+/** Whether a stream lives only in its leader's memory, because all of its contracts keep messages for 0 seconds. */
 export function keepsNothing(configuration: Configuration | undefined, stream: string): boolean {
   const topic = Streams.topicOf(stream);
   if (!Streams.isWhole(configuration, stream)) return Configurations.contractFor(configuration, topic)?.keep === 0;
--- a/packages/core/src/configuration/prefixIndex.test.ts
+++ b/packages/core/src/configuration/prefixIndex.test.ts
@@ -5,8 +5,8 @@
 const letters = ["", "a", "b", "a.", "b.", "ab"];
 const prefixes = letters.flatMap((one) => letters.flatMap((two) => letters.map((three) => `${one}${two}${three}`)));
 
-/** What the index stands for: a walk over all items, of which the first with the longest prefix counts. */
-function walk(items: readonly string[], text: string, maxLength: number): string | undefined {
+/** Reference for the index: scans all items; the first with the longest prefix counts. */
+function longestByScan(items: readonly string[], text: string, maxLength: number): string | undefined {
   const fitting = items.filter((prefix) => text.startsWith(prefix) && prefix.length <= maxLength);
   return fitting.reduce<string | undefined>(
     (best, prefix) => (best === undefined || prefix.length > best.length ? prefix : best),
@@ -14,13 +14,13 @@
   );
 }
 
-test("the index finds what a walk over all prefixes finds, for every text and length", () => {
+test("the index finds what a scan of all prefixes finds, for every text and length", () => {
   for (let step = 1; step < 40; step += 1) {
     const items = prefixes.filter((_, i) => (i * 7 + step) % step === 0 || i % (step + 2) === 0);
     const index = new PrefixIndex(items, (prefix) => prefix);
     for (const text of prefixes.map((prefix) => `${prefix}b.a`)) {
-      expect(index.longest(text)).toEqual(walk(items, text, Infinity));
-      expect(index.longest(text, text.length - 2)).toEqual(walk(items, text, text.length - 2));
+      expect(index.longest(text)).toEqual(longestByScan(items, text, Infinity));
+      expect(index.longest(text, text.length - 2)).toEqual(longestByScan(items, text, text.length - 2));
       const all = [...new Set(items.filter((prefix) => text.startsWith(prefix)))];
       expect([...index.all(text)]).toEqual(all.sort((a, b) => b.length - a.length));
     }
--- a/packages/core/src/configuration/prefixIndex.ts
+++ b/packages/core/src/configuration/prefixIndex.ts
@@ -1,6 +1,6 @@
 /**
- * Finds the longest of many prefixes that a text starts with: one look-up for each length that some prefix has,
- * however many prefixes there are. Of two items with one prefix the first counts.
+ * Finds the longest of many prefixes that a text starts with. A search takes one lookup for each distinct prefix
+ * length, however many prefixes there are. Of two items with the same prefix the first counts.
  */
 export class PrefixIndex<Item> {
   readonly #items = new Map<string, Item>();
@@ -20,7 +20,7 @@
     return this.#items.get(prefix);
   }
 
-  /** The item with the longest prefix of a text among those up to a length. */
+  /** The item with the longest prefix that the text starts with, among prefixes of at most `maxLength` characters. */
   longest(text: string, maxLength = text.length): Item | undefined {
     for (const length of this.#lengths) {
       if (length > maxLength || length > text.length) continue;
--- a/packages/core/src/configuration/streams.test.ts
+++ b/packages/core/src/configuration/streams.test.ts
@@ -7,11 +7,11 @@
 import { ConfigurationReader } from "./configurationReader.js";
 import { Streams, type StreamRoute } from "./streams.js";
 
-/** The orders of prefixes; a space whose order is marked so keeps nothing. */
+/** The orders of spaces by prefix; a space marked `unkept` keeps no messages. */
 type Spaces = Record<string, Order | `${Order}, unkept`>;
 
-/** A configuration and its incarnations after the ones before. */
-class MemoryIncarnation {
+/** A configuration and its incarnations, derived from those of the version before. */
+class RoutingState {
   configuration: Configuration | undefined;
   incarnations: IncarnationsRecord | undefined;
 
@@ -38,8 +38,8 @@
   }
 }
 
-/** A stream of drawn numbers below a bound, the same for the same seed. */
-function drawing(seed: number): (below: number) => number {
+/** A deterministic source of whole numbers below a bound. */
+function seededRandom(seed: number): (below: number) => number {
   let state = seed;
   return (below) => {
     state = (state * 48271) % 2147483647;
@@ -48,7 +48,7 @@
 }
 
 test("a topic is a stream of its own, and under order `space` the whole space is one", () => {
-  const incarnation = new MemoryIncarnation().put(1, { "a.": "topic", "b:": "space", "c/": "sender" });
+  const incarnation = new RoutingState().put(1, { "a.": "topic", "b:": "space", "c/": "sender" });
   expect(incarnation.route("a.1:2")).toEqual({ stream: "0:a.1:2", space: "a.", spaceIncarnation: 0 });
   expect(incarnation.route("b:7")).toEqual({ stream: "2:b:", space: "b:", spaceIncarnation: 1 });
   expect(incarnation.route("c/")?.stream).toEqual("0:c/");
@@ -71,8 +71,8 @@
   const kinds: Array<Spaces[string]> = ["topic", "sender", "topic, unkept", "sender, unkept"];
   const prefixes = ["a", "a/", "a/b", "a/b/", "a/b/c", "constructor", "__proto__"];
   const topics = ["a/b/c/d", "a/b/x", "a/y", "constructor", "__proto__"];
-  const draw = drawing(7);
-  const incarnation = new MemoryIncarnation();
+  const draw = seededRandom(7);
+  const incarnation = new RoutingState();
   let routedCount = 0;
   for (let version = 1; version <= 1000; version += 1) {
     const spaces: Spaces = Object.create(null) as Spaces;
@@ -87,7 +87,7 @@
       expect([route.stream, route.spaceIncarnation]).toEqual([`0:${topic}`, 0]);
       expect(incarnation.incarnationOf(route.stream)).toEqual(0);
     }
-    // What a version costs does not grow with the versions before it.
+    // The size of the record does not grow with the number of earlier versions.
     const { spaces: whole, nested, roots } = incarnation.incarnations!;
     expect([Object.keys(whole), nested, Object.keys(roots)]).toEqual([[], [], []]);
   }
@@ -97,7 +97,7 @@
 // Guards against LOST after an upgrade: the streams of an earlier release keep the names that it gave them.
 test("topics of an earlier release keep their streams' names, whatever routes come and go", () => {
   const stored = '{"mark":9,"spaces":{"a/":1,"a/b/":1,"c/":4,"w/":7},"ended":{"a/x/":3},"roots":{"a/b/":"a/"}}';
-  const incarnation = new MemoryIncarnation();
+  const incarnation = new RoutingState();
   incarnation.incarnations = IncarnationsKey.read(Buffer.from(stored))!;
   const names = (): Array<string | undefined> =>
     ["a/1", "a/b/1", "c/d/1", "e/1"].map((topic) => incarnation.route(topic)?.stream);
@@ -111,8 +111,8 @@
   expect(names()).toEqual(first);
 });
 
-test("a space that is one stream begins anew with topics that come back to it", () => {
-  const incarnation = new MemoryIncarnation().put(1, { "a/": "space" }).put(5, { "a/": "space", "a/b/": "topic" });
+test("a space that is one stream gets a new incarnation when topics come back to it", () => {
+  const incarnation = new RoutingState().put(1, { "a/": "space" }).put(5, { "a/": "space", "a/b/": "topic" });
   expect([incarnation.incarnationOf("2:a/"), incarnation.route("a/b/1")?.stream]).toEqual([1, "0:a/b/1"]);
   incarnation.put(7, { "a/": "space", "a/b/": "topic", "a/b/c/": "space" });
   expect(incarnation.incarnationOf("2:a/")).toEqual(1);
@@ -127,8 +127,8 @@
   const prefixes = ["a", "a/", "a/b", "a/b/", "a/b/c", "constructor", "__proto__"];
   const topics = ["a/b/c/d", "a/b/x", "a/y", "constructor", "__proto__"];
   const kinds: Array<Spaces[string]> = ["topic", "topic", "sender", "topic, unkept", "space"];
-  const draw = drawing(7);
-  const incarnation = new MemoryIncarnation();
+  const draw = seededRandom(7);
+  const incarnation = new RoutingState();
   const last = new Map<string, StreamRoute>();
   const left = new Set<string>();
   let orders: Spaces = Object.create(null) as Spaces;
@@ -166,17 +166,14 @@
   test(`spaces removed within another one leave its topics as they are, however many (${kind})`, () => {
     const outer: Spaces = { "a/": "topic" };
     const inner = Object.fromEntries(Array.from({ length: 600 }, (_, i) => [`a/${i}/`, kind] as const));
-    const incarnation = new MemoryIncarnation().put(1, outer).put(2, { ...outer, ...inner });
+    const incarnation = new RoutingState().put(1, outer).put(2, { ...outer, ...inner });
     expect(incarnation.put(3, outer).route("a/x")).toEqual({ stream: "0:a/x", space: "a/", spaceIncarnation: 0 });
     expect(incarnation.route("a/7/x")).toEqual({ stream: "0:a/7/x", space: "a/", spaceIncarnation: 0 });
     expect(Object.keys(incarnation.put(4, {}).incarnations!.spaces)).toEqual([]);
   });
 
-test("incarnations under keys that objects have by nature, and bytes that are no incarnations", () => {
-  const incarnation = new MemoryIncarnation().put(
-    3,
-    JSON.parse(`{"constructor":"space","__proto__":"space"}`) as Spaces,
-  );
+test("incarnations under names of inherited object properties, and bytes that are no incarnations", () => {
+  const incarnation = new RoutingState().put(3, JSON.parse(`{"constructor":"space","__proto__":"space"}`) as Spaces);
   expect([
     incarnation.route("constructor1")?.spaceIncarnation,
     incarnation.route("__proto__1")?.spaceIncarnation,
--- a/packages/core/src/configuration/streams.ts
+++ b/packages/core/src/configuration/streams.ts
@@ -2,27 +2,27 @@
 import { PrefixIndex } from "./prefixIndex.js";
 import { Configurations, type Order, type Configuration } from "./configuration.js";
 
-/** Where a topic's messages go: a pure function of the topic, its space's order and the incarnations. */
+/** The stream of a topic: a pure function of the topic, the configuration and the incarnations. */
 export interface StreamRoute {
   stream: string;
   /** The space's prefix. */
   space: string;
-  /** Where the whole space is one stream, since which version it has its topics; 0 for a topic's own stream. */
+  /** If the whole space is one stream, the version since which it has its topics; 0 for a topic's own stream. */
   spaceIncarnation: number;
 }
 
 /**
  * The unit of order, sequence, following and cursor: a topic or, where its space's order is `space`, the whole
- * space. A topic's stream is named after the topic alone: routes say how it is kept, for how long, and whether it may
- * be used, never which stream it is. The name of a whole space's stream has the length of the space's prefix; streams
- * that an earlier release made keep the length that they were named with (`IncarnationsRecord.roots`).
+ * space. A topic's stream is named after the topic alone: routes decide whether it may be used and how long it is
+ * kept, never which stream it is. The name of a whole space's stream contains the length of the space's prefix; streams
+ * of an earlier release keep the length in their name (`IncarnationsRecord.roots`).
  */
 export const Streams = {
   of(root: string, topic: string, order: Order): string {
     return `${root.length}:${order === "space" ? root : topic}`;
   },
 
-  /** The prefix that the stream's name has the length of; empty for a topic's own stream. */
+  /** The prefix whose length is in the stream's name; empty for a topic's own stream. */
   rootOf(stream: string): string {
     return Streams.topicOf(stream).slice(0, Number.parseInt(stream, 10) || 0);
   },
@@ -32,16 +32,16 @@
     return stream.slice(stream.indexOf(":") + 1);
   },
 
-  /** Undefined where this configuration has no space for the topic. */
+  /** The stream of a topic; undefined if this configuration has no space for it. */
   route(
     configuration: Configuration | undefined,
     incarnations: IncarnationsRecord | undefined,
     topic: string,
   ): StreamRoute | undefined {
-    const found = Configurations.spaceOf(configuration, topic);
-    const order = found?.program[0]?.contract.order;
-    if (found === undefined || order === undefined || incarnations === undefined) return undefined;
-    const space = Configurations.prefixOf(found);
+    const owner = Configurations.spaceOf(configuration, topic);
+    const order = owner?.program[0]?.contract.order;
+    if (owner === undefined || order === undefined || incarnations === undefined) return undefined;
+    const space = Configurations.prefixOf(owner);
     if (order !== "space") {
       const root = earlierRootsIn(incarnations)?.longest(topic)?.[1] ?? "";
       return { stream: Streams.of(root, topic, order), space, spaceIncarnation: 0 };
@@ -51,14 +51,13 @@
     return { stream: Streams.of(space, topic, order), space, spaceIncarnation: spaces[space]! };
   },
 
-  /** Whether this configuration has the stream for all of its space's topics. */
+  /** Whether this configuration makes the stream's whole space one stream. */
   isWhole(configuration: Configuration | undefined, stream: string): boolean {
     return orderOf(configuration, stream) === "space";
   },
 
   /**
-   * The space's incarnation that a stream must have to be in force; undefined where the configuration has no such
-   * stream.
+   * The space incarnation that a stream must have to be in force; undefined if the configuration has no such stream.
    */
   spaceIncarnationIn(
     configuration: Configuration | undefined,
@@ -70,17 +69,17 @@
   },
 
   /**
-   * The incarnation of a stream in the log: its space's, 1 for a topic's own stream, and something that no other stream
-   * and no later life of this one has.
+   * The incarnation of a stream in the log: the space incarnation (1 for a topic's own stream) and a random identity
+   * that no other stream and no later incarnation of this one has.
    */
   incarnation(spaceIncarnation: number, identity: string): string {
     return `${Math.max(1, spaceIncarnation).toString(16)}-${identity.slice(0, 10)}`;
   },
 
-  /** The incarnation of the space in a stream's incarnation; 0 where it is none of ours. */
+  /** The space incarnation in a stream's incarnation; 0 if the text has another format. */
   spaceIncarnationOf(incarnation: string): number {
-    const found = /^([0-9a-f]{1,14})-[0-9a-f]{6,20}$/.exec(incarnation);
-    return found === null ? 0 : Number.parseInt(found[1]!, 16);
+    const match = /^([0-9a-f]{1,14})-[0-9a-f]{6,20}$/.exec(incarnation);
+    return match === null ? 0 : Number.parseInt(match[1]!, 16);
   },
 };
 
@@ -90,16 +89,16 @@
 
 type EarlierRoot = readonly [prefix: string, root: string];
 
-/** Made at the first question about incarnations. Invariant: incarnations that were asked about are never changed. */
-const indexes = new WeakMap<IncarnationsRecord, PrefixIndex<EarlierRoot>>();
+/** Built at the first lookup in incarnations. Invariant: incarnations are never changed after their first lookup. */
+const earlierRootIndexes = new WeakMap<IncarnationsRecord, PrefixIndex<EarlierRoot>>();
 
-/** Undefined where no stream is of an earlier release. */
+/** The roots of streams of an earlier release, by prefix; undefined if there are none. */
 function earlierRootsIn(incarnations: IncarnationsRecord): PrefixIndex<EarlierRoot> | undefined {
-  const known = indexes.get(incarnations);
-  if (known !== undefined) return known;
+  const cached = earlierRootIndexes.get(incarnations);
+  if (cached !== undefined) return cached;
   const roots = Object.entries(incarnations.roots);
   if (roots.length === 0) return undefined;
   const index = new PrefixIndex<EarlierRoot>(roots, ([prefix]) => prefix);
-  indexes.set(incarnations, index);
+  earlierRootIndexes.set(incarnations, index);
   return index;
 }
--- a/packages/core/src/feeds/changeJournal.ts
+++ b/packages/core/src/feeds/changeJournal.ts
@@ -1,35 +1,40 @@
 import { EventEmitter } from "node:events";
 
 /**
- * Events in the order they happened, in memory; views are folded from them.
+ * The most recent events in memory, in order, and the views that are built from them.
  * Invariant: an event is appended before any view sees it, and all views see the same order.
  */
 export class ChangeJournal<Event> extends EventEmitter<{ appended: [] }> {
-  readonly #most: number;
-  readonly #remember: (event: Event) => Event;
-  readonly #folds: Array<(event: Event) => void> = [];
-  #events: Event[] = [];
+  readonly #maxRecent: number;
+  readonly #toRetained: (event: Event) => Event;
+  readonly #views: Array<(event: Event) => void> = [];
+  #recentEvents: Event[] = [];
 
-  /** `remember` gives the form in which an event is kept; views see it as it is. */
-  constructor(most = 2000, remember: (event: Event) => Event = (event) => event) {
+  /**
+   * Keeps at least `maxRecent` events, once there are as many. `toRetained` gives the form in which an event is kept;
+   * views get the event unchanged.
+   */
+  constructor(maxRecent = 2000, toRetained: (event: Event) => Event = (event) => event) {
     super();
     this.setMaxListeners(0);
-    this.#remember = remember;
-    this.#most = most;
+    this.#toRetained = toRetained;
+    this.#maxRecent = maxRecent;
   }
 
   get recent(): readonly Event[] {
-    return this.#events;
+    return this.#recentEvents;
   }
 
-  fold(view: (event: Event) => void): void {
-    this.#folds.push(view);
+  /** Calls the view with every event appended from now on. */
+  subscribe(view: (event: Event) => void): void {
+    this.#views.push(view);
   }
 
   append(event: Event): void {
-    this.#events.push(this.#remember(event));
-    if (this.#events.length > this.#most * 2) this.#events = this.#events.slice(-this.#most);
-    for (const fold of this.#folds) fold(event);
+    this.#recentEvents.push(this.#toRetained(event));
+    if (this.#recentEvents.length > this.#maxRecent * 2)
+      this.#recentEvents = this.#recentEvents.slice(-this.#maxRecent);
+    for (const view of this.#views) view(event);
     this.emit("appended");
   }
 }
--- a/packages/core/src/feeds/feedFollower.ts
+++ b/packages/core/src/feeds/feedFollower.ts
@@ -9,6 +9,7 @@
 import { PackedValue, type ValueVersion } from "../store/packedValue.js";
 import { nodeRole } from "../membership/nodeRole.js";
 
+/** A change of a key in the metadata store; `value` is undefined for a deletion. */
 export interface Change {
   key: string;
   value: Uint8Array | undefined;
@@ -17,34 +18,36 @@
 
 interface UnacceptedFeed {
   readonly controlNode: string;
-  readonly askedAt: number;
+  readonly requestedAt: number;
 }
 
 /**
  * Follows the store's numbered changes from one control node at a time and appends them to the journal.
- * Invariants: `revision` only rises; a push is applied only in its number's turn, and whole: one with a difference
- * whose base is not held here is refused, and everything is asked for anew.
+ * Invariants: `revision` only rises; a push is applied only in sequence and as a whole: one with a delta
+ * whose base this node does not hold is refused, and a new snapshot is requested.
  */
 export class FeedFollower extends EventEmitter<{ first: [] }> {
+  /** Age above which what this node knows is no longer fresh. */
   static readonly staleMs = 1450;
   /**
-   * A push answers an acknowledgement, at the control node's next beat (500 ms) at the latest. What comes later than
-   * this was
-   * on its way, or in a buffer of a process that stood still, for the rest of the time.
+   * The control node answers an acknowledgement with a push, at its next beat (500 ms) at the latest. A push that
+   * arrives later than this spent the rest of the time on the way, or in a buffer of a paused process.
    */
-  static readonly answerMs = 700;
-  /** Two beats without a word: another control node is asked before what this node knows is stale. */
-  static readonly silentMs = 1000;
-  /** A control node says at once whether it takes a feed. */
-  static readonly acceptMs = 500;
-  /** Feeds not accepted in time that are remembered: slow machines answer late, and asking anew makes it no sooner. */
+  static readonly maxResponseMs = 700;
+  /** Two beats without a push: another control node is asked before what this node knows is stale. */
+  static readonly maxSilenceMs = 1000;
+  /** How long a control node may take to accept a feed; it answers at once. */
+  static readonly acceptTimeoutMs = 500;
+  /** Most remembered feeds that were not accepted in time: slow machines answer late, and asking again is no faster. */
   static readonly maxUnaccepted = 4;
-  /** A first snapshot may take this long; asking elsewhere sooner only makes it later. What follows is short. */
-  static readonly openMs = 2500;
-  /** After a control node let go of the feed; it may have been told so at once. */
-  static readonly closedMs = 200;
-  static readonly reopenMs = 1000;
-  static readonly livelyMs = 900;
+  /** How long a first snapshot may take; asking elsewhere sooner only delays it. Later pushes are short. */
+  static readonly firstSnapshotTimeoutMs = 2500;
+  /** Least time between opening a feed and replacing it after it was closed, which may happen at once. */
+  static readonly reopenAfterCloseMs = 200;
+  /** Least time between opening a feed and replacing it because no push came. */
+  static readonly reopenAfterSilenceMs = 1000;
+  /** Control nodes that have been silent for longer are asked only if there is no other. */
+  static readonly maxContactAgeMs = 900;
 
   static readonly #noValue = new Uint8Array();
 
@@ -54,31 +57,31 @@
   readonly #random: RandomSource;
   readonly #prefixes: string[];
   readonly #journal: ChangeJournal<Change>;
-  /** The keys held, to tell from a snapshot what is gone, and large values, which differences apply to. */
-  readonly #keys = new Map<string, ValueVersion>();
+  /** The held keys, to detect deletions in a snapshot, with large values as the bases of deltas. */
+  readonly #heldVersions = new Map<string, ValueVersion>();
   #feed = "";
   #controlNode = "";
-  #number = 0;
-  /** Invariant: at most `answerMs` later than when the control node sent what was heard. */
+  #lastPushNumber = 0;
+  /** Invariant: at most `maxResponseMs` later than when the control node sent the last push. */
   #heardAt = -Infinity;
-  #arrivedAt = -Infinity;
-  /** When the last push was acknowledged first, or the feed was opened. */
-  #askedAt = -Infinity;
+  #lastPushAt = -Infinity;
+  /** When the feed was opened or the last push was first acknowledged. */
+  #requestedAt = -Infinity;
   #openedAt = -Infinity;
-  #opens = 0;
-  /** Feeds that were asked for and not accepted in time: word of them, or their first push, may still be on its way. */
+  #openCount = 0;
+  /** Feeds that were not accepted in time: the acceptance or the first push may still arrive. */
   readonly #unaccepted = new Map<string, UnacceptedFeed>();
   /**
-   * The control node let go of the feed. What was heard before stays as old as it is: another control node may go on
-   * from it.
+   * Whether the control node closed the feed. The data received so far keeps its age, and another control node may
+   * continue from it.
    */
   #isClosed = false;
-  /** A push was refused: nothing but a snapshot will do. */
+  /** Whether a push was refused, so that only a snapshot helps. */
   #needsSnapshot = false;
-  /** Pushes that were refused for want of a difference's base. */
+  /** Pushes that were refused because the base of a delta was missing. */
   refused = 0;
   revision = 0;
-  /** Told by the configuration's view, to be acknowledged. */
+  /** Version and fault of the configuration in force, which acknowledgements report. */
   configurationVersion: () => number = () => 0;
   fault: () => string = () => "";
 
@@ -98,14 +101,14 @@
     this.#random = parts.random;
     this.#prefixes = parts.prefixes;
     this.#journal = parts.journal;
-    this.#rpc.serve("feedPush", (push, frame) => this.#take(push, frame.from));
+    this.#rpc.serve("feedPush", (push, frame) => this.#handlePush(push, frame.from));
     this.#rpc.serve("feedClose", (close) => {
       if (close.feed === this.#feed) this.#isClosed = true;
       return undefined;
     });
   }
 
-  /** Milliseconds since the store was last heard through a control node in touch with its majority. */
+  /** Milliseconds since the last push from a control node that is in contact with the store's majority. */
   get age(): number {
     return this.#clock.now() - this.#heardAt;
   }
@@ -117,10 +120,11 @@
   start(): void {
     this.#open();
     this.#clock.every(100, () => {
-      if (this.#isClosed && this.#clock.now() - this.#openedAt > FeedFollower.closedMs) return this.#open();
+      if (this.#isClosed && this.#clock.now() - this.#openedAt > FeedFollower.reopenAfterCloseMs) return this.#open();
       if (
-        this.#clock.now() - this.#arrivedAt > FeedFollower.silentMs &&
-        this.#clock.now() - this.#openedAt > (this.revision === 0 ? FeedFollower.openMs : FeedFollower.reopenMs)
+        this.#clock.now() - this.#lastPushAt > FeedFollower.maxSilenceMs &&
+        this.#clock.now() - this.#openedAt >
+          (this.revision === 0 ? FeedFollower.firstSnapshotTimeoutMs : FeedFollower.reopenAfterSilenceMs)
       )
         this.#open();
     });
@@ -128,71 +132,71 @@
 
   #open(): void {
     const controlNodes = this.#membership.alive(nodeRole.control).filter((member) => member.isInStore);
-    const lively = controlNodes.filter(
+    const responsive = controlNodes.filter(
       ({ name }) =>
         name !== this.#controlNode &&
         !this.#rpc.isUnresponsive(name) &&
-        this.#membership.ageOf(name) < FeedFollower.livelyMs,
+        this.#membership.ageOf(name) < FeedFollower.maxContactAgeMs,
     );
     const { zone } = this.#membership.self;
-    const ranked = Rendezvous.nearest(this.#rpc.name, zone, lively.length > 0 ? lively : controlNodes);
-    const controlNode = ranked[this.#opens % Math.max(1, ranked.length)];
+    const ranked = Rendezvous.nearest(this.#rpc.name, zone, responsive.length > 0 ? responsive : controlNodes);
+    const controlNode = ranked[this.#openCount % Math.max(1, ranked.length)];
     if (controlNode === undefined) return;
-    this.#opens += 1;
+    this.#openCount += 1;
     this.#isClosed = false;
-    this.#openedAt = this.#askedAt = this.#clock.now();
+    this.#openedAt = this.#requestedAt = this.#clock.now();
     this.#feed = `${this.#rpc.name}/${this.#random.identity().slice(0, 8)}`;
     this.#controlNode = controlNode;
-    this.#number = 0;
-    void this.#ask(controlNode, this.#feed);
+    this.#lastPushNumber = 0;
+    void this.#requestFeed(controlNode, this.#feed);
   }
 
-  /** A refusal may be lost: who does not say that a push will come is not waited for. */
-  async #ask(controlNode: string, feed: string): Promise<void> {
+  /** A refusal may be lost, so a control node that does not accept in time counts as having closed the feed. */
+  async #requestFeed(controlNode: string, feed: string): Promise<void> {
     const value = {
       feed,
       name: this.#rpc.name,
       prefixes: this.#prefixes,
       revision: this.#needsSnapshot ? 0 : this.revision,
     };
-    const reply = await this.#rpc.call(controlNode, { case: "feedOpen", value }, FeedFollower.acceptMs);
-    const isAccepted = reply?.case === "done" || this.#number > 0;
+    const reply = await this.#rpc.call(controlNode, { case: "feedOpen", value }, FeedFollower.acceptTimeoutMs);
+    const isAccepted = reply?.case === "done" || this.#lastPushNumber > 0;
     if (feed !== this.#feed || isAccepted) return;
     this.#isClosed = true;
-    if (reply === undefined) this.#remember(feed, controlNode);
+    if (reply === undefined) this.#rememberUnaccepted(feed, controlNode);
   }
 
-  #remember(feed: string, controlNode: string): void {
-    this.#unaccepted.set(feed, { controlNode, askedAt: this.#askedAt });
+  #rememberUnaccepted(feed: string, controlNode: string): void {
+    this.#unaccepted.set(feed, { controlNode, requestedAt: this.#requestedAt });
     const [oldest] = this.#unaccepted.keys();
     if (this.#unaccepted.size > FeedFollower.maxUnaccepted) this.#unaccepted.delete(oldest!);
   }
 
-  /** The first push of a feed that was not accepted in time makes it the feed; it is as old as its question. */
-  #adopt(push: FeedPush, from: string): void {
-    const { controlNode, askedAt } = this.#unaccepted.get(push.feed) ?? {};
-    if (controlNode !== from || askedAt === undefined || push.number !== 1 || this.#number > 0) return;
+  /** Makes a feed that was not accepted in time the current one at its first push; its age counts from the request. */
+  #adoptUnaccepted(push: FeedPush, from: string): void {
+    const { controlNode, requestedAt } = this.#unaccepted.get(push.feed) ?? {};
+    if (controlNode !== from || requestedAt === undefined || push.number !== 1 || this.#lastPushNumber > 0) return;
     this.#feed = push.feed;
     this.#controlNode = controlNode;
-    this.#askedAt = askedAt;
+    this.#requestedAt = requestedAt;
     this.#isClosed = false;
   }
 
-  #take(push: FeedPush, from: string): undefined {
-    if (push.feed !== this.#feed) this.#adopt(push, from);
+  #handlePush(push: FeedPush, from: string): undefined {
+    if (push.feed !== this.#feed) this.#adoptUnaccepted(push, from);
     if (push.feed !== this.#feed || from !== this.#controlNode) return undefined;
-    if (push.number === this.#number + 1 && (push.isSnapshot || push.fromRevision <= this.revision)) {
+    if (push.number === this.#lastPushNumber + 1 && (push.isSnapshot || push.fromRevision <= this.revision)) {
       if (push.revision < this.revision) return undefined;
       if (!push.isSnapshot) push.kvs = push.kvs.filter((kv) => kv.revision > this.revision);
-      if (!push.kvs.every((kv) => this.#unpack(kv))) return this.#refuse();
-      this.#number = push.number;
+      if (!push.kvs.every((kv) => this.#unpack(kv))) return this.#refusePush();
+      this.#lastPushNumber = push.number;
       this.#unaccepted.clear();
-      this.#hear();
-      this.#apply(push);
+      this.#recordPushTimes();
+      this.#applyPush(push);
     }
     const ack = {
       feed: this.#feed,
-      number: this.#number,
+      number: this.#lastPushNumber,
       revision: this.revision,
       configurationVersion: this.configurationVersion(),
       fault: this.fault(),
@@ -201,48 +205,50 @@
     return undefined;
   }
 
-  /** False where the value can't be had from what is held here. */
+  /** Unpacks a value in place; returns false if its base is not held here or the value is damaged. */
   #unpack(kv: Kv): boolean {
-    const value = PackedValue.unpack(kv, this.#keys.get(kv.key));
+    const value = PackedValue.unpack(kv, this.#heldVersions.get(kv.key));
     if (value !== undefined) kv.value = value;
-    else if (this.#keys.has(kv.key)) this.#keys.set(kv.key, { value: FeedFollower.#noValue, revision: 0 });
+    else if (this.#heldVersions.has(kv.key))
+      this.#heldVersions.set(kv.key, { value: FeedFollower.#noValue, revision: 0 });
     return value !== undefined;
   }
 
-  #refuse(): undefined {
+  #refusePush(): undefined {
     this.refused += 1;
     this.#needsSnapshot = true;
-    // At once, but not again and again: the next look opens it where this feed is as young.
-    if (this.#clock.now() - this.#openedAt > FeedFollower.closedMs) this.#open();
+    // A feed that was only just opened is replaced by the timer instead, so that refusals cause no tight loop.
+    if (this.#clock.now() - this.#openedAt > FeedFollower.reopenAfterCloseMs) this.#open();
     else this.#isClosed = true;
     return undefined;
   }
 
-  #hear(): void {
+  #recordPushTimes(): void {
     const now = this.#clock.now();
-    this.#heardAt = Math.max(this.#heardAt, Math.min(now, this.#askedAt + FeedFollower.answerMs));
-    this.#arrivedAt = this.#askedAt = now;
+    this.#heardAt = Math.max(this.#heardAt, Math.min(now, this.#requestedAt + FeedFollower.maxResponseMs));
+    this.#lastPushAt = this.#requestedAt = now;
   }
 
-  #apply(push: FeedPush): void {
+  #applyPush(push: FeedPush): void {
     const isFirst = this.revision === 0;
     if (push.isSnapshot) this.#needsSnapshot = false;
     if (push.isSnapshot) this.#applySnapshot(push.kvs);
-    else for (const kv of push.kvs) this.#change(kv.key, kv.isGone ? undefined : kv.value, kv.revision);
+    else for (const kv of push.kvs) this.#applyChange(kv.key, kv.isGone ? undefined : kv.value, kv.revision);
     this.revision = push.revision;
     if (isFirst && this.revision > 0) this.emit("first");
   }
 
   #applySnapshot(kvs: Kv[]): void {
     const present = new Set(kvs.map((kv) => kv.key));
-    for (const key of [...this.#keys.keys()]) if (!present.has(key)) this.#change(key, undefined, this.revision);
+    for (const key of [...this.#heldVersions.keys()])
+      if (!present.has(key)) this.#applyChange(key, undefined, this.revision);
     for (const kv of kvs)
-      if (this.#keys.get(kv.key)?.revision !== kv.revision) this.#change(kv.key, kv.value, kv.revision);
+      if (this.#heldVersions.get(kv.key)?.revision !== kv.revision) this.#applyChange(kv.key, kv.value, kv.revision);
   }
 
-  #change(key: string, value: Uint8Array | undefined, revision: number): void {
-    if (value === undefined) this.#keys.delete(key);
-    else this.#keys.set(key, { value: PackedValue.isLarge(value) ? value : FeedFollower.#noValue, revision });
+  #applyChange(key: string, value: Uint8Array | undefined, revision: number): void {
+    if (value === undefined) this.#heldVersions.delete(key);
+    else this.#heldVersions.set(key, { value: PackedValue.isLarge(value) ? value : FeedFollower.#noValue, revision });
     this.#journal.append({ key, value, revision });
   }
 }
--- a/packages/core/src/feeds/machinesView.ts
+++ b/packages/core/src/feeds/machinesView.ts
@@ -2,20 +2,20 @@
 import type { ChangeJournal } from "./changeJournal.js";
 import { DrainKey } from "../keys/drainKey.js";
 
-/** Which machines operators want emptied, as far as this node has heard. */
+/** The machines that operators are draining, as far as this node knows. */
 export class MachinesView {
-  readonly #emptying = new Set<string>();
+  readonly #drainingMachines = new Set<string>();
 
   constructor(journal: ChangeJournal<Change>) {
-    journal.fold((change) => {
+    journal.subscribe((change) => {
       const machine = DrainKey.machineOf(change.key);
       if (machine === undefined) return;
-      if (change.value === undefined) this.#emptying.delete(machine);
-      else this.#emptying.add(machine);
+      if (change.value === undefined) this.#drainingMachines.delete(machine);
+      else this.#drainingMachines.add(machine);
     });
   }
 
   isDraining(name: string): boolean {
-    return this.#emptying.has(name);
+    return this.#drainingMachines.has(name);
   }
 }
--- a/packages/core/src/feeds/shardsView.ts
+++ b/packages/core/src/feeds/shardsView.ts
@@ -6,6 +6,7 @@
 import { ReplicasKey } from "../keys/replicasKey.js";
 import type { ShardSet } from "./shardSet.js";
 
+/** Replica set and leader of a shard; empty strings and 0 stand for an unknown leader. */
 export interface ShardRoute {
   set: ShardSet | undefined;
   setRevision: number;
@@ -14,14 +15,14 @@
   epoch: number;
 }
 
-/** Which replicas each shard has and who holds it, as far as this node has heard. Only a cache. */
+/** The replicas and the leader of each shard, as far as this node knows. Only a cache. */
 export class ShardsView extends EventEmitter<{ changed: [shard: number] }> {
   readonly #routes = new Map<number, ShardRoute>();
 
   constructor(journal: ChangeJournal<Change>) {
     super();
     this.setMaxListeners(0);
-    journal.fold((change) => this.#fold(change));
+    journal.subscribe((change) => this.#applyChange(change));
   }
 
   find(shard: number): ShardRoute {
@@ -35,29 +36,29 @@
     return [...this.#routes].sort((a, b) => a[0] - b[0]);
   }
 
-  /** Resolves when the shard is no longer that leader's, or the due has passed: waiting for it has no use then. */
+  /** Resolves when `leader` no longer leads the shard, or after `timeoutMs`. */
   moved(shard: number, leader: string, clock: Clock, timeoutMs: number): Promise<undefined> {
     return new Promise((resolve) => {
-      const look = (changed: number): void => {
-        if (changed === shard && this.find(shard).leader !== leader) end();
+      const onChanged = (changedShard: number): void => {
+        if (changedShard === shard && this.find(shard).leader !== leader) finish();
       };
-      const timer = clock.once(timeoutMs, () => end());
-      const end = (): void => {
+      const timer = clock.once(timeoutMs, () => finish());
+      const finish = (): void => {
         timer.stop();
-        this.off("changed", look);
+        this.off("changed", onChanged);
         resolve(undefined);
       };
-      this.on("changed", look);
+      this.on("changed", onChanged);
     });
   }
 
-  #fold(change: Change): void {
-    const found = /^shards\/(\d+)\/(replicas|holder)$/.exec(change.key);
-    if (found === null) return;
-    const shard = Number(found[1]);
+  #applyChange(change: Change): void {
+    const match = /^shards\/(\d+)\/(replicas|holder)$/.exec(change.key);
+    if (match === null) return;
+    const shard = Number(match[1]);
     const route = this.find(shard);
     const { value } = change;
-    if (found[2] === "replicas") {
+    if (match[2] === "replicas") {
       route.set = value === undefined ? undefined : ReplicasKey.read(value);
       route.setRevision = value === undefined ? 0 : change.revision;
     } else {
--- a/packages/core/src/membership/failureDetector.ts
+++ b/packages/core/src/membership/failureDetector.ts
@@ -4,133 +4,135 @@
 import type { Clock } from "../runtime/clock.js";
 import { MemberTable } from "./memberTable.js";
 
-/** How long silence may last, in milliseconds. */
-export interface DetectorTimes {
-  /** Before a member is asked directly and through others. */
-  readonly probeMs: number;
-  /** Before it is suspected, if another could not reach it either. */
-  readonly suspectMs: number;
-  /** A ping, and a helper's answer that needs a ping of its own first. */
-  readonly pingMs: number;
-  readonly helpMs: number;
-  readonly helpers: number;
+/** Timeouts of the failure detector, in milliseconds, and the number of helpers for an indirect probe. */
+export interface DetectorSettings {
+  /** Silence after which a member is probed directly and through helpers. */
+  readonly probeAfterMs: number;
+  /** Silence after which a member is suspected, if a helper could not reach it either. */
+  readonly suspectAfterMs: number;
+  /** How long a helper waits for the answer to its own ping. */
+  readonly pingTimeoutMs: number;
+  /** How long this node waits for a helper, which has to ping the member first. */
+  readonly helperTimeoutMs: number;
+  /** Members that are asked to ping a silent member. */
+  readonly helperCount: number;
 }
 
-/** What the detector needs of membership. */
-export interface DetectorParts {
+/** What the detector needs from `Membership`. */
+export interface DetectorDependencies {
   readonly self: string;
   readonly rpc: RpcEndpoint;
   readonly clock: Clock;
-  readonly times: DetectorTimes;
+  readonly settings: DetectorSettings;
   find(name: string): Member | undefined;
-  /** Some other members that are up and answer, at random. */
-  draw(count: number, except: string): Member[];
-  /** Asks a member directly for a sign of life. */
-  ask(member: Member): void;
+  /** Up to `count` random members, other than `except`, that are up and responsive. */
+  pickRandom(count: number, except: string): Member[];
+  /** Asks a member directly for an answer. */
+  requestContact(member: Member): void;
   suspect(member: Member): void;
 }
 
 /**
- * The failure detector of SWIM (Das, Gupta, Motivala, 2002, section 4.1): who left a sign of life due is asked
- * directly and through others, and is suspected only where another could not reach it either.
- * Invariant: silence counts from when a sign of life was due, and anything heard of the member ends it.
+ * The failure detector of SWIM (Das, Gupta, Motivala, 2002, section 4.1): a member that stays silent is probed
+ * directly and through helpers, and is suspected only if a helper could not reach it either.
+ * Invariant: silence is counted from when contact was expected, and any frame from the member ends it.
  */
 export class FailureDetector {
-  readonly #parts: DetectorParts;
-  /** Members that send their heartbeats here, so that each of these makes the next one due. */
-  readonly #watched = new Set<string>();
-  /** Since when a sign of life is due. */
-  readonly #awaited = new Map<string, number>();
-  readonly #probing = new Set<string>();
-  /** When another said that it could not reach the member either. */
-  readonly #deniedAt = new Map<string, number>();
-
-  constructor(parts: DetectorParts) {
-    this.#parts = parts;
-    parts.rpc.serve("ping", (ping) => this.#answer(ping));
+  readonly #dependencies: DetectorDependencies;
+  /** Members that send their heartbeats to this node: after each frame the next one is expected. */
+  readonly #watchedMembers = new Set<string>();
+  /** For each member, since when contact has been expected. */
+  readonly #contactDueSince = new Map<string, number>();
+  readonly #probedMembers = new Set<string>();
+  /** When a helper last reported that it could not reach the member. */
+  readonly #unreachableReportedAt = new Map<string, number>();
+
+  constructor(dependencies: DetectorDependencies) {
+    this.#dependencies = dependencies;
+    dependencies.rpc.serve("ping", (ping) => this.#handlePing(ping));
   }
 
-  /** A sign of life of this member is due from now on, unless one is already. */
-  expect(name: string): void {
-    const member = this.#parts.find(name);
-    if (member !== undefined && MemberTable.isUp(member) && !this.#awaited.has(name))
-      this.#awaited.set(name, this.#parts.clock.now());
+  /** Contact from this member is expected from now on, unless it already was. */
+  expectContact(name: string): void {
+    const member = this.#dependencies.find(name);
+    if (member !== undefined && MemberTable.isUp(member) && !this.#contactDueSince.has(name))
+      this.#contactDueSince.set(name, this.#dependencies.clock.now());
   }
 
-  /** The member was heard, here or by a helper. */
+  /** The member was heard, by this node or by a helper. */
   onContact(name: string): void {
-    this.#deniedAt.delete(name);
-    if (this.#watched.has(name)) this.#awaited.set(name, this.#parts.clock.now());
-    else this.#awaited.delete(name);
+    this.#unreachableReportedAt.delete(name);
+    if (this.#watchedMembers.has(name)) this.#contactDueSince.set(name, this.#dependencies.clock.now());
+    else this.#contactDueSince.delete(name);
   }
 
-  /** The member says with each heartbeat whether this node watches it. */
-  watch(name: string, isWatched: boolean): void {
-    if (isWatched) this.#watched.add(name);
-    else if (this.#watched.delete(name)) this.#awaited.delete(name);
-    if (isWatched) this.#awaited.set(name, this.#parts.clock.now());
+  /** Each gossip frame says whether its sender counts this node among its watchers. */
+  setWatched(name: string, isWatched: boolean): void {
+    if (isWatched) this.#watchedMembers.add(name);
+    else if (this.#watchedMembers.delete(name)) this.#contactDueSince.delete(name);
+    if (isWatched) this.#contactDueSince.set(name, this.#dependencies.clock.now());
   }
 
-  /** The member left the table. */
+  /** Drops the state of a member that was removed from the table. */
   forget(name: string): void {
-    this.#watched.delete(name);
+    this.#watchedMembers.delete(name);
   }
 
-  /** Since when a sign of life of the member has been due; undefined where none is. */
-  awaitedSince(name: string): number | undefined {
-    return this.#awaited.get(name);
+  /** Since when contact from the member has been expected; undefined if none is. */
+  contactDueSince(name: string): number | undefined {
+    return this.#contactDueSince.get(name);
   }
 
-  /** Starts all silences anew: a node that slept knows nothing of the others'. */
-  restart(): void {
-    for (const name of this.#awaited.keys()) this.#awaited.set(name, this.#parts.clock.now());
+  /** Restarts all silences: after a pause this node cannot tell which members were silent meanwhile. */
+  restartSilences(): void {
+    for (const name of this.#contactDueSince.keys()) this.#contactDueSince.set(name, this.#dependencies.clock.now());
   }
 
-  /** Probes and suspects whoever has been silent for long enough. */
+  /** Probes and suspects the members that have been silent for long enough. */
   evaluate(): void {
-    for (const [name, since] of this.#awaited) {
-      const member = this.#parts.find(name);
-      if (member === undefined || !MemberTable.isUp(member)) this.#awaited.delete(name);
-      else this.#evaluate(member, since);
+    for (const [name, dueSince] of this.#contactDueSince) {
+      const member = this.#dependencies.find(name);
+      if (member === undefined || !MemberTable.isUp(member)) this.#contactDueSince.delete(name);
+      else this.#evaluateMember(member, dueSince);
     }
   }
 
-  #evaluate(member: Member, since: number): void {
-    const { times, clock } = this.#parts;
-    const silentMs = clock.now() - since;
-    const isDenied = (this.#deniedAt.get(member.name) ?? -Infinity) > since;
-    if (silentMs >= times.suspectMs && isDenied) this.#suspect(member);
-    else if (silentMs >= times.probeMs) void this.#probe(member);
+  #evaluateMember(member: Member, dueSince: number): void {
+    const { settings, clock } = this.#dependencies;
+    const silentMs = clock.now() - dueSince;
+    const isReportedUnreachable = (this.#unreachableReportedAt.get(member.name) ?? -Infinity) > dueSince;
+    if (silentMs >= settings.suspectAfterMs && isReportedUnreachable) this.#suspect(member);
+    else if (silentMs >= settings.probeAfterMs) void this.#probe(member);
   }
 
   #suspect(member: Member): void {
-    this.#awaited.delete(member.name);
-    this.#deniedAt.delete(member.name);
-    this.#parts.suspect(member);
+    this.#contactDueSince.delete(member.name);
+    this.#unreachableReportedAt.delete(member.name);
+    this.#dependencies.suspect(member);
   }
 
   async #probe(member: Member): Promise<void> {
-    if (this.#probing.has(member.name)) return;
-    this.#probing.add(member.name);
-    this.#parts.ask(member);
-    const helpers = this.#parts.draw(this.#parts.times.helpers, member.name);
-    await Promise.all(helpers.map((helper) => this.#askHelper(helper, member.name)));
-    this.#probing.delete(member.name);
+    if (this.#probedMembers.has(member.name)) return;
+    this.#probedMembers.add(member.name);
+    this.#dependencies.requestContact(member);
+    const helpers = this.#dependencies.pickRandom(this.#dependencies.settings.helperCount, member.name);
+    await Promise.all(helpers.map((helper) => this.#pingThroughHelper(helper, member.name)));
+    this.#probedMembers.delete(member.name);
   }
 
-  async #askHelper(helper: Member, about: string): Promise<void> {
-    const { rpc, times, clock } = this.#parts;
-    const ping: BodyInit = { case: "ping", value: { about } };
-    const answer = await rpc.call(helper.name, ping, times.helpMs);
-    if (answer?.case === "done") this.onContact(about);
-    else if (answer?.case === "fault") this.#deniedAt.set(about, clock.now());
+  async #pingThroughHelper(helper: Member, target: string): Promise<void> {
+    const { rpc, settings, clock } = this.#dependencies;
+    const ping: BodyInit = { case: "ping", value: { about: target } };
+    const answer = await rpc.call(helper.name, ping, settings.helperTimeoutMs);
+    if (answer?.case === "done") this.onContact(target);
+    else if (answer?.case === "fault") this.#unreachableReportedAt.set(target, clock.now());
   }
 
-  /** Answers a ping of this node itself, or the request to ping another. */
-  async #answer({ about }: Ping): Promise<BodyInit> {
-    const { self, rpc, times } = this.#parts;
+  /** Answers a ping of this node itself, or a request to ping another member. */
+  async #handlePing({ about }: Ping): Promise<BodyInit> {
+    const { self, rpc, settings } = this.#dependencies;
     if (about === "" || about === self) return { case: "done", value: {} };
-    const answer = await rpc.call(about, { case: "ping", value: {} }, times.pingMs);
+    const answer = await rpc.call(about, { case: "ping", value: {} }, settings.pingTimeoutMs);
     return answer === undefined
       ? { case: "fault", value: { code: "unanswered", message: `${about} does not answer` } }
       : { case: "done", value: {} };
--- a/packages/core/src/membership/gossipPeers.ts
+++ b/packages/core/src/membership/gossipPeers.ts
@@ -3,69 +3,69 @@
 import { MemberTable } from "./memberTable.js";
 import { Rendezvous, RendezvousKeys } from "./rendezvous.js";
 
-interface GossipPeersParts {
+interface GossipPeersDependencies {
   readonly self: string;
   readonly table: MemberTable;
   readonly random: RandomSource;
   /** Members that this node sends its heartbeats to. */
-  readonly watchers: number;
-  /** Members that it asks for a sign of life, and sends a change at once. */
-  readonly partners: number;
+  readonly watcherCount: number;
+  /** Members that this node asks for an answer in turn, and sends changes to at once. */
+  readonly partnerCount: number;
   isUnresponsive(name: string): boolean;
 }
 
 /**
- * Whom a node gossips with. Watchers and partners are named by rendezvous hashing over the members that are up, so that
- * every node that has the same table names the same ones, and a change of one member moves few of them.
- * Invariant: no member is a watcher and a partner, and none is the node itself.
+ * The members that a node gossips with. Watchers and partners are chosen by rendezvous hashing over the members that
+ * are up, so that every node with the same table chooses the same ones and a change of one member moves few of them.
+ * Invariant: no member is both a watcher and a partner, and neither is the node itself.
  */
 export class GossipPeers {
-  readonly #parts: GossipPeersParts;
-  #peersOf: readonly Member[] | undefined;
-  #peers: Member[] = [];
+  readonly #dependencies: GossipPeersDependencies;
+  #sourceMembers: readonly Member[] | undefined;
+  #upPeers: Member[] = [];
   #watchers: Member[] = [];
   #partners: Member[] = [];
 
-  constructor(parts: GossipPeersParts) {
-    this.#parts = parts;
+  constructor(dependencies: GossipPeersDependencies) {
+    this.#dependencies = dependencies;
   }
 
-  /** The others that are up; the same array until the table changes. */
-  up(): Member[] {
-    const { self, table } = this.#parts;
-    const all = table.all();
-    if (this.#peersOf !== all) {
-      this.#peersOf = all;
-      this.#peers = all.filter((member) => member.name !== self && MemberTable.isUp(member));
-      const chosen = (key: string, among: readonly Member[], count: number): Member[] =>
-        Rendezvous.choose(key, among, count).map((name) => table.find(name)!.member);
-      this.#watchers = chosen(self, this.#peers, this.#parts.watchers);
-      const others = this.#peers.filter((member) => !this.#watchers.includes(member));
-      this.#partners = chosen(RendezvousKeys.gossipPartners(self), others, this.#parts.partners);
+  /** The other members that are up; the same array until the table changes. */
+  upPeers(): Member[] {
+    const { self, table } = this.#dependencies;
+    const members = table.all();
+    if (this.#sourceMembers !== members) {
+      this.#sourceMembers = members;
+      this.#upPeers = members.filter((member) => member.name !== self && MemberTable.isUp(member));
+      const choose = (key: string, candidates: readonly Member[], count: number): Member[] =>
+        Rendezvous.choose(key, candidates, count).map((name) => table.find(name)!.member);
+      this.#watchers = choose(self, this.#upPeers, this.#dependencies.watcherCount);
+      const others = this.#upPeers.filter((member) => !this.#watchers.includes(member));
+      this.#partners = choose(RendezvousKeys.gossipPartners(self), others, this.#dependencies.partnerCount);
     }
-    return this.#peers;
+    return this.#upPeers;
   }
 
   /** The members that this node sends its heartbeats to. */
   watchers(): Member[] {
-    this.up();
+    this.upPeers();
     return this.#watchers;
   }
 
-  /** The members that this node asks for a sign of life in between. */
+  /** The members that this node asks for an answer between heartbeats. */
   partners(): Member[] {
-    this.up();
+    this.upPeers();
     return this.#partners;
   }
 
-  /** Some of the others that are up and answer, at random. */
-  draw(count: number, except = "", peers: readonly Member[] = this.up()): Member[] {
-    const { random } = this.#parts;
-    const drawn = new Set<Member>();
-    for (let i = 0; i < 3 * count && drawn.size < Math.min(count, peers.length); i += 1) {
+  /** Up to `count` random members of `peers`, other than `except`, that are responsive. */
+  pickRandom(count: number, except = "", peers: readonly Member[] = this.upPeers()): Member[] {
+    const { random } = this.#dependencies;
+    const picked = new Set<Member>();
+    for (let i = 0; i < 3 * count && picked.size < Math.min(count, peers.length); i += 1) {
       const peer = peers[Math.floor(random.draw() * peers.length)]!;
-      if (peer.name !== except && !this.#parts.isUnresponsive(peer.name)) drawn.add(peer);
+      if (peer.name !== except && !this.#dependencies.isUnresponsive(peer.name)) picked.add(peer);
     }
-    return [...drawn];
+    return [...picked];
   }
 }
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -11,34 +11,37 @@
 import { MembershipUpdates } from "./membershipUpdates.js";
 
 /**
- * Who is there, after SWIM: a node sends heartbeats to the few watchers that rendezvous hashing names for it, and in
- * between asks one of a few partners, an unresponsive one too, for a sign of life: who lost its watchers with it is
- * found by
- * nothing else. Partners are named by rendezvous hashing as well, so that what a node sends takes a few held
- * connections, however many members there are.
- * Whoever misses one asks directly and through others, and suspects only where another could not reach the silent one
- * either. Suspicions, refutations and all other changes travel on these frames; tables are compared rarely,
- * by digests. A suspicion speeds up routing and moves and takes no claim from anybody.
+ * The fleet's membership, after SWIM. A node sends heartbeats to a few watchers that rendezvous hashing chooses for it,
+ * and between heartbeats asks one of a few partners for an answer. Unresponsive partners are asked too: nothing else
+ * detects a member that failed together with its watchers. Partners are chosen by rendezvous hashing as well, so that
+ * a node holds only a few connections, however many members there are.
+ * A node that misses contact probes the member directly and through helpers, and suspects it only if a helper could
+ * not reach it either. Suspicions, refutations and all other changes are carried by these frames; whole tables are
+ * compared rarely, by digests. A suspicion speeds up routing and moves, but revokes no node's claim.
  */
 export class Membership extends EventEmitter<{ changed: []; suspected: [name: string] }> {
-  /** Heartbeats and questions to partners go out in turn, one of them in each such time. */
+  /** Each tick sends either heartbeats to the watchers or a request to a partner, in turn. */
   static readonly heartbeatIntervalMs = 300;
-  /** Silence before a member is asked directly and through others, and before it is suspected. */
-  static readonly probeMs = 900;
+  /** Silence after which a member is probed directly and through helpers. */
+  static readonly probeAfterMs = 900;
+  /** Silence after which a member is suspected. */
   static readonly suspectMs = 1400;
+  /** How long the record of a member that is not up is kept after it last changed. */
   static readonly forgetMs = 60_000;
+  /** Members that a node sends its heartbeats to. */
   static readonly watchers = 3;
-  /** Members that a node asks for a sign of life, and sends a change at once. */
+  /** Members that a node asks for an answer in turn, and sends changes to at once. */
   static readonly partners = 8;
-  /** Others that are asked whether they reach a silent member; and how many partners are sent a change. */
-  static readonly helpers = 3;
+  /** Members that are asked to ping a silent member; also the number of partners that are sent a change. */
+  static readonly helperCount = 3;
   static readonly pingTimeoutMs = 350;
-  /** A helper's word needs its own ping first. */
-  static readonly helpTimeoutMs = 900;
-  static readonly changeDelayMs = 30;
-  static readonly compareMs = 10_000;
-  /** How soon tables are compared again after a comparison that brought news. */
-  static readonly compareAgainMs = 1000;
+  /** Longer than a ping, because a helper has to ping the member before it answers. */
+  static readonly helperTimeoutMs = 900;
+  /** Changes within this time are sent together. */
+  static readonly updateDelayMs = 30;
+  static readonly compareIntervalMs = 10_000;
+  /** How soon tables are compared again after a comparison that brought changes. */
+  static readonly compareAfterNewsMs = 1000;
 
   readonly #rpc: RpcEndpoint;
   readonly #clock: Clock;
@@ -48,17 +51,17 @@
   readonly #updates = new MembershipUpdates();
   readonly #detector: FailureDetector;
   readonly #peers: GossipPeers;
-  #ticks = 0;
-  #ownText = "";
+  #tickCount = 0;
+  #publishedSelfText = "";
   #lastContactAt: number;
-  #heartbeatAt: number;
-  #compareAt: number;
-  #isChangeScheduled = false;
-  /** Whether another's whole table was ever received. */
-  #isIntroduced = false;
+  #lastTickAt: number;
+  #nextCompareAt: number;
+  #isUpdateScheduled = false;
+  /** Whether the whole table of another node was ever received. */
+  #hasReceivedTable = false;
   readonly self: Member;
-  /** Where members were when this node last knew some; asked too while it knows nobody. */
-  remembered: readonly string[] = [];
+  /** Addresses of the members known before the restart; asked besides the seeds while no member is known. */
+  rememberedAddresses: readonly string[] = [];
 
   constructor(
     self: Partial<Member> & { name: string },
@@ -78,22 +81,22 @@
       self: self.name,
       table: this.#table,
       random,
-      watchers: Membership.watchers,
-      partners: Membership.partners,
+      watcherCount: Membership.watchers,
+      partnerCount: Membership.partners,
       isUnresponsive: (name) => rpc.isUnresponsive(name),
     });
-    this.#lastContactAt = this.#heartbeatAt = clock.now();
-    this.#compareAt = clock.now() + Membership.compareMs * random.draw();
+    this.#lastContactAt = this.#lastTickAt = clock.now();
+    this.#nextCompareAt = clock.now() + Membership.compareIntervalMs * random.draw();
     this.#table.put(this.self, clock.now());
     rpc.addressOf = (name) => this.find(name)?.address;
     rpc.relaysFor = () => this.alive().map((member) => member.name);
     rpc.serve("gossip", (gossip, frame) => this.#handleGossip(gossip, frame.from, frame.fromAddress));
     rpc.on("heard", (name) => this.#onContact(name));
-    rpc.on("unresponsive", (name) => this.#detector.expect(name));
+    rpc.on("unresponsive", (name) => this.#detector.expectContact(name));
     this.#detector = this.#makeDetector();
   }
 
-  /** Gossips from now on; only once. */
+  /** Starts gossiping. To be called once. */
   start(): void {
     this.#tick();
     this.#clock.every(Membership.heartbeatIntervalMs, () => this.#tick());
@@ -103,203 +106,215 @@
     return this.#table.find(name)?.member;
   }
 
-  /** Up or heard directly just now; and a node that hears nobody takes nobody for alive. */
+  /**
+   * Whether a member counts as alive: it is up, or was heard directly within `suspectMs`. A node that has heard from no
+   * member within that time counts none as alive.
+   */
   isAlive(name: string): boolean {
     if (name === this.self.name) return true;
     const known = this.#table.find(name);
     if (known === undefined || known.member.state === "left") return false;
-    const isLately = (at: number): boolean => this.#clock.now() - at < Membership.suspectMs;
-    return isLately(known.member.isSuspected ? known.lastContactAt : this.#lastContactAt);
+    const isRecent = (at: number): boolean => this.#clock.now() - at < Membership.suspectMs;
+    return isRecent(known.member.isSuspected ? known.lastContactAt : this.#lastContactAt);
   }
 
-  /** Every member known, also those suspected or gone, by name; the same array until a record changes. */
+  /** Every known member, including suspected and left ones, by name; the same array until a record changes. */
   all(): readonly Member[] {
     return this.#table.all();
   }
 
-  /** The members that `isAlive` holds for, of one role (`nodeRole`) if one is given. */
+  /** The members that are alive (`isAlive`), of one role (`nodeRole`) if one is given. */
   alive(role?: string): Member[] {
     return this.all().filter((member) => (role === undefined || member.role === role) && this.isAlive(member.name));
   }
 
-  /** Milliseconds that a sign of life has been due; none from who is taken for alive and not waited for. */
+  /** Milliseconds since contact has been expected; 0 for a member that is alive and from which none is expected. */
   ageOf(name: string): number {
     const known = this.#table.find(name);
     if (known === undefined) return Infinity;
     if (!this.isAlive(name)) return this.#clock.now() - known.lastContactAt;
-    const since = this.#detector.awaitedSince(name);
+    const since = this.#detector.contactDueSince(name);
     return since === undefined ? 0 : this.#clock.now() - since;
   }
 
-  /** The nodes that a member sends its heartbeats to, as this node's table has it. */
+  /** The nodes that a member sends its heartbeats to, according to this node's table. */
   watchersOf(name: string): string[] {
     const others = this.all().filter((member) => member.name !== name && MemberTable.isUp(member));
     return Rendezvous.choose(name, others, Membership.watchers);
   }
 
-  /** Says that this node is going: to its watchers and some others, who tell the rest. */
+  /** Announces that this node leaves, to its watchers and some other members, which pass it on. */
   leave(): void {
     this.self.state = "left";
-    this.#changeSelf();
+    this.#publishSelf();
     const recipients = new Set(this.#peers.watchers());
-    for (const member of this.#peers.draw(MembershipUpdates.maxPerFrame)) recipients.add(member);
+    for (const recipient of this.#peers.pickRandom(MembershipUpdates.maxPerFrame)) recipients.add(recipient);
     for (const member of recipients) this.#sendGossip(member.address, member.name);
   }
 
-  /** Sends what changed about this node without waiting for the next tick. */
+  /** Sends changes of this node's own record without waiting for the next tick. */
   gossipNow(): void {
-    this.#publishOwnChanges();
-    this.#scheduleChanges();
+    this.#publishSelfIfChanged();
+    this.#scheduleUpdates();
   }
 
   #tick(): void {
     const now = this.#clock.now();
-    // Who slept itself knows nothing of the others' silence.
-    if (now - this.#heartbeatAt > 2 * Membership.heartbeatIntervalMs) this.#detector.restart();
-    this.#heartbeatAt = now;
-    this.#publishOwnChanges();
+    // After a pause of its own a node cannot tell which members were silent.
+    if (now - this.#lastTickAt > 2 * Membership.heartbeatIntervalMs) this.#detector.restartSilences();
+    this.#lastTickAt = now;
+    this.#publishSelfIfChanged();
     this.#detector.evaluate();
-    this.#forget();
-    this.#ticks += 1;
-    if (this.#ticks % 2 === 0)
+    this.#removeExpired();
+    this.#tickCount += 1;
+    if (this.#tickCount % 2 === 0)
       for (const member of this.#peers.watchers()) this.#sendGossip(member.address, member.name);
     else this.#askPartner();
-    this.#introduce();
-    if (now >= this.#compareAt) this.#compare();
+    this.#contactSeeds();
+    if (now >= this.#nextCompareAt) this.#compareTables();
   }
 
   #askPartner(): void {
     const partners = this.#peers.partners();
-    const drawn = partners[Math.floor(this.#random.draw() * partners.length)];
-    if (drawn === undefined) return;
-    this.#detector.expect(drawn.name);
-    this.#sendGossip(drawn.address, drawn.name, { isAsking: true });
+    const partner = partners[Math.floor(this.#random.draw() * partners.length)];
+    if (partner === undefined) return;
+    this.#detector.expectContact(partner.name);
+    this.#sendGossip(partner.address, partner.name, { isAsking: true });
   }
 
-  /** Asks seeds for everybody, until some table came; later only those seeds that no member is at. */
-  #introduce(): void {
-    if (this.#peers.up().length === 0) {
-      for (const address of this.#firstAsked())
+  /** Asks the seeds for the whole table until one arrived; later only seeds whose address no member has. */
+  #contactSeeds(): void {
+    if (this.#peers.upPeers().length === 0) {
+      for (const address of this.#bootstrapAddresses())
         this.#sendGossip(address, "", { isAsking: true, wantsAll: true, members: [this.self] });
       return;
     }
     const seed = this.#seeds[Math.floor(this.#random.draw() * this.#seeds.length)];
     if (seed === undefined || seed === this.self.address) return;
-    const isStranger = !this.#peers.up().some((member) => member.address === seed);
-    const isNew = !this.#isIntroduced || this.#peers.up().length < 3;
-    if (isNew) this.#sendGossip(seed, "", { isAsking: true, wantsAll: true, members: [this.self] });
-    else if (isStranger && this.#random.draw() < 0.2)
+    const isSeedUnknown = !this.#peers.upPeers().some((member) => member.address === seed);
+    const isJoining = !this.#hasReceivedTable || this.#peers.upPeers().length < 3;
+    if (isJoining) this.#sendGossip(seed, "", { isAsking: true, wantsAll: true, members: [this.self] });
+    else if (isSeedUnknown && this.#random.draw() < 0.2)
       this.#sendGossip(seed, "", { isAsking: true, digests: this.#table.digests, members: [this.self] });
   }
 
-  /** While nobody is known: all seeds, and a few of the addresses remembered, for any of them may be gone. */
-  #firstAsked(): string[] {
-    const first = Math.floor(this.#random.draw() * this.remembered.length);
-    const few = [...this.remembered, ...this.remembered].slice(first, first + Math.min(3, this.remembered.length));
-    return [...new Set([...this.#seeds, ...few])].filter((address) => address !== this.self.address);
+  /** For a node that knows no member: all seeds and a few remembered addresses, since any of them may be gone. */
+  #bootstrapAddresses(): string[] {
+    const start = Math.floor(this.#random.draw() * this.rememberedAddresses.length);
+    const picked = [...this.rememberedAddresses, ...this.rememberedAddresses].slice(
+      start,
+      start + Math.min(3, this.rememberedAddresses.length),
+    );
+    return [...new Set([...this.#seeds, ...picked])].filter((address) => address !== this.self.address);
   }
 
-  #compare(): void {
-    this.#compareAt = this.#clock.now() + Membership.compareMs;
-    const [drawn] = this.#peers.draw(1);
-    if (drawn !== undefined)
-      this.#sendGossip(drawn.address, drawn.name, { isAsking: true, digests: this.#table.digests });
+  #compareTables(): void {
+    this.#nextCompareAt = this.#clock.now() + Membership.compareIntervalMs;
+    const [peer] = this.#peers.pickRandom(1);
+    if (peer !== undefined) this.#sendGossip(peer.address, peer.name, { isAsking: true, digests: this.#table.digests });
   }
 
-  #sendGossip(address: string, name: string, more: MessageInitShape<typeof GossipSchema> = {}): void {
-    const updates = this.#updates.nextBatch((one) => this.find(one));
-    const members = new Set([...((more.members ?? []) as Member[]), ...updates]);
+  #sendGossip(address: string, name: string, fields: MessageInitShape<typeof GossipSchema> = {}): void {
+    const updates = this.#updates.nextBatch((memberName) => this.find(memberName));
+    const members = new Set([...((fields.members ?? []) as Member[]), ...updates]);
     const { incarnation, version } = this.self;
     const isWatched = name !== "" && this.#peers.watchers().some((member) => member.name === name);
-    const value = { ...more, members: [...members], incarnation, version, isWatched };
+    const value = { ...fields, members: [...members], incarnation, version, isWatched };
     this.#rpc.sendInBackground(address, { case: "gossip", value }, name);
   }
 
   #handleGossip(gossip: Gossip, from: string, address: string): undefined {
-    const isChanged = gossip.members.map((member) => this.#applyRecord(member)).includes(true);
+    const hasNews = gossip.members.map((member) => this.#applyRecord(member)).includes(true);
     if (from === this.self.name) return undefined;
     const { isAsking, wantsAll, wantsSender, digests } = gossip;
-    if (gossip.isAll) this.#isIntroduced = true;
-    if (isChanged && digests.length > 0) this.#compareAt = this.#clock.now() + Membership.compareAgainMs;
-    this.#detector.watch(from, gossip.isWatched);
+    if (gossip.isAll) this.#hasReceivedTable = true;
+    if (hasNews && digests.length > 0) this.#nextCompareAt = this.#clock.now() + Membership.compareAfterNewsMs;
+    this.#detector.setWatched(from, gossip.isWatched);
     if (address === "") return undefined;
 
-    const answer = new Set<Member>();
-    const known = this.find(from);
-    const stand = { incarnation: gossip.incarnation, version: gossip.version, state: "up", isSuspected: false };
-    const isUnknown =
-      (known === undefined || MemberTable.isAbove({ ...known, ...stand }, { ...known, state: "left" })) &&
+    const replyMembers = new Set<Member>();
+    const knownSender = this.find(from);
+    const claimed = { incarnation: gossip.incarnation, version: gossip.version, state: "up", isSuspected: false };
+    const isSenderUnknown =
+      (knownSender === undefined ||
+        MemberTable.supersedes({ ...knownSender, ...claimed }, { ...knownSender, state: "left" })) &&
       !gossip.members.some((member) => member.name === from);
-    // A sender whose own record lost, to a suspicion or an earlier incarnation, has to hear of it, to refute it.
-    if (known !== undefined && MemberTable.isAbove(known, { ...known, ...stand })) answer.add(known);
+    // A sender whose own record is superseded, by a suspicion or a record of an earlier
+    // incarnation, must learn of it to refute it.
+    if (knownSender !== undefined && MemberTable.supersedes(knownSender, { ...knownSender, ...claimed }))
+      replyMembers.add(knownSender);
     for (const member of gossip.members) {
-      const better = this.find(member.name);
-      if (better !== undefined && answer.size < MembershipUpdates.maxPerFrame && MemberTable.isAbove(better, member))
-        answer.add(better);
+      const newer = this.find(member.name);
+      if (
+        newer !== undefined &&
+        replyMembers.size < MembershipUpdates.maxPerFrame &&
+        MemberTable.supersedes(newer, member)
+      )
+        replyMembers.add(newer);
     }
-    if (wantsSender) answer.add(this.self);
-    if (wantsAll) for (const member of this.all()) answer.add(member);
-    const differing = digests.length > 0 ? this.#table.differing(digests) : [];
-    for (const member of differing) answer.add(member);
-    const isDiffering = isAsking && differing.length > 0;
-    if (isAsking || isUnknown || answer.size > 0)
+    if (wantsSender) replyMembers.add(this.self);
+    if (wantsAll) for (const member of this.all()) replyMembers.add(member);
+    const differing = digests.length > 0 ? this.#table.recordsDifferingFrom(digests) : [];
+    for (const member of differing) replyMembers.add(member);
+    const hasTableDifference = isAsking && differing.length > 0;
+    if (isAsking || isSenderUnknown || replyMembers.size > 0)
       this.#sendGossip(address, from, {
-        members: [...answer],
-        wantsSender: isUnknown,
+        members: [...replyMembers],
+        wantsSender: isSenderUnknown,
         isAll: wantsAll,
-        digests: isDiffering ? this.#table.digests : new Uint8Array(),
+        digests: hasTableDifference ? this.#table.digests : new Uint8Array(),
       });
     return undefined;
   }
 
-  /** Takes up a record that outranks the one known; true where it does. */
+  /** Applies a record that supersedes the known one; returns whether it was applied. */
   #applyRecord(member: Member): boolean {
-    if (!MemberTable.isSound(member)) return false;
+    if (!MemberTable.isValid(member)) return false;
     if (member.name === this.self.name) return this.#refute(member);
-    const before = this.#table.find(member.name)?.member;
-    if (before === undefined ? !MemberTable.isUp(member) : !MemberTable.isAbove(member, before)) return false;
+    const previous = this.#table.find(member.name)?.member;
+    if (previous === undefined ? !MemberTable.isUp(member) : !MemberTable.supersedes(member, previous)) return false;
     this.#put(member);
-    if (before !== undefined && before.incarnation !== member.incarnation) this.#rpc.abandonCallsTo(member.name);
+    if (previous !== undefined && previous.incarnation !== member.incarnation) this.#rpc.abandonCallsTo(member.name);
     return true;
   }
 
-  /** Refutes what is said of this node and is not so, or is of an earlier incarnation. */
+  /** Refutes a record of this node that is wrong or is of an earlier incarnation. */
   #refute(member: Member): boolean {
-    if (!MemberTable.isAbove(member, this.self)) return false;
+    if (!MemberTable.supersedes(member, this.self)) return false;
     if (member.incarnation > this.self.incarnation) this.self.incarnation = member.incarnation + 1;
     else this.self.version = member.version;
-    this.#changeSelf();
-    this.#scheduleChanges();
+    this.#publishSelf();
+    this.#scheduleUpdates();
     return false;
   }
 
   #put(member: Member): void {
     this.#table.put(member, this.#clock.now());
     this.#updates.add(member.name, this.all().length);
-    this.#scheduleChanges();
+    this.#scheduleUpdates();
     this.emit("changed");
   }
 
-  /** Whoever set a field of this node's own record need not say so. */
-  #publishOwnChanges(): void {
-    if (this.#ownText !== JSON.stringify(this.self)) this.#changeSelf();
+  /** Detects changed fields of the own record, so that code that sets one need not announce it. */
+  #publishSelfIfChanged(): void {
+    if (this.#publishedSelfText !== JSON.stringify(this.self)) this.#publishSelf();
   }
 
-  #changeSelf(): void {
+  #publishSelf(): void {
     this.self.version += 1;
-    this.#ownText = JSON.stringify(this.self);
+    this.#publishedSelfText = JSON.stringify(this.self);
     this.#table.put(this.self, this.#clock.now());
     this.#updates.add(this.self.name, this.all().length);
   }
 
-  /** A change goes on at once to a few others; what comes within a moment goes together. */
-  #scheduleChanges(): void {
-    if (this.#isChangeScheduled) return;
-    this.#isChangeScheduled = true;
-    this.#clock.once(Membership.changeDelayMs, () => {
-      this.#isChangeScheduled = false;
+  /** Sends changes to a few partners after `updateDelayMs`, so that changes in close succession go together. */
+  #scheduleUpdates(): void {
+    if (this.#isUpdateScheduled) return;
+    this.#isUpdateScheduled = true;
+    this.#clock.once(Membership.updateDelayMs, () => {
+      this.#isUpdateScheduled = false;
       if (this.#updates.isEmpty) return;
-      for (const member of this.#peers.draw(Membership.helpers, "", this.#peers.partners()))
+      for (const member of this.#peers.pickRandom(Membership.helperCount, "", this.#peers.partners()))
         this.#sendGossip(member.address, member.name);
     });
   }
@@ -310,7 +325,7 @@
     const known = this.#table.find(name);
     if (known !== undefined) known.lastContactAt = now;
     this.#detector.onContact(name);
-    // A member that sends although it is suspected is sent the suspicion, and refutes it.
+    // A suspected member that still sends is told of the suspicion, so that it refutes it.
     if (
       known?.member.isSuspected !== true ||
       known.member.state === "left" ||
@@ -322,15 +337,15 @@
   }
 
   #makeDetector(): FailureDetector {
-    const { probeMs, suspectMs, pingTimeoutMs, helpTimeoutMs, helpers } = Membership;
+    const { probeAfterMs, suspectMs, pingTimeoutMs, helperTimeoutMs, helperCount } = Membership;
     return new FailureDetector({
       self: this.self.name,
       rpc: this.#rpc,
       clock: this.#clock,
-      times: { probeMs, suspectMs, pingMs: pingTimeoutMs, helpMs: helpTimeoutMs, helpers },
+      settings: { probeAfterMs, suspectAfterMs: suspectMs, pingTimeoutMs, helperTimeoutMs, helperCount },
       find: (name) => this.find(name),
-      draw: (count, except) => this.#peers.draw(count, except),
-      ask: ({ address, name }) => this.#sendGossip(address, name, { isAsking: true }),
+      pickRandom: (count, except) => this.#peers.pickRandom(count, except),
+      requestContact: ({ address, name }) => this.#sendGossip(address, name, { isAsking: true }),
       suspect: (member) => this.#suspect(member),
     });
   }
@@ -340,7 +355,7 @@
     this.emit("suspected", member.name);
   }
 
-  #forget(): void {
+  #removeExpired(): void {
     for (const [name, { member, changedAt }] of this.#table.entries())
       if (!MemberTable.isUp(member) && name !== this.self.name && this.#clock.now() - changedAt > Membership.forgetMs) {
         this.#table.remove(name);
--- a/packages/core/src/membership/membershipUpdates.ts
+++ b/packages/core/src/membership/membershipUpdates.ts
@@ -1,47 +1,47 @@
 import type { Member } from "../gen/cranetrack_pb.js";
 
 /**
- * Changed records on their way through the fleet (the dissemination of SWIM, section 4): each is sent a number of times
- * that grows with the logarithm of the fleet, the one sent least lately first.
+ * The changed records that this node still has to pass on (the dissemination of SWIM, section 4). Each is sent a number
+ * of times that grows with the logarithm of the fleet's size; the least recently sent one goes first.
  */
 export class MembershipUpdates {
-  /** Records in one frame at most. */
+  /** The most records in one frame. */
   static readonly maxPerFrame = 8;
 
-  readonly #left = new Map<string, number>();
+  readonly #remainingSends = new Map<string, number>();
 
-  /** Twice the logarithm of the fleet's size, and some: enough to reach everybody but for a vanishing rest. */
-  static transmissions(size: number): number {
-    return 4 + 2 * Math.ceil(Math.log2(size + 1));
+  /** Twice the logarithm of the fleet's size, plus 4: a change reaches nearly every member. */
+  static transmissions(memberCount: number): number {
+    return 4 + 2 * Math.ceil(Math.log2(memberCount + 1));
   }
 
-  /** Whether every change was sent as often as it is to be. */
+  /** Whether every change was sent as often as `transmissions` asks. */
   get isEmpty(): boolean {
-    return this.#left.size === 0;
+    return this.#remainingSends.size === 0;
   }
 
-  /** A record changed; `size` is how many members the fleet has. */
-  add(name: string, size: number): void {
-    this.#left.delete(name);
-    this.#left.set(name, MembershipUpdates.transmissions(size));
+  /** Queues a changed record; `memberCount` is the size of the fleet. */
+  add(name: string, memberCount: number): void {
+    this.#remainingSends.delete(name);
+    this.#remainingSends.set(name, MembershipUpdates.transmissions(memberCount));
   }
 
   /** The records for the next frame, each counted as sent once more. */
   nextBatch(find: (name: string) => Member | undefined): Member[] {
     const batch: Member[] = [];
-    for (const [name, left] of [...this.#first()]) {
-      this.#left.delete(name);
+    for (const [name, remaining] of [...this.#nextEntries()]) {
+      this.#remainingSends.delete(name);
       const member = find(name);
       if (member === undefined) continue;
       batch.push(member);
-      if (left > 1) this.#left.set(name, left - 1);
+      if (remaining > 1) this.#remainingSends.set(name, remaining - 1);
     }
     return batch;
   }
 
-  *#first(): Iterable<[string, number]> {
+  *#nextEntries(): Iterable<[string, number]> {
     let count = 0;
-    for (const entry of this.#left) {
+    for (const entry of this.#remainingSends) {
       yield entry;
       if ((count += 1) === MembershipUpdates.maxPerFrame) return;
     }
--- a/packages/core/src/membership/nodeRole.ts
+++ b/packages/core/src/membership/nodeRole.ts
@@ -1,7 +1,7 @@
 /**
- * What a node does in the fleet, by the names that settings, the command line and pages use. The values are what gossip
- * carries and nodes compare: they are the words of earlier versions, because nodes of both versions run side by side
- * during an update.
+ * The roles of nodes. The keys are the names in settings, on the command line and in the documentation. The values are
+ * what gossip carries and nodes compare: they keep the words of earlier versions, because nodes of both versions run
+ * side by side during an update.
  */
 export const nodeRole = { control: "lathe", storage: "anvil", edge: "vise" } as const;
 
--- a/packages/core/src/membership/rendezvous.ts
+++ b/packages/core/src/membership/rendezvous.ts
@@ -1,58 +1,58 @@
 import { createHash } from "node:crypto";
 
-/** Weights that were asked for, by what was hashed: the same few are asked for again and again. */
-const weights = new Map<string, number>();
-const maxWeights = 20_000;
+/** Computed weights by the hashed text, because the same few are needed again and again. */
+const cachedWeights = new Map<string, number>();
+const maxCachedWeights = 20_000;
 
 /** Highest-random-weight hashing: every node that knows the same names picks the same ones. */
 export const Rendezvous = {
   weigh(key: string, name: string): number {
-    const hashed = `${key}\u0000${name}`;
-    let weight = weights.get(hashed);
+    const cacheKey = `${key}\u0000${name}`;
+    let weight = cachedWeights.get(cacheKey);
     if (weight !== undefined) return weight;
-    weight = createHash("sha1").update(hashed).digest().readUIntBE(0, 6);
-    if (weights.size >= maxWeights) weights.clear();
-    weights.set(hashed, weight);
+    weight = createHash("sha1").update(cacheKey).digest().readUIntBE(0, 6);
+    if (cachedWeights.size >= maxCachedWeights) cachedWeights.clear();
+    cachedWeights.set(cacheKey, weight);
     return weight;
   },
 
   /** All names, the best for the key first. */
   rank(key: string, names: readonly string[]): string[] {
-    const weighed = names.map((name) => ({ name, weight: Rendezvous.weigh(key, name) }));
-    weighed.sort((a, b) => b.weight - a.weight || (a.name < b.name ? -1 : 1));
-    return weighed.map((one) => one.name);
+    const weighted = names.map((name) => ({ name, weight: Rendezvous.weigh(key, name) }));
+    weighted.sort((a, b) => b.weight - a.weight || (a.name < b.name ? -1 : 1));
+    return weighted.map((node) => node.name);
   },
 
-  /** Names by rank, but those of one's own zone first: what stays in a zone is quick and costs little. */
+  /** Names by rank, those of the given zone first: traffic within a zone is fast and cheap. */
   nearest(key: string, zone: string, nodes: ReadonlyArray<{ name: string; zone: string }>): string[] {
     const near = nodes.filter((node) => node.zone === zone);
     const far = nodes.filter((node) => node.zone !== zone);
-    return [near, far].flatMap((some) =>
+    return [near, far].flatMap((group) =>
       Rendezvous.rank(
         key,
-        some.map((node) => node.name),
+        group.map((node) => node.name),
       ),
     );
   },
 
-  /** As many names as asked, best first, and from different zones as far as there are any. */
+  /** Up to `count` names, best first, from as many different zones as possible. */
   choose(key: string, nodes: ReadonlyArray<{ name: string; zone: string }>, count: number): string[] {
     const zones = new Map(nodes.map((node) => [node.name, node.zone]));
     const ranked = Rendezvous.rank(
       key,
       nodes.map((node) => node.name),
     );
-    const taken: string[] = [];
-    const seen = new Set<string>();
+    const chosen: string[] = [];
+    const usedZones = new Set<string>();
     for (const name of ranked) {
       const zone = zones.get(name) ?? "";
-      if (taken.length < count && !seen.has(zone)) {
-        seen.add(zone);
-        taken.push(name);
+      if (chosen.length < count && !usedZones.has(zone)) {
+        usedZones.add(zone);
+        chosen.push(name);
       }
     }
-    for (const name of ranked) if (taken.length < count && !taken.includes(name)) taken.push(name);
-    return taken;
+    for (const name of ranked) if (chosen.length < count && !chosen.includes(name)) chosen.push(name);
+    return chosen;
   },
 
   /** The shard that a topic's log is in. */
@@ -64,7 +64,7 @@
 /**
  * The keys under which nodes are ranked by rendezvous hashing, one for each duty.
  * Invariant: the texts never change. They are hashed, and nodes of different releases have to agree on the result;
- * some are therefore older than the terms of the code around them.
+ * some therefore use older terms than the code around them.
  */
 export const RendezvousKeys = {
   /** In which order the replicas of a shard try to become its leader. */
--- a/packages/core/src/store/fossilDelta.test.ts
+++ b/packages/core/src/store/fossilDelta.test.ts
@@ -18,7 +18,7 @@
   yield Buffer.alloc(0);
 }
 
-test("what the library writes is read as the library reads it", () => {
+test("applying a delta of the library gives the same result as the library", () => {
   let before: Uint8Array = Buffer.from("");
   for (const text of texts()) {
     for (const source of [before, Buffer.from(text.subarray(text.length >> 1))]) {
@@ -30,7 +30,7 @@
   }
 });
 
-test("a difference that is cut off, damaged, too large or of another source is refused", () => {
+test("a delta that is cut off, damaged, too large or of another source is refused", () => {
   const [source, target] = [...texts()].filter((_, i) => i % 2 === 0) as [Buffer, Buffer];
   const delta = createDelta(source, target);
   expect(Buffer.compare(FossilDelta.apply(source, delta, target.length), target)).toEqual(0);
--- a/packages/core/src/store/fossilDelta.ts
+++ b/packages/core/src/store/fossilDelta.ts
@@ -1,88 +1,90 @@
 /**
- * Applies differences in the format of the Fossil version control system
+ * Applies deltas in the format of the Fossil version control system
  * (https://fossil-scm.org/home/doc/tip/www/delta_format.wiki), as the library `fossil-delta` makes them. The library's
- * own reader puts the result together byte by byte: a replay of 300 changes took five times as long with it as with
- * whole values.
+ * own reader assembles the result byte by byte: a replay of 300 changes took five times as long with it as with whole
+ * values.
  */
 export const FossilDelta = {
-  /** Throws where the difference is damaged, was made from another source, or gives more than `mostBytes`. */
+  /** Throws if the delta is damaged, was made from another source, or its result has more than `maxBytes`. */
   apply(source: Uint8Array, delta: Uint8Array, maxBytes: number): Uint8Array {
     const reader = new DeltaReader(delta);
-    const size = reader.integer();
+    const size = reader.readInteger();
     reader.expect("\n");
     if (size > maxBytes) throw new RangeError("the result is too large");
     const target = new Uint8Array(size);
     for (let at = 0; ;) {
-      const count = reader.integer();
-      const operator = reader.character();
+      const count = reader.readInteger();
+      const operator = reader.readCharacter();
       if (operator === ";") {
-        if (at !== size || count !== checksumOf(target)) throw new RangeError("the result has another checksum");
+        if (at !== size || count !== checksumOf(target))
+          throw new RangeError("the checksum of the result does not match");
         return target;
       }
-      const part = operator === "@" ? reader.copied(source, count) : reader.inserted(operator, count);
-      target.set(part, at);
+      const segment = operator === "@" ? reader.readCopy(source, count) : reader.readLiteral(operator, count);
+      target.set(segment, at);
       at += count;
     }
   },
 };
 
-const digits = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZ_abcdefghijklmnopqrstuvwxyz~";
+const base64Digits = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZ_abcdefghijklmnopqrstuvwxyz~";
 
 class DeltaReader {
-  static readonly #values = new Map([...digits].map((digit, value) => [digit.charCodeAt(0), value]));
+  static readonly #digitValues = new Map([...base64Digits].map((digit, value) => [digit.charCodeAt(0), value]));
 
   readonly #bytes: Uint8Array;
-  #at = 0;
+  #position = 0;
 
   constructor(bytes: Uint8Array) {
     this.#bytes = bytes;
   }
 
-  /** Digits of six bits each, the highest first. */
-  integer(): number {
+  /** Reads an integer in digits of six bits each, the highest first. */
+  readInteger(): number {
     let value = 0;
     for (;;) {
-      const digit = DeltaReader.#values.get(this.#bytes[this.#at] ?? 0);
+      const digit = DeltaReader.#digitValues.get(this.#bytes[this.#position] ?? 0);
       if (digit === undefined) return value >>> 0;
       value = (value << 6) + digit;
-      this.#at += 1;
+      this.#position += 1;
     }
   }
 
-  character(): string {
-    if (this.#at >= this.#bytes.length) throw new RangeError("the difference has no end");
-    return String.fromCharCode(this.#bytes[this.#at++]!);
+  readCharacter(): string {
+    if (this.#position >= this.#bytes.length) throw new RangeError("the delta is cut off");
+    return String.fromCharCode(this.#bytes[this.#position++]!);
   }
 
   expect(character: string): void {
-    if (this.character() !== character) throw new RangeError("the difference is damaged");
+    if (this.readCharacter() !== character) throw new RangeError("the delta is damaged");
   }
 
-  copied(source: Uint8Array, count: number): Uint8Array {
-    const offset = this.integer();
+  readCopy(source: Uint8Array, count: number): Uint8Array {
+    const offset = this.readInteger();
     this.expect(",");
-    return sliceOf(source, offset, count);
+    return checkedSlice(source, offset, count);
   }
 
-  inserted(operator: string, count: number): Uint8Array {
-    if (operator !== ":") throw new RangeError("the difference is damaged");
-    const part = sliceOf(this.#bytes, this.#at, count);
-    this.#at += count;
-    return part;
+  readLiteral(operator: string, count: number): Uint8Array {
+    if (operator !== ":") throw new RangeError("the delta is damaged");
+    const literal = checkedSlice(this.#bytes, this.#position, count);
+    this.#position += count;
+    return literal;
   }
 }
 
-function sliceOf(bytes: Uint8Array, offset: number, count: number): Uint8Array {
-  if (offset + count > bytes.length) throw new RangeError("the difference refers beyond its source");
+function checkedSlice(bytes: Uint8Array, offset: number, count: number): Uint8Array {
+  if (offset + count > bytes.length) throw new RangeError("the delta refers beyond the end of its source");
   return bytes.subarray(offset, offset + count);
 }
 
-/** The sum of all words of four bytes, the last filled up with zeros. */
+/** The sum of all 32-bit words, modulo 2^32; the last word is padded with zeros. */
 function checksumOf(bytes: Uint8Array): number {
   const view = new DataView(bytes.buffer, bytes.byteOffset, bytes.length);
-  const whole = bytes.length - (bytes.length % 4);
+  const wholeWordsEnd = bytes.length - (bytes.length % 4);
   let sum = 0;
-  for (let at = 0; at < whole; at += 4) sum = (sum + view.getUint32(at)) | 0;
-  for (let at = whole; at < bytes.length; at += 1) sum = (sum + (bytes[at]! << (24 - 8 * (at - whole)))) | 0;
+  for (let at = 0; at < wholeWordsEnd; at += 4) sum = (sum + view.getUint32(at)) | 0;
+  for (let at = wholeWordsEnd; at < bytes.length; at += 1)
+    sum = (sum + (bytes[at]! << (24 - 8 * (at - wholeWordsEnd)))) | 0;
   return sum >>> 0;
 }
--- a/packages/core/src/store/grouped.ts
+++ b/packages/core/src/store/grouped.ts
@@ -1,12 +1,12 @@
-/** Node 20 has no Map.groupBy. */
+/** Groups items by a key; Node 20 has no Map.groupBy. */
 export const Grouped = {
-  by<T, K>(list: Iterable<T>, keyOf: (one: T) => K): Map<K, T[]> {
+  by<T, K>(items: Iterable<T>, keyOf: (one: T) => K): Map<K, T[]> {
     const groups = new Map<K, T[]>();
-    for (const one of list) {
-      const key = keyOf(one);
+    for (const item of items) {
+      const key = keyOf(item);
       const group = groups.get(key);
-      if (group === undefined) groups.set(key, [one]);
-      else group.push(one);
+      if (group === undefined) groups.set(key, [item]);
+      else group.push(item);
     }
     return groups;
   },
--- a/packages/core/src/store/leaseKeepAlive.test.ts
+++ b/packages/core/src/store/leaseKeepAlive.test.ts
@@ -3,16 +3,16 @@
 import { LeaseKeepAlive } from "./leaseKeepAlive.js";
 import type { Outcome } from "./storeClient.js";
 
-interface Due {
+interface PendingTimer {
   at: number;
   fire: () => void;
   every: number | undefined;
 }
 
-/** Time that a test moves by hand. */
-class HandClock {
+/** A clock that a test advances explicitly. */
+class ManualClock {
   time = 0;
-  #dues: Due[] = [];
+  #timers: PendingTimer[] = [];
 
   now(): number {
     return this.time;
@@ -26,13 +26,13 @@
     return this.#add({ at: this.time + ms, fire, every: ms });
   }
 
-  async go(ms: number): Promise<void> {
+  async advance(ms: number): Promise<void> {
     const end = this.time + ms;
     for (;;) {
-      const next = this.#dues.filter((due) => due.at <= end).sort((a, b) => a.at - b.at)[0];
+      const next = this.#timers.filter((timer) => timer.at <= end).sort((a, b) => a.at - b.at)[0];
       if (next === undefined) break;
       this.time = next.at;
-      if (next.every === undefined) this.#dues = this.#dues.filter((due) => due !== next);
+      if (next.every === undefined) this.#timers = this.#timers.filter((timer) => timer !== next);
       else next.at += next.every;
       next.fire();
       await new Promise((resolve) => setImmediate(resolve));
@@ -40,14 +40,14 @@
     this.time = end;
   }
 
-  #add(due: Due): { stop(): void } {
-    this.#dues.push(due);
-    return { stop: () => void (this.#dues = this.#dues.filter((one) => one !== due)) };
+  #add(timer: PendingTimer): { stop(): void } {
+    this.#timers.push(timer);
+    return { stop: () => void (this.#timers = this.#timers.filter((other) => other !== timer)) };
   }
 }
 
-test("a leader counts from when it sent the renewal and stops before the store could expire it", async () => {
-  const clock = new HandClock();
+test("a holder counts from when it sent the renewal and stops before the store could expire the lease", async () => {
+  const clock = new ManualClock();
   let answer: (outcome: string) => void = () => undefined;
   const store = {
     call: () => new Promise<Outcome>((resolve) => (answer = (outcome) => resolve({ outcome }))),
@@ -56,19 +56,19 @@
   let lostAt = -1;
   keepAlive.on("lost", () => (lostAt = clock.now()));
   keepAlive.start();
-  await clock.go(900);
+  await clock.advance(900);
   answer("done");
-  await clock.go(0);
+  await clock.advance(0);
   expect(keepAlive.isHeld).toEqual(true);
-  await clock.go(5000);
+  await clock.advance(5000);
   expect(lostAt).toEqual(3601);
   expect(keepAlive.isHeld).toEqual(false);
 });
 
 test(
-  "a holder that was frozen past its lease finds it lost on the first look, and a late " + "answer changes nothing",
+  "a holder that was paused past its lease finds it lost at the first check, and a late " + "answer changes nothing",
   async () => {
-    const clock = new HandClock();
+    const clock = new ManualClock();
     const answers: Array<(outcome: string) => void> = [];
     const store = {
       call: () => new Promise<Outcome>((resolve) => answers.push((outcome) => resolve({ outcome }))),
@@ -83,7 +83,7 @@
     await new Promise((resolve) => setImmediate(resolve));
     const { lease } = keepAlive;
     expect(keepAlive.isHeld).toEqual(true);
-    await clock.go(1000);
+    await clock.advance(1000);
     clock.time += 9000;
     expect(keepAlive.isHeld).toEqual(false);
     answers[1]!("done");
--- a/packages/core/src/store/leaseKeepAlive.ts
+++ b/packages/core/src/store/leaseKeepAlive.ts
@@ -4,89 +4,90 @@
 import type { StoreChange, StoreClient } from "./storeClient.js";
 
 /**
- * Holds one lease with the store. The leader counts from when it SENT the renewal, and stops a
- * tenth early, so that it stops before the store can expire it.
+ * Holds one lease with the store. The holder counts the lease from when it SENT the renewal, and stops a tenth of the
+ * length early, so that it stops before the store can expire the lease.
  */
 export class LeaseKeepAlive extends EventEmitter<{ held: [lease: string]; lost: [lease: string] }> {
-  static readonly againMs = 60;
-  /** Renewals sent in a lease's length: three may go unanswered, and the fourth still comes before the end. */
-  static readonly renewals = 4;
+  /** Delay before a failed grant or renewal is retried. */
+  static readonly retryMs = 60;
+  /** Renewals within a lease's length: three may go unanswered, and the fourth still arrives before the end. */
+  static readonly renewalsPerLease = 4;
 
   readonly #store: Pick<StoreClient, "call">;
   readonly #clock: Clock;
   readonly #random: RandomSource;
   readonly #name: string;
-  readonly #length: number;
-  /** Invariant: claims made under `lease` hold only while now() < #until. */
-  #until = -Infinity;
+  readonly #leaseMs: number;
+  /** Invariant: claims made under `lease` are valid only while now() < #heldUntil. */
+  #heldUntil = -Infinity;
   #isEnded = false;
-  #isAsking = false;
-  #edge: TimerHandle | undefined;
-  #retry: TimerHandle | undefined;
+  #isRequestPending = false;
+  #expiryTimer: TimerHandle | undefined;
+  #retryTimer: TimerHandle | undefined;
   lease = "";
-  /** Leases lost since the start, however it came. */
+  /** Leases lost since the start, for any reason. */
   losses = 0;
 
-  constructor(name: string, length: number, store: Pick<StoreClient, "call">, clock: Clock, random: RandomSource) {
+  constructor(name: string, leaseMs: number, store: Pick<StoreClient, "call">, clock: Clock, random: RandomSource) {
     super();
     this.setMaxListeners(0);
     this.#name = name;
-    this.#length = length;
+    this.#leaseMs = leaseMs;
     this.#store = store;
     this.#clock = clock;
     this.#random = random;
   }
 
   get isHeld(): boolean {
-    if (this.lease !== "" && this.#clock.now() >= this.#until) this.#lose();
+    if (this.lease !== "" && this.#clock.now() >= this.#heldUntil) this.#lose();
     return this.lease !== "";
   }
 
   start(): void {
     void this.#renew();
-    this.#clock.every(this.#length / LeaseKeepAlive.renewals, () => void this.#renew());
+    this.#clock.every(this.#leaseMs / LeaseKeepAlive.renewalsPerLease, () => void this.#renew());
   }
 
   async end(): Promise<void> {
     this.#isEnded = true;
-    this.#retry?.stop();
+    this.#retryTimer?.stop();
     const lease = this.lease;
     if (lease === "") return;
     this.#lose();
     await this.#store.call({ case: "revoke", value: { lease } }, 700);
   }
 
-  /** Renewals may overlap, for a slow store must not cost the lease; each counts from when it was sent. */
+  /** Renewals may overlap, so that a slow store does not cost the lease; each counts from when it was sent. */
   async #renew(): Promise<void> {
-    const isNew = !this.isHeld;
-    if (this.#isEnded || (isNew && this.#isAsking)) return;
-    this.#isAsking = true;
+    const isGrant = !this.isHeld;
+    if (this.#isEnded || (isGrant && this.#isRequestPending)) return;
+    this.#isRequestPending = true;
     const sentAt = this.#clock.now();
-    const lease = isNew ? `${this.#name}/${this.#random.identity().slice(0, 12)}` : this.lease;
-    const call: StoreChange = isNew
-      ? { case: "grant", value: { lease, length: this.#length } }
+    const lease = isGrant ? `${this.#name}/${this.#random.identity().slice(0, 12)}` : this.lease;
+    const call: StoreChange = isGrant
+      ? { case: "grant", value: { lease, length: this.#leaseMs } }
       : { case: "renew", value: { lease } };
-    const reply = await this.#store.call(call, Math.max(300, this.#length * 0.6));
-    this.#isAsking = false;
-    if (this.#isEnded || (!isNew && this.lease !== lease)) return;
+    const reply = await this.#store.call(call, Math.max(300, this.#leaseMs * 0.6));
+    this.#isRequestPending = false;
+    if (this.#isEnded || (!isGrant && this.lease !== lease)) return;
     if (reply.outcome === "lost") return this.#lose();
-    if (reply.outcome !== "done") return this.#again();
-    if (!isNew && !this.isHeld) return;
+    if (reply.outcome !== "done") return this.#scheduleRetry();
+    if (!isGrant && !this.isHeld) return;
     this.lease = lease;
-    this.#until = Math.max(this.#until, sentAt + this.#length * 0.9);
-    this.#watch();
-    if (isNew) this.emit("held", lease);
+    this.#heldUntil = Math.max(this.#heldUntil, sentAt + this.#leaseMs * 0.9);
+    this.#scheduleExpiry();
+    if (isGrant) this.emit("held", lease);
   }
 
-  /** An election may be under way: its end must not be missed by a beat. */
-  #again(): void {
-    this.#retry?.stop();
-    this.#retry = this.#clock.once(LeaseKeepAlive.againMs, () => void this.#renew());
+  /** Retries soon: an election may be under way, and the lease is needed as soon as it ends. */
+  #scheduleRetry(): void {
+    this.#retryTimer?.stop();
+    this.#retryTimer = this.#clock.once(LeaseKeepAlive.retryMs, () => void this.#renew());
   }
 
-  #watch(): void {
-    this.#edge?.stop();
-    this.#edge = this.#clock.once(Math.max(1, this.#until - this.#clock.now() + 1), () => void this.isHeld);
+  #scheduleExpiry(): void {
+    this.#expiryTimer?.stop();
+    this.#expiryTimer = this.#clock.once(Math.max(1, this.#heldUntil - this.#clock.now() + 1), () => void this.isHeld);
   }
 
   #lose(): void {
@@ -94,10 +95,10 @@
     if (lease === "") return;
     this.lease = "";
     this.losses += 1;
-    this.#until = -Infinity;
-    this.#edge?.stop();
+    this.#heldUntil = -Infinity;
+    this.#expiryTimer?.stop();
     this.emit("lost", lease);
-    // Renewals may have reached the store though no answer came back; nobody needs to wait for them to run out.
+    // Unanswered renewals may have reached the store. Revoking spares other nodes the wait for the lease to expire.
     if (!this.#isEnded) void this.#store.call({ case: "revoke", value: { lease } });
   }
 }
--- a/packages/core/src/store/packedValue.test.ts
+++ b/packages/core/src/store/packedValue.test.ts
@@ -31,7 +31,7 @@
   expect(PackedValue.pack(routes(300, 5)).packing).toEqual(packing.deflated);
 });
 
-test("a difference applies to exactly its base's version; a value left out is that version's", () => {
+test("a delta applies only to the version of its base; an omitted value is that version's", () => {
   const base = { value: routes(300, 4), revision: 7 };
   const difference = PackedValue.pack(routes(300, 5), base);
   expect(PackedValue.unpack(difference, undefined)).toEqual(undefined);
@@ -42,7 +42,7 @@
   expect(PackedValue.unpack(omitted, undefined)).toEqual(undefined);
 });
 
-test("a difference to another content under the same revision, damaged bytes and bombs are refused", () => {
+test("a delta to other content under the same revision, damaged bytes and decompression bombs are refused", () => {
   const base = { value: routes(300, 4), revision: 7 };
   const difference = PackedValue.pack(routes(300, 5), base);
   expect(PackedValue.unpack(difference, { value: routes(300, 200), revision: 7 })).toEqual(undefined);
--- a/packages/core/src/store/packedValue.ts
+++ b/packages/core/src/store/packedValue.ts
@@ -2,7 +2,7 @@
 import { createDelta } from "fossil-delta";
 import { FossilDelta } from "./fossilDelta.js";
 
-/** How a value travels; the numbers are on the wire and in the log's entries. */
+/** How a value is encoded; the numbers are on the wire and in the log's entries. */
 export const packing = { none: 0, deflated: 1, difference: 2, omitted: 3 } as const;
 
 /** A version of a key's value. */
@@ -11,25 +11,26 @@
   revision: number;
 }
 
+/** An encoded value. */
 export interface Packed {
   value: Uint8Array;
   packing: number;
-  /** The version that a difference applies to; 0 where there is none. */
+  /** Revision of the version that a delta applies to; 0 if there is none. */
   baseRevision: number;
 }
 
 /**
- * Large values, made small for the wire and the log: deflated, or as a difference from an earlier version in the
- * format of the Fossil version control system, which ends with a checksum of the result.
+ * Compresses large values for the wire and the log: deflated, or as a delta from an earlier version in the format of
+ * the Fossil version control system, which ends with a checksum of the result.
  * Invariant: what is unpacked is byte for byte what was packed, or undefined. Unpacking depends on nothing but its
  * arguments, so state machines may do it.
  */
 export const PackedValue = {
-  /** Smaller values travel as they are. */
+  /** Smaller values are sent unchanged. */
   minBytes: 512,
-  /** No value unpacks to more than this, whatever its bytes say. */
+  /** Limit of an unpacked value, whatever size its bytes declare. */
   maxBytes: 16 * 1024 * 1024,
-  /** A difference this much smaller than the value is taken without deflating the value for a comparison. */
+  /** A delta smaller than the value by this factor is used without deflating the value for comparison. */
   clearGain: 32,
 
   isLarge(value: Uint8Array): boolean {
@@ -51,7 +52,7 @@
     return forms.reduce((best, form) => (form.value.length < best.value.length ? form : best));
   },
 
-  /** Undefined where the base is another version or missing, or the bytes are damaged. */
+  /** The whole value; undefined if the base is missing or another version, or the bytes are damaged. */
   unpack(packed: Packed, base: ValueVersion | undefined): Uint8Array | undefined {
     if (packed.packing === packing.none) return packed.value;
     try {
--- a/packages/core/src/store/storeClient.test.ts
+++ b/packages/core/src/store/storeClient.test.ts
@@ -8,8 +8,8 @@
 import { Wire, type BodyInit } from "../rpc/wire.js";
 
 /**
- * A client of the control nodes in the store, the frames that it sent, the control nodes' answers, and the end of its
- * patience.
+ * A store client of the control nodes `inStore`, the frames that it sent, and functions that answer a frame, end a turn
+ * of the event loop, or let the pending calls time out.
  */
 function client(inStore: readonly string[] = ["lathe-2"]): {
   store: StoreClient;
@@ -20,19 +20,19 @@
 } {
   const frames: Frame[] = [];
   const turns: Array<() => void> = [];
-  const dues: Array<() => void> = [];
-  let take: (frame: Frame) => void = () => undefined;
+  const timeouts: Array<() => void> = [];
+  let receive: (frame: Frame) => void = () => undefined;
   const transport = {
     address: "10.0.0.9:1",
     send: (_address: string, bytes: Uint8Array) => void frames.push(Wire.decode(bytes)!),
     isReachable: () => true,
     onLost: () => undefined,
     drop: () => undefined,
-    onFrame: (heed: (frame: Frame) => void) => void (take = heed),
+    onFrame: (handler: (frame: Frame) => void) => void (receive = handler),
   };
   const clock = {
     now: () => 0,
-    once: (ms: number, fire: () => void) => ((ms === 0 ? turns : dues).push(fire), { stop: () => undefined }),
+    once: (ms: number, fire: () => void) => ((ms === 0 ? turns : timeouts).push(fire), { stop: () => undefined }),
     every: () => ({ stop: () => undefined }),
   };
   const random = { draw: () => 0, identity: () => "0123456789abcdef" };
@@ -47,21 +47,21 @@
     isInStore,
   });
   const members = [1, 2, 3].map((i) => controlNode(`lathe-${i}`, `10.0.0.${i}:1`, inStore.includes(`lathe-${i}`)));
-  const tell = (body: BodyInit, part: object): void =>
-    take(Wire.decode(Wire.encode({ from: "lathe-2", to: "vise-1", fromAddress: "", ...part, body }))!);
-  tell({ case: "gossip", value: create(GossipSchema, { members }) }, {});
+  const deliver = (body: BodyInit, part: object): void =>
+    receive(Wire.decode(Wire.encode({ from: "lathe-2", to: "vise-1", fromAddress: "", ...part, body }))!);
+  deliver({ case: "gossip", value: create(GossipSchema, { members }) }, {});
   const turn = (): void => turns.splice(0).forEach((fire) => fire());
   return {
     store: new StoreClient(rpc, membership, clock),
     frames,
     turn,
-    // A call that is due waits for one more turn.
+    // A call that timed out settles one turn later.
     silence: () => {
-      dues.splice(0).forEach((fire) => fire());
+      timeouts.splice(0).forEach((fire) => fire());
       turn();
     },
     answer: (frame, body) =>
-      tell(body, { from: frame.to, id: frame.id, isReply: true, callerIncarnation: frame.callerIncarnation }),
+      deliver(body, { from: frame.to, id: frame.id, isReply: true, callerIncarnation: frame.callerIncarnation }),
   };
 }
 
@@ -86,24 +86,24 @@
   expect((await Promise.all([...reads, written])).map((one) => one.revision)).toEqual([1, 2, 3, 4]);
 });
 
-/** Which control nodes are asked, one after the other, where each says this in turn; and what the client says then. */
-async function asked(call: StoreChange, says: readonly string[]): Promise<{ asked: number; outcome: string }> {
+/** How many control nodes a call is sent to if they give these replies in turn, and the outcome for the caller. */
+async function asked(call: StoreChange, replies: readonly string[]): Promise<{ asked: number; outcome: string }> {
   const { store, frames, turn, silence, answer } = client(["lathe-1", "lathe-2", "lathe-3"]);
-  const calls = (): Frame[] => frames.filter((frame) => frame.body.case === "storeCall");
+  const storeCalls = (): Frame[] => frames.filter((frame) => frame.body.case === "storeCall");
   const settled = store.call(call);
-  for (const outcome of says) {
+  for (const outcome of replies) {
     await new Promise((resolve) => setImmediate(resolve));
     turn();
-    const frame = calls().at(-1)!;
+    const frame = storeCalls().at(-1)!;
     if (outcome === "silent") silence();
     else answer(frame, { case: "storeReply", value: create(StoreReplySchema, { outcome }) });
   }
   const { outcome } = await settled;
-  return { asked: new Set(calls().map(({ to }) => to)).size, outcome };
+  return { asked: new Set(storeCalls().map(({ to }) => to)).size, outcome };
 }
 
 const txn: StoreChange = { case: "txn", value: { puts: [{ key: "k" }] } };
-const once: ReadonlyArray<[says: string[], asked: number, outcome: string]> = [
+const unrepeatableCases: ReadonlyArray<[says: string[], asked: number, outcome: string]> = [
   [["silent"], 1, "unsure"],
   [["unsure"], 1, "unsure"],
   [["away", "silent"], 2, "unsure"],
@@ -112,11 +112,12 @@
   [["away", "away", "away"], 3, "away"],
 ];
 
-test("a call that may not be repeated goes to another control node only after word that it was not done", async () => {
-  for (const [says, count, outcome] of once) expect(await asked(txn, says)).toEqual({ asked: count, outcome });
+test("a call that may not be repeated goes to another control node only after `away`", async () => {
+  for (const [says, count, outcome] of unrepeatableCases)
+    expect(await asked(txn, says)).toEqual({ asked: count, outcome });
 });
 
-test("a call that may be repeated goes on after a silence, and ends unsure where a try may have done it", async () => {
+test("a call that may be repeated goes on after a timeout, and ends unsure if it may have been done", async () => {
   const grant: StoreChange = { case: "grant", value: { lease: "a/1", length: 4000 } };
   for (const call of [
     grant,
--- a/packages/testkit/src/mutants/callMutants.ts
+++ b/packages/testkit/src/mutants/callMutants.ts
@@ -107,7 +107,7 @@
   {
     name: "a silence is forgotten once another lathe is away",
     file: "core/dist/store/storeClient.js",
-    find: "isUnknown = true;",
+    find: "isOutcomeUnknown = true;",
     put: "",
     test: "core/dist/store/storeClient.test.js",
   },
--- a/packages/testkit/src/mutants/configurationMutants.ts
+++ b/packages/testkit/src/mutants/configurationMutants.ts
@@ -49,7 +49,7 @@
   {
     name: "a node that can read no push asks again at once",
     file: "core/dist/feeds/feedFollower.js",
-    find: "if (this.#clock.now() - this.#openedAt > _a.closedMs)\n            this.#open();\n        else",
+    find: "if (this.#clock.now() - this.#openedAt > _a.reopenAfterCloseMs)\n            this.#open();\n        else",
     put: "this.#open();\n        if (false)",
     test: storm,
   },
--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -71,14 +71,14 @@
   {
     name: "a lease counts from its answer",
     file: "core/dist/store/leaseKeepAlive.js",
-    find: "this.#until = Math.max(this.#until, sentAt +",
-    put: "this.#until = Math.max(this.#until, this.#clock.now() +",
+    find: "this.#heldUntil = Math.max(this.#heldUntil, sentAt +",
+    put: "this.#heldUntil = Math.max(this.#heldUntil, this.#clock.now() +",
     test: "core/dist/store/leaseKeepAlive.test.js",
   },
   {
     name: "a holder never looks at its lease",
     file: "core/dist/store/leaseKeepAlive.js",
-    find: "this.#clock.now() >= this.#until",
+    find: "this.#clock.now() >= this.#heldUntil",
     put: "false",
     test: "core/dist/store/leaseKeepAlive.test.js",
   },
@@ -171,8 +171,8 @@
   {
     name: "a feed is asked for again before its snapshot can come",
     file: "core/dist/feeds/feedFollower.js",
-    find: "static openMs = 2500",
-    put: "static openMs = 0",
+    find: "static firstSnapshotTimeoutMs = 2500",
+    put: "static firstSnapshotTimeoutMs = 0",
     test: `${sim}/store.test.js`,
   },
   {
@@ -306,8 +306,8 @@
   {
     name: "a mute member is never asked for a sign of life",
     file: "core/dist/membership/membership.js",
-    find: "const drawn = partners[Math.floor(this.#random.draw() * partners.length)];",
-    put: 'const [drawn] = this.#peers.draw(1, "", partners);',
+    find: "const partner = partners[Math.floor(this.#random.draw() * partners.length)];",
+    put: 'const [partner] = this.#peers.pickRandom(1, "", partners);',
     test: `${sim}/membership.test.js`,
   },
   {
