--- a/packages/core/src/configuration/configuration.ts
+++ b/packages/core/src/configuration/configuration.ts
@@ -12,6 +12,7 @@
   publishers?: string[];
   maxBytes?: number;
 }
+/** A set of topics with a common prefix, and the rules (`program`) that give their contracts. */
 export interface Space {
   name: string;
   /** Topics that start with it belong to the space, unless a longer prefix of another space matches. */
@@ -20,12 +21,15 @@
   deadlineMs?: number;
   program: Array<{ when: { topic?: string; topicPrefix?: string }; contract: TopicContract }>;
 }
+/** The operators' configuration of all spaces. */
 export interface Configuration {
   version: number;
   spaces: Space[];
   limits?: { subscriptions?: number; payloadBytes?: number };
 }
+/** A configuration that could be read, or why it could not. */
 export type ConfigurationRead = { configuration: Configuration } | { faults: ConfigurationFault[] };
+/** A problem of a configuration, at a path of dotted keys; the path is empty for the document as a whole. */
 export interface ConfigurationFault {
   path: string;
   problem: string;
@@ -62,6 +66,7 @@
     return configuration === undefined ? undefined : spaceIndexOf(configuration).longest(topic);
   },
 
+  /** Whether a value is a valid topic: 1 to 200 printable ASCII characters without blanks. */
   isTopic(topic: unknown): topic is string {
     return typeof topic === "string" && /^[\x21-\x7e]{1,200}$/.test(topic);
   },
@@ -102,6 +107,7 @@
     return configuration?.limits?.subscriptions ?? Configurations.defaultSubscriptions;
   },
 
+  /** Whether a session may publish under a contract; a publisher that ends in `*` matches by prefix. */
   mayPublish(contract: TopicContract, session: string): boolean {
     return (
       contract.publishers === undefined ||
--- a/packages/core/src/configuration/configurationVerifier.ts
+++ b/packages/core/src/configuration/configurationVerifier.ts
@@ -20,6 +20,7 @@
     return Math.max(this.#newestSeen, this.#revisionInForce());
   }
 
+  /** Records a revision that this process has committed or read. */
   saw(revision: number): void {
     this.#newestSeen = Math.max(this.#newestSeen, revision);
   }
--- a/packages/core/src/configuration/configurationView.ts
+++ b/packages/core/src/configuration/configurationView.ts
@@ -16,6 +16,7 @@
  */
 export class ConfigurationView extends EventEmitter<{ changed: [] }> {
   configuration: Configuration | undefined;
+  /** The JSON text of the configuration in force; empty while there is none. */
   text = "";
   /** The store's revision of the configuration in force here; 0 while there is none. */
   revision = 0;
--- a/packages/core/src/configuration/incarnation.ts
+++ b/packages/core/src/configuration/incarnation.ts
@@ -28,6 +28,7 @@
     return `1-${identity}`;
   },
 
+  /** Whether the incarnation is one in the memory of a leader. */
   isInMemory(incarnation: string): boolean {
     return inMemoryPattern.test(incarnation);
   },
--- a/packages/core/src/configuration/prefixIndex.ts
+++ b/packages/core/src/configuration/prefixIndex.ts
@@ -16,6 +16,7 @@
     this.#lengths = [...lengths].sort((a, b) => b - a);
   }
 
+  /** The item with exactly this prefix. */
   get(prefix: string): Item | undefined {
     return this.#items.get(prefix);
   }
--- a/packages/core/src/configuration/streams.ts
+++ b/packages/core/src/configuration/streams.ts
@@ -18,6 +18,7 @@
  * of an earlier release keep the length in their name (`IncarnationsRecord.roots`).
  */
 export const Streams = {
+  /** The name of a topic's stream; `root` is the prefix whose length becomes part of the name. */
   of(root: string, topic: string, order: Order): string {
     return `${root.length}:${order === "space" ? root : topic}`;
   },
--- a/packages/core/src/feeds/changeJournal.ts
+++ b/packages/core/src/feeds/changeJournal.ts
@@ -21,6 +21,7 @@
     this.#maxRecent = maxRecent;
   }
 
+  /** The kept events, the oldest first. */
   get recent(): readonly Event[] {
     return this.#recentEvents;
   }
@@ -30,6 +31,7 @@
     this.#views.push(view);
   }
 
+  /** Keeps the event, then passes it to every view. */
   append(event: Event): void {
     this.#recentEvents.push(this.#toRetained(event));
     if (this.#recentEvents.length > this.#maxRecent * 2)
--- a/packages/core/src/feeds/feedFollower.ts
+++ b/packages/core/src/feeds/feedFollower.ts
@@ -23,8 +23,8 @@
 
 /**
  * Follows the store's numbered changes from one control node at a time and appends them to the journal.
- * Invariants: `revision` only rises; a push is applied only in sequence and as a whole: one with a delta
- * whose base this node does not hold is refused, and a new snapshot is requested.
+ * Invariants: `revision` only rises; a push is applied only in sequence and as a whole: one with a delta whose
+ * base this node does not hold is refused, and a new snapshot is requested.
  */
 export class FeedFollower extends EventEmitter<{ first: [] }> {
   /** Age above which what this node knows is no longer fresh. */
@@ -113,10 +113,12 @@
     return this.#clock.now() - this.#heardAt;
   }
 
+  /** Whether this node has data of the store that is younger than `staleMs`. */
   get isFresh(): boolean {
     return this.revision > 0 && this.age < FeedFollower.staleMs;
   }
 
+  /** Opens a feed and reopens it whenever it is closed or silent. To be called once. */
   start(): void {
     this.#open();
     this.#clock.every(100, () => {
--- a/packages/core/src/feeds/machinesView.ts
+++ b/packages/core/src/feeds/machinesView.ts
@@ -15,6 +15,7 @@
     });
   }
 
+  /** Whether operators are draining the machine with this name. */
   isDraining(name: string): boolean {
     return this.#drainingMachines.has(name);
   }
--- a/packages/core/src/feeds/shardsView.ts
+++ b/packages/core/src/feeds/shardsView.ts
@@ -25,6 +25,7 @@
     journal.subscribe((change) => this.#applyChange(change));
   }
 
+  /** The entry of a shard, which later changes update in place; an unknown shard gets an empty one. */
   find(shard: number): ShardRoute {
     let route = this.#routes.get(shard);
     if (route === undefined)
@@ -32,6 +33,7 @@
     return route;
   }
 
+  /** The entries of all known shards, by shard number. */
   all(): Array<[number, ShardRoute]> {
     return [...this.#routes].sort((a, b) => a[0] - b[0]);
   }
--- a/packages/core/src/membership/addressBook.ts
+++ b/packages/core/src/membership/addressBook.ts
@@ -27,6 +27,7 @@
     membership.rememberedAddresses = JSON.parse(this.#savedText) as string[];
   }
 
+  /** Saves the addresses periodically from now on. To be called once. */
   start(): void {
     this.#clock.every(AddressBook.saveIntervalMs, () => void this.#saveChanges());
   }
--- a/packages/core/src/membership/failureDetector.ts
+++ b/packages/core/src/membership/failureDetector.ts
@@ -29,6 +29,7 @@
   pickRandom(count: number, except: string): Member[];
   /** Asks a member directly for an answer. */
   requestContact(member: Member): void;
+  /** Marks the member as suspected. */
   suspect(member: Member): void;
 }
 
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -128,7 +128,10 @@
     return this.all().filter((member) => (role === undefined || member.role === role) && this.isAlive(member.name));
   }
 
-  /** Milliseconds since contact has been expected; 0 for a member that is alive and from which none is expected. */
+  /**
+   * Silence of a member in milliseconds: since contact has been expected, 0 if none is; for a member that is not alive
+   * since its last contact, and infinite for an unknown one.
+   */
   ageOf(name: string): number {
     const known = this.#table.find(name);
     if (known === undefined) return Infinity;
@@ -239,8 +242,8 @@
       (knownSender === undefined ||
         MemberTable.supersedes({ ...knownSender, ...claimed }, { ...knownSender, state: "left" })) &&
       !gossip.members.some((member) => member.name === from);
-    // A sender whose own record is superseded, by a suspicion or a record of an earlier
-    // incarnation, must learn of it to refute it.
+    // A sender whose own record is superseded, by a suspicion or a record of an earlier incarnation, must learn of it
+    // to refute it.
     if (knownSender !== undefined && MemberTable.supersedes(knownSender, { ...knownSender, ...claimed }))
       replyMembers.add(knownSender);
     for (const member of gossip.members) {
--- a/packages/core/src/membership/rendezvous.ts
+++ b/packages/core/src/membership/rendezvous.ts
@@ -6,6 +6,7 @@
 
 /** Highest-random-weight hashing: every node that knows the same names picks the same ones. */
 export const Rendezvous = {
+  /** The weight of a name for a key: 48 bits of a SHA-1 hash of both. */
   weigh(key: string, name: string): number {
     const cacheKey = `${key}\u0000${name}`;
     let weight = cachedWeights.get(cacheKey);
--- a/packages/core/src/store/largeValues.ts
+++ b/packages/core/src/store/largeValues.ts
@@ -44,6 +44,7 @@
     for (const { key = "", value = new Uint8Array() } of txn.puts ?? []) this.#remember(key, { value, revision });
   }
 
+  /** Drops all versions, so that values are sent and requested whole. */
   forget(): void {
     this.#versions.clear();
   }
--- a/packages/core/src/store/leaseKeepAlive.ts
+++ b/packages/core/src/store/leaseKeepAlive.ts
@@ -38,16 +38,19 @@
     this.#random = random;
   }
 
+  /** Whether the lease is held now; the first check after its end emits `lost`. */
   get isHeld(): boolean {
     if (this.lease !== "" && this.#clock.now() >= this.#heldUntil) this.#lose();
     return this.lease !== "";
   }
 
+  /** Requests a lease and renews it from now on. To be called once. */
   start(): void {
     void this.#renew();
     this.#clock.every(this.#leaseMs / LeaseKeepAlive.renewalsPerLease, () => void this.#renew());
   }
 
+  /** Gives the lease up for good and revokes it in the store, so that other nodes need not wait for its end. */
   async end(): Promise<void> {
     this.#isEnded = true;
     this.#retryTimer?.stop();
--- a/packages/core/src/store/packedValue.ts
+++ b/packages/core/src/store/packedValue.ts
@@ -33,6 +33,7 @@
   /** A delta smaller than the value by this factor is used without deflating the value for comparison. */
   clearGain: 32,
 
+  /** Whether a value is packed at all. */
   isLarge(value: Uint8Array): boolean {
     return value.length >= PackedValue.minBytes;
   },
--- a/packages/core/src/store/storeClient.ts
+++ b/packages/core/src/store/storeClient.ts
@@ -9,11 +9,14 @@
 import { LargeValues } from "./largeValues.js";
 import { nodeRole } from "../membership/nodeRole.js";
 
+/** A call on the store: a read, a transaction or a lease operation. */
 export type StoreChange = NonNullable<MessageInitShape<typeof StoreCallSchema>["call"]>;
+/** The reply to a call; `call` says what the outcomes `unsure` and `away` mean. */
 export type Outcome = { outcome: string } & Partial<
   Pick<StoreReply, "revision" | "kvs" | "retryAfterSeconds" | "reason" | "feeds" | "leader">
 >;
 
+/** A call that waits for the batch that it is sent with. */
 interface PendingCall {
   call: StoreChange;
   resolve: (reply: StoreReply | undefined) => void;
