--- a/packages/edge/src/connections/clientConnection.ts
+++ b/packages/edge/src/connections/clientConnection.ts
@@ -1,11 +1,13 @@
-/** A client's one long connection, as a session sees it. */
+/** A client's long-lived connection, independent of its protocol. */
 export interface ClientConnection {
-  /** Bytes handed over and not yet taken by the network. */
+  /** Bytes sent on the connection that the network has not accepted yet. */
   readonly waitingBytes: number;
+  /** True once either side has closed the connection. */
   readonly isClosed: boolean;
-  /** Hands one line over; nothing is sent after the close. */
+  /** Sends one event to the client; does nothing once the connection is closed. */
   send(line: object): void;
-  /** Ends it with what was sent; idempotent. */
+  /** Closes the connection after what was already sent. Idempotent. */
   close(): void;
-  onClose(whenClosed: () => void): void;
+  /** Sets the listener that is called when either side closes the connection. */
+  onClose(listener: () => void): void;
 }
--- a/packages/edge/src/connections/clientEndpoint.ts
+++ b/packages/edge/src/connections/clientEndpoint.ts
@@ -1,41 +1,55 @@
 import type { ClientConnection } from "./clientConnection.js";
 
-/** What a server that speaks its own protocol to clients calls, inside the process. Outcomes are values, not errors. */
+/**
+ * The in-process API of an edge for a server that speaks its own protocol to clients. Failures are returned as
+ * outcomes, not thrown.
+ */
 export interface ClientEndpoint {
   /**
-   * Claims the session for this node and ties the connection to it; all topics are brought by the client afterwards.
+   * Takes ownership of the session and attaches the connection to it. The client then subscribes to all its topics
+   * itself: no earlier subscription is restored.
    */
   connect(session: string, connection: ClientConnection): Promise<Connected>;
-  /** Subscribers of a topic now. */
+  /** The number of present subscribers of a topic at all edges. */
   count(topic: string): Promise<Counted>;
 }
 
-/** One open session of one client; its calls end with `moved` once the session has another owner or connection. */
+/**
+ * A client's open session. Once the session has another owner or a newer connection, `subscribe` and `unsubscribe` have
+ * the outcome `moved`, and `publish` has the outcome `unsure`.
+ */
 export interface SessionEndpoint {
+  /** The session's name. */
   readonly session: string;
-  /** Never throws. `confirmed`: messages follow on the connection only after this promise has resolved. */
+  /**
+   * Subscribes to a topic, after the cursor `after` if there is one. Never rejects. After `confirmed`, messages are
+   * delivered on the connection, but none before this promise has resolved.
+   */
   subscribe(topic: string, after?: string): Promise<Subscribed>;
+  /** Ends the subscription of a topic, if there is one. */
   unsubscribe(topic: string): Promise<Unsubscribed>;
+  /** Publishes a message. `number` rises with each message of the topic; repeating one is idempotent. */
   publish(topic: string, number: number, payload: string): Promise<Published>;
+  /** Disconnects the session, unless a newer connection has replaced this one. */
   close(): void;
 }
 
-/** Of `connect`: `away` says when to try again; `malformed` that no session can have that name. */
+/** Result of `connect`. `away`: try again after the given time; `malformed`: the session name is invalid. */
 export type Connected =
   | { outcome: "open"; connection: SessionEndpoint }
   | { outcome: "away"; reason: string; retryAfterSeconds: number }
   | { outcome: "malformed"; reason: string };
 
-/** Of `count`; `away` where no leader could be asked in time. */
+/** Result of `count`. `away`: no leader answered in time. */
 export type Counted =
   { outcome: "counted"; count: number } | { outcome: "unknown-topic" } | { outcome: "away"; retryAfterSeconds: number };
 
-/** Of `subscribe`; the cursor is the one from which messages follow. */
+/** Result of `subscribe`. `cursor` is the position after which delivery starts. */
 export type Subscribed = { outcome: "confirmed"; cursor: string } | NotSubscribed;
 
 /**
- * Why a topic was not subscribed. `away` and `moved` promise that nothing was done; `expired` that messages after the
- * cursor are gone.
+ * Why a topic was not subscribed. `away` and `moved` guarantee that nothing was done; `expired` means that messages
+ * after the cursor have been deleted.
  */
 export interface NotSubscribed {
   outcome:
@@ -44,14 +58,15 @@
   retryAfterSeconds?: number;
 }
 
-/** Of `unsubscribe`: nothing of the topic follows after `done`. */
+/** Result of `unsubscribe`: after `done` no message of the topic is delivered. */
 export interface Unsubscribed {
   outcome: "done" | "moved";
 }
 
 /**
- * `refused`: for good, never done. `away`: this and every earlier attempt of the number was never handed over and
- * never will be. `unsure`: may have been done; publishing the same number again resolves it.
+ * Result of `publish`. `refused`: permanent, the message was not and will not be published. `away`: neither this nor
+ * any earlier attempt with this number published the message, and none will. `unsure`: the message may have been
+ * published; publishing the same number again resolves it.
  */
 export type Published =
   | { outcome: "accepted"; cursor: string }
--- a/packages/edge/src/connections/edgeCalls.ts
+++ b/packages/edge/src/connections/edgeCalls.ts
@@ -14,8 +14,9 @@
 
 const subscriptionsBody = type({ "+": "reject", topic: "string", "after?": "string" });
 
-/** The calls of an edge's HTTP API. An edge whose clients speak another protocol does without them. */
+/** The routes of an edge's HTTP API. Not registered on an edge whose clients speak another protocol. */
 export class EdgeCalls {
+  /** Path of a connection request; the first group is the session's name. */
   static readonly connectionPath = /^\/v1\/sessions\/([^/]+)\/link$/;
 
   readonly #edge: EdgeParts;
@@ -24,39 +25,42 @@
     this.#edge = edge;
     router.on("POST", /^\/v1\/sessions\/([^/]+)\/messages$/, (call) => publishCall(edge, call));
     router.on("POST", /^\/v1\/sessions\/([^/]+)\/subscriptions$/, (call) =>
-      this.#onOwner(call, (session) => this.#subscribe(session, call.body)),
+      this.#runAtOwner(call, (session) => this.#subscribe(session, call.body)),
     );
     router.on("DELETE", /^\/v1\/sessions\/([^/]+)\/subscriptions\/(.+)$/, (call) =>
-      this.#onOwner(call, (session) => unsubscribeTopic(edge, session, call.params[1]!)),
+      this.#runAtOwner(call, (session) => unsubscribeTopic(edge, session, call.params[1]!)),
     );
   }
 
-  /** `POST /v1/sessions/ID/link`: undefined once the connection is open, else the reply that refuses it. */
+  /**
+   * `POST /v1/sessions/ID/link`. Returns undefined once the connection is open, otherwise the reply that refuses it.
+   */
   connection(id: string, body: Uint8Array, open: () => ClientConnection): Promise<ApiReply | undefined> {
     return openConnection(this.#edge, id, body, open);
   }
 
   async #subscribe(session: Session, body: Uint8Array): Promise<ApiReply> {
-    const read = BodyReader.read(body, subscriptionsBody);
-    if ("reply" in read) return read.reply;
-    if (!Configurations.isTopic(read.value.topic))
+    const parsed = BodyReader.read(body, subscriptionsBody);
+    if ("reply" in parsed) return parsed.reply;
+    if (!Configurations.isTopic(parsed.value.topic))
       return ApiReplies.fault(400, "malformed", "a topic is space/name", {
         problems: [{ path: "topic", problem: "must be space/name" }],
       });
     if (session.connection === undefined)
       return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { retryAfterSeconds: 0.3 });
-    const faults = await subscribeTopics(this.#edge, session, session.connection, [read.value]);
+    const faults = await subscribeTopics(this.#edge, session, session.connection, [parsed.value]);
     const fault = faults?.[0];
     if (faults === undefined) return ApiReplies.unavailable("the subscriptions could not be kept", 0.5);
-    if (fault === undefined) return ApiReplies.done({ receipt: "subscribed", topic: read.value.topic });
+    if (fault === undefined) return ApiReplies.done({ receipt: "subscribed", topic: parsed.value.topic });
     if (fault.retryAfterSeconds !== undefined) return ApiReplies.unavailable(fault.reason, fault.retryAfterSeconds);
     const status = fault.code === "unknown-topic" ? 404 : fault.code === "malformed-place" ? 400 : 409;
     return ApiReplies.fault(status, fault.code, fault.reason);
   }
 
-  async #onOwner(call: ApiCall, serve: (session: Session) => Promise<ApiReply>): Promise<ApiReply> {
+  /** Runs the handler if this node owns the session; otherwise forwards the call to the owner, at most once. */
+  async #runAtOwner(call: ApiCall, handler: (session: Session) => Promise<ApiReply>): Promise<ApiReply> {
     const session = this.#edge.sessions.find(call.params[0]!);
-    if (session !== undefined) return serve(session);
+    if (session !== undefined) return handler(session);
     const owner = call.isForwarded ? undefined : (await readOwner(this.#edge.node.store, call.params[0]!))?.owner;
     if (owner === undefined || owner.node === "" || owner.node === this.#edge.node.rpc.name)
       return ApiReplies.fault(409, "no-link", "this session has no link; open one first", { retryAfterSeconds: 0.3 });
--- a/packages/edge/src/connections/edgeClientEndpoint.ts
+++ b/packages/edge/src/connections/edgeClientEndpoint.ts
@@ -5,13 +5,13 @@
 import type { Connected, ClientEndpoint, Counted } from "./clientEndpoint.js";
 import type { EdgeParts } from "../edgeParts.js";
 
-/** The in-process interface of an edge for servers that clients connect to. */
+/** The edge's implementation of `ClientEndpoint`. */
 export class EdgeClientEndpoint implements ClientEndpoint {
   /**
-   * Milliseconds that a connection waits for the store and its session's old owner before the client hears when to
-   * retry. Longer than an election, and shorter than clients wait for an answer.
+   * Milliseconds that a connection waits for the store and the session's old owner before the client is told when to
+   * retry. Longer than an election of the store's leader, and shorter than clients wait for an answer.
    */
-  static readonly patienceMs = 1300;
+  static readonly maxAdmissionWaitMs = 1300;
 
   readonly #edge: EdgeParts;
 
@@ -19,25 +19,25 @@
     this.#edge = edge;
   }
 
-  /** Takes the session over to this node and makes the connection its own, in place of an older one. */
+  /** Takes ownership of the session and attaches the connection to it, replacing an older connection. */
   async connect(id: string, connection: ClientConnection): Promise<Connected> {
     if (!AdmitSession.isName(id)) return { outcome: "malformed", reason: "a session's name is malformed" };
     const { clock } = this.#edge.node.parts;
     const startedAt = clock.now();
-    const admitted = await AdmitSession.run(this.#edge, id, EdgeClientEndpoint.patienceMs);
+    const admitted = await AdmitSession.run(this.#edge, id, EdgeClientEndpoint.maxAdmissionWaitMs);
     const outcome = connection.isClosed ? "abandoned" : "session" in admitted ? "open" : "refused";
-    this.#edge.joinings.greeted(outcome, clock.now() - startedAt);
+    this.#edge.joinings.recordGreeting(outcome, clock.now() - startedAt);
     if (!("session" in admitted))
       return { outcome: "away", reason: admitted.reason, retryAfterSeconds: admitted.retryAfterSeconds };
     const { session } = admitted;
     if (connection.isClosed) return { outcome: "away", reason: "the client is gone", retryAfterSeconds: 0 };
     AdmitSession.attach(this.#edge, session, connection);
-    session.bringsTopics = true;
+    session.clientKeepsSubscriptions = true;
     session.resumeCursors.clear();
     return { outcome: "open", connection: new SessionConnection(this.#edge, session, connection) };
   }
 
-  /** Subscribers at all edges. */
+  /** The number of present subscribers of a topic at all edges. */
   count(topic: string): Promise<Counted> {
     return countTopic(this.#edge, topic);
   }
--- a/packages/edge/src/connections/httpConnection.ts
+++ b/packages/edge/src/connections/httpConnection.ts
@@ -1,56 +1,56 @@
 import type { ServerResponse } from "node:http";
 import type { ClientConnection } from "./clientConnection.js";
 
-/** The answer of a connection request, kept open: one JSON line after the other. */
+/** A client connection over HTTP: the open response to a connection request, with one JSON object per line. */
 export class HttpConnection implements ClientConnection {
-  readonly #answer: ServerResponse;
+  readonly #response: ServerResponse;
   #isClosed = false;
-  #whenClosed: () => void = () => undefined;
+  #closeListener: () => void = () => undefined;
 
-  constructor(answer: ServerResponse) {
-    this.#answer = answer;
-    answer.writeHead(200, {
+  constructor(response: ServerResponse) {
+    this.#response = response;
+    response.writeHead(200, {
       "Content-Type": "application/x-ndjson; charset=utf-8",
       "Cache-Control": "no-store",
       "X-Accel-Buffering": "no",
     });
-    answer.on("close", () => this.#ended());
-    answer.on("error", () => this.#ended());
-    answer.socket?.setNoDelay(true);
+    response.on("close", () => this.#ended());
+    response.on("error", () => this.#ended());
+    response.socket?.setNoDelay(true);
   }
 
-  /** Bytes in the response and its socket that the network has not taken. */
+  /** Bytes buffered in the response and its socket. */
   get waitingBytes(): number {
-    return this.#answer.writableLength + (this.#answer.socket?.writableLength ?? 0);
+    return this.#response.writableLength + (this.#response.socket?.writableLength ?? 0);
   }
 
-  /** True from the end of either side on. */
+  /** True once either side has closed the connection. */
   get isClosed(): boolean {
     return this.#isClosed;
   }
 
-  /** One JSON line; a line's end follows it. */
+  /** Sends an object as one line of JSON; does nothing once the connection is closed. */
   send(line: object): void {
-    if (!this.#isClosed) this.#answer.write(`${JSON.stringify(line)}\n`);
+    if (!this.#isClosed) this.#response.write(`${JSON.stringify(line)}\n`);
   }
 
-  /** Ends the response; the socket is destroyed 200 ms later, should the client not end it. */
+  /** Ends the response. Destroys the socket after 200 ms, in case the client does not close it. */
   close(): void {
     if (this.#isClosed) return;
-    this.#answer.end();
-    const { socket } = this.#answer;
+    this.#response.end();
+    const { socket } = this.#response;
     setTimeout(() => socket?.destroy(), 200).unref();
     this.#ended();
   }
 
-  /** One listener, called once. */
-  onClose(whenClosed: () => void): void {
-    this.#whenClosed = whenClosed;
+  /** Sets the only listener; it is called once, when either side closes the connection. */
+  onClose(listener: () => void): void {
+    this.#closeListener = listener;
   }
 
   #ended(): void {
     if (this.#isClosed) return;
     this.#isClosed = true;
-    this.#whenClosed();
+    this.#closeListener();
   }
 }
--- a/packages/edge/src/connections/openConnection.ts
+++ b/packages/edge/src/connections/openConnection.ts
@@ -16,7 +16,11 @@
   "subscriptions?": type({ "+": "reject", topic: "string", "after?": "string" }).array().atMostLength(100_000),
 });
 
-/** A client's long connection, new or resumed, from its request to its confirmed subscriptions. */
+/**
+ * Opens a client's connection over HTTP, new or resumed: admits the session, attaches the connection and subscribes to
+ * the requested topics, or to those kept for the session if the request names none. Returns undefined once the
+ * connection is open, otherwise the reply that refuses it.
+ */
 export async function openConnection(
   edge: EdgeParts,
   id: string,
@@ -30,12 +34,12 @@
       "a session is named by 1 to 64 letters, digits, dots, dashes and underscores",
       { problems: [{ path: "session", problem: "is malformed" }] },
     );
-  const read = BodyReader.read(body.length === 0 ? Buffer.from("{}") : body, connectionBody);
-  if ("reply" in read) return read.reply;
-  const faulty = (read.value.subscriptions ?? []).findIndex((request) => !Configurations.isTopic(request.topic));
-  if (faulty !== -1)
+  const parsed = BodyReader.read(body.length === 0 ? Buffer.from("{}") : body, connectionBody);
+  if ("reply" in parsed) return parsed.reply;
+  const malformed = (parsed.value.subscriptions ?? []).findIndex((request) => !Configurations.isTopic(request.topic));
+  if (malformed !== -1)
     return ApiReplies.fault(400, "malformed", "a topic is space/name", {
-      problems: [{ path: `subscriptions.${faulty}.topic`, problem: "must be space/name" }],
+      problems: [{ path: `subscriptions.${malformed}.topic`, problem: "must be space/name" }],
     });
   const admitted = await AdmitSession.run(edge, id);
   if (!("session" in admitted))
@@ -43,8 +47,8 @@
   const { session } = admitted;
   const connection = open();
   AdmitSession.attach(edge, session, connection);
-  session.bringsTopics = false;
-  const kept: SubscriptionRequest[] = [...session.resumeCursors.keys()].map((topic) => ({ topic }));
+  session.clientKeepsSubscriptions = false;
+  const keptRequests: SubscriptionRequest[] = [...session.resumeCursors.keys()].map((topic) => ({ topic }));
   connection.send({
     kind: "open",
     session: id,
@@ -52,13 +56,13 @@
     beatMs: edge.heartbeatIntervalMs,
     numbers: session.numbers.highestByTopic(),
   });
-  forgetOthers(session, read.value.subscriptions);
-  const faults = await subscribeTopics(edge, session, connection, read.value.subscriptions ?? kept);
+  replaceResumeCursors(session, parsed.value.subscriptions);
+  const faults = await subscribeTopics(edge, session, connection, parsed.value.subscriptions ?? keptRequests);
   if (session.connection === connection) for (const fault of faults ?? []) connection.send(faultLine(fault));
   return undefined;
 }
 
-/** A fault in the fields of the HTTP API. */
+/** A topic's fault as an event of the HTTP API. */
 function faultLine({ topic, code, reason, retryAfterSeconds }: TopicFault): object {
   return {
     kind: "fault",
@@ -69,11 +73,12 @@
   };
 }
 
-/** A request that names topics gets these and no others: cursors kept for the rest are dropped. */
-function forgetOthers(session: Session, requests: readonly SubscriptionRequest[] | undefined): void {
+/** A request that names topics replaces the session's subscriptions: cursors kept for other topics are dropped. */
+function replaceResumeCursors(session: Session, requests: readonly SubscriptionRequest[] | undefined): void {
   if (requests === undefined) return;
-  const wanted = new Set(requests.map((request) => request.topic));
-  for (const topic of session.resumeCursors.keys()) if (!wanted.has(topic)) session.resumeCursors.delete(topic);
+  const requestedTopics = new Set(requests.map((request) => request.topic));
+  for (const topic of session.resumeCursors.keys())
+    if (!requestedTopics.has(topic)) session.resumeCursors.delete(topic);
   for (const { topic, after } of requests) {
     const cursor = Cursors.read(after);
     if (cursor !== undefined) session.resumeCursors.set(topic, cursor);
--- a/packages/edge/src/connections/sessionConnection.ts
+++ b/packages/edge/src/connections/sessionConnection.ts
@@ -9,45 +9,48 @@
 import { joinStreams } from "../subscriptions/joinStreams.js";
 import { publishMessage, type PublishOutcome } from "../publishing/publishMessage.js";
 
-interface Asked {
+/** A subscribe call that is to be looked up. */
+interface SubscribeCall {
   topic: string;
   after: string | undefined;
   resolve: (outcome: Subscribed) => void;
 }
-interface Pending {
-  readonly asked: Asked;
+/** A subscribe call in progress and its outcome. */
+interface PendingCall {
+  readonly call: SubscribeCall;
   readonly outcome: Promise<Subscribed>;
 }
+/** Codes of faults that are returned as outcomes under the same name; every other code becomes `away`. */
 const faultOutcomes = ["unknown-topic", "malformed-place", "unknown-place", "away"] as const;
 
-/** Milliseconds until a topic that could not be joined anew just now is tried again. */
+/** Milliseconds until a failed attempt to rejoin a suspended topic is repeated. */
 const rejoinDelayMs = 300;
 
 /**
- * A connection whose client brings its topics and cursors itself.
- * Invariants: a topic is pending from its call until it joined or failed; what is asked for in one turn is
- * looked up together; nothing of a topic is delivered in the turn in which its subscription is confirmed; a
- * subscription that was confirmed goes on until the client or the connection ends it: a topic whose stream has ended is
- * suspended, and joined anew from its cursor as soon as it has a stream again.
+ * The session of a client that keeps its subscriptions and cursors itself, on one connection.
+ * Invariants: a topic is pending from the subscribe call until it has joined its stream or failed; the calls of one
+ * turn of the event loop are looked up together; no message of a topic is delivered in the turn that confirms its
+ * subscription; a confirmed subscription lasts until the client or the connection ends it: a topic whose stream has
+ * ended is suspended, and rejoins from its cursor as soon as it has a stream again.
  */
 export class SessionConnection implements SessionEndpoint {
   readonly #edge: EdgeParts;
   readonly #session: Session;
   readonly #connection: ClientConnection;
-  /** By topic, the pending call; a later one takes the place of one that was unsubscribed meanwhile. */
-  readonly #pending = new Map<string, Pending>();
-  /** Topics without a stream just now, and from where each is to go on. */
+  /** By topic, the pending call; a later call replaces one whose topic was unsubscribed in the meantime. */
+  readonly #pending = new Map<string, PendingCall>();
+  /** Topics that have no stream at present, and the cursor from which each is to continue. */
   readonly #suspended = new Map<string, Cursor>();
-  /** Topics that the client has, as far as it was told. */
-  readonly #confirmed = new Set<string>();
+  /** Topics whose subscription has been confirmed to the client. */
+  readonly #confirmedTopics = new Set<string>();
   #isRejoinScheduled = false;
-  #asked: Asked[] = [];
+  #callsToLookUp: SubscribeCall[] = [];
 
   constructor(edge: EdgeParts, session: Session, connection: ClientConnection) {
     this.#edge = edge;
     this.#session = session;
     this.#connection = connection;
-    session.whenConfigurationChanged = () => this.#rejoin();
+    session.onConfigurationChanged = () => this.#rejoin();
   }
 
   /** The session's name. */
@@ -55,9 +58,9 @@
     return this.#session.id;
   }
 
-  /** Confirms where the topic's messages go on; a repeated call shares the one that is pending. */
+  /** Subscribes to a topic. A repeated call returns the outcome of the pending one. */
   subscribe(topic: string, after?: string): Promise<Subscribed> {
-    const refusal = this.#refusal(topic);
+    const refusal = this.#refusalOf(topic);
     if (refusal !== undefined) return Promise.resolve(refusal);
     const cursor = this.#session.subscriptions.get(topic);
     if (cursor !== undefined)
@@ -66,22 +69,22 @@
     if (pending !== undefined) return pending;
     const suspended = this.#suspended.get(topic);
     this.#suspended.delete(topic);
-    this.#confirmed.delete(topic);
-    return this.#ask(topic, after ?? (suspended === undefined ? undefined : cursorText(suspended)));
+    this.#confirmedTopics.delete(topic);
+    return this.#queueLookUp(topic, after ?? (suspended === undefined ? undefined : cursorText(suspended)));
   }
 
-  /** Ends deliveries of the topic at once; a pending subscription of it no longer joins. */
+  /** Stops delivery of the topic at once; a pending subscription of it does not join any more. */
   unsubscribe(topic: string): Promise<{ outcome: "done" | "moved" }> {
     if (!this.#isCurrent) return Promise.resolve({ outcome: "moved" });
     this.#pending.delete(topic);
     this.#suspended.delete(topic);
-    this.#confirmed.delete(topic);
+    this.#confirmedTopics.delete(topic);
     this.#session.subscriptions.get(topic)?.remove(topic);
     this.#session.subscriptions.delete(topic);
     return Promise.resolve({ outcome: "done" });
   }
 
-  /** Hands one message to the topic's leader. `number` rises per topic; repeating one is idempotent. */
+  /** Publishes one message through the shard's leader. `number` rises per topic; repeating one is idempotent. */
   publish(topic: string, number: number, payload: string): Promise<PublishOutcome> {
     if (!this.#isCurrent)
       return Promise.resolve({ outcome: "unsure", reason: "the session moved on meanwhile", retryAfterSeconds: 0.3 });
@@ -90,61 +93,64 @@
     return publishMessage(this.#edge, this.#session, topic, number, payload);
   }
 
-  /** Disconnects the session, unless a newer connection has it. */
+  /** Disconnects the session, unless a newer connection has replaced this one. */
   close(): void {
     if (this.#session.connection !== this.#connection) return;
     this.#session.disconnect("closed by the client", 0, this.#edge.node.parts.clock.now());
   }
 
+  /** Whether this node still owns the session and this is its connection. */
   get #isCurrent(): boolean {
     return this.#session.connection === this.#connection && !this.#session.isStopped && this.#edge.lease.isHeld;
   }
 
-  #refusal(topic: string): Subscribed | undefined {
+  #refusalOf(topic: string): Subscribed | undefined {
     if (!this.#isCurrent) return { outcome: "moved", reason: "the session moved on meanwhile" };
     if (!Configurations.isTopic(topic)) return { outcome: "malformed", reason: "the topic is malformed" };
     if (!this.#edge.node.feed.isFresh)
       return { outcome: "away", reason: "this node is out of touch with the store", retryAfterSeconds: 0.5 };
     const isKnown = this.#session.subscriptions.has(topic) || this.#pending.has(topic) || this.#suspended.has(topic);
     const count = this.#session.subscriptions.size + this.#pending.size;
-    const most = Configurations.maxSubscriptions(this.#edge.node.configuration.configuration);
-    if (!isKnown && count >= most) return { outcome: "too-many", reason: `a connection may have ${most} topics` };
+    const maxTopics = Configurations.maxSubscriptions(this.#edge.node.configuration.configuration);
+    if (!isKnown && count >= maxTopics)
+      return { outcome: "too-many", reason: `a connection may have ${maxTopics} topics` };
     return undefined;
   }
 
-  #ask(topic: string, after: string | undefined): Promise<Subscribed> {
+  #queueLookUp(topic: string, after: string | undefined): Promise<Subscribed> {
     let resolveOutcome: (outcome: Subscribed) => void = () => undefined;
     const outcome = new Promise<Subscribed>((resolve) => (resolveOutcome = resolve));
-    const asked = { topic, after, resolve: resolveOutcome };
-    this.#pending.set(topic, { asked, outcome });
-    this.#asked.push(asked);
-    if (this.#asked.length === 1) this.#edge.node.parts.clock.once(0, () => void this.#lookUp());
+    const call = { topic, after, resolve: resolveOutcome };
+    this.#pending.set(topic, { call, outcome });
+    this.#callsToLookUp.push(call);
+    if (this.#callsToLookUp.length === 1) this.#edge.node.parts.clock.once(0, () => void this.#lookUp());
     return outcome;
   }
 
   async #lookUp(): Promise<void> {
-    const asked = this.#asked;
-    this.#asked = [];
-    const requests = asked.map(({ topic, after }) => (after === undefined ? { topic } : { topic, after }));
+    const calls = this.#callsToLookUp;
+    this.#callsToLookUp = [];
+    const requests = calls.map(({ topic, after }) => (after === undefined ? { topic } : { topic, after }));
     const { starts, faults } = await this.#edge.joinings.steps.measure("starts", () =>
       findStarts(this.#edge, this.#session, requests),
     );
-    const good = starts.filter(({ expired }) => expired === "");
-    for (const one of asked) one.resolve(this.#outcomeOf(one.topic, starts, faults));
-    // The confirmations go out first.
-    this.#edge.node.parts.clock.once(0, () => this.#join(asked, good));
-    for (const one of asked)
-      if (this.#isPending(one) && !good.some(({ topic }) => topic === one.topic)) this.#pending.delete(one.topic);
+    const joinable = starts.filter(({ expired }) => expired === "");
+    for (const call of calls) call.resolve(this.#outcomeOf(call.topic, starts, faults));
+    // The next turn, so that the confirmations are sent before the first message.
+    this.#edge.node.parts.clock.once(0, () => this.#join(calls, joinable));
+    for (const call of calls)
+      if (this.#isPending(call) && !joinable.some(({ topic }) => topic === call.topic))
+        this.#pending.delete(call.topic);
     for (const { tail, expired } of starts) if (expired !== "") this.#edge.streams.release(tail);
   }
 
   #outcomeOf(topic: string, starts: readonly Start[], faults: readonly TopicFault[]): Subscribed {
     if (!this.#isCurrent) return { outcome: "moved", reason: "the session moved on meanwhile" };
-    const start = starts.find((one) => one.topic === topic);
+    const start = starts.find((candidate) => candidate.topic === topic);
     if (start !== undefined && start.expired !== "") return { outcome: "expired", reason: start.expired };
     if (start !== undefined) return { outcome: "confirmed", cursor: cursorText(start.cursor) };
-    const fault = faults.find((one) => one.topic === topic);
-    const outcome = faultOutcomes.find((one) => one === fault?.code) ?? "away";
+    const fault = faults.find((candidate) => candidate.topic === topic);
+    const outcome = faultOutcomes.find((code) => code === fault?.code) ?? "away";
     return {
       outcome,
       reason: fault?.reason ?? "the topic could not be looked up",
@@ -152,20 +158,20 @@
     };
   }
 
-  /** Neither unsubscribed since, nor subscribed anew after that. */
-  #isPending(asked: Asked): boolean {
-    return this.#pending.get(asked.topic)?.asked === asked;
+  /** Whether the call is still the pending one: the topic was neither unsubscribed nor subscribed again since. */
+  #isPending(call: SubscribeCall): boolean {
+    return this.#pending.get(call.topic)?.call === call;
   }
 
-  /** Topics unsubscribed meanwhile, or whose connection ended, don't join. */
-  #join(asked: readonly Asked[], starts: readonly Start[]): void {
-    const wanted = new Set(asked.filter((one) => this.#isPending(one)).map(({ topic }) => topic));
-    for (const topic of wanted) this.#pending.delete(topic);
-    const joining = starts.filter(({ topic }) => wanted.delete(topic));
+  /** Joins the streams. Leaves out topics that were unsubscribed in the meantime, and all if the connection ended. */
+  #join(calls: readonly SubscribeCall[], starts: readonly Start[]): void {
+    const pendingTopics = new Set(calls.filter((call) => this.#isPending(call)).map(({ topic }) => topic));
+    for (const topic of pendingTopics) this.#pending.delete(topic);
+    const joining = starts.filter(({ topic }) => pendingTopics.delete(topic));
     if (this.#isCurrent) {
-      const whenEnded = (topic: string, cursor: Cursor): void => this.#suspend(topic, cursor);
-      for (const { topic } of joining) this.#confirmed.add(topic);
-      joinStreams(this.#edge, this.#session, this.#connection, joining, { whenEnded });
+      const onEnded = (topic: string, cursor: Cursor): void => this.#suspend(topic, cursor);
+      for (const { topic } of joining) this.#confirmedTopics.add(topic);
+      joinStreams(this.#edge, this.#session, this.#connection, joining, { onEnded });
     }
     for (const { tail } of starts) this.#edge.streams.release(tail);
   }
@@ -173,10 +179,10 @@
   #suspend(topic: string, cursor: Cursor): void {
     if (!this.#isCurrent) return;
     this.#suspended.set(topic, cursor);
-    this.#rejoinLater(0);
+    this.#scheduleRejoin(0);
   }
 
-  #rejoinLater(delayMs: number): void {
+  #scheduleRejoin(delayMs: number): void {
     if (this.#isRejoinScheduled) return;
     this.#isRejoinScheduled = true;
     this.#edge.node.parts.clock.once(delayMs, () => {
@@ -185,7 +191,7 @@
     });
   }
 
-  /** Joins suspended topics that this node knows a stream for; the others wait for a configuration that has one. */
+  /** Rejoins suspended topics that have a stream in the configuration; the others wait for a later configuration. */
   #rejoin(): void {
     if (!this.#isCurrent) return;
     for (const [topic, cursor] of this.#suspended) {
@@ -196,18 +202,19 @@
   }
 
   async #rejoinTopic(topic: string, cursor: Cursor): Promise<void> {
-    const { outcome } = await this.#ask(topic, cursorText(cursor));
+    const { outcome } = await this.#queueLookUp(topic, cursorText(cursor));
     if (!this.#isCurrent || this.#suspended.get(topic) !== cursor) return;
-    if (outcome === "away") return this.#rejoinLater(rejoinDelayMs);
+    if (outcome === "away") return this.#scheduleRejoin(rejoinDelayMs);
     if (outcome === "unknown-topic") return;
     this.#suspended.delete(topic);
     if (outcome === "confirmed") return;
-    // The client is told by the end of its connection that it can't go on from its cursor.
+    // The subscription can't continue from its cursor: the client learns of it when its connection is closed.
     this.#session.disconnect(`${topic} can't be resumed`, 0, this.#edge.node.parts.clock.now());
   }
 
+  /** Reports a violated invariant if a confirmed subscription is neither live, pending nor suspended. */
   #checkConfirmed(): void {
-    for (const topic of this.#confirmed) {
+    for (const topic of this.#confirmedTopics) {
       if (this.#session.subscriptions.has(topic) || this.#pending.has(topic) || this.#suspended.has(topic)) continue;
       this.#edge.node.invariants.violated("subscriptionEnd", { session: this.session, topic });
     }
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -14,14 +14,14 @@
 import { nodeRole } from "@cranetrack/core/membership/nodeRole.js";
 
 /**
- * An edge: clients' connections, their sessions, and the streams these need. Keeps nothing on disk.
- * Invariant: without its lease in the metadata store it sends nothing to any client (`maySend`).
+ * An edge node: the client connections, their sessions, and the streams that these subscribe to. It stores nothing on
+ * disk. Invariant: without its lease in the metadata store it sends nothing to any client (`maySend`).
  */
 export class EdgeNode implements EdgeParts {
-  /** Age of the newest update from the metadata store, in milliseconds, at which connections are closed. */
-  static readonly outOfTouchMs = 3000;
-  /** How often a connection that waits for the store looks again whether the node is in touch with it. */
-  static readonly touchDelayMs = 50;
+  /** Connections are closed when the newest update from the metadata store is older than this, in milliseconds. */
+  static readonly storeContactTimeoutMs = 3000;
+  /** Milliseconds between two checks for contact with the store while connections wait for it. */
+  static readonly storeContactPollMs = 50;
 
   readonly node: ClusterNode;
   readonly lease: LeaseKeepAlive;
@@ -34,16 +34,16 @@
   readonly publishTimeoutMs = 700;
   readonly sessionRetentionMs = 900_000;
   readonly live: { maxConnections: number; bufferBytes: number };
-  readonly touchDelay: SharedDelay;
+  readonly storeContactDelay: SharedDelay;
   isDraining = false;
-  admitting = 0;
+  admittingCount = 0;
 
   constructor(node: ClusterNode, router: Router) {
     const { settings, clock, random } = node.parts;
     this.node = node;
     this.router = router;
     this.live = { maxConnections: settings.maxConnections, bufferBytes: settings.bufferBytes };
-    this.touchDelay = new SharedDelay(clock, EdgeNode.touchDelayMs);
+    this.storeContactDelay = new SharedDelay(clock, EdgeNode.storeContactPollMs);
     this.lease = new LeaseKeepAlive(settings.name, settings.edgeLeaseMs, node.store, clock, random);
     this.joinings = new JoiningStats(clock);
     this.sessions = new Sessions(node, this.lease, this.joinings.steps);
@@ -56,12 +56,12 @@
     clock.every(200_000, () => this.#renewSessions());
   }
 
-  /** Ready to take connections: holds its lease, hears from the store, and is not draining. */
+  /** Whether the node accepts connections: it holds its lease, gets updates from the store and is not draining. */
   get isReady(): boolean {
     return !this.isDraining && this.lease.isHeld && this.node.feed.isFresh;
   }
 
-  /** The edge's part of `GET /v1/status`; field names are the API's. */
+  /** The edge's part of `GET /v1/status`. The field names are part of the API. */
   status(): object {
     return {
       links: this.sessions.connections,
@@ -77,15 +77,15 @@
 
   #loadFields(): Record<string, number> {
     const { connections, table } = this.sessions;
-    return { connections, sessions: table.size, admitting: this.admitting, leasesLost: this.lease.losses };
+    return { connections, sessions: table.size, admitting: this.admittingCount, leasesLost: this.lease.losses };
   }
 
-  /** Begins to acquire the node's lease. */
+  /** Starts to acquire and renew the node's lease. */
   start(): void {
     this.lease.start();
   }
 
-  /** Asked before each delivery; a reader with more than `bufferBytes` unread is disconnected. */
+  /** Checked before each delivery. Disconnects a client that has left more than `bufferBytes` bytes unread. */
   maySend(session: Session, connection: ClientConnection): boolean {
     if (!this.lease.isHeld || session.isStopped || session.connection !== connection) return false;
     if (connection.waitingBytes <= this.live.bufferBytes) return true;
@@ -94,56 +94,57 @@
   }
 
   /**
-   * Graceful shutdown: admits no client, sends each to another edge, leaves the sessions to be taken over for 1.5 s and
-   * releases the owner keys of the rest, then the lease.
+   * Graceful shutdown: stops admitting clients and directs each connected one to another edge. Leaves 1.5 s for other
+   * edges to take the sessions over, then releases the owner keys of the remaining sessions and the lease.
    */
   async drain(): Promise<void> {
     this.isDraining = true;
-    const next = this.#nextAddresses();
+    const otherEdges = this.#otherEdgeAddresses();
     this.sessions.disconnectAll(
       "stopping",
       () => this.node.parts.random.draw() * 0.5,
-      (session) => Rendezvous.rank(session, next)[0] ?? "",
+      (session) => Rendezvous.rank(session, otherEdges)[0] ?? "",
     );
     await new Promise<void>((resolve) => void this.node.parts.clock.once(1500, resolve));
-    // Sessions whose clients bring their topics have nothing to keep: their keys go with the lease.
-    const kept = [...this.sessions.table.values()].filter((session) => !session.bringsTopics);
-    await Promise.all(kept.map((session) => this.sessions.release(session)));
+    // Sessions whose clients keep their own subscriptions have no state to store: their owner keys end with the lease.
+    const toRelease = [...this.sessions.table.values()].filter((session) => !session.clientKeepsSubscriptions);
+    await Promise.all(toRelease.map((session) => this.sessions.release(session)));
     await this.lease.end();
   }
 
-  /** Where this node's clients may go: edges of its zone, else of the others. */
-  #nextAddresses(): string[] {
+  /** Addresses for the clients of this node to reconnect to: edges in its zone, or in the others if it has none. */
+  #otherEdgeAddresses(): string[] {
     const { rpc, membership, parts } = this.node;
     const others = membership
       .alive(nodeRole.edge)
       .filter(({ name }) => name !== rpc.name)
       .map(({ zone, clients, http }) => ({ zone, address: clients === "" ? http : clients }))
       .filter(({ address }) => address !== "");
-    const near = others.filter(({ zone }) => zone === parts.settings.zone);
-    return (near.length > 0 ? near : others).map(({ address }) => address);
+    const sameZone = others.filter(({ zone }) => zone === parts.settings.zone);
+    return (sameZone.length > 0 ? sameZone : others).map(({ address }) => address);
   }
 
   #configurationChanged(): void {
     for (const session of this.sessions.table.values()) {
       for (const cursor of session.cursors()) cursor.configurationChanged(this.node.configuration);
-      session.whenConfigurationChanged?.();
+      session.onConfigurationChanged?.();
     }
   }
 
   #tick(): void {
-    const isLost = this.node.feed.age > EdgeNode.outOfTouchMs;
+    const isOutOfContact = this.node.feed.age > EdgeNode.storeContactTimeoutMs;
     for (const session of this.sessions.table.values()) {
       const { connection } = session;
       if (connection === undefined) continue;
-      if (isLost) session.disconnect("this node is out of touch", 0.2, this.node.parts.clock.now());
-      else if (this.maySend(session, connection) && !session.bringsTopics) connection.send({ kind: "beat" });
+      if (isOutOfContact) session.disconnect("this node is out of touch", 0.2, this.node.parts.clock.now());
+      else if (this.maySend(session, connection) && !session.clientKeepsSubscriptions)
+        connection.send({ kind: "beat" });
     }
   }
 
   #renewSessions(): void {
     for (const session of this.sessions.table.values())
-      if (!session.bringsTopics)
+      if (!session.clientKeepsSubscriptions)
         void this.node.store.call({ case: "renew", value: { lease: SubscriptionKey.leaseOf(session.id) } });
   }
 }
--- a/packages/edge/src/edgeParts.ts
+++ b/packages/edge/src/edgeParts.ts
@@ -9,7 +9,7 @@
 import type { ConfigurationCheck } from "./publishing/configurationCheck.js";
 import type { StreamTable } from "./fanout/streamTable.js";
 
-/** What the requests of an edge work with. */
+/** The state and services of an edge node that its request handlers share. */
 export interface EdgeParts {
   readonly node: ClusterNode;
   readonly lease: LeaseKeepAlive;
@@ -18,15 +18,20 @@
   readonly streams: StreamTable;
   readonly configurationCheck: ConfigurationCheck;
   readonly router: Router;
+  /** Milliseconds between two heartbeats on a client connection. */
   readonly heartbeatIntervalMs: number;
+  /** The longest that a publish may take, in milliseconds; a space's deadline may shorten it. */
   readonly publishTimeoutMs: number;
+  /** How long the store keeps the subscriptions of a session whose lease is not renewed, in milliseconds. */
   readonly sessionRetentionMs: number;
+  /** The node is shutting down and admits no more connections. */
   readonly isDraining: boolean;
-  /** Between two looks at whether the node is in touch with the store, for all connections that wait for that. */
-  readonly touchDelay: SharedDelay;
-  /** Connection requests under way that will count as connections if they succeed. */
-  admitting: number;
+  /** Shared by all connections that wait for contact with the store: the delay between two checks for it. */
+  readonly storeContactDelay: SharedDelay;
+  /** Connection requests in progress; each becomes a connection if it succeeds. */
+  admittingCount: number;
+  /** Settings that a reload of the settings file may change while the node runs. */
   readonly live: { maxConnections: number; bufferBytes: number };
-  /** False once the ownership is lost or the reader too slow; the connection is closed then. */
+  /** False if this node may no longer send for the session, or if the client reads too slowly; that disconnects it. */
   maySend(session: Session, connection: ClientConnection): boolean;
 }
--- a/packages/edge/src/fanout/fetchMessages.ts
+++ b/packages/edge/src/fanout/fetchMessages.ts
@@ -4,28 +4,33 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
 /**
- * Messages of one incarnation, in order; `trimmed` where those up to `low` are gone from the log, `gone` where the
- * whole incarnation is.
+ * Messages of one incarnation, in order. `trimmed`: the messages up to `low` have been deleted from the log; `gone`:
+ * the whole incarnation has.
  */
-export interface Fetched {
+export interface FetchResult {
   outcome: "done" | "trimmed" | "gone";
+  /** The lowest offset after which messages can be read. */
   low: number;
   messages: readonly StreamMessage[];
-  /** For each topic the last message of it that was trimmed. */
+  /** For each topic the sequence number of its last trimmed message. */
   trims: ReadonlyMap<string, number>;
 }
 
-const timeoutMs = 800;
-const limit = 500;
+const fetchTimeoutMs = 800;
+const maxFetchedMessages = 500;
 
-/** Messages after an offset that the tail no longer has; undefined where that server can't give them now. */
+/** Fetches messages that the tail no longer has from a leader or replica; undefined if it can't return them now. */
 export async function fetchMessages(
   node: ClusterNode,
   server: string,
   fetch: MessageInitShape<typeof FetchSchema> & { incarnation: string },
-): Promise<Fetched | undefined> {
+): Promise<FetchResult | undefined> {
   if (server === "") return undefined;
-  const reply = await node.rpc.call(server, { case: "fetch", value: { ...fetch, limit } }, timeoutMs);
+  const reply = await node.rpc.call(
+    server,
+    { case: "fetch", value: { ...fetch, limit: maxFetchedMessages } },
+    fetchTimeoutMs,
+  );
   if (reply?.case !== "fetchReply") return undefined;
   const { outcome, low, batch, trims } = reply.value;
   if (outcome === "another-birth") return { outcome: "gone", low, messages: [], trims: new Map() };
--- a/packages/edge/src/fanout/numberedPushes.test.ts
+++ b/packages/edge/src/fanout/numberedPushes.test.ts
@@ -6,10 +6,10 @@
 
 const push = (number: number, follow = "a"): Push => create(PushSchema, { follow, number });
 
-test("a push counts only in its number's turn, and only of the follow under way", () => {
+test("a push counts only if it has the next number and belongs to the present follow", () => {
   const pushes = new NumberedPushes();
   pushes.begin("a");
-  expect(pushes.opened(4)).toEqual([]);
+  expect(pushes.onFollowReply(4)).toEqual([]);
   expect([4, 6, 5, 5, 6].map((number) => pushes.receive(push(number)))).toEqual([
     "seen",
     "gap",
@@ -21,18 +21,18 @@
   expect(pushes.seen).toEqual(6);
 });
 
-test("a push before the follow's reply waits for it and counts then", () => {
+test("a push that arrives before the follow's reply waits for it and counts then", () => {
   const pushes = new NumberedPushes();
   pushes.begin("a");
   expect(pushes.receive(push(1))).toEqual("early");
-  const early = pushes.opened(0);
-  expect(early.map((one) => pushes.receive(one))).toEqual(["next"]);
+  const early = pushes.onFollowReply(0);
+  expect(early.map((earlyPush) => pushes.receive(earlyPush))).toEqual(["next"]);
 });
 
-test("after its end nothing of a follow counts", () => {
+test("no push of a follow counts after its end", () => {
   const pushes = new NumberedPushes();
   pushes.begin("a");
-  pushes.opened(3);
+  pushes.onFollowReply(3);
   pushes.end();
   expect(pushes.receive(push(4))).toEqual("foreign");
   expect([pushes.follow, pushes.seen]).toEqual(["", 0]);
--- a/packages/edge/src/fanout/numberedPushes.ts
+++ b/packages/edge/src/fanout/numberedPushes.ts
@@ -1,50 +1,56 @@
 import type { Push } from "@cranetrack/core/gen/cranetrack_pb.js";
 
-/** A push of another follow, kept until this one has its reply, counted already, next, or after a gap. */
+/**
+ * How a push fits in. `foreign`: it belongs to another follow; `early`: it came before the follow's reply and is kept;
+ * `seen`: its number was already counted; `next`: it has the next number; `gap`: a push before it is missing.
+ */
 export type PushOrder = "foreign" | "early" | "seen" | "next" | "gap";
 
 /**
- * The numbered pushes of one follow, from whoever serves it.
- * Invariants: a push counts only in its number's turn; what comes before the follow's own reply waits for it, for
- * both may arrive in one piece.
+ * Checks the numbers of the pushes of one follow, sent by the leader or the replica that serves it.
+ * Invariants: a push counts only if it has the next number; pushes that arrive before the reply to the follow wait for
+ * it, as both may arrive in one network read.
  */
 export class NumberedPushes {
   #follow = "";
   #seen = 0;
   #early: Push[] | undefined;
 
-  /** The follow under way; empty where there is none. */
+  /** Identifier of the present follow; empty if there is none. */
   get follow(): string {
     return this.#follow;
   }
 
-  /** The number of the last push counted. */
+  /** The number of the last counted push. */
   get seen(): number {
     return this.#seen;
   }
 
-  /** A new follow is asked for: pushes wait for its reply. */
+  /** A new follow was requested: its pushes wait for the reply. */
   begin(follow: string): void {
     this.#follow = follow;
     this.#early = [];
   }
 
-  /** The reply is here; `number` is what pushes go on from, where it opened the follow. Returns what waited for it. */
-  opened(number?: number): Push[] {
+  /**
+   * The reply has arrived. `number`: the number before the first push, if this reply opened the follow. Returns the
+   * pushes that waited for the reply.
+   */
+  onFollowReply(number?: number): Push[] {
     const early = this.#early ?? [];
     this.#early = undefined;
     if (number !== undefined) this.#seen = number;
     return early;
   }
 
-  /** Nothing is followed any more; every push is foreign until `begin`. */
+  /** Ends the follow; every push is foreign until `begin`. */
   end(): void {
     this.#follow = "";
     this.#seen = 0;
     this.#early = undefined;
   }
 
-  /** How a push fits in; one that is next counts from now on. */
+  /** Returns how a push fits in, and counts it if it is the next. */
   receive(push: Push): PushOrder {
     if (push.follow !== this.#follow) return "foreign";
     if (this.#early !== undefined) {
--- a/packages/edge/src/fanout/publisherOrder.test.ts
+++ b/packages/edge/src/fanout/publisherOrder.test.ts
@@ -8,37 +8,37 @@
 const message = (seq: number, number: number, session = "pen", topic = "t"): StreamMessage =>
   create(StreamMessageSchema, { seq, number, session, at: 1000, topic, payload: Buffer.from("x") });
 
-test("the highest number of each publisher and topic counts, whatever comes between", () => {
+test("a number is compared with the highest number of its publisher and topic", () => {
   const order = new PublisherOrder();
-  expect(order.faultOf(message(1, 5), 0)).toEqual(undefined);
-  expect(order.faultOf(message(2, 3, "other"), 0)).toEqual(undefined);
-  expect(order.faultOf(message(3, 2, "pen", "u"), 0)).toEqual(undefined);
-  expect(order.faultOf(message(4, 5), 0)).toEqual(5);
-  expect(order.faultOf(message(5, 2), 0)).toEqual(5);
-  // What came too late takes nothing back.
-  expect(order.faultOf(message(6, 4), 0)).toEqual(5);
-  expect(order.faultOf(message(7, 9), 0)).toEqual(undefined);
+  expect(order.checkNumber(message(1, 5), 0)).toEqual(undefined);
+  expect(order.checkNumber(message(2, 3, "other"), 0)).toEqual(undefined);
+  expect(order.checkNumber(message(3, 2, "pen", "u"), 0)).toEqual(undefined);
+  expect(order.checkNumber(message(4, 5), 0)).toEqual(5);
+  expect(order.checkNumber(message(5, 2), 0)).toEqual(5);
+  // An out-of-order message does not lower the highest number.
+  expect(order.checkNumber(message(6, 4), 0)).toEqual(5);
+  expect(order.checkNumber(message(7, 9), 0)).toEqual(undefined);
 });
 
-test("a publisher that was silent for long may begin anew, and one that was not may not", () => {
+test("the numbers of a publisher may start again only after a long silence", () => {
   const order = new PublisherOrder();
-  order.faultOf(message(1, 5), 1000);
-  expect(order.faultOf(message(2, 1), 999 + PublisherOrder.rememberedMs)).toEqual(5);
-  expect(order.faultOf(message(3, 1), 999 + 2 * PublisherOrder.rememberedMs)).toEqual(undefined);
-  expect(order.faultOf(message(4, 1), 999 + 2 * PublisherOrder.rememberedMs)).toEqual(1);
+  order.checkNumber(message(1, 5), 1000);
+  expect(order.checkNumber(message(2, 1), 999 + PublisherOrder.rememberedMs)).toEqual(5);
+  expect(order.checkNumber(message(3, 1), 999 + 2 * PublisherOrder.rememberedMs)).toEqual(undefined);
+  expect(order.checkNumber(message(4, 1), 999 + 2 * PublisherOrder.rememberedMs)).toEqual(1);
 });
 
-test("it is bounded: who was silent longest is forgotten first", () => {
+test("it is bounded: the publisher that was silent longest is forgotten first", () => {
   const order = new PublisherOrder();
-  for (let i = 0; i < PublisherOrder.maxPublishers; i += 1) order.faultOf(message(i + 1, 7, `pen-${i}`), 0);
-  order.faultOf(message(1, 8, "pen-0"), 0);
-  order.faultOf(message(1, 1, "more"), 0);
-  expect(order.faultOf(message(1, 1, "pen-1"), 0)).toEqual(undefined);
-  expect(order.faultOf(message(1, 1, "pen-0"), 0)).toEqual(8);
-  expect(order.faultOf(message(1, 1, "pen-3"), 0)).toEqual(7);
+  for (let i = 0; i < PublisherOrder.maxPublishers; i += 1) order.checkNumber(message(i + 1, 7, `pen-${i}`), 0);
+  order.checkNumber(message(1, 8, "pen-0"), 0);
+  order.checkNumber(message(1, 1, "more"), 0);
+  expect(order.checkNumber(message(1, 1, "pen-1"), 0)).toEqual(undefined);
+  expect(order.checkNumber(message(1, 1, "pen-0"), 0)).toEqual(8);
+  expect(order.checkNumber(message(1, 1, "pen-3"), 0)).toEqual(7);
 });
 
-test("a tail tells of disorder within one incarnation", () => {
+test("a tail reports numbers out of order within one incarnation", () => {
   const tail = new StreamTail({ stream: "0:t", space: "", spaceIncarnation: 1 }, 0);
   const faults: OrderFault[] = [];
   tail.on("disorder", (fault) => faults.push(fault));
--- a/packages/edge/src/fanout/publisherOrder.ts
+++ b/packages/edge/src/fanout/publisherOrder.ts
@@ -1,41 +1,48 @@
 import type { StreamMessage } from "@cranetrack/core/gen/cranetrack_pb.js";
 
+/** The last message of a publisher in a topic. */
 interface LastMessage {
+  /** The highest number so far. */
   number: number;
   /** Milliseconds, of the caller's clock. */
   at: number;
 }
 
 /**
- * The order of each publisher in each topic: its numbers rise, whatever happens to who sequences them. Bounded: whoever
- * was silent longest is forgotten first. Leaders forget publishers that were silent for ten minutes, who may begin
- * anew, so what is older than half of that counts for nothing here.
+ * Checks that the numbers of each publisher in each topic rise, also when the leader changes. Bounded: the publisher
+ * that was silent longest is forgotten first. Leaders forget publishers that were silent for ten minutes, whose numbers
+ * may then start again, so numbers older than half of that time are ignored here.
  */
 export class PublisherOrder {
+  /** Pairs of topic and publisher that are remembered. */
   static readonly maxPublishers = 1000;
+  /** Milliseconds for which a number is compared with later ones. */
   static readonly rememberedMs = 300_000;
 
   readonly #last = new Map<string, LastMessage>();
 
-  /** The number that this message's should be above, where it is not; else undefined, and the message is noted. */
-  faultOf({ topic, session, number }: StreamMessage, now: number): number | undefined {
-    // Neither part has a blank.
+  /**
+   * Returns the publisher's highest number so far if this message's number is not above it. Otherwise remembers the
+   * message's number and returns undefined. Both count as activity of the publisher at `now`, in milliseconds.
+   */
+  checkNumber({ topic, session, number }: StreamMessage, now: number): number | undefined {
+    // Neither the topic nor the session contains a blank.
     const key = `${topic} ${session}`;
     const last = this.#last.get(key);
-    const isLate = last !== undefined && number <= last.number && now - last.at < PublisherOrder.rememberedMs;
+    const isOutOfOrder = last !== undefined && number <= last.number && now - last.at < PublisherOrder.rememberedMs;
     this.#last.delete(key);
-    this.#last.set(key, { number: isLate ? last.number : number, at: now });
-    if (this.#last.size > PublisherOrder.maxPublishers) this.#forgetOne();
-    return isLate ? last.number : undefined;
+    this.#last.set(key, { number: isOutOfOrder ? last.number : number, at: now });
+    if (this.#last.size > PublisherOrder.maxPublishers) this.#forgetOldest();
+    return isOutOfOrder ? last.number : undefined;
   }
 
-  /** Forgets all publishers: numbers may begin anew. */
+  /** Forgets all publishers, so that their numbers may start again. */
   clear(): void {
     this.#last.clear();
   }
 
-  #forgetOne(): void {
-    const [eldest] = this.#last.keys();
-    this.#last.delete(eldest!);
+  #forgetOldest(): void {
+    const [oldestKey] = this.#last.keys();
+    this.#last.delete(oldestKey!);
   }
 }
--- a/packages/edge/src/fanout/shardFollow.test.ts
+++ b/packages/edge/src/fanout/shardFollow.test.ts
@@ -20,14 +20,14 @@
 const push = (follow: string, number: number, seqs: number[]): Push =>
   create(PushSchema, { follow, number, batches: [{ stream, incarnation, messages: seqs.map(message) }] });
 
-/** A follow at a leader that answers a full follow and pushes what it owes in the same breath. */
-function followed(pendingNumbers: number[]): { tail: StreamTail; follow: ShardFollow; asked: () => number } {
-  let fulls = 0;
+/** A follow at a leader that answers a full follow and pushes pending messages at the same moment. */
+function followWithPushes(pendingNumbers: number[]): { tail: StreamTail; follow: ShardFollow; asked: () => number } {
+  let fullFollows = 0;
   const turns: Array<() => void> = [];
   const parts: Pick<ClusterNode, "rpc" | "parts" | "shards" | "configuration"> = {
     parts: {
       clock: { once: (_ms: number, fire: () => void) => (turns.push(fire), { stop: () => undefined }) },
-      random: { identity: () => `identity-${fulls}` },
+      random: { identity: () => `identity-${fullFollows}` },
     } as ClusterNode["parts"],
     shards: { find: () => ({ leader: "anvil-1", epoch: 7 }) } as object as ClusterNode["shards"],
     configuration: { version: 3, isKept: () => true } as object as ClusterNode["configuration"],
@@ -35,11 +35,12 @@
       name: "vise-1",
       call: (_to: string, body: BodyInit): Promise<Body | undefined> => {
         if (body.case !== "follow" || body.value.isFull !== true) return Promise.resolve(undefined);
-        fulls += 1;
+        fullFollows += 1;
         const heads = [{ stream, incarnation, from: 0, low: 0 }];
         const value = create(FollowReplySchema, { outcome: "done", epoch: 7, number: 0, heads });
         const reply = Promise.resolve<Body>({ case: "followReply", value });
-        // One piece of the net's: the reply settles its promise, the push is handed on before anybody saw that.
+        // Both arrive in one network read: the reply resolves its promise, and the push is delivered before the code
+        // that awaits the promise runs.
         follow.receive(push(body.value.follow!, 1, pendingNumbers));
         return reply;
       },
@@ -49,19 +50,19 @@
   const tail = new StreamTail({ stream, space: "notes/", spaceIncarnation: 1 }, 0);
   follow.add(tail);
   for (const fire of turns.splice(0)) fire();
-  return { tail, follow, asked: () => fulls };
+  return { tail, follow, asked: () => fullFollows };
 }
 
-test("pushes that come in one piece with the reply of their follow count, and are not asked for again", async () => {
-  const { tail, follow, asked } = followed([1, 2, 3]);
+test("pushes that arrive together with the reply to their follow count and are not requested again", async () => {
+  const { tail, follow, asked } = followWithPushes([1, 2, 3]);
   await new Promise<void>((resolve) => setImmediate(resolve));
-  expect([tail.isKnown, tail.head, tail.messages.length]).toEqual([true, 3, 3]);
-  // The leader counts one push, and so does this edge: its beat is answered with "done".
+  expect([tail.isConfirmed, tail.head, tail.messages.length]).toEqual([true, 3, 3]);
+  // The leader has counted one push, and so has this edge: the leader would answer the heartbeat with "done".
   const heartbeat = follow.heartbeat()!;
   expect([heartbeat.seen, asked()]).toEqual([1, 1]);
 });
 
-test("a push that overtakes the reply which tells of its stream is asked for again", async () => {
+test("a stream whose push arrives before the reply that confirms it is requested again", async () => {
   const turns: Array<() => void> = [];
   const asked: Array<{ streams: string[]; answer: (heads: object[]) => Promise<void> }> = [];
   const turn = (): Promise<void> => new Promise<void>((resolve) => setImmediate(resolve));
@@ -98,11 +99,11 @@
   await add("6:notes/t0");
   await asked[0]!.answer([head("6:notes/t0", 0)]);
   const late = await add(stream);
-  // The leader tells of the stream, and then pushes its first message; the push comes first.
+  // The leader confirms the stream and then pushes its first message; the push arrives first.
   follow.receive(push("vise-1/identity", 1, [1]));
   await asked[1]!.answer([head(stream, 0)]);
   for (const fire of turns.splice(0)) fire();
   await turn();
-  expect([late.isKnown, late.head]).toEqual([true, 0]);
+  expect([late.isConfirmed, late.head]).toEqual([true, 0]);
   expect(asked.map(({ streams }) => streams)).toEqual([["6:notes/t0"], [stream], [stream]]);
 });
--- a/packages/edge/src/fanout/streamTable.ts
+++ b/packages/edge/src/fanout/streamTable.ts
@@ -5,12 +5,13 @@
 import { TokenBucket } from "@cranetrack/core/runtime/tokenBucket.js";
 import type { StreamRoute } from "@cranetrack/core/configuration/streams.js";
 import { keepsNothing } from "@cranetrack/core/configuration/keepsNothing.js";
-import type { Fetched } from "./fetchMessages.js";
+import type { FetchResult } from "./fetchMessages.js";
 import { ReplicaFollow } from "./replicaFollow.js";
 import { ShardFollow, type CountsOf, type FollowInit } from "./shardFollow.js";
 import { StreamTail } from "./streamTail.js";
 import { SubscriberCounts } from "./subscriberCounts.js";
 
+/** A heartbeat to be sent to a node, and the function that handles its reply. */
 interface PendingHeartbeat {
   server: string;
   heartbeat: FollowInit;
@@ -18,23 +19,23 @@
 }
 
 /**
- * The streams that this edge's connections need, each followed once.
- * Invariant: a stream of an earlier incarnation of its space is in here only until the last connection has left it.
+ * The streams that this edge's connections read, each followed once for all of them.
+ * Invariant: a stream of an earlier incarnation of its space is here only until the last connection releases it.
  */
 export class StreamTable {
-  /** Milliseconds that a stream is followed on after its last user. */
+  /** Milliseconds that a stream is still followed after its last user has released it. */
   static readonly lingerMs = 5000;
-  /** Changed counts that go to leaders at once: so many together, and so many a second. */
+  /** Rate limit of count updates that are sent to leaders at once. */
   static readonly countUpdates = { burst: 10, perSecond: 5 } as const;
 
   readonly #node: ClusterNode;
   readonly #tails = new Map<string, StreamTail>();
-  readonly #follows: ShardFollow[];
-  readonly #atReplicas: ReplicaFollow[];
+  readonly #leaderFollows: ShardFollow[];
+  readonly #replicaFollows: ReplicaFollow[];
 
-  /** Subscribers at this edge, by stream and topic; cursors report them. */
-  readonly counts = new SubscriberCounts((tail, topic) => this.#follows[tail.shard]!.countChanged(tail, topic));
-  /** The counts that are sent to the leaders; a replacement reports changes by `countChanged`. */
+  /** The number of subscribers at this edge, by stream and topic; cursors update it. */
+  readonly counts = new SubscriberCounts((tail, topic) => this.#leaderFollows[tail.shard]!.countChanged(tail, topic));
+  /** Returns the counts to send to the leaders; code that replaces it must report changes by `countChanged`. */
   countsOf: CountsOf = (stream) => this.counts.of(stream);
 
   constructor(node: ClusterNode) {
@@ -42,16 +43,16 @@
     const countsOf: CountsOf = (stream) => this.countsOf(stream);
     const { burst, perSecond } = StreamTable.countUpdates;
     const countUpdates = new TokenBucket(node.parts.clock, burst, perSecond);
-    this.#follows = Array.from(
+    this.#leaderFollows = Array.from(
       { length: node.parts.settings.shards },
       (_, shard) => new ShardFollow(node, shard, countsOf, countUpdates),
     );
-    this.#atReplicas = this.#follows.map((follow, shard) => new ReplicaFollow(node, shard, follow));
-    const failAt = (name: string): void => {
-      for (const follow of this.#atReplicas) if (follow.server === name) follow.fail();
+    this.#replicaFollows = this.#leaderFollows.map((follow, shard) => new ReplicaFollow(node, shard, follow));
+    const leaveReplica = (name: string): void => {
+      for (const follow of this.#replicaFollows) if (follow.server === name) follow.fail();
     };
-    node.rpc.on("unresponsive", failAt);
-    node.membership.on("suspected", failAt);
+    node.rpc.on("unresponsive", leaveReplica);
+    node.membership.on("suspected", leaveReplica);
     node.rpc.serve("push", (push) => {
       this.#receive(push);
       return undefined;
@@ -61,39 +62,42 @@
       return undefined;
     });
     node.shards.on("changed", (shard) => {
-      this.#follows[shard]?.moved();
-      void this.#atReplicas[shard]?.reconcile();
+      this.#leaderFollows[shard]?.onRouteChanged();
+      void this.#replicaFollows[shard]?.reconcile();
     });
     node.configuration.on("changed", () => this.#configurationChanged());
     node.parts.clock.every(ShardFollow.tickIntervalMs, () => this.#tick());
   }
 
-  /** Streams that are followed. */
+  /** The number of followed streams. */
   get count(): number {
     return this.#tails.size;
   }
 
   /** The shard that a stream belongs to. */
   shardOf(stream: string): number {
-    return Rendezvous.shardOf(stream, this.#follows.length);
+    return Rendezvous.shardOf(stream, this.#leaderFollows.length);
   }
 
-  /** Who pushes a stream to this edge now. */
+  /** The node that pushes a stream to this edge now: a replica or the leader. */
   serverOf(tail: StreamTail): string {
-    return tail.servedIncarnation !== "" ? this.#atReplicas[tail.shard]!.server : this.#follows[tail.shard]!.leader;
+    return tail.replicaIncarnation !== ""
+      ? this.#replicaFollows[tail.shard]!.server
+      : this.#leaderFollows[tail.shard]!.leader;
   }
 
-  /** Messages after an offset that the tail no longer has; the leader has them where the replica does not yet. */
-  async fetch(tail: StreamTail, incarnation: string, after: number): Promise<Fetched | undefined> {
+  /** Fetches messages that the tail no longer has, from the leader if the replica does not have them yet. */
+  async fetch(tail: StreamTail, incarnation: string, after: number): Promise<FetchResult | undefined> {
     const { stream, shard } = tail;
-    if (tail.servedIncarnation === incarnation) {
-      const got = await this.#atReplicas[shard]!.fetch(stream, incarnation, after);
-      if (got !== undefined && (got.outcome === "trimmed" || got.messages.length > 0)) return got;
+    if (tail.replicaIncarnation === incarnation) {
+      const fromReplica = await this.#replicaFollows[shard]!.fetch(stream, incarnation, after);
+      if (fromReplica !== undefined && (fromReplica.outcome === "trimmed" || fromReplica.messages.length > 0))
+        return fromReplica;
     }
-    return this.#follows[shard]!.fetch(stream, incarnation, after);
+    return this.#leaderFollows[shard]!.fetch(stream, incarnation, after);
   }
 
-  /** The stream's tail, followed from now on. Each call is paired with one `release`. */
+  /** Returns the stream's tail and follows the stream. Each call must be paired with one `release`. */
   acquire(route: StreamRoute): StreamTail {
     const key = StreamTable.#key(route);
     let tail = this.#tails.get(key);
@@ -104,28 +108,28 @@
         this.#node.invariants.violated("publisherOrder", { topic, session, number, last }),
       );
       this.#tails.set(key, tail);
-      this.#follows[tail.shard]!.add(tail);
-      this.#atReplicas[tail.shard]!.add(tail);
-    } else if (!tail.isKnown) this.#follows[tail.shard]!.add(tail);
-    tail.users += 1;
+      this.#leaderFollows[tail.shard]!.add(tail);
+      this.#replicaFollows[tail.shard]!.add(tail);
+    } else if (!tail.isConfirmed) this.#leaderFollows[tail.shard]!.add(tail);
+    tail.userCount += 1;
     return tail;
   }
 
-  /** Its last user gone, the stream is dropped `lingerMs` later. */
+  /** Releases the tail. `lingerMs` after its last user has released it, the stream is no longer followed. */
   release(tail: StreamTail): void {
-    tail.users -= 1;
-    if (tail.users > 0) return;
+    tail.userCount -= 1;
+    if (tail.userCount > 0) return;
     this.#node.parts.clock.once(StreamTable.lingerMs, () => {
       const key = StreamTable.#key(tail.route);
-      if (tail.users > 0 || this.#tails.get(key) !== tail) return;
+      if (tail.userCount > 0 || this.#tails.get(key) !== tail) return;
       this.#tails.delete(key);
       this.#remove(tail);
     });
   }
 
-  /** Resolves once the stream's leader has confirmed it, or said that it has none, or `timeoutMs` have passed. */
-  known(tail: StreamTail, timeoutMs: number): Promise<void> {
-    if (tail.isKnown) return Promise.resolve();
+  /** Resolves once the leader has confirmed the stream or reported that it has none, or after `timeoutMs`. */
+  whenConfirmed(tail: StreamTail, timeoutMs: number): Promise<void> {
+    if (tail.isConfirmed) return Promise.resolve();
     return new Promise((resolve) => {
       const end = (): void => {
         timer.stop();
@@ -140,34 +144,36 @@
   }
 
   /**
-   * One heartbeat to each node for all its shards: those that it leads, and those that it is followed at as a replica.
+   * Sends each node one call with the heartbeats of all its shards: those that it leads, and those for which this edge
+   * follows it as a replica.
    */
   #tick(): void {
-    const pending = this.#follows.flatMap((follow, shard): PendingHeartbeat[] => {
-      const atReplica = this.#atReplicas[shard]!;
-      const { applied } = follow;
+    const pending = this.#leaderFollows.flatMap((follow, shard): PendingHeartbeat[] => {
+      const replicaFollow = this.#replicaFollows[shard]!;
+      const { appliedIndex } = follow;
       const heartbeat = follow.leader === "" ? undefined : follow.heartbeat();
-      const replicaHeartbeat = atReplica.heartbeat();
+      const replicaHeartbeat = replicaFollow.heartbeat();
       const heartbeats: PendingHeartbeat[] = [];
       if (heartbeat !== undefined)
         heartbeats.push({
           server: follow.leader,
           heartbeat,
           onReply: (outcome, applied) => {
-            if (outcome !== undefined && outcome !== "away") follow.applied = applied;
+            if (outcome !== undefined && outcome !== "away") follow.appliedIndex = applied;
             void follow.onHeartbeatOutcome(heartbeat, outcome);
           },
         });
       if (replicaHeartbeat !== undefined)
         heartbeats.push({
-          server: atReplica.server,
+          server: replicaFollow.server,
           heartbeat: replicaHeartbeat,
-          onReply: (outcome, appliedThere) =>
-            atReplica.onHeartbeatOutcome(replicaHeartbeat, outcome, appliedThere, applied),
+          onReply: (outcome, appliedAtReplica) =>
+            replicaFollow.onHeartbeatOutcome(replicaHeartbeat, outcome, appliedAtReplica, appliedIndex),
         });
       return heartbeats;
     });
-    for (const [server, list] of Grouped.by(pending, (one) => one.server)) void this.#sendHeartbeatTo(server, list);
+    for (const [server, list] of Grouped.by(pending, (heartbeat) => heartbeat.server))
+      void this.#sendHeartbeatTo(server, list);
   }
 
   async #sendHeartbeatTo(server: string, list: readonly PendingHeartbeat[]): Promise<void> {
@@ -178,13 +184,13 @@
   }
 
   /**
-   * A configuration in force that has no such stream, or another incarnation of its space, ends what was followed of
-   * it.
+   * Ends streams that the configuration in force no longer has, or has in another incarnation of their space. A stream
+   * that it no longer stores is pushed by its leader again.
    */
   #configurationChanged(): void {
     for (const tail of this.#tails.values()) {
       tail.keepsNothing = keepsNothing(this.#node.configuration.configuration, tail.stream);
-      if (tail.keepsNothing) this.#atReplicas[tail.shard]!.returnToLeader(tail);
+      if (tail.keepsNothing) this.#replicaFollows[tail.shard]!.returnToLeader(tail);
       if (this.#node.configuration.spaceIncarnationOf(tail.stream) === tail.route.spaceIncarnation) continue;
       this.#remove(tail);
       tail.end("topic-gone");
@@ -192,13 +198,13 @@
   }
 
   #remove(tail: StreamTail): void {
-    this.#atReplicas[tail.shard]!.remove(tail);
-    this.#follows[tail.shard]!.remove(tail);
+    this.#replicaFollows[tail.shard]!.remove(tail);
+    this.#leaderFollows[tail.shard]!.remove(tail);
   }
 
   #receive(push: Push): void {
-    this.#follows[push.shard]?.receive(push);
-    this.#atReplicas[push.shard]?.receive(push);
+    this.#leaderFollows[push.shard]?.receive(push);
+    this.#replicaFollows[push.shard]?.receive(push);
   }
 
   static #key({ stream, spaceIncarnation }: StreamRoute): string {
--- a/packages/edge/src/fanout/streamTail.test.ts
+++ b/packages/edge/src/fanout/streamTail.test.ts
@@ -8,29 +8,29 @@
 const message = (seq: number): StreamMessage => create(StreamMessageSchema, { seq, session: "s", number: seq });
 const tailOf = (): StreamTail => new StreamTail({ stream: "6:notes/t1", space: "notes/", spaceIncarnation: 1 }, 0);
 
-/** The invariant that readers rest on: what is here ends at the head, without a gap. */
-function look(tail: StreamTail): void {
-  tail.messages.forEach((one, i) => expect(one.seq).toEqual(tail.head - tail.messages.length + 1 + i));
+/** Checks the invariant that readers depend on: the messages end at the head and have no gap. */
+function checkContiguous(tail: StreamTail): void {
+  tail.messages.forEach((present, i) => expect(present.seq).toEqual(tail.head - tail.messages.length + 1 + i));
   for (let seq = tail.low; seq < tail.head; seq += 1) {
     const next = tail.after(seq);
     if (next !== undefined) expect(next.seq).toEqual(seq + 1);
   }
 }
 
-test("a tail that ended and comes back in the same incarnation with a higher head has no gap before it", () => {
+test("a tail that ended and is confirmed again in the same incarnation with a higher head has no gap", () => {
   const tail = tailOf();
   tail.onHead(incarnation, 0, 0);
   tail.extend(incarnation, [message(1), message(2)]);
   tail.end("topic-gone");
   tail.onHead(incarnation, 7, 0);
-  look(tail);
+  checkContiguous(tail);
   expect([tail.head, tail.after(1), tail.after(2)]).toEqual([7, undefined, undefined]);
   tail.extend(incarnation, [message(8)]);
-  look(tail);
+  checkContiguous(tail);
   expect(tail.after(7)?.seq).toEqual(8);
 });
 
-test("whatever is heard in whatever order, messages end at the head and the head only rises", () => {
+test("whatever arrives in whatever order, messages end at the head and the head only rises", () => {
   for (let round = 0; round < 300; round += 1) {
     const tail = tailOf();
     let draw = round + 1;
@@ -46,7 +46,7 @@
           incarnation,
           Array.from({ length: next(6) }, (_, i) => message(first + i)),
         );
-      look(tail);
+      checkContiguous(tail);
       expect(tail.head >= before).toEqual(true);
     }
   }
--- a/packages/edge/src/fanout/streamTail.ts
+++ b/packages/edge/src/fanout/streamTail.ts
@@ -3,39 +3,47 @@
 import type { StreamRoute } from "@cranetrack/core/configuration/streams.js";
 import { PublisherOrder } from "./publisherOrder.js";
 
-/** A message that is not above its publisher's one before it. */
+/** A message whose number is not above the highest one that its publisher had in the topic before. */
 export interface OrderFault {
   readonly message: StreamMessage;
+  /** That highest number. */
   readonly last: number;
 }
 
 /**
- * The newest messages of a stream that this edge has heard of, shared by all its connections.
- * Invariants: `messages` are contiguous and end at `head`, whatever was heard or missed; within one incarnation
- * `head` only rises; it is known only while its leader has confirmed that it owes the stream.
+ * The newest messages of a stream that this edge has received, shared by all its connections.
+ * Invariants: `messages` are contiguous and end at `head`, whatever pushes were received or missed; within one
+ * incarnation `head` only rises; `isConfirmed` is true only while the leader has confirmed that it pushes the stream.
  */
 export class StreamTail extends EventEmitter<{
   grown: [];
   ended: [fault: string];
   disorder: [fault: OrderFault];
 }> {
+  /** Messages held at most. */
   static readonly maxMessages = 400;
+  /** Bytes of payload held at most. */
   static readonly maxBytes = 2 * 1024 * 1024;
 
   readonly route: StreamRoute;
   readonly shard: number;
+  /** Present incarnation of the stream; empty until the leader has named it. */
   incarnation = "";
+  /** Sequence number of the newest message. */
   head = 0;
+  /** Messages up to this sequence number have been deleted from the log. */
   low = 0;
   messages: StreamMessage[] = [];
   #bytes = 0;
-  isKnown = false;
-  /** In which incarnation a replica near this edge pushes it; empty where the leader does. */
-  servedIncarnation = "";
-  users = 0;
-  /** Whether the configuration in force keeps nothing of the stream: then its leader alone has it. */
+  /** Whether the leader has confirmed that it has the stream and sends it. */
+  isConfirmed = false;
+  /** The incarnation in which a nearby replica pushes the stream; empty if the leader pushes it. */
+  replicaIncarnation = "";
+  /** Calls of `StreamTable.acquire` that were not yet released. */
+  userCount = 0;
+  /** Whether the configuration in force stores nothing of the stream, so that only its leader has it, in memory. */
   keepsNothing = false;
-  /** Of the messages in this incarnation: what its leader takes is in each publisher's order. */
+  /** Checks the messages of this incarnation, which its leader accepts only in each publisher's order. */
   readonly #order = new PublisherOrder();
 
   constructor(route: StreamRoute, shard: number) {
@@ -45,52 +53,52 @@
     this.shard = shard;
   }
 
-  /** The stream's key. */
+  /** The stream's identifier. */
   get stream(): string {
     return this.route.stream;
   }
 
-  /** One sequence over all the space's topics. */
+  /** Whether the stream has all topics of its space in one sequence, rather than a single topic. */
   get isWhole(): boolean {
     return this.route.spaceIncarnation > 0;
   }
 
-  /** The message after an offset, if it is here. */
+  /** The message after an offset, if the tail has it. */
   after(seq: number): StreamMessage | undefined {
     const first = this.messages[0];
     return first === undefined || seq + 1 < first.seq ? undefined : this.messages[seq + 1 - first.seq];
   }
 
-  /** The leader pushes what comes after `from`. What lies before it and was not heard is for readers to fetch. */
+  /** The leader has confirmed the stream and pushes the messages after `from`. Readers fetch those before it. */
   onHead(incarnation: string, from: number, low: number): void {
     if (incarnation !== this.incarnation) this.#startIncarnation(incarnation);
     this.low = Math.max(low, this.low);
     if (from > this.head) this.#skipTo(from);
-    this.isKnown = true;
+    this.isConfirmed = true;
     this.emit("grown");
   }
 
-  /** Appends pushed messages; repeats are left out, and a gap drops what came before it. */
+  /** Appends pushed messages. Leaves out repeated ones; after a gap, drops the messages before it. */
   extend(incarnation: string, messages: readonly StreamMessage[]): void {
     if (incarnation !== this.incarnation) return;
-    const fresh = messages.filter((message) => message.seq > this.head);
-    if (fresh.length === 0) return;
-    if (fresh[0]!.seq !== this.head + 1) this.#clear();
-    for (const message of fresh) {
-      const last = this.#order.faultOf(message, message.at);
+    const newMessages = messages.filter((message) => message.seq > this.head);
+    if (newMessages.length === 0) return;
+    if (newMessages[0]!.seq !== this.head + 1) this.#clear();
+    for (const message of newMessages) {
+      const last = this.#order.checkNumber(message, message.at);
       if (last !== undefined) this.emit("disorder", { message, last });
       this.messages.push(message);
       this.#bytes += message.payload.length;
     }
-    this.head = fresh.at(-1)!.seq;
+    this.head = newMessages.at(-1)!.seq;
     while (this.messages.length > StreamTail.maxMessages || this.#bytes > StreamTail.maxBytes)
       this.#bytes -= this.messages.shift()!.payload.length;
     this.emit("grown");
   }
 
-  /** The leader no longer has the stream: readers are told why. */
+  /** The leader no longer has the stream: notifies the readers of the reason. */
   end(fault: string): void {
-    this.isKnown = false;
+    this.isConfirmed = false;
     this.emit("ended", fault);
   }
 
@@ -99,7 +107,7 @@
     this.incarnation = incarnation;
     this.head = 0;
     this.low = 0;
-    this.isKnown = false;
+    this.isConfirmed = false;
     this.#clear();
   }
 
--- a/packages/edge/src/fanout/subscriberCounts.ts
+++ b/packages/edge/src/fanout/subscriberCounts.ts
@@ -1,26 +1,27 @@
 import type { StreamTail } from "./streamTail.js";
 
-/** This edge's subscribers, by stream and topic. Invariant: no entry is 0. */
+/** The number of this edge's subscribers, by stream and topic. Invariant: no entry is 0. */
 export class SubscriberCounts {
   readonly #streams = new Map<string, Map<string, number>>();
-  readonly #changed: (tail: StreamTail, topic: string) => void;
+  readonly #onChanged: (tail: StreamTail, topic: string) => void;
 
-  constructor(changed: (tail: StreamTail, topic: string) => void) {
-    this.#changed = changed;
+  /** `onChanged` is called whenever the count of a topic changes. */
+  constructor(onChanged: (tail: StreamTail, topic: string) => void) {
+    this.#onChanged = onChanged;
   }
 
-  /** Subscribers of each of a stream's topics. */
+  /** The number of subscribers of each topic of a stream. */
   of(stream: string): ReadonlyMap<string, number> {
     return this.#streams.get(stream) ?? new Map();
   }
 
-  /** One subscriber more. */
-  join(tail: StreamTail, topic: string): void {
+  /** Counts a subscriber. */
+  addSubscriber(tail: StreamTail, topic: string): void {
     this.#add(tail, topic, 1);
   }
 
-  /** One subscriber less; each `join` is paired with one call. */
-  part(tail: StreamTail, topic: string): void {
+  /** Removes a subscriber from the count; called once for each `addSubscriber`. */
+  removeSubscriber(tail: StreamTail, topic: string): void {
     this.#add(tail, topic, -1);
   }
 
@@ -31,6 +32,6 @@
     if (count > 0) topics.set(topic, count);
     else topics.delete(topic);
     if (topics.size === 0) this.#streams.delete(tail.stream);
-    this.#changed(tail, topic);
+    this.#onChanged(tail, topic);
   }
 }
--- a/packages/edge/src/fanout/viewOf.ts
+++ b/packages/edge/src/fanout/viewOf.ts
@@ -1,7 +1,7 @@
 import type { StreamRoute } from "@cranetrack/core/configuration/streams.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
-/** What a request tells a shard's leader of the configuration that this edge goes by. */
+/** Fields of a request that tell the shard's leader which configuration this edge uses for the stream. */
 export function viewOf(
   { configuration }: Pick<ClusterNode, "configuration">,
   { stream, spaceIncarnation }: StreamRoute,
--- a/packages/edge/src/publishing/configurationCheck.test.ts
+++ b/packages/edge/src/publishing/configurationCheck.test.ts
@@ -12,7 +12,7 @@
   return { outcome: "done", kvs: [create(KvSchema, { key: "plan", value, revision })] };
 };
 
-test("a topic is unknown by the configuration that the store has at the question, however it was before", async () => {
+test("whether a topic is unknown depends on the configuration in the store at the time of the question", async () => {
   let read: Outcome = { outcome: "done", kvs: [] };
   const check = new ConfigurationCheck({ read: () => Promise.resolve(read) });
   const codes = async (...topics: string[]): Promise<string[]> =>
--- a/packages/edge/src/publishing/configurationCheck.ts
+++ b/packages/edge/src/publishing/configurationCheck.ts
@@ -3,36 +3,40 @@
 import { PrefixIndex } from "@cranetrack/core/configuration/prefixIndex.js";
 import type { TopicFault } from "../subscriptions/topicFault.js";
 
-/** What the store has, as far as it tells which topics have a space. */
+/** The spaces of the configuration in the metadata store. */
 interface StoredSpaces {
+  /** Revision of the configuration's key. */
   readonly revision: number;
+  /** Version of the configuration. */
   readonly version: number;
   readonly prefixes: PrefixIndex<SpaceOutline>;
 }
 
-/** Why a topic without a route can't be served. */
+/** Why a topic that has no route at this edge can't be served. */
 export interface RouteFault extends TopicFault {
-  /** The version that has a space for it, where the store has one; then the topic is not unknown. */
-  unheardVersion?: number;
+  /** Version of the store's configuration if that has a space for the topic, which this edge has yet to receive. */
+  versionWithSpace?: number;
 }
 
 /**
- * Whether a topic whose space is not in this edge's configuration is unknown: the metadata store is asked, for an edge
- * refuses nothing from its cache.
- * Invariant: an answer comes from a read that began after the question.
+ * Decides whether a topic without a space in this edge's configuration is unknown. It reads the metadata store, as an
+ * edge must not refuse a topic because of its cached configuration.
+ * Invariant: each answer comes from a read that began after the question.
  */
 export class ConfigurationCheck {
   readonly #store: Pick<StoreClient, "read">;
-  #running: Promise<StoredSpaces | undefined> | undefined;
-  #next: Promise<StoredSpaces | undefined> | undefined;
-  /** What was read last: edges that have just started ask again and again, and a configuration may be large. */
+  /** The read in progress. */
+  #currentRead: Promise<StoredSpaces | undefined> | undefined;
+  /** The read that begins after the one in progress, shared by the questions that arrived meanwhile. */
+  #nextRead: Promise<StoredSpaces | undefined> | undefined;
+  /** The result of the last read: edges that have just started ask repeatedly, and a configuration may be large. */
   #latest: StoredSpaces | undefined;
 
   constructor(store: Pick<StoreClient, "read">) {
     this.#store = store;
   }
 
-  /** Why a topic without a route can't be served: `unknown-topic` for good, or `unavailable` for now. */
+  /** Why a topic without a route can't be served: `unknown-topic` (permanent) or `unavailable` (temporary). */
   async faultOf(topic: string): Promise<RouteFault> {
     const stored = await this.#spaces();
     const unavailable = { topic, code: "unavailable", retryAfterSeconds: 0.3 };
@@ -40,22 +44,22 @@
     if (stored.prefixes.longest(topic) === undefined)
       return { topic, code: "unknown-topic", reason: `the plan in force has no rule for ${topic}` };
     const reason = "this node has not heard of the space yet";
-    return { ...unavailable, reason, unheardVersion: stored.version };
+    return { ...unavailable, reason, versionWithSpace: stored.version };
   }
 
-  /** Questions that come during a read share the next one. */
+  /** Reads the spaces. Questions that arrive during a read share the next one. */
   #spaces(): Promise<StoredSpaces | undefined> {
-    if (this.#running === undefined) return (this.#running = this.#read());
-    this.#next ??= this.#running.then(() => {
-      this.#next = undefined;
-      return (this.#running = this.#read());
+    if (this.#currentRead === undefined) return (this.#currentRead = this.#read());
+    this.#nextRead ??= this.#currentRead.then(() => {
+      this.#nextRead = undefined;
+      return (this.#currentRead = this.#read());
     });
-    return this.#next;
+    return this.#nextRead;
   }
 
   async #read(): Promise<StoredSpaces | undefined> {
     const read = await this.#store.read([ConfigurationKey.name]);
-    if (this.#next === undefined) this.#running = undefined;
+    if (this.#nextRead === undefined) this.#currentRead = undefined;
     if (read.outcome !== "done") return undefined;
     const configuration = read.kvs?.[0];
     const revision = configuration?.revision ?? 0;
--- a/packages/edge/src/publishing/publishCall.ts
+++ b/packages/edge/src/publishing/publishCall.ts
@@ -13,40 +13,41 @@
   number: "1 <= number.integer <= 9007199254740991",
   payload: "string",
 });
-const statuses: Record<string, number> = {
+/** HTTP status of a refused publish by its code; 409 for all other codes. */
+const statusByCode: Record<string, number> = {
   malformed: 400,
   "unknown-topic": 404,
   "not-a-publisher": 403,
   "too-large": 413,
 };
 
-/** A publish over HTTP, from its body to its reply. */
+/** Handles a publish over HTTP, at the session's owner or by forwarding it there. */
 export async function publishCall(edge: EdgeParts, call: ApiCall): Promise<ApiReply> {
-  const read = BodyReader.read(call.body, messageBody);
-  if ("reply" in read) return read.reply;
-  const { topic, number, payload } = read.value;
+  const parsed = BodyReader.read(call.body, messageBody);
+  if ("reply" in parsed) return parsed.reply;
+  const { topic, number, payload } = parsed.value;
   if (!Configurations.isTopic(topic))
     return ApiReplies.fault(400, "malformed", "a topic is space/name", {
       problems: [{ path: "topic", problem: "must be space/name" }],
     });
   const session = edge.sessions.find(call.params[0]!);
   if (session === undefined) return forwardToOwner(edge, call.params[0]!, topic, call);
-  const answer = await publishMessage(edge, session, topic, number, payload);
-  switch (answer.outcome) {
+  const result = await publishMessage(edge, session, topic, number, payload);
+  switch (result.outcome) {
     case "accepted":
-      return ApiReplies.done({ receipt: "accepted", topic, number, place: answer.cursor });
+      return ApiReplies.done({ receipt: "accepted", topic, number, place: result.cursor });
     case "refused":
-      return ApiReplies.fault(statuses[answer.code] ?? 409, answer.code, answer.reason, {
+      return ApiReplies.fault(statusByCode[result.code] ?? 409, result.code, result.reason, {
         details: { receipt: "refused" },
       });
     case "unsure":
-      return ApiReplies.unknown(answer.reason, answer.retryAfterSeconds);
+      return ApiReplies.unknown(result.reason, result.retryAfterSeconds);
     default:
-      return ApiReplies.unavailable(answer.reason, answer.retryAfterSeconds, answer.code ?? "unavailable");
+      return ApiReplies.unavailable(result.reason, result.retryAfterSeconds, result.code ?? "unavailable");
   }
 }
 
-/** The call came in at a node that does not own the session: the owner carries it out. */
+/** Forwards a call that arrived at a node other than the session's owner. A call is forwarded at most once. */
 async function forwardToOwner(edge: EdgeParts, id: string, topic: string, call: ApiCall): Promise<ApiReply> {
   const owner = call.isForwarded ? undefined : (await readOwner(edge.node.store, id))?.owner;
   if (owner === undefined || owner.node === "" || owner.node === edge.node.rpc.name)
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -8,20 +8,19 @@
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
 
-/**
- * Milliseconds that a shard without a leader is waited for, and between two attempts at one that does not serve yet.
- */
-const claimMs = 300;
+/** Milliseconds that a publish waits for a shard without a leader to get one. */
+const leaderWaitMs = 300;
+/** Milliseconds between two attempts at a leader that does not serve the shard yet. */
 const retryDelayMs = 40;
 
-/** What became of a publish; `away` and `refused` promise that it was not done and never will be. */
+/** The outcome of a publish. `away` and `refused` guarantee that the message was not published and never will be. */
 export type PublishOutcome =
   | { outcome: "accepted"; cursor: string }
   | { outcome: "refused"; code: string; reason: string }
   | { outcome: "away"; reason: string; retryAfterSeconds: number; code?: string }
   | { outcome: "unsure"; reason: string; retryAfterSeconds: number };
 
-/** One publish of an owned session, to its final answer. The shard's leader alone accepts or refuses it. */
+/** Publishes one message of a session that this node owns. Only the shard's leader accepts or refuses it. */
 export async function publishMessage(
   edge: EdgeParts,
   session: Session,
@@ -31,24 +30,24 @@
 ): Promise<PublishOutcome> {
   const { node } = edge;
   const now = node.parts.clock.now();
-  const end = now + publishTimeoutMs(edge, topic);
-  // What an earlier attempt may have handed over can't be promised undone.
-  const isDoubtful = !session.isComplete(now) || session.numbers.isOpen(topic, number);
-  const givenUp = (reason: string, retryAfterSeconds: number, code?: string): PublishOutcome =>
-    isDoubtful
+  const deadline = now + publishTimeoutMs(edge, topic);
+  // If an earlier attempt may have sent this number, it can't be reported as not published.
+  const mayHaveBeenSent = !session.isComplete(now) || session.numbers.isOpen(topic, number);
+  const giveUp = (reason: string, retryAfterSeconds: number, code?: string): PublishOutcome =>
+    mayHaveBeenSent
       ? { outcome: "unsure", reason, retryAfterSeconds }
       : { outcome: "away", reason, retryAfterSeconds, ...(code === undefined ? {} : { code }) };
   const route = await findRoute(edge, topic);
   if ("code" in route) {
     const { code, reason, retryAfterSeconds } = route;
-    return retryAfterSeconds === undefined ? { outcome: "refused", code, reason } : givenUp(reason, retryAfterSeconds);
+    return retryAfterSeconds === undefined ? { outcome: "refused", code, reason } : giveUp(reason, retryAfterSeconds);
   }
   const shard = edge.streams.shardOf(route.stream);
-  if (!(await isHeld(edge, shard, end))) return givenUp("the topic has no holder just now", 0.1);
-  session.numbers.opened(topic, number);
+  if (!(await waitForLeader(edge, shard, deadline))) return giveUp("the topic has no holder just now", 0.1);
+  session.numbers.recordOpen(topic, number);
   const publish = { shard, session: session.id, ownerEpoch: session.epoch, number, topic, ...viewOf(node, route) };
-  const content = { payload: Buffer.from(payload), mayBeRepeat: isDoubtful };
-  const reply = await atLeader(edge, shard, end, { ...publish, ...content });
+  const content = { payload: Buffer.from(payload), mayBeRepeat: mayHaveBeenSent };
+  const reply = await publishAtLeader(edge, shard, deadline, { ...publish, ...content });
   if (reply === undefined)
     return {
       outcome: "unsure",
@@ -57,60 +56,63 @@
     };
   if (reply !== "unresponsive" && reply.outcome === "unsure")
     return { outcome: "unsure", reason: reply.reason, retryAfterSeconds: reply.retryAfterSeconds };
-  if (!isDoubtful || (reply !== "unresponsive" && reply.outcome === "accepted"))
-    session.numbers.resolved(topic, number);
-  if (reply === "unresponsive") return givenUp("the topic's holder does not answer", 0.2);
+  if (!mayHaveBeenSent || (reply !== "unresponsive" && reply.outcome === "accepted"))
+    session.numbers.recordResolved(topic, number);
+  if (reply === "unresponsive") return giveUp("the topic's holder does not answer", 0.2);
   const { outcome, code, reason, retryAfterSeconds, incarnation, seq } = reply;
   if (outcome === "accepted") return { outcome: "accepted", cursor: Cursors.write(incarnation, seq) };
   if (outcome === "refused") return { outcome: "refused", code, reason };
-  return givenUp(reason || "the topic is changing hands", retryAfterSeconds || 0.5, code || undefined);
+  return giveUp(reason || "the topic is changing hands", retryAfterSeconds || 0.5, code || undefined);
 }
 
-/** How long a publish may take: its space's deadline is its callers', who must have the answer well before it. */
+/**
+ * How long a publish may take, in milliseconds. The space's deadline is that of the clients, which must get the answer
+ * well before it, so a publish has half of it.
+ */
 export function publishTimeoutMs(edge: EdgeParts, topic: string): number {
   const { deadlineMs = Infinity } = Configurations.spaceOf(edge.node.configuration.configuration, topic) ?? {};
   return Math.min(edge.publishTimeoutMs, deadlineMs / 2);
 }
 
-/** A shard that has just become free is claimed in a moment. */
-async function isHeld(edge: EdgeParts, shard: number, end: number): Promise<boolean> {
+/** Waits for a shard without a leader to get one, as it is usually claimed soon; returns whether it has one. */
+async function waitForLeader(edge: EdgeParts, shard: number, deadline: number): Promise<boolean> {
   const { shards, parts } = edge.node;
-  const left = Math.max(0, end - parts.clock.now());
-  if (shards.find(shard).leader === "") await shards.moved(shard, "", parts.clock, Math.min(claimMs, left));
+  const remainingMs = Math.max(0, deadline - parts.clock.now());
+  if (shards.find(shard).leader === "") await shards.moved(shard, "", parts.clock, Math.min(leaderWaitMs, remainingMs));
   return shards.find(shard).leader !== "";
 }
 
 /**
- * Hands a publish to the shard's leader, and to the next one where the shard changes hands meanwhile: its number
- * makes it the same message to both. Undefined where nobody answered; "mute" where nothing was handed over.
+ * Sends a publish to the shard's leader, and to the next leader if the leader changes meanwhile: the number makes it
+ * the same message to both. Returns undefined if no leader answered, and "unresponsive" if nothing was sent.
  */
-async function atLeader(
+async function publishAtLeader(
   edge: EdgeParts,
   shard: number,
-  end: number,
+  deadline: number,
   publish: MessageInitShape<typeof PublishSchema>,
 ): Promise<PublishReply | "unresponsive" | undefined> {
   const { rpc, membership, shards, parts } = edge.node;
-  let isOpen = false;
-  for (let left = end - parts.clock.now(); left > 0; left = end - parts.clock.now()) {
+  let hasOpenAttempt = false;
+  for (let remainingMs = deadline - parts.clock.now(); remainingMs > 0; remainingMs = deadline - parts.clock.now()) {
     const { leader } = shards.find(shard);
-    if (rpc.isUnresponsive(leader) && !membership.isAlive(leader)) return isOpen ? undefined : "unresponsive";
-    const mayBeRepeat = isOpen || publish.mayBeRepeat === true;
+    if (rpc.isUnresponsive(leader) && !membership.isAlive(leader)) return hasOpenAttempt ? undefined : "unresponsive";
+    const mayBeRepeat = hasOpenAttempt || publish.mayBeRepeat === true;
     const call: CallInit = { case: "publish", value: { ...publish, mayBeRepeat } };
-    // A short deadline gives this publish up, and not the leader, who may be slower than that and well.
+    // A short space deadline must not count as a timeout of the leader, which may be slower than that and healthy.
     const body = await Promise.race([
       rpc.call(leader, call, edge.publishTimeoutMs),
-      shards.moved(shard, leader, parts.clock, left),
+      shards.moved(shard, leader, parts.clock, remainingMs),
     ]);
     const reply = body?.case === "publishReply" ? body.value : undefined;
-    // Behind a try that nobody answered only what the log says for good is an answer to both.
+    // After an unanswered attempt, only an answer that follows from the log is final for that attempt as well.
     const isFinal = reply?.outcome === "accepted" || (reply?.outcome === "refused" && reply.code !== "unknown-topic");
-    if (isFinal || (reply !== undefined && !isOpen && reply.reason !== "")) return reply;
-    if (reply === undefined) isOpen = true;
+    if (isFinal || (reply !== undefined && !hasOpenAttempt && reply.reason !== "")) return reply;
+    if (reply === undefined) hasOpenAttempt = true;
     const isMoved = shards.find(shard).leader !== leader;
     if (reply === undefined && !(isMoved && mayRepeat(call))) return undefined;
-    if (!(await isHeld(edge, shard, end))) return isOpen ? undefined : reply;
-    // Whoever has just claimed it does not serve yet.
+    if (!(await waitForLeader(edge, shard, deadline))) return hasOpenAttempt ? undefined : reply;
+    // A leader that has just claimed the shard does not serve it yet.
     if (!isMoved) await new Promise<void>((resolve) => void parts.clock.once(retryDelayMs, resolve));
   }
   return undefined;
--- a/packages/edge/src/sessions/claimQueue.test.ts
+++ b/packages/edge/src/sessions/claimQueue.test.ts
@@ -13,7 +13,7 @@
   answer: (outcome: Outcome) => void;
 }
 
-/** A queue, and its calls to the store, which wait for a test's answer. */
+/** A queue, and its calls to the store, which the test answers. */
 function start(): { claim: (session: string, lease?: string) => Promise<ClaimAnswer>; calls: Call[] } {
   const calls: Call[] = [];
   const call = (change: StoreChange): Promise<Outcome> =>
@@ -32,8 +32,8 @@
 const ownerKey = (session: string, revision: number, node = "vise-1"): Kv =>
   create(KvSchema, { key: OwnerKey.of(session), value: OwnerKey.write({ node, lease: `${node}/1` }), revision });
 
-/** Guards against a call to the store for each of a crowd of sessions (issue 45). */
-test("few calls are under way, and claims that come meanwhile go together in the next one", async () => {
+/** Guards against one call to the store per session when many sessions reconnect at once (issue 45). */
+test("few calls are in progress at a time, and claims that arrive meanwhile share the next one", async () => {
   const { claim, calls } = start();
   for (let i = 0; i < ClaimQueue.maxCalls; i += 1) {
     void claim(`first-${i}`);
@@ -49,7 +49,7 @@
   expect(calls.slice(4).map(({ sessions }) => sessions)).toEqual([crowd.slice(0, -1), crowd.slice(-1)]);
 });
 
-test("each claim gets its own answer; one under another lease goes by itself", async () => {
+test("each claim gets its own answer; a claim under another lease is sent in a call of its own", async () => {
   const { claim, calls } = start();
   const answers = ["desk", "pen", "ink"].map((session) => claim(session));
   const other = claim("desk", "vise-1/2");
--- a/packages/edge/src/sessions/claimQueue.ts
+++ b/packages/edge/src/sessions/claimQueue.ts
@@ -4,18 +4,18 @@
 import type { Outcome, StoreClient } from "@cranetrack/core/store/storeClient.js";
 import { ownerOf, type Owner } from "./readOwner.js";
 
-/** A session that is to be owned under a lease, if its owner key has this revision; 0 where there must be none. */
+/** A claim to own a session under a lease, provided that its owner key has `revision`; 0 if it must not exist. */
 export interface OwnerClaim {
   readonly session: string;
   readonly lease: string;
   readonly revision: number;
-  /** Whoever else owns it must be known for certain. */
+  /** If another node owns the session, the reply must name its present owner; otherwise that may be out of date. */
   readonly isConfirmed: boolean;
 }
 
 /**
- * What became of a claim. `owned`: the key has another revision; `free`: it had the revision no more, and nobody owns
- * the session; `lost`: the lease is gone; `unsure`: it may have been granted; `away`: it was not.
+ * The outcome of a claim. `owned`: the key has another revision; `free`: not granted as the key is gone, no node owns
+ * the session; `lost`: the lease has ended; `unsure`: it may have been granted; `away`: it was not granted.
  */
 export type ClaimAnswer =
   | { readonly outcome: "granted"; readonly revision: number; readonly ownersEndedAt: number; readonly kvs: Kv[] }
@@ -27,11 +27,13 @@
 }
 
 /**
- * Claims of owner keys on their way to the store. Few calls are under way at a time, and claims that wait meanwhile go
- * together in the next one: the more sessions come back at once, the less each costs the store.
+ * Batches claims of owner keys. Only a few calls to the store are in progress at a time, and the claims that arrive
+ * meanwhile share the next call: the more sessions reconnect at once, the less each costs the store.
  */
 export class ClaimQueue {
+  /** Calls to the store in progress at a time. */
   static readonly maxCalls = 4;
+  /** Claims in one call. */
   static readonly maxClaims = 200;
 
   readonly #store: Pick<StoreClient, "call">;
@@ -46,7 +48,7 @@
     this.#node = node;
   }
 
-  /** Never rejects. */
+  /** Claims an owner key. Never rejects. */
   claim(claim: OwnerClaim): Promise<ClaimAnswer> {
     return new Promise((resolve) => {
       this.#waiting.push({ ...claim, resolve });
@@ -54,7 +56,7 @@
     });
   }
 
-  /** Claims of one turn go together. */
+  /** Sends in a microtask, so that claims made in the same turn share a call. */
   #schedule(): void {
     if (this.#isScheduled) return;
     this.#isScheduled = true;
@@ -64,7 +66,7 @@
     });
   }
 
-  /** The first claims that wait, as far as they are under one lease. */
+  /** Takes the first waiting claims that have the same lease. */
   #takeBatch(): WaitingClaim[] {
     const { lease } = this.#waiting[0]!;
     const batch = this.#waiting.filter((claim) => claim.lease === lease).slice(0, ClaimQueue.maxClaims);
@@ -86,6 +88,7 @@
     if (this.#waiting.length > 0) this.#schedule();
   }
 
+  /** The reply's keys, grouped by session. */
   static #keysBySession(kvs: readonly Kv[]): ReadonlyMap<string, Kv[]> {
     const bySession = new Map<string, Kv[]>();
     for (const kv of kvs) {
@@ -98,15 +101,15 @@
     return bySession;
   }
 
-  /** `keys`: what the reply has of the claim's session. */
+  /** `keys`: the reply's keys of the claim's session. */
   static #answerOf({ session }: OwnerClaim, outcome: Outcome, keys: Kv[], ownersEndedAt: number): ClaimAnswer {
     const kv = keys.find(({ key }) => key === OwnerKey.of(session));
     const isGranted = outcome.outcome === "done" && kv !== undefined && kv.revision === outcome.revision;
-    // Word of another owner holds whatever became of the claims that were passed on.
+    // A key of another owner is valid information even if the outcome of the call as a whole is unknown.
     if (kv !== undefined && !isGranted) return { outcome: "owned", owner: ownerOf(kv) };
     if (outcome.outcome !== "done") return { outcome: ClaimQueue.#failureOf(outcome) };
     if (kv === undefined) return { outcome: "free" };
-    return { outcome: "granted", revision: kv.revision, ownersEndedAt, kvs: keys.filter((one) => one !== kv) };
+    return { outcome: "granted", revision: kv.revision, ownersEndedAt, kvs: keys.filter((key) => key !== kv) };
   }
 
   static #failureOf({ outcome }: Outcome): "lost" | "unsure" | "away" {
--- a/packages/edge/src/sessions/joiningStats.ts
+++ b/packages/edge/src/sessions/joiningStats.ts
@@ -1,26 +1,26 @@
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
 import { StepTimes, type StepTime } from "@cranetrack/core/runtime/stepTimes.js";
 
-/** The steps of a client's joining, in their order. */
+/** The steps by which a client connects and subscribes, in their order. */
 export type JoiningStep =
-  /** Until the node has its lease, is in touch with the store, and admits the connection. */
+  /** Waiting until the node holds its lease and is in contact with the store, and admits the connection. */
   | "admission"
-  /** The owner key is claimed, or its owner is told. */
+  /** Claiming the owner key, or learning which node owns it. */
   | "claim"
-  /** The old owner stops and ships the session. */
+  /** Fetching the session's state from the old owner, which stops serving it. */
   | "pull"
-  /** From the connection's first attempt to its answer. */
+  /** The whole of a connection request, up to its answer. */
   | "greeting"
-  /** From the request for topics to the answer where they start. */
+  /** From a subscribe request to the answer where its topics start. */
   | "starts";
 
-/** How a joining's greeting ended; `abandoned`: the client was gone before. */
+/** The outcome of a connection request; `abandoned`: the client disconnected before the answer. */
 export type GreetingOutcome = "open" | "refused" | "abandoned";
 
-/** What became of clients' joinings at this edge, and how long each step took. */
+/** Counts the outcomes of connection requests at this edge, and measures how long the steps take. */
 export class JoiningStats {
-  /** A greeting that took longer is worth a line in the log. */
-  static readonly slowMs = 1000;
+  /** Milliseconds above which a connection request is notable enough to be logged. */
+  static readonly slowGreetingMs = 1000;
 
   readonly steps: StepTimes<JoiningStep>;
   readonly #outcomes: Record<GreetingOutcome, number> = { open: 0, refused: 0, abandoned: 0 };
@@ -30,19 +30,19 @@
     this.steps = new StepTimes(clock);
   }
 
-  /** A greeting ended, so many milliseconds after it began. */
-  greeted(outcome: GreetingOutcome, ms: number): void {
+  /** Records the end of a connection request that took `ms` milliseconds. */
+  recordGreeting(outcome: GreetingOutcome, ms: number): void {
     this.#outcomes[outcome] += 1;
     this.steps.record("greeting", ms);
-    if (outcome !== "open" || ms > JoiningStats.slowMs) this.#isNotable = true;
+    if (outcome !== "open" || ms > JoiningStats.slowGreetingMs) this.#isNotable = true;
   }
 
-  /** Fields of status: outcomes since the start, and the time of each step. */
+  /** Fields of the node's status: outcomes since the process started, and the time spent in each step. */
   status(): { outcomes: Record<string, number>; steps: Record<string, StepTime> } {
     return { outcomes: { ...this.#outcomes }, steps: this.steps.totals() };
   }
 
-  /** What the log says of the last interval. */
+  /** Fields for the log, with the step times of the interval since the last call; starts a new interval. */
   takeInterval(): { fields: Record<string, string | number>; isNotable: boolean } {
     const isNotable = this.#isNotable;
     this.#isNotable = false;
--- a/packages/edge/src/sessions/ownerEnds.test.ts
+++ b/packages/edge/src/sessions/ownerEnds.test.ts
@@ -4,18 +4,19 @@
 
 const redeliveryMs = 10_000;
 
-// Guards against two faults: numbers promised undone after an owner's end, and doubt about sessions that had no owner.
-test("numbers of sessions without an owner are known a redelivery time after the latest end that was read", () => {
+// Guards against two faults: a publish reported as never sent although an earlier owner that ended may have sent it,
+// and uncertainty about sessions that never had an owner.
+test("all numbers of a session without an owner are known a redelivery time after the latest known owner end", () => {
   let now = 500;
   const idle = { stop: () => undefined };
   const ends = new OwnerEnds({ now: () => now, once: () => idle, every: () => idle }, redeliveryMs);
-  expect(ends.completeAt(0)).toEqual(0);
-  expect(ends.completeAt(7)).toEqual(500 + redeliveryMs);
+  expect(ends.numbersCompleteAt(0)).toEqual(0);
+  expect(ends.numbersCompleteAt(7)).toEqual(500 + redeliveryMs);
   now = 2000;
-  expect(ends.completeAt(7)).toEqual(500 + redeliveryMs);
-  expect(ends.completeAt(9)).toEqual(2000 + redeliveryMs);
+  expect(ends.numbersCompleteAt(7)).toEqual(500 + redeliveryMs);
+  expect(ends.numbersCompleteAt(9)).toEqual(2000 + redeliveryMs);
   now = 3000;
-  // A reply that was overtaken says nothing of a later end.
-  expect(ends.completeAt(7)).toEqual(2000 + redeliveryMs);
-  expect(ends.completeAt(0)).toEqual(2000 + redeliveryMs);
+  // A reply that arrives late with an older revision does not change the time.
+  expect(ends.numbersCompleteAt(7)).toEqual(2000 + redeliveryMs);
+  expect(ends.numbersCompleteAt(0)).toEqual(2000 + redeliveryMs);
 });
--- a/packages/edge/src/sessions/ownerEnds.ts
+++ b/packages/edge/src/sessions/ownerEnds.ts
@@ -1,9 +1,9 @@
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
 
 /**
- * When sessions last lost their owner without a transfer, as far as this node knows. A session that is found without an
- * owner may be one of them; whether it is shows in no key.
- * Invariant: of two ends this node takes the later one, and counts from when it first read of it, which is later still.
+ * When sessions last lost their owner without a transfer of their state, as far as this node knows. No key tells
+ * whether a session without an owner is one of them, so each such session is treated as if it were.
+ * Invariant: the latest such end counts, from the time when this node first read of it, which is later than the end.
  */
 export class OwnerEnds {
   readonly #clock: Clock;
@@ -11,17 +11,18 @@
   #revision = 0;
   #readAt = 0;
 
-  /** `redeliveryMs`: for how long a client may repeat what it sent to a session's owner. */
+  /** `redeliveryMs`: how long a client may repeat what it sent to a session's owner, in milliseconds. */
   constructor(clock: Clock, redeliveryMs: number) {
     this.#clock = clock;
     this.#redeliveryMs = redeliveryMs;
   }
 
   /**
-   * From when on the publish numbers of a session without an owner are known completely, in milliseconds of the
-   * monotonic clock, where the store says that owners last ended at this revision; 0 where none ever did.
+   * The time from which the publish numbers of a session without an owner are all known, in milliseconds of the
+   * monotonic clock; 0 if no owner ever ended without a transfer. `revision` is that of the store's key that records
+   * the last such end.
    */
-  completeAt(revision: number): number {
+  numbersCompleteAt(revision: number): number {
     if (revision > this.#revision) {
       this.#revision = revision;
       this.#readAt = this.#clock.now();
--- a/packages/edge/src/sessions/readOwner.ts
+++ b/packages/edge/src/sessions/readOwner.ts
@@ -3,22 +3,22 @@
 import type { StoreClient } from "@cranetrack/core/store/storeClient.js";
 import { OwnerKey, type OwnerRecord } from "@cranetrack/core/keys/ownerKey.js";
 
-/** An owner key as read: its revision, by which it may be overwritten, and how many ms its lease has left. */
+/** An owner key as read, with the revision needed to overwrite it and the milliseconds left of its lease. */
 export type Owner = OwnerRecord & { revision: number; leaseLeft: number };
 
-/** What the store says of a session's owner, read in one step. */
+/** Result of `readOwner`: the keys as they were at one point in time. */
 export interface OwnerRead {
-  /** Undefined where nobody owns the session. */
+  /** Undefined if no node owns the session. */
   readonly owner: Owner | undefined;
-  /** The revision at which sessions last lost their owner without a transfer; 0 where none ever did. */
+  /** The revision at which sessions last lost their owner without a transfer; 0 if that never happened. */
   readonly ownersEndedAt: number;
-  /** The keys under the prefixes that were asked for. */
+  /** The keys under the requested prefixes. */
   readonly kvs: Kv[];
 }
 
 /**
- * Who owns a session, as the store itself says; undefined where the store does not answer. Owner keys are pushed to
- * nobody: a node asks for the one it needs.
+ * Reads a session's owner key from the metadata store, with the keys under `prefixes`; undefined if the store does not
+ * answer. The store pushes no owner keys to nodes, so a node reads the key that it needs.
  */
 export async function readOwner(
   store: Pick<StoreClient, "read">,
@@ -29,16 +29,19 @@
   const read = await store.read([key, EndedOwnersKey.name], prefixes);
   if (read.outcome !== "done") return undefined;
   const kvs = read.kvs ?? [];
-  const kept = kvs.find((kv) => kv.key === key);
-  const ended = kvs.find((kv) => kv.key === EndedOwnersKey.name);
-  const rest = { ownersEndedAt: ended?.revision ?? 0, kvs: kvs.filter((kv) => kv !== kept && kv !== ended) };
-  if (kept === undefined) return { owner: undefined, ...rest };
-  return { owner: ownerOf(kept), ...rest };
+  const ownerKv = kvs.find((kv) => kv.key === key);
+  const endedOwnersKv = kvs.find((kv) => kv.key === EndedOwnersKey.name);
+  const rest = {
+    ownersEndedAt: endedOwnersKv?.revision ?? 0,
+    kvs: kvs.filter((kv) => kv !== ownerKv && kv !== endedOwnersKv),
+  };
+  if (ownerKv === undefined) return { owner: undefined, ...rest };
+  return { owner: ownerOf(ownerKv), ...rest };
 }
 
-/** An owner key as it came from the store. */
+/** Decodes an owner key that was read from the store. */
 export function ownerOf({ value, revision, leaseLeft }: Kv): Owner {
-  // Foreign bytes under the key: nobody's claim, but the key's revision must be known to overwrite it.
+  // An unreadable value means that no node owns the session; the key's revision is still needed to overwrite it.
   const { node, lease } = OwnerKey.read(value) ?? { node: "", lease: "" };
   return { node, lease, revision, leaseLeft };
 }
--- a/packages/edge/src/sessions/session.ts
+++ b/packages/edge/src/sessions/session.ts
@@ -4,58 +4,63 @@
 import { PublishNumbers } from "../publishing/publishNumbers.js";
 
 /**
- * What the owner of a client's session holds: the publish numbers accepted, the publishes not yet
- * acknowledged, and the subscriptions with their cursors.
- * Invariants: `epoch` is the revision of the owner key written for this node; at most one connection.
+ * A client's session at the node that owns it: the publish numbers used, those without a final outcome yet, and the
+ * subscriptions with their cursors. Invariants: `epoch` is the revision at which this node wrote the owner key; the
+ * session has at most one connection.
  */
 export class Session {
+  /** The session's name. */
   readonly id: string;
+  /** Revision of the owner key; the fencing token of the session's publishes. */
   readonly epoch: number;
   readonly numbers = new PublishNumbers();
-  /** Cursors of topics without a live subscription: shipped, or left by an earlier connection. */
+  /** Cursors of topics without a live subscription: received from the old owner, or left by an earlier connection. */
   readonly resumeCursors = new Map<string, Cursor>();
-  /** By topic: the cursor of its stream. Topics of one stream share one. */
+  /** By topic: the cursor of its stream. Topics of the same stream share a cursor. */
   readonly subscriptions = new Map<string, StreamCursor>();
   connection: ClientConnection | undefined;
-  /** Topics being looked up for the connection that there is: they count against the configuration's limit already. */
-  joining = 0;
-  /** The client brings its topics and cursors with every connection: none are kept for it in between. */
-  bringsTopics = false;
-  /** Called by the connection's node, as long as there is this connection. */
-  whenConfigurationChanged: (() => void) | undefined;
-  leftAt = 0;
+  /** Topics being looked up for the present connection. They already count against the limit of the configuration. */
+  pendingTopicCount = 0;
+  /** The client sends its topics and cursors with every connection, so the session keeps none in between. */
+  clientKeepsSubscriptions = false;
+  /** Called when the configuration changes, as long as the present connection lasts. */
+  onConfigurationChanged: (() => void) | undefined;
+  /** When the last connection ended, in milliseconds of the monotonic clock. */
+  disconnectedAt = 0;
+  /** This node no longer owns the session: nothing may be sent or published for it. */
   isStopped = false;
-  readonly #completeAt: number;
+  readonly #numbersCompleteAt: number;
 
   /**
-   * `completeAt` is a time of the monotonic clock, in milliseconds; it lies ahead where no earlier owner shipped its
-   * state.
+   * `numbersCompleteAt` is a time of the monotonic clock in milliseconds (see `isComplete`). It lies in the future if
+   * an earlier owner may have existed whose state was not received.
    */
-  constructor(id: string, epoch: number, completeAt = 0) {
+  constructor(id: string, epoch: number, numbersCompleteAt = 0) {
     this.id = id;
     this.epoch = epoch;
-    this.#completeAt = completeAt;
+    this.#numbersCompleteAt = numbersCompleteAt;
   }
 
   /**
-   * Whether a number that is not known here was never handed to a leader by an earlier owner. Without that owner's
-   * state this holds only once a client may no longer repeat what it sent there.
+   * Whether all publish numbers in use are known here: an earlier owner has sent no other number to a leader. Without
+   * that owner's state this holds only once a client may no longer repeat what it sent to that owner.
    */
   isComplete(now: number): boolean {
-    return now >= this.#completeAt;
+    return now >= this.#numbersCompleteAt;
   }
 
   /**
-   * Stops deliveries on the present connection, keeps their cursors, and tells the client why and when to come back.
+   * Closes the present connection: stops its deliveries, keeps their cursors, and tells the client the reason, when to
+   * reconnect and, if given, to which address.
    */
   disconnect(reason: string, retryAfterSeconds: number, now: number, address = ""): void {
     const { connection } = this;
     if (connection === undefined) return;
     this.connection = undefined;
-    this.whenConfigurationChanged = undefined;
-    this.joining = 0;
-    this.leftAt = now;
-    if (!this.bringsTopics)
+    this.onConfigurationChanged = undefined;
+    this.pendingTopicCount = 0;
+    this.disconnectedAt = now;
+    if (!this.clientKeepsSubscriptions)
       for (const [topic, cursor] of this.subscriptions) this.resumeCursors.set(topic, cursor.cursorOf(topic));
     for (const cursor of this.cursors()) cursor.stop();
     this.subscriptions.clear();
@@ -64,15 +69,15 @@
     connection.close();
   }
 
-  /** The cursors of live subscriptions, one for each stream. */
+  /** The cursors of live subscriptions, one per stream. */
   cursors(): ReadonlySet<StreamCursor> {
     return new Set(this.subscriptions.values());
   }
 
-  /** By topic, the cursor of each subscription, live or not. */
+  /** By topic, the cursor of each subscription, whether live or not. */
   allCursors(): Map<string, Cursor> {
-    const resumeCursors = new Map(this.resumeCursors);
-    for (const [topic, cursor] of this.subscriptions) resumeCursors.set(topic, cursor.cursorOf(topic));
-    return resumeCursors;
+    const cursors = new Map(this.resumeCursors);
+    for (const [topic, cursor] of this.subscriptions) cursors.set(topic, cursor.cursorOf(topic));
+    return cursors;
   }
 }
--- a/packages/edge/src/subscriptions/findStarts.ts
+++ b/packages/edge/src/subscriptions/findStarts.ts
@@ -11,9 +11,10 @@
 import { findRoute } from "../publishing/findRoute.js";
 import { askStarts } from "./askStarts.js";
 
+/** Milliseconds to wait for the leader to confirm a stream before it is asked directly. */
 const headTimeoutMs = 600;
 
-/** One topic that a client asks for, after the cursor that it brings, if any. */
+/** A topic that a client wants to subscribe to, and the cursor after which delivery is to start, if it has one. */
 export interface SubscriptionRequest {
   topic: string;
   after?: string;
@@ -23,21 +24,24 @@
   topic: string;
   tail: StreamTail;
   cursor: Cursor;
-  /** Why delivery does not go on from the client's cursor; empty where it does. */
+  /** Why delivery can't continue from the client's cursor; empty if it can. */
   expired: string;
 }
-interface Routed {
+/** A requested topic that has a route, with its acquired tail. */
+interface RoutedTopic {
   topic: string;
   tail: StreamTail;
   route: StreamRoute;
-  /** The client's own cursor, else the one kept for it; none for a topic that it never had. */
+  /** The cursor sent by the client, or the one kept in its session; undefined if there is neither. */
   cursor: Cursor | undefined;
-  isAsked: boolean;
+  /** Whether the client sent the cursor. */
+  isClientCursor: boolean;
 }
 
 /**
- * Where each topic's delivery starts. A cursor within this edge's tail is valid; all others are validated by the
- * stream's leader, never by what this edge has cached. Each start comes with an acquired tail, to be released.
+ * Finds where the delivery of each topic starts. A cursor within this edge's tail is valid; every other cursor is
+ * validated by the stream's leader, never by what this edge has cached. The tail of each start is acquired, and the
+ * caller must release it.
  */
 export async function findStarts(
   edge: EdgeParts,
@@ -46,55 +50,62 @@
 ): Promise<{ starts: Start[]; faults: TopicFault[] }> {
   const { faults, unrouted, routed } = routeRequests(edge, session, requests);
   const starts: Start[] = [];
-  const unknown: Routed[] = [];
-  // One follow of an edge brings the confirmed heads of all its connections' streams, so that a reconnecting crowd
-  // need not ask one by one.
-  await Promise.all(routed.map(({ tail }) => edge.streams.known(tail, headTimeoutMs)));
-  for (const one of routed) {
-    const start = startFromTail(edge, one);
-    if (start === undefined) unknown.push(one);
+  const undecided: RoutedTopic[] = [];
+  // The edge's follow of a shard confirms the heads of all streams of its connections together, so that the leader is
+  // not asked per connection when many clients reconnect at once.
+  await Promise.all(routed.map(({ tail }) => edge.streams.whenConfirmed(tail, headTimeoutMs)));
+  for (const routedTopic of routed) {
+    const start = startFromTail(edge, routedTopic);
+    if (start === undefined) undecided.push(routedTopic);
     else starts.push(start);
   }
   const [confirmed, late] = await Promise.all([
-    startsFromLeader(edge, unknown),
+    startsFromLeader(edge, undecided),
     findLateStarts(edge, session, unrouted),
   ]);
   starts.push(...late.starts);
   faults.push(...late.faults);
-  for (const one of confirmed) {
-    if ("code" in one) faults.push(one);
-    else starts.push(one);
+  for (const result of confirmed) {
+    if ("code" in result) faults.push(result);
+    else starts.push(result);
   }
   return { starts, faults };
 }
 
+/** Requests sorted by whether they are malformed, and whether they have a route. */
 interface RoutedRequests {
   readonly faults: TopicFault[];
-  /** Topics that this edge knows no space for. */
+  /** Topics without a space in this edge's configuration. */
   readonly unrouted: SubscriptionRequest[];
-  readonly routed: Routed[];
+  readonly routed: RoutedTopic[];
 }
 
 function routeRequests(edge: EdgeParts, session: Session, requests: readonly SubscriptionRequest[]): RoutedRequests {
   const faults: TopicFault[] = [];
   const unrouted: SubscriptionRequest[] = [];
-  const routed: Routed[] = [];
+  const routed: RoutedTopic[] = [];
   for (const request of requests) {
     const { topic, after } = request;
-    const asked = Cursors.read(after);
+    const clientCursor = Cursors.read(after);
     const route = edge.node.configuration.route(topic);
-    if (after !== undefined && asked === undefined)
+    if (after !== undefined && clientCursor === undefined)
       faults.push({ topic, code: "malformed-place", reason: "the place is malformed" });
     else if (route === undefined) unrouted.push(request);
     else {
-      const cursor = asked ?? session.resumeCursors.get(topic);
-      routed.push({ topic, tail: edge.streams.acquire(route), route, cursor, isAsked: asked !== undefined });
+      const cursor = clientCursor ?? session.resumeCursors.get(topic);
+      routed.push({
+        topic,
+        tail: edge.streams.acquire(route),
+        route,
+        cursor,
+        isClientCursor: clientCursor !== undefined,
+      });
     }
   }
   return { faults, unrouted, routed };
 }
 
-/** The same of topics that this edge knew no space for when they were asked for. */
+/** Like `findStarts`, for topics that had no space in this edge's configuration when they were requested. */
 async function findLateStarts(
   edge: EdgeParts,
   session: Session,
@@ -102,7 +113,7 @@
 ): Promise<{ starts: Start[]; faults: TopicFault[] }> {
   if (requests.length === 0) return { starts: [], faults: [] };
   const routes = await Promise.all(requests.map(({ topic }) => findRoute(edge, topic)));
-  const faults = routes.filter((one) => "code" in one);
+  const faults = routes.filter((route) => "code" in route);
   const late = requests.filter((_, i) => !("code" in routes[i]!));
   if (late.length === 0) return { starts: [], faults };
   const found = await findStarts(edge, session, late);
@@ -110,10 +121,11 @@
 }
 
 /**
- * What the tail shows by itself: a cursor within it, in the same incarnation, of a topic that has a contract.
+ * The start if the tail alone can decide it: the topic has a contract, and its cursor, if any, is of the same
+ * incarnation and within the tail. Otherwise undefined.
  */
-function startFromTail(edge: EdgeParts, { topic, tail, cursor }: Routed): Start | undefined {
-  if (!tail.isKnown || Configurations.contractFor(edge.node.configuration.configuration, topic) === undefined)
+function startFromTail(edge: EdgeParts, { topic, tail, cursor }: RoutedTopic): Start | undefined {
+  if (!tail.isConfirmed || Configurations.contractFor(edge.node.configuration.configuration, topic) === undefined)
     return undefined;
   if (cursor === undefined)
     return { topic, tail, cursor: { incarnation: tail.incarnation, seq: tail.head }, expired: "" };
@@ -121,22 +133,29 @@
   return isWithinTail ? { topic, tail, cursor, expired: "" } : undefined;
 }
 
-async function startsFromLeader(edge: EdgeParts, unknown: readonly Routed[]): Promise<Array<Start | TopicFault>> {
-  const shards = Grouped.by(unknown, ({ tail }) => tail.shard);
+async function startsFromLeader(
+  edge: EdgeParts,
+  undecided: readonly RoutedTopic[],
+): Promise<Array<Start | TopicFault>> {
+  const shards = Grouped.by(undecided, ({ tail }) => tail.shard);
   const confirmed = await Promise.all(
     [...shards].map(async ([shard, list]) => {
       const cursors = list.map(({ topic, route, cursor }) => ({ topic, ...viewOf(edge.node, route), ...cursor }));
       const answers = await askStarts(edge, shard, cursors);
-      return list.map((one) => startOrFault(one, answers?.get(one.topic)));
+      return list.map((routedTopic) => startOrFault(routedTopic, answers?.get(routedTopic.topic)));
     }),
   );
   const all = confirmed.flat();
-  for (const one of unknown)
-    if (!all.some((found) => "tail" in found && found.topic === one.topic)) edge.streams.release(one.tail);
+  for (const routedTopic of undecided)
+    if (!all.some((found) => "tail" in found && found.topic === routedTopic.topic))
+      edge.streams.release(routedTopic.tail);
   return all;
 }
 
-function startOrFault({ topic, tail, isAsked }: Routed, answer: TopicStart | undefined): Start | TopicFault {
+function startOrFault(
+  { topic, tail, isClientCursor: isAsked }: RoutedTopic,
+  answer: TopicStart | undefined,
+): Start | TopicFault {
   const unavailable = {
     topic,
     code: "unavailable",
@@ -149,7 +168,7 @@
   if (outcome === "unknown-topic")
     return { topic, code: outcome, reason: `the plan in force has no rule for ${topic}` };
   if (outcome === "unknown-place" && isAsked) return { topic, code: outcome, reason };
-  // A stored cursor that the log does not know can only be of a log that is gone.
+  // A cursor kept in the session that is unknown to the log can only be of a log that no longer exists.
   const expired = outcome === "known" ? "" : reason;
   return { topic, tail, cursor: { incarnation, seq }, expired };
 }
--- a/packages/edge/src/subscriptions/joinStreams.ts
+++ b/packages/edge/src/subscriptions/joinStreams.ts
@@ -6,28 +6,29 @@
 import type { EdgeParts } from "../edgeParts.js";
 import type { Start } from "./findStarts.js";
 
-/** What a connection does about its topics' subscriptions. */
+/** Callbacks for the start and the end of a topic's subscription. */
 export interface JoinEvents {
-  whenJoined?: (start: Start, cursor: StreamCursor) => void;
-  whenEnded: (topic: string, cursor: Cursor, reason: string) => void;
+  /** The topic has joined its stream; called before any of its messages is delivered. */
+  onJoined?: (start: Start, cursor: StreamCursor) => void;
+  /** The stream no longer has the topic; `cursor` is where a new subscription would continue. */
+  onEnded: (topic: string, cursor: Cursor, reason: string) => void;
 }
 
 /**
- * Subscribes a connection to topics from their starts on. All topics of a stream join its cursor before it moves, so
- * that what they missed comes in the stream's order. `whenJoined` is called for each topic before anything of it is
- * delivered, `whenEnded` where its stream has it no more.
+ * Starts delivery of topics on a connection. All topics of a stream join its cursor before the cursor advances, so that
+ * the messages they have missed are delivered in the order of the stream.
  */
 export function joinStreams(
   edge: EdgeParts,
   session: Session,
   connection: ClientConnection,
   starts: readonly Start[],
-  { whenJoined, whenEnded }: JoinEvents,
+  { onJoined: whenJoined, onEnded: whenEnded }: JoinEvents,
 ): void {
   for (const [tail, list] of Grouped.by(starts, (start) => start.tail)) {
     const joining = list.filter(({ topic }) => !session.subscriptions.has(topic));
     if (joining.length === 0) continue;
-    let cursor = [...session.cursors()].find((one) => one.tail === tail && !one.isStopped);
+    let cursor = [...session.cursors()].find((present) => present.tail === tail && !present.isStopped);
     if (cursor === undefined) {
       cursor = new StreamCursor({
         table: edge.streams,
--- a/packages/edge/src/subscriptions/streamCursor.ts
+++ b/packages/edge/src/subscriptions/streamCursor.ts
@@ -10,37 +10,41 @@
 import type { StreamTail } from "../fanout/streamTail.js";
 import type { ClientConnection } from "../connections/clientConnection.js";
 
+/** Constructor arguments of `StreamCursor`. */
 interface CursorParts {
   table: StreamTable;
   tail: StreamTail;
   connection: ClientConnection;
   clock: Clock;
-  /** False closes the connection: nothing may be sent any more. */
+  /** Whether messages may be sent on the connection; if not, it is closed and the cursor delivers nothing more. */
   maySend: () => boolean;
-  /** The stream has the topic no more; from where a subscription to it would go on. */
+  /** The stream no longer has the topic; `cursor` is where a new subscription would continue. */
   onEnd: (topic: string, cursor: Cursor, reason: string) => void;
 }
 
 /**
- * One stream on one connection: reads the log by cursor, in order, and delivers the subscribed topics' messages.
- * Invariants: `cursor` is the last message read and only rises within an incarnation, but where a topic joins with an
- * older cursor; a topic's entry in `topics` is the last offset up to which it needs nothing more, so no message
- * is delivered twice; nothing is delivered before its topic was confirmed, or after it was stopped; once an incarnation
- * in memory was read, each publisher's numbers in a topic rise from incarnation to incarnation, whichever way a message
- * came.
+ * Reads one stream for one connection, in order, and delivers the messages of the subscribed topics.
+ * Invariants: `cursor` is the last message read, and only rises within an incarnation, except when a topic joins with
+ * an older cursor; no message is delivered twice, as `#handledUpTo` has for each topic the offset up to which it needs
+ * nothing more; nothing is delivered before the topic was confirmed or after it was stopped; once an incarnation in
+ * memory has been read, each publisher's numbers in a topic rise also from one incarnation to the next.
  */
 export class StreamCursor {
+  /** Milliseconds until a failed fetch is repeated. */
   static readonly retryDelayMs = 250;
 
   readonly #parts: CursorParts;
-  readonly #topics = new Map<string, number>();
-  /** By topic: what was delivered since the stream was in a leader's memory, where offsets begin anew. */
+  /** By subscribed topic, the offset up to which its messages were delivered or need not be. */
+  readonly #handledUpTo = new Map<string, number>();
+  /** By topic, the publishers' numbers delivered since the stream was in memory, where each leader restarts offsets. */
   readonly #delivered = new Map<string, PublisherOrder>();
-  readonly #grown = (): void => void this.#pump();
-  readonly #ended = (fault: string): void => this.#endAll(fault);
+  readonly #onGrown = (): void => void this.#advance();
+  readonly #onEnded = (fault: string): void => this.#endAll(fault);
+  /** The incarnation that is read; empty before the first topic was added. */
   incarnation = "";
+  /** Sequence number of the last message read. */
   cursor = 0;
-  #isPumping = false;
+  #isAdvancing = false;
   #isStopped = false;
   #retryTimer: TimerHandle | undefined;
 
@@ -48,80 +52,85 @@
     this.#parts = parts;
   }
 
-  /** The stream that is read. */
+  /** The tail of the stream that is read. */
   get tail(): StreamTail {
     return this.#parts.tail;
   }
 
-  /** Nothing is delivered any more. */
+  /** Whether the cursor was stopped; it then delivers nothing more. */
   get isStopped(): boolean {
     return this.#isStopped;
   }
 
-  /** Adds a topic from its cursor on; the stream is read again from there where it must, for that topic alone. */
+  /** Adds a topic that starts after a cursor. If that is behind, the stream is read again from there for this topic. */
   add(topic: string, start: Cursor): void {
-    if (this.#topics.size === 0 && this.incarnation === "") {
+    if (this.#handledUpTo.size === 0 && this.incarnation === "") {
       this.incarnation = start.incarnation;
       this.cursor = start.seq;
     }
     const isBehind = start.incarnation === this.incarnation && start.seq < this.cursor;
     if (isBehind) {
-      for (const [other, at] of this.#topics) this.#topics.set(other, Math.max(at, this.cursor));
+      for (const [other, handledUpTo] of this.#handledUpTo)
+        this.#handledUpTo.set(other, Math.max(handledUpTo, this.cursor));
       this.cursor = start.seq;
     }
-    if (!this.#topics.has(topic)) this.#parts.table.counts.join(this.tail, topic);
-    this.#topics.set(topic, start.incarnation === this.incarnation ? start.seq : this.cursor);
+    if (!this.#handledUpTo.has(topic)) this.#parts.table.counts.addSubscriber(this.tail, topic);
+    this.#handledUpTo.set(topic, start.incarnation === this.incarnation ? start.seq : this.cursor);
   }
 
-  /** Begins to deliver, or goes on after topics were added; idempotent. */
+  /** Starts to deliver, or continues after topics were added. Idempotent. */
   start(): void {
     const { tail } = this.#parts;
-    tail.off("grown", this.#grown);
-    tail.off("ended", this.#ended);
-    tail.on("grown", this.#grown);
-    tail.on("ended", this.#ended);
-    void this.#pump();
+    tail.off("grown", this.#onGrown);
+    tail.off("ended", this.#onEnded);
+    tail.on("grown", this.#onGrown);
+    tail.on("ended", this.#onEnded);
+    void this.#advance();
   }
 
-  /** From where the topic would go on. */
+  /** The cursor after which the delivery of a topic continues. */
   cursorOf(topic: string): Cursor {
-    return { incarnation: this.incarnation, seq: Math.max(this.#topics.get(topic) ?? 0, this.cursor) };
+    return { incarnation: this.incarnation, seq: Math.max(this.#handledUpTo.get(topic) ?? 0, this.cursor) };
   }
 
-  /** The last topic stops the cursor. */
+  /** Removes a topic; removing the last one stops the cursor. */
   remove(topic: string): void {
     this.#delivered.delete(topic);
-    if (this.#topics.delete(topic) && !this.#isStopped) this.#parts.table.counts.part(this.tail, topic);
-    if (this.#topics.size === 0) this.stop();
+    if (this.#handledUpTo.delete(topic) && !this.#isStopped)
+      this.#parts.table.counts.removeSubscriber(this.tail, topic);
+    if (this.#handledUpTo.size === 0) this.stop();
   }
 
-  /** Ends all topics without a word to the client; idempotent. */
+  /** Ends all topics without notifying the client. Idempotent. */
   stop(): void {
     if (this.#isStopped) return;
     this.#isStopped = true;
-    for (const topic of this.#topics.keys()) this.#parts.table.counts.part(this.tail, topic);
+    for (const topic of this.#handledUpTo.keys()) this.#parts.table.counts.removeSubscriber(this.tail, topic);
     this.#retryTimer?.stop();
-    this.#parts.tail.off("grown", this.#grown);
-    this.#parts.tail.off("ended", this.#ended);
+    this.#parts.tail.off("grown", this.#onGrown);
+    this.#parts.tail.off("ended", this.#onEnded);
     this.#parts.table.release(this.#parts.tail);
   }
 
-  /** Topics without a contract in the configuration now in force, or now in another stream, end. */
+  /** Ends topics that have no contract in the configuration in force, or that it puts into another stream. */
   configurationChanged(view: Pick<ConfigurationView, "configuration" | "route">): void {
-    for (const topic of [...this.#topics.keys()]) {
+    for (const topic of [...this.#handledUpTo.keys()]) {
       const isOurs = view.route(topic)?.stream === this.tail.stream;
       if (!isOurs || Configurations.contractFor(view.configuration, topic) === undefined)
         this.#end(topic, "topic-gone");
     }
   }
 
-  /** Every turn moves the cursor, or is the last: one without progress waits for a push or the retry timer. */
-  async #pump(): Promise<void> {
-    if (this.#isPumping) return;
-    this.#isPumping = true;
+  /**
+   * Reads and delivers as far as possible. Each iteration advances the cursor or is the last: without progress, the
+   * next push or the retry timer continues.
+   */
+  async #advance(): Promise<void> {
+    if (this.#isAdvancing) return;
+    this.#isAdvancing = true;
     const { tail } = this.#parts;
     while (!this.#isStopped && this.#parts.maySend()) {
-      if (tail.incarnation !== this.incarnation && tail.isKnown && !(await this.#changeIncarnation())) {
+      if (tail.incarnation !== this.incarnation && tail.isConfirmed && !(await this.#changeIncarnation())) {
         this.#retryLater();
         break;
       }
@@ -132,31 +141,32 @@
       else await this.#fetch();
       if (this.cursor > before) continue;
       if (this.#isInMemory && tail.incarnation === this.incarnation && tail.after(before) === undefined) {
-        // No contract covers what neither the tail nor the leader has any more.
+        // Messages in memory that neither the tail nor the leader has any more are covered by no contract: skips them.
         this.cursor = Math.max(before, (tail.messages[0]?.seq ?? tail.head + 1) - 1);
         if (this.cursor > before) continue;
       }
       this.#retryLater();
       break;
     }
-    this.#isPumping = false;
+    this.#isAdvancing = false;
   }
 
-  /** What could not be fetched now is fetched again, also where no push comes. */
+  /** Schedules another attempt, in case no push triggers one. */
   #retryLater(): void {
     this.#retryTimer?.stop();
-    this.#retryTimer = this.#parts.clock.once(StreamCursor.retryDelayMs, () => void this.#pump());
+    this.#retryTimer = this.#parts.clock.once(StreamCursor.retryDelayMs, () => void this.#advance());
   }
 
-  /** Messages after the cursor, up to `until`; whether the incarnation is there at all. */
+  /** Fetches and delivers messages after the cursor, up to `until`; false if the incarnation no longer exists. */
   async #fetch(until = Infinity): Promise<boolean> {
     const { table, tail, maySend } = this.#parts;
     const { incarnation, cursor } = this;
-    const got = await table.fetch(tail, incarnation, cursor);
-    if (got === undefined || this.#isStopped || this.incarnation !== incarnation || this.cursor !== cursor) return true;
-    if (got.outcome === "gone") return false;
-    if (got.outcome === "trimmed") this.#skip(Math.min(got.low, until), got.trims);
-    for (const message of got.messages) {
+    const fetched = await table.fetch(tail, incarnation, cursor);
+    if (fetched === undefined || this.#isStopped || this.incarnation !== incarnation || this.cursor !== cursor)
+      return true;
+    if (fetched.outcome === "gone") return false;
+    if (fetched.outcome === "trimmed") this.#skipTrimmed(Math.min(fetched.low, until), fetched.trims);
+    for (const message of fetched.messages) {
       if (message.seq > until || this.#isStopped || !maySend()) return true;
       this.#deliver(message);
     }
@@ -164,8 +174,8 @@
   }
 
   /**
-   * Goes on in the stream's present incarnation; false where that has to be tried again later. All of a new one is
-   * unread; what the log took before comes first.
+   * Continues in the stream's present incarnation; false if that has to be retried later. No message of a new
+   * incarnation has been read yet; the rest of the log from before it is read first.
    */
   async #changeIncarnation(): Promise<boolean> {
     const { tail } = this.#parts;
@@ -173,18 +183,18 @@
     const next = nextIncarnation(read, tail);
     if (next.kind === "wait") return false;
     if (next.kind === "continue") this.#moveTo(next.cursor);
-    if (next.kind === "lost") this.#restart();
+    if (next.kind === "lost") this.#restartAtLow();
     if (next.kind !== "readLog") return true;
     if (next.cursor.incarnation !== this.incarnation) this.#moveTo(next.cursor);
-    const isThere = await this.#fetch(next.until);
-    if (!isThere) this.#moveTo({ incarnation: tail.incarnation, seq: tail.low });
-    return !isThere || this.cursor > next.cursor.seq;
+    const exists = await this.#fetch(next.until);
+    if (!exists) this.#moveTo({ incarnation: tail.incarnation, seq: tail.low });
+    return !exists || this.cursor > next.cursor.seq;
   }
 
   #moveTo({ incarnation, seq }: Cursor): void {
     this.incarnation = incarnation;
     this.cursor = seq;
-    for (const topic of this.#topics.keys()) this.#topics.set(topic, seq);
+    for (const topic of this.#handledUpTo.keys()) this.#handledUpTo.set(topic, seq);
   }
 
   get #isInMemory(): boolean {
@@ -195,53 +205,55 @@
     if (message.seq !== this.cursor + 1) return;
     this.cursor = message.seq;
     const { session, number, payload, seq, topic } = message;
-    const from = this.#topics.get(topic);
-    if (from === undefined || seq <= from || this.#isRepeat(message)) return;
+    const handledUpTo = this.#handledUpTo.get(topic);
+    if (handledUpTo === undefined || seq <= handledUpTo || this.#isRepeat(message)) return;
     const cursor = Cursors.write(this.incarnation, seq);
     const text = Buffer.from(payload).toString();
     this.#parts.connection.send({ kind: "message", topic, sender: session, number, place: cursor, payload: text });
   }
 
   /**
-   * What an earlier leader's stream in memory brought, or something before it: published again for want of a reply, and
-   * taken by a leader, or a log, that did not know it.
+   * Whether the message, or a later one of its publisher, was already delivered in an earlier incarnation. This happens
+   * when a client publishes again as it got no reply, and a new leader or the log, which does not know the first
+   * attempt, accepts the message once more.
    */
   #isRepeat(message: StreamMessage): boolean {
     let delivered = this.#delivered.get(message.topic);
     if (delivered === undefined && !this.#isInMemory) return false;
     if (delivered === undefined) this.#delivered.set(message.topic, (delivered = new PublisherOrder()));
-    return delivered.faultOf(message, this.#parts.clock.now()) !== undefined;
+    return delivered.checkNumber(message, this.#parts.clock.now()) !== undefined;
   }
 
-  /** Goes on after what was trimmed; only the clients of topics that lost a message by it are notified. */
-  #skip(low: number, trims: ReadonlyMap<string, number>): void {
+  /** Continues after trimmed messages. Notifies the client only of topics that lost a message. */
+  #skipTrimmed(low: number, trims: ReadonlyMap<string, number>): void {
     const cursor = this.cursor;
     const isKept = !Incarnations.isInMemory(this.tail.incarnation);
     if (isKept)
-      for (const [topic, from] of this.#topics) {
-        if ((trims.get(topic) ?? 0) > Math.max(from, cursor)) this.#expire(topic, low, "older messages were trimmed");
+      for (const [topic, handledUpTo] of this.#handledUpTo) {
+        if ((trims.get(topic) ?? 0) > Math.max(handledUpTo, cursor))
+          this.#expire(topic, low, "older messages were trimmed");
       }
     this.cursor = Math.max(cursor, low);
   }
 
-  /** The stream in the log is another one than was read. */
-  #restart(): void {
+  /** The stream's log is not the one that was read: starts at its lowest offset and notifies the client. */
+  #restartAtLow(): void {
     const { tail } = this.#parts;
     this.#moveTo({ incarnation: tail.incarnation, seq: tail.low });
-    for (const topic of this.#topics.keys()) this.#expire(topic, tail.low, "the topic was made again");
+    for (const topic of this.#handledUpTo.keys()) this.#expire(topic, tail.low, "the topic was made again");
   }
 
   #expire(topic: string, low: number, reason: string): void {
-    this.#topics.set(topic, low);
+    this.#handledUpTo.set(topic, low);
     this.#parts.connection.send({ kind: "expired", topic, place: Cursors.write(this.incarnation, low), reason });
   }
 
   #endAll(fault: string): void {
-    for (const topic of [...this.#topics.keys()]) this.#end(topic, fault);
+    for (const topic of [...this.#handledUpTo.keys()]) this.#end(topic, fault);
   }
 
   #end(topic: string, reason: string): void {
-    if (this.#isStopped || !this.#topics.has(topic)) return;
+    if (this.#isStopped || !this.#handledUpTo.has(topic)) return;
     const cursor = this.cursorOf(topic);
     this.remove(topic);
     this.#parts.onEnd(topic, cursor, reason);
--- a/packages/edge/src/subscriptions/subscribeTopics.ts
+++ b/packages/edge/src/subscriptions/subscribeTopics.ts
@@ -11,9 +11,10 @@
 import { joinStreams } from "./joinStreams.js";
 
 /**
- * Subscribes a connection to topics: finds where each one's stream starts, writes the key under the owner key's
- * revision, and only then confirms and delivers. A connection has no more topics than the configuration's limit. A
- * failure concerns its topic alone; undefined where the connection had to be closed.
+ * Subscribes a connection to topics: finds where the delivery of each starts, writes the subscriptions to the store,
+ * provided that the owner key still has the session's revision, and only then confirms and delivers. A connection has
+ * at most as many topics as the configuration permits. Returns the faults, each of which affects only its topic;
+ * undefined if the connection had to be closed.
  */
 export async function subscribeTopics(
   edge: EdgeParts,
@@ -21,46 +22,47 @@
   connection: ClientConnection,
   requests: readonly SubscriptionRequest[],
 ): Promise<TopicFault[] | undefined> {
-  const fresh = requests.filter(
+  const newRequests = requests.filter(
     (request, i) =>
-      !session.subscriptions.has(request.topic) && requests.findIndex((one) => one.topic === request.topic) === i,
+      !session.subscriptions.has(request.topic) &&
+      requests.findIndex((candidate) => candidate.topic === request.topic) === i,
   );
   for (const { topic } of requests) {
     const cursor = session.subscriptions.get(topic);
-    if (cursor !== undefined) confirm(connection, topic, cursor);
+    if (cursor !== undefined) sendConfirmed(connection, topic, cursor);
   }
-  const room =
+  const freeSlots =
     Configurations.maxSubscriptions(edge.node.configuration.configuration) -
     session.subscriptions.size -
-    session.joining;
-  const admitted = fresh.slice(0, Math.max(0, room));
-  session.joining += admitted.length;
+    session.pendingTopicCount;
+  const admitted = newRequests.slice(0, Math.max(0, freeSlots));
+  session.pendingTopicCount += admitted.length;
   const { starts, faults } = await findStarts(edge, session, admitted);
-  const isKept = starts.length === 0 || (await keep(edge, session, starts));
-  if (isKept && session.connection === connection)
+  const isStored = starts.length === 0 || (await storeSubscriptions(edge, session, starts));
+  if (isStored && session.connection === connection)
     joinStreams(edge, session, connection, starts, {
-      whenJoined: ({ topic, cursor: startCursor, expired }, cursor) => {
+      onJoined: ({ topic, cursor: startCursor, expired }, cursor) => {
         if (expired !== "") {
           const place = Cursors.write(startCursor.incarnation, startCursor.seq);
           connection.send({ kind: "expired", topic, place, reason: expired });
         }
-        confirm(connection, topic, cursor);
+        sendConfirmed(connection, topic, cursor);
       },
-      whenEnded: (topic, _cursor, reason) => connection.send({ kind: "ended", topic, reason }),
+      onEnded: (topic, _cursor, reason) => connection.send({ kind: "ended", topic, reason }),
     });
-  if (session.connection === connection) session.joining -= admitted.length;
+  if (session.connection === connection) session.pendingTopicCount -= admitted.length;
   for (const { tail } of starts) edge.streams.release(tail);
-  const tooMany = fresh.slice(admitted.length).map(({ topic }) => {
+  const tooMany = newRequests.slice(admitted.length).map(({ topic }) => {
     return { topic, code: "too-many", reason: "a connection may have no more topics by the plan in force" };
   });
-  if (isKept) return [...faults, ...tooMany];
+  if (isStored) return [...faults, ...tooMany];
   if (session.connection === connection)
     session.disconnect("the subscriptions could not be kept", 0.5, edge.node.parts.clock.now());
   return undefined;
 }
 
-/** The keys, which only the session's owner may write. */
-async function keep(edge: EdgeParts, session: Session, starts: readonly Start[]): Promise<boolean> {
+/** Writes the keys of the subscriptions, which only the session's owner may do; returns whether they were written. */
+async function storeSubscriptions(edge: EdgeParts, session: Session, starts: readonly Start[]): Promise<boolean> {
   const lease = SubscriptionKey.leaseOf(session.id);
   const checks = [{ key: OwnerKey.of(session.id), revision: session.epoch }];
   const puts = starts.map(({ topic, cursor: startCursor }) => {
@@ -72,7 +74,7 @@
   return (await edge.node.store.txn({ checks, puts })).outcome === "done";
 }
 
-function confirm(connection: ClientConnection, topic: string, cursor: StreamCursor): void {
+function sendConfirmed(connection: ClientConnection, topic: string, cursor: StreamCursor): void {
   const { incarnation, seq } = cursor.cursorOf(topic);
   connection.send({ kind: "confirmed", topic, place: Cursors.write(incarnation, seq) });
 }
--- a/packages/edge/src/subscriptions/topicFault.ts
+++ b/packages/edge/src/subscriptions/topicFault.ts
@@ -1,7 +1,8 @@
-/** Why one topic could not be subscribed; the others go on. */
+/** Why one topic of a request could not be served. Other topics of the request are not affected. */
 export interface TopicFault {
   topic: string;
   code: string;
   reason: string;
+  /** Set if the fault is temporary. */
   retryAfterSeconds?: number;
 }
--- a/packages/edge/src/subscriptions/unsubscribeTopic.ts
+++ b/packages/edge/src/subscriptions/unsubscribeTopic.ts
@@ -4,7 +4,7 @@
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
 
-/** Ends one topic on the session's connection at once, and its key in the store. */
+/** Ends the subscription of a topic at once and deletes its key in the store. */
 export async function unsubscribeTopic(edge: EdgeParts, session: Session, topic: string): Promise<ApiReply> {
   session.subscriptions.get(topic)?.remove(topic);
   session.subscriptions.delete(topic);
--- a/packages/testkit/src/mutants/incidentMutants.ts
+++ b/packages/testkit/src/mutants/incidentMutants.ts
@@ -8,15 +8,15 @@
   {
     name: "what a subscription was handed on is not remembered over a change of holder",
     file: "edge/dist/subscriptions/streamCursor.js",
-    find: "seq <= from || this.#isRepeat(message)",
-    put: "seq <= from",
+    find: "seq <= handledUpTo || this.#isRepeat(message)",
+    put: "seq <= handledUpTo",
     test: `${sim}/memory.test.js`,
   },
   {
     name: "a late join takes a later call of the topic for its own",
     file: "edge/dist/connections/sessionConnection.js",
-    find: "this.#pending.get(asked.topic)?.asked === asked",
-    put: "this.#pending.has(asked.topic)",
+    find: "this.#pending.get(call.topic)?.call === call",
+    put: "this.#pending.has(call.topic)",
     test: `${sim}/connections.test.js`,
   },
   {
@@ -36,7 +36,7 @@
   {
     name: "edges don't say that a publish may be a repeat",
     file: "edge/dist/publishing/publishMessage.js",
-    find: "mayBeRepeat: isDoubtful",
+    find: "mayBeRepeat: mayHaveBeenSent",
     put: "mayBeRepeat: false",
     test: `${sim}/memory.test.js`,
   },
--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -185,8 +185,8 @@
   {
     name: "a link reads every topic from its lowest place",
     file: "edge/dist/subscriptions/streamCursor.js",
-    find: "if (from === undefined || seq <= from || ",
-    put: "if (from === undefined || ",
+    find: "if (handledUpTo === undefined || seq <= handledUpTo || ",
+    put: "if (handledUpTo === undefined || ",
     test: `${sim}/streams.test.js`,
   },
   {
--- a/packages/testkit/src/mutants/streamMutants.ts
+++ b/packages/testkit/src/mutants/streamMutants.ts
@@ -54,7 +54,7 @@
   {
     name: "an edge refuses what it has not heard of at once",
     file: "edge/dist/publishing/findRoute.js",
-    find: "await configuration.reached(unheardVersion, parts.clock, unheardMs);",
+    find: "await configuration.reached(versionWithSpace, parts.clock, configurationWaitMs);",
     put: "",
     test: "testkit/dist/sim/streams.test.js",
   },
