--- a/packages/edge/src/connections/sessionConnection.ts
+++ b/packages/edge/src/connections/sessionConnection.ts
@@ -104,6 +104,7 @@
     return this.#session.connection === this.#connection && !this.#session.isStopped && this.#edge.lease.isHeld;
   }
 
+  /** Why a topic can't be subscribed at present; undefined if it can. */
   #refusalOf(topic: string): Subscribed | undefined {
     if (!this.#isCurrent) return { outcome: "moved", reason: "the session moved on meanwhile" };
     if (!Configurations.isTopic(topic)) return { outcome: "malformed", reason: "the topic is malformed" };
@@ -117,6 +118,7 @@
     return undefined;
   }
 
+  /** Starts a pending call, which is looked up together with the others of this turn. */
   #queueLookUp(topic: string, after: string | undefined): Promise<Subscribed> {
     let resolveOutcome: (outcome: Subscribed) => void = () => undefined;
     const outcome = new Promise<Subscribed>((resolve) => (resolveOutcome = resolve));
@@ -176,6 +178,7 @@
     for (const { tail } of starts) this.#edge.streams.release(tail);
   }
 
+  /** The stream no longer has the topic: keeps the cursor to rejoin from. */
   #suspend(topic: string, cursor: Cursor): void {
     if (!this.#isCurrent) return;
     this.#suspended.set(topic, cursor);
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -22,6 +22,10 @@
   static readonly storeContactTimeoutMs = 3000;
   /** Milliseconds between two checks for contact with the store while connections wait for it. */
   static readonly storeContactPollMs = 50;
+  /** Milliseconds that a draining node leaves other edges to take its sessions over. */
+  static readonly takeoverMs = 1500;
+  /** Milliseconds between two renewals of the leases of the sessions' subscriptions. */
+  static readonly sessionRenewalMs = 200_000;
 
   readonly node: ClusterNode;
   readonly lease: LeaseKeepAlive;
@@ -53,7 +57,7 @@
     node.load.add("edge", () => ({ fields: this.#loadFields(), isNotable: false }));
     node.configuration.on("changed", () => this.#configurationChanged());
     clock.every(this.heartbeatIntervalMs, () => this.#tick());
-    clock.every(200_000, () => this.#renewSessions());
+    clock.every(EdgeNode.sessionRenewalMs, () => this.#renewSessions());
   }
 
   /** Whether the node accepts connections: it holds its lease, gets updates from the store and is not draining. */
@@ -94,8 +98,8 @@
   }
 
   /**
-   * Graceful shutdown: stops admitting clients and directs each connected one to another edge. Leaves 1.5 s for other
-   * edges to take the sessions over, then releases the owner keys of the remaining sessions and the lease.
+   * Graceful shutdown: stops admitting clients and directs each connected one to another edge. Leaves other edges
+   * `takeoverMs` to take the sessions over, then releases the owner keys of the remaining sessions and the lease.
    */
   async drain(): Promise<void> {
     this.isDraining = true;
@@ -105,7 +109,7 @@
       () => this.node.parts.random.draw() * 0.5,
       (session) => Rendezvous.rank(session, otherEdges)[0] ?? "",
     );
-    await new Promise<void>((resolve) => void this.node.parts.clock.once(1500, resolve));
+    await new Promise<void>((resolve) => void this.node.parts.clock.once(EdgeNode.takeoverMs, resolve));
     // Sessions whose clients keep their own subscriptions have no state to store: their owner keys end with the lease.
     const toRelease = [...this.sessions.table.values()].filter((session) => !session.clientKeepsSubscriptions);
     await Promise.all(toRelease.map((session) => this.sessions.release(session)));
@@ -131,6 +135,7 @@
     }
   }
 
+  /** Sends heartbeats to clients, or disconnects them all once the node has lost contact with the store. */
   #tick(): void {
     const isOutOfContact = this.node.feed.age > EdgeNode.storeContactTimeoutMs;
     for (const session of this.sessions.table.values()) {
@@ -142,6 +147,7 @@
     }
   }
 
+  /** Renews the leases of the stored subscriptions. */
   #renewSessions(): void {
     for (const session of this.sessions.table.values())
       if (!session.clientKeepsSubscriptions)
--- a/packages/edge/src/fanout/replicaFollow.ts
+++ b/packages/edge/src/fanout/replicaFollow.ts
@@ -3,7 +3,7 @@
 import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import { fetchMessages, type FetchResult } from "./fetchMessages.js";
 import { NumberedPushes } from "./numberedPushes.js";
-import type { FollowInit, ShardFollow } from "./shardFollow.js";
+import { ShardFollow, type FollowInit } from "./shardFollow.js";
 import type { StreamTail } from "./streamTail.js";
 import { viewOf } from "./viewOf.js";
 
@@ -31,11 +31,13 @@
   readonly #streamRetryAt = new Map<StreamTail, number>();
   /** Streams that this edge no longer needs and that the replica still pushes. */
   readonly #unfollowed = new Set<string>();
+  /** The replica that is followed; empty if there is none. */
   #server = "";
   readonly #pushes = new NumberedPushes();
   #serial = 0;
   #isRequestPending = false;
   #followedSince = 0;
+  /** Time of the monotonic clock in milliseconds before which no replica is tried. */
   #retryAt = 0;
   #nextRetryDelayMs = ReplicaFollow.retryDelayMs;
   /** Rises when a follow ends; replies to requests of an earlier turn are ignored. */
@@ -106,7 +108,7 @@
       isAtReplica: true,
       serial: ++this.#serial,
     };
-    const reply = await this.#node.rpc.call(replica, { case: "follow", value }, 800);
+    const reply = await this.#node.rpc.call(replica, { case: "follow", value }, ShardFollow.followTimeoutMs);
     if (turn !== this.#followTurn) return;
     this.#isRequestPending = false;
     if (reply?.case !== "followReply" || reply.value.outcome !== "done") return this.fail();
@@ -184,6 +186,7 @@
     this.#leave();
   }
 
+  /** Ends the follow and makes the leader push its streams again. */
   #leave(): void {
     this.#followTurn += 1;
     this.#server = "";
--- a/packages/edge/src/fanout/shardFollow.ts
+++ b/packages/edge/src/fanout/shardFollow.ts
@@ -26,6 +26,10 @@
 export class ShardFollow {
   /** Milliseconds between two heartbeats. */
   static readonly tickIntervalMs = 500;
+  /** Milliseconds that a leader or replica has to answer a follow request. */
+  static readonly followTimeoutMs = 800;
+  /** Milliseconds that a node has to answer heartbeats. */
+  static readonly heartbeatTimeoutMs = 700;
   /** Milliseconds until a failed follow request is repeated. */
   static readonly retryDelayMs = 60;
 
@@ -148,7 +152,7 @@
         case: "follow",
         value: { shard: this.#shard, follow, seen, isFull, streams, serial: ++this.#serial },
       },
-      800,
+      ShardFollow.followTimeoutMs,
     );
     if (turn !== this.#leaderTurn) return;
     this.#isRequestPending = false;
@@ -244,12 +248,17 @@
     while (this.#changedCounts.size > 0) {
       const heartbeat = this.#isRequestPending || this.#needsFullFollow ? undefined : this.heartbeat();
       if (heartbeat === undefined) break;
-      const reply = await this.#node.rpc.call(this.leader, { case: "follow", value: heartbeat }, 700);
+      const reply = await this.#node.rpc.call(
+        this.leader,
+        { case: "follow", value: heartbeat },
+        ShardFollow.heartbeatTimeoutMs,
+      );
       await this.onHeartbeatOutcome(heartbeat, reply?.case === "followReply" ? reply.value.outcome : undefined);
     }
     this.#isSendingCounts = false;
   }
 
+  /** The part of a request that asks for one stream after its head. */
   #streamAt(tail: StreamTail): MessageInitShape<typeof StreamAtSchema> {
     const { route, incarnation, head, isWhole } = tail;
     const { stream } = route;
@@ -263,6 +272,7 @@
       : { ...at, count: present[0]?.[1] ?? 0 };
   }
 
+  /** Handles the part of a reply that confirms one stream, or says why the leader does not have it. */
   #onHead(head: StreamHead): void {
     const tail = this.#streams.get(head.stream);
     if (tail === undefined) return;
--- a/packages/edge/src/fanout/streamTable.ts
+++ b/packages/edge/src/fanout/streamTable.ts
@@ -178,7 +178,11 @@
 
   async #sendHeartbeatTo(server: string, list: readonly PendingHeartbeat[]): Promise<void> {
     const heartbeats = list.map(({ heartbeat }) => heartbeat);
-    const reply = await this.#node.rpc.call(server, { case: "followHeartbeats", value: { heartbeats } }, 700);
+    const reply = await this.#node.rpc.call(
+      server,
+      { case: "followHeartbeats", value: { heartbeats } },
+      ShardFollow.heartbeatTimeoutMs,
+    );
     const { outcomes, applied } = reply?.case === "followHeartbeatsReply" ? reply.value : { outcomes: [], applied: [] };
     for (const [i, { onReply }] of list.entries()) onReply(outcomes[i], applied[i] ?? 0);
   }
--- a/packages/edge/src/sessions/sessions.ts
+++ b/packages/edge/src/sessions/sessions.ts
@@ -149,8 +149,8 @@
     // Step 2, owner key: granted at once if no node owns the session.
     const firstAnswer = await this.#claimKey({ session: id, lease, revision: 0, isConfirmed: false });
     if (firstAnswer.outcome === "granted") {
-      const completeAt = this.#ownerEnds.numbersCompleteAt(firstAnswer.ownersEndedAt);
-      return this.#addOwned(id, lease, firstAnswer, { numbersCompleteAt: completeAt });
+      const numbersCompleteAt = this.#ownerEnds.numbersCompleteAt(firstAnswer.ownersEndedAt);
+      return this.#addOwned(id, lease, firstAnswer, { numbersCompleteAt });
     }
     if (firstAnswer.outcome !== "owned") return Sessions.#refusalOf(firstAnswer.outcome);
     const { owner } = firstAnswer;
@@ -218,10 +218,10 @@
       lease,
     }));
     // No node receives the publish numbers: the next owner must not assume that it knows them all.
-    const ended = { key: EndedOwnersKey.name, value: EndedOwnersKey.write(this.#lease.lease) };
+    const endedOwners = { key: EndedOwnersKey.name, value: EndedOwnersKey.write(this.#lease.lease) };
     const checks = [{ key, revision: session.epoch }];
-    const released = await this.#node.store.txn({ checks, puts: [...puts, ended], deletes: [key] });
-    if (released.outcome === "lost") await this.#node.store.txn({ checks, puts: [ended], deletes: [key] });
+    const released = await this.#node.store.txn({ checks, puts: [...puts, endedOwners], deletes: [key] });
+    if (released.outcome === "lost") await this.#node.store.txn({ checks, puts: [endedOwners], deletes: [key] });
   }
 
   /** Closes every connection. The sessions stay owned, for takeover by other nodes, until they are released. */
@@ -291,9 +291,9 @@
   /** Serves a request for a session's state: steps 3 and 4 at the old owner. */
   #ship(pull: Pull): BodyInit {
     const session = this.#table.get(pull.session);
-    const shippedBefore = this.#shipped.get(`${pull.session}@${pull.ownerRevision}`);
+    const earlierReply = this.#shipped.get(`${pull.session}@${pull.ownerRevision}`);
     if (session === undefined || session.epoch !== pull.ownerRevision)
-      return shippedBefore?.body ?? this.#replyWithoutState(pull);
+      return earlierReply?.body ?? this.#replyWithoutState(pull);
     session.disconnect("taken over", 0, this.#node.parts.clock.now());
     this.emit("step", "stopped", pull.session);
     return this.#detachState(session);
--- a/packages/edge/src/subscriptions/findStarts.ts
+++ b/packages/edge/src/subscriptions/findStarts.ts
@@ -72,7 +72,7 @@
   return { starts, faults };
 }
 
-/** Requests sorted by whether they are malformed, and whether they have a route. */
+/** The topics of requests, grouped into those with a fault, those without a route and those with one. */
 interface RoutedRequests {
   readonly faults: TopicFault[];
   /** Topics without a space in this edge's configuration. */
@@ -153,7 +153,7 @@
 }
 
 function startOrFault(
-  { topic, tail, isClientCursor: isAsked }: RoutedTopic,
+  { topic, tail, isClientCursor }: RoutedTopic,
   answer: TopicStart | undefined,
 ): Start | TopicFault {
   const unavailable = {
@@ -167,7 +167,7 @@
   if (outcome === "behind") return { ...unavailable, reason: "the topic's space is changing", retryAfterSeconds: 0.3 };
   if (outcome === "unknown-topic")
     return { topic, code: outcome, reason: `the plan in force has no rule for ${topic}` };
-  if (outcome === "unknown-place" && isAsked) return { topic, code: outcome, reason };
+  if (outcome === "unknown-place" && isClientCursor) return { topic, code: outcome, reason };
   // A cursor kept in the session that is unknown to the log can only be of a log that no longer exists.
   const expired = outcome === "known" ? "" : reason;
   return { topic, tail, cursor: { incarnation, seq }, expired };
--- a/packages/edge/src/subscriptions/joinStreams.ts
+++ b/packages/edge/src/subscriptions/joinStreams.ts
@@ -23,7 +23,7 @@
   session: Session,
   connection: ClientConnection,
   starts: readonly Start[],
-  { onJoined: whenJoined, onEnded: whenEnded }: JoinEvents,
+  { onJoined, onEnded }: JoinEvents,
 ): void {
   for (const [tail, list] of Grouped.by(starts, (start) => start.tail)) {
     const joining = list.filter(({ topic }) => !session.subscriptions.has(topic));
@@ -38,7 +38,7 @@
         maySend: () => edge.maySend(session, connection),
         onEnd: (topic, at, reason) => {
           session.subscriptions.delete(topic);
-          whenEnded(topic, at, reason);
+          onEnded(topic, at, reason);
         },
       });
     }
@@ -47,7 +47,7 @@
       cursor.add(start.topic, start.cursor);
       session.subscriptions.set(start.topic, cursor);
       session.resumeCursors.delete(start.topic);
-      whenJoined?.(start, cursor);
+      onJoined?.(start, cursor);
     }
     cursor.start();
   }
