--- a/packages/edge/src/fanout/streamTail.ts
+++ b/packages/edge/src/fanout/streamTail.ts
@@ -13,7 +13,7 @@
 /**
  * The newest messages of a stream that this edge has received, shared by all its connections.
  * Invariants: `messages` are contiguous and end at `head`, whatever pushes were received or missed; within one
- * incarnation `head` only rises; `isConfirmed` is true only while the leader has confirmed that it pushes the stream.
+ * incarnation `head` only rises; `isConfirmed` is true only while the leader has confirmed that it has the stream.
  */
 export class StreamTail extends EventEmitter<{
   grown: [];
@@ -35,7 +35,7 @@
   low = 0;
   messages: StreamMessage[] = [];
   #bytes = 0;
-  /** Whether the leader has confirmed that it has the stream and sends it. */
+  /** Whether the leader has confirmed that it has the stream, which it or a replica then pushes. */
   isConfirmed = false;
   /** The incarnation in which a nearby replica pushes the stream; empty if the leader pushes it. */
   replicaIncarnation = "";
