--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -10,52 +10,55 @@
 import { StreamStatuses } from "../shards/streamStatuses.js";
 
 /**
- * Follower reads: a replica that does not lead its shard pushes what is committed to edges that are near it.
- * Invariants: only entries up to the commit index that the shard's present leader sent are served, and only while
- * that leader's last message is recent, nothing committed has stayed unapplied for long, and the feed is fresh;
- * nothing is decided here: a stream that is not here in the incarnation that the edge has from the leader is left to
- * the leader.
+ * Follower reads: a replica that does not lead its shard pushes committed messages to the edges near it.
+ * Invariants: the replica serves only entries up to the commit index that the shard's current leader sent, and only
+ * while that leader's last message is recent, no committed entry has stayed unapplied for long, and the feed is fresh.
+ * The replica makes no decisions about streams: if it does not have a stream in the incarnation that the edge learned
+ * from the leader, the edge has to follow that stream at the leader.
  */
 export class FollowerReads {
+  /** Reads are served only if the leader's last message is more recent than this. */
   static readonly leaderTimeoutMs = 700;
+  /** Reads are served only if no committed entry has been unapplied for this long. */
   static readonly maxLagMs = 300;
 
   readonly #node: ClusterNode;
   readonly #replica: Replica;
   readonly #pushBatcher: PushBatcher;
-  readonly #followers: StreamFollowers;
-  readonly #statuses: StreamStatuses;
-  /** Streams with messages applied and not yet pushed; all that is followed is looked at where it is not only these. */
-  readonly #changed = new Set<string>();
+  readonly #edgeFollowers: StreamFollowers;
+  readonly #streamStatuses: StreamStatuses;
+  /** Streams with applied messages that are not pushed yet; unused while `#anyStreamMayHaveChanged` is set. */
+  readonly #changedStreams = new Set<string>();
   #isPushScheduled = false;
-  #mayAllHaveChanged = false;
+  /** Any followed stream may have new messages or another incarnation, so the next push checks all of them. */
+  #anyStreamMayHaveChanged = false;
 
   constructor(node: ClusterNode, replica: Replica, pushBatcher: PushBatcher) {
     this.#node = node;
     this.#replica = replica;
     this.#pushBatcher = pushBatcher;
-    this.#statuses = new StreamStatuses(node);
-    this.#followers = new StreamFollowers({
+    this.#streamStatuses = new StreamStatuses(node);
+    this.#edgeFollowers = new StreamFollowers({
       node,
       shard: replica.shard,
       epoch: 0,
       pushBatcher,
-      find: (stream) => this.#find(stream),
+      find: (stream) => this.#findCurrentLog(stream),
       isInMemory: () => false,
     });
     replica.on("applied", ({ verdict }) => {
-      if (this.#followers.count === 0) return;
+      if (this.#edgeFollowers.count === 0) return;
       if (verdict === undefined) return this.#onStreamChanged("");
       if (verdict.kind === "accepted" && verdict.isFresh) this.#onStreamChanged(verdict.stream);
     });
     replica.on("installed", () => this.#onStreamChanged(""));
     node.configuration.on("changed", () => this.#onStreamChanged(""));
     node.shards.on("changed", (shard) => {
-      if (shard === replica.shard) this.#endIfClosed();
+      if (shard === replica.shard) this.#endFollowsIfClosed();
     });
   }
 
-  /** Whether this replica may serve reads now; see the invariants. */
+  /** Whether this replica may serve reads now; see the invariants of the class. */
   get isOpen(): boolean {
     const { leader, leaderId, epoch, set } = this.#node.shards.find(this.#replica.shard);
     const { id } = this.#replica;
@@ -69,75 +72,79 @@
     );
   }
 
-  /** Edges that follow here. */
+  /** How many edges follow streams at this replica. */
   get count(): number {
-    return this.#followers.count;
+    return this.#edgeFollowers.count;
   }
 
-  /** Answers in the same event-loop turn, so that no push overtakes the answer. */
+  /**
+   * Adds streams to an edge's follow. The outcome of the reply is `done`, `away` (this replica may not serve reads now)
+   * or `resync` (the edge must follow in full again); a stream that this replica can't serve has the fault `behind`.
+   * Replies in the same event-loop turn, so that no push reaches the edge before the reply.
+   */
   follow(follow: Follow, edge: string): BodyInit {
     if (!this.isOpen) return { case: "followReply", value: { outcome: "away" } };
-    if (this.#followers.isStale(follow)) return { case: "followReply", value: { outcome: "resync" } };
-    const followed = follow.streams.filter((at) => this.#isServedHere(at));
-    const { heads, number } = this.#followers.admit(follow, followed, edge);
-    const found = new Set(heads.map((head) => head.stream));
-    const missing = follow.streams.flatMap(({ stream }) =>
-      found.has(stream) ? [] : [create(StreamHeadSchema, { stream, fault: "behind" })],
+    if (this.#edgeFollowers.isStale(follow)) return { case: "followReply", value: { outcome: "resync" } };
+    const servedStreams = follow.streams.filter((requested) => this.#isServedHere(requested));
+    const { heads, number } = this.#edgeFollowers.admit(follow, servedStreams, edge);
+    const admittedStreams = new Set(heads.map((head) => head.stream));
+    const missingHeads = follow.streams.flatMap(({ stream }) =>
+      admittedStreams.has(stream) ? [] : [create(StreamHeadSchema, { stream, fault: "behind" })],
     );
-    for (const stream of found) this.#onStreamChanged(stream);
-    return { case: "followReply", value: { outcome: "done", heads: [...heads, ...missing], number } };
+    for (const stream of admittedStreams) this.#onStreamChanged(stream);
+    return { case: "followReply", value: { outcome: "done", heads: [...heads, ...missingHeads], number } };
   }
 
-  /** Heartbeat of one edge for this shard; the outcome travels to the edge. */
+  /** Handles an edge's heartbeat for this shard; returns the outcome for the edge: `done`, `away` or `resync`. */
   onHeartbeat(follow: Follow): string {
     if (!this.isOpen) return "away";
-    return this.#followers.onHeartbeat(follow) ? "done" : "resync";
+    return this.#edgeFollowers.onHeartbeat(follow) ? "done" : "resync";
   }
 
-  /** Messages after an offset, as far as they are committed and applied here. */
+  /** Returns messages after an offset, as far as they are committed and applied at this replica. */
   fetch(fetch: Fetch): BodyInit {
-    const log = this.#find(fetch.stream);
+    const log = this.#findCurrentLog(fetch.stream);
     if (!this.isOpen || log === undefined) return { case: "fetchReply", value: { outcome: "away" } };
     return fetchMessages(log, fetch);
   }
 
-  /** Forgets unresponsive edges; sends the others back to the leader where reads may not be served any more. */
+  /** Removes unresponsive edges, and sends all edges back to the leader if this replica may no longer serve reads. */
   tick(): void {
-    if (this.#followers.count === 0) return;
-    this.#followers.dropUnresponsive();
-    this.#endIfClosed();
+    if (this.#edgeFollowers.count === 0) return;
+    this.#edgeFollowers.dropUnresponsive();
+    this.#endFollowsIfClosed();
   }
 
-  #endIfClosed(): void {
-    if (this.#followers.count > 0 && !this.isOpen) this.#followers.endAll();
+  #endFollowsIfClosed(): void {
+    if (this.#edgeFollowers.count > 0 && !this.isOpen) this.#edgeFollowers.endAll();
   }
 
-  #find(stream: string): StreamLog | undefined {
+  #findCurrentLog(stream: string): StreamLog | undefined {
     const log = this.#replica.state.streams.get(stream);
-    if (log === undefined || this.#statuses.isInMemory(stream)) return undefined;
-    return this.#statuses.ofLog(log) === "current" ? log : undefined;
+    if (log === undefined || this.#streamStatuses.isInMemory(stream)) return undefined;
+    return this.#streamStatuses.ofLog(log) === "current" ? log : undefined;
   }
 
   #isServedHere({ stream, incarnation }: StreamAt): boolean {
-    return this.#find(stream)?.incarnation === incarnation;
+    return this.#findCurrentLog(stream)?.incarnation === incarnation;
   }
 
-  /** A stream has messages to push. Empty for any: it may have, or be gone in the incarnation that is followed. */
+  /** Schedules a push for a stream; the empty string means that any stream may have new messages or have ended. */
   #onStreamChanged(stream: string): void {
-    if (this.#followers.count === 0) return;
-    if (stream === "") this.#mayAllHaveChanged = true;
-    else this.#changed.add(stream);
+    if (this.#edgeFollowers.count === 0) return;
+    if (stream === "") this.#anyStreamMayHaveChanged = true;
+    else this.#changedStreams.add(stream);
     if (this.#isPushScheduled) return;
     this.#isPushScheduled = true;
     this.#pushBatcher.runAtTurnEnd(() => this.#push());
   }
 
   #push(): void {
-    const streams = this.#mayAllHaveChanged ? this.#followers.streams() : [...this.#changed];
-    this.#changed.clear();
-    this.#isPushScheduled = this.#mayAllHaveChanged = false;
-    if (!this.isOpen) return this.#endIfClosed();
-    this.#followers.requestRefollow(streams.filter((stream) => this.#followers.isOtherIncarnation(stream)));
-    this.#followers.push(streams);
+    const streams = this.#anyStreamMayHaveChanged ? this.#edgeFollowers.streams() : [...this.#changedStreams];
+    this.#changedStreams.clear();
+    this.#isPushScheduled = this.#anyStreamMayHaveChanged = false;
+    if (!this.isOpen) return this.#endFollowsIfClosed();
+    this.#edgeFollowers.requestRefollow(streams.filter((stream) => this.#edgeFollowers.isOtherIncarnation(stream)));
+    this.#edgeFollowers.push(streams);
   }
 }
--- a/packages/log-storage/src/follows/pushBatcher.ts
+++ b/packages/log-storage/src/follows/pushBatcher.ts
@@ -2,46 +2,47 @@
 import type { PushSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 
+/** The fields of one push to an edge. */
 type PushInit = MessageInitShape<typeof PushSchema>;
 
 /**
- * What all shards of this node push in one event-loop turn: one frame to each edge.
- * Invariant: pushes of one follow leave in their order.
+ * Gathers what all shards of this node push in one event-loop turn into one frame for each edge.
+ * Invariant: the pushes of one follow are sent in the order in which they were made.
  */
 export class PushBatcher {
   readonly #node: ClusterNode;
-  readonly #byEdge = new Map<string, PushInit[]>();
+  readonly #pushesByEdge = new Map<string, PushInit[]>();
   #tasks: Array<() => void> = [];
-  #isRunning = false;
+  #isRunningTasks = false;
 
   constructor(node: ClusterNode) {
     this.#node = node;
   }
 
-  /** Runs at the end of this turn, with the tasks of all shards. */
+  /** Runs the task at the end of this event-loop turn, together with the tasks of the other shards. */
   runAtTurnEnd(task: () => void): void {
-    if (this.#tasks.length === 0) this.#node.parts.clock.once(0, () => this.#runTurn());
+    if (this.#tasks.length === 0) this.#node.parts.clock.once(0, () => this.#runTasksAndSend());
     this.#tasks.push(task);
   }
 
-  /** Gathered with others for the same edge while tasks run; sent at once otherwise. */
+  /** Sends a push to an edge: in one frame with that edge's other pushes while tasks run, immediately otherwise. */
   send(edge: string, push: PushInit): void {
-    if (!this.#isRunning) return this.#node.rpc.send(edge, { case: "push", value: push });
-    const pushes = this.#byEdge.get(edge);
-    if (pushes === undefined) this.#byEdge.set(edge, [push]);
+    if (!this.#isRunningTasks) return this.#node.rpc.send(edge, { case: "push", value: push });
+    const pushes = this.#pushesByEdge.get(edge);
+    if (pushes === undefined) this.#pushesByEdge.set(edge, [push]);
     else pushes.push(push);
   }
 
-  #runTurn(): void {
+  #runTasksAndSend(): void {
     const tasks = this.#tasks;
     this.#tasks = [];
-    this.#isRunning = true;
+    this.#isRunningTasks = true;
     for (const task of tasks) task();
-    this.#isRunning = false;
-    for (const [edge, pushes] of this.#byEdge) {
+    this.#isRunningTasks = false;
+    for (const [edge, pushes] of this.#pushesByEdge) {
       if (pushes.length === 1) this.send(edge, pushes[0]!);
       else this.#node.rpc.send(edge, { case: "pushes", value: { pushes } });
     }
-    this.#byEdge.clear();
+    this.#pushesByEdge.clear();
   }
 }
--- a/packages/log-storage/src/follows/streamFollowers.test.ts
+++ b/packages/log-storage/src/follows/streamFollowers.test.ts
@@ -9,15 +9,15 @@
 
 const stream = "6:notes/t1";
 const incarnation = "1-one";
-const say = (more: MessageInitShape<typeof FollowSchema>): ReturnType<typeof create<typeof FollowSchema>> =>
+const followOf = (more: MessageInitShape<typeof FollowSchema>): ReturnType<typeof create<typeof FollowSchema>> =>
   create(FollowSchema, { follow: "edge/1", ...more });
 
-function follows(): { table: StreamFollowers; pushed: Push[]; add: () => void } {
+function followedStream(): { followers: StreamFollowers; pushed: Push[]; appendAndPush: () => void } {
   const log = new StreamLog(stream, incarnation);
   const pushed: Push[] = [];
   const node = { parts: { clock: { now: () => 0 } } } as ClusterNode;
   const pushBatcher = { send: (_edge: string, push: Push) => void pushed.push(push) } as PushBatcher;
-  const table = new StreamFollowers({
+  const followers = new StreamFollowers({
     node,
     shard: 0,
     epoch: 1,
@@ -25,39 +25,45 @@
     find: () => log,
     isInMemory: () => false,
   });
-  const add = (): void => {
+  const appendAndPush = (): void => {
     log.head += 1;
     log.messages.push(create(StreamMessageSchema, { seq: log.head, topic: "notes/t1" }));
-    table.push([stream]);
+    followers.push([stream]);
   };
-  const at = { stream, incarnation, after: 0, spaceIncarnation: 1 };
-  table.admit(say({ isFull: true, serial: 1, streams: [at] }), say({ streams: [at] }).streams, "edge");
-  return { table, pushed, add };
+  const position = { stream, incarnation, after: 0, spaceIncarnation: 1 };
+  followers.admit(
+    followOf({ isFull: true, serial: 1, streams: [position] }),
+    followOf({ streams: [position] }).streams,
+    "edge",
+  );
+  return { followers, pushed, appendAndPush };
 }
 
-test("what a replica serves is not pushed by the leader, until the edge asks for it again", () => {
-  const { table, pushed, add } = follows();
-  add();
+test("the leader does not push a stream that a replica pushes, until the edge asks the leader for it again", () => {
+  const { followers, pushed, appendAndPush } = followedStream();
+  appendAndPush();
   expect(pushed.length).toEqual(1);
-  expect(table.onHeartbeat(say({ serial: 2, seen: 1, quiet: [{ stream, incarnation: "1-other" }] }))).toEqual(true);
-  add();
+  expect(followers.onHeartbeat(followOf({ serial: 2, seen: 1, quiet: [{ stream, incarnation: "1-other" }] }))).toEqual(
+    true,
+  );
+  appendAndPush();
   expect(pushed.length).toEqual(2);
-  expect(table.onHeartbeat(say({ serial: 3, seen: 2, quiet: [{ stream, incarnation }] }))).toEqual(true);
-  add();
+  expect(followers.onHeartbeat(followOf({ serial: 3, seen: 2, quiet: [{ stream, incarnation }] }))).toEqual(true);
+  appendAndPush();
   expect(pushed.length).toEqual(2);
-  table.admit(say({ serial: 4 }), say({ streams: [{ stream, incarnation, after: 2 }] }).streams, "edge");
-  add();
+  followers.admit(followOf({ serial: 4 }), followOf({ streams: [{ stream, incarnation, after: 2 }] }).streams, "edge");
+  appendAndPush();
   expect(pushed[2]!.batches[0]!.messages.map(({ seq }) => seq)).toEqual([3, 4]);
 });
 
-test("a heartbeat that was delayed or doubled on its way undoes nothing that was said after it", () => {
-  const { table, pushed, add } = follows();
-  expect(table.onHeartbeat(say({ serial: 3, seen: 0 }))).toEqual(true);
-  expect(table.onHeartbeat(say({ serial: 2, seen: 0, quiet: [{ stream, incarnation }] }))).toEqual(false);
-  expect(table.onHeartbeat(say({ serial: 3, seen: 0, left: [stream] }))).toEqual(false);
-  expect(table.isStale(say({ serial: 3, isFull: true }))).toEqual(true);
-  expect(table.isStale(say({ follow: "edge/2", serial: 1 }))).toEqual(true);
-  expect(table.isStale(say({ follow: "edge/2", serial: 1, isFull: true }))).toEqual(false);
-  add();
+test("a delayed or duplicated heartbeat does not undo what a later one set", () => {
+  const { followers, pushed, appendAndPush } = followedStream();
+  expect(followers.onHeartbeat(followOf({ serial: 3, seen: 0 }))).toEqual(true);
+  expect(followers.onHeartbeat(followOf({ serial: 2, seen: 0, quiet: [{ stream, incarnation }] }))).toEqual(false);
+  expect(followers.onHeartbeat(followOf({ serial: 3, seen: 0, left: [stream] }))).toEqual(false);
+  expect(followers.isStale(followOf({ serial: 3, isFull: true }))).toEqual(true);
+  expect(followers.isStale(followOf({ follow: "edge/2", serial: 1 }))).toEqual(true);
+  expect(followers.isStale(followOf({ follow: "edge/2", serial: 1, isFull: true }))).toEqual(false);
+  appendAndPush();
   expect(pushed.length).toEqual(1);
 });
--- a/packages/log-storage/src/follows/streamFollowers.ts
+++ b/packages/log-storage/src/follows/streamFollowers.ts
@@ -12,148 +12,174 @@
 import { sliceMessages } from "../shards/streamReads.js";
 import type { PushBatcher } from "./pushBatcher.js";
 
+/** One stream that an edge follows. */
 interface FollowedStream {
   incarnation: string;
-  sent: number;
-  /** The edge's subscribers by topic, of a topic's own stream under "". */
-  counts: Map<string, number>;
-  /** Pushed by a replica near the edge; followed here for what else there is to tell. */
-  isQuiet: boolean;
+  /** Offset of the last message that was pushed to the edge. */
+  lastSentSeq: number;
+  /** The edge's subscribers by topic; for a stream that belongs to a single topic, the key is "". */
+  subscriberCounts: Map<string, number>;
+  /** A replica near the edge pushes the messages; this node only reports the end of the stream or incarnation. */
+  isPushedByReplica: boolean;
 }
+
+/** One edge's follow of this shard. */
 interface Follower {
-  readonly follow: string;
+  readonly followId: string;
   readonly edge: string;
   readonly streams: Map<string, FollowedStream>;
-  number: number;
+  /** Number of the last push; the next one has this number plus 1. */
+  lastPushNumber: number;
+  /** Milliseconds of the node's clock. */
   lastContactAt: number;
-  /** Of the last that the edge said; what was delayed or doubled on its way could undo it. */
-  serial: number;
+  /** Serial of the edge's latest request or heartbeat; one with no higher serial is delayed or doubled, and ignored. */
+  lastSerial: number;
 }
+
+/** What the followers of one shard need from the node. */
 interface StreamFollowersParts {
   node: ClusterNode;
   shard: number;
   epoch: number;
   pushBatcher: PushBatcher;
-  /** The stream as its contract keeps it now, in the log or in memory. */
+  /** Finds the stream's current log, in the shard's log or in memory as its contract says. */
   find: (stream: string) => StreamLog | undefined;
-  /** Streams in memory, of which an edge that knew an earlier incarnation is pushed all there is. */
+  /** Whether the stream is only in memory; an edge that knew an earlier incarnation is pushed all messages it has. */
   isInMemory: (stream: string) => boolean;
 }
 
 /**
- * Which edges follow which streams of one shard, and with how many subscribers. Pushes are numbered a
- * follow; what an edge misses it sees by the numbers and asks for.
- * Invariant: only committed messages are pushed, each stream's in order.
+ * Records which edges follow which streams of one shard and with how many subscribers, and pushes messages to them.
+ * Pushes are numbered in each follow, so that an edge notices a missing push and asks for its content.
+ * Invariant: only committed messages are pushed, and those of each stream in order.
  */
 export class StreamFollowers {
-  static readonly maxMessages = 200;
-  /** An edge that is further behind is not sent everything: its readers fetch what they need. */
-  static readonly maxBehind = 400;
-  static readonly unresponsiveMs = 6000;
+  /** Messages in one batch of a push. */
+  static readonly maxBatchMessages = 200;
+  /** An edge that is more messages behind is not sent the backlog: its readers fetch what they need. */
+  static readonly maxBacklogMessages = 400;
+  /** A follower that has sent no request or heartbeat for this long is removed. */
+  static readonly followerTimeoutMs = 6000;
 
   readonly #parts: StreamFollowersParts;
   readonly #followers = new Map<string, Follower>();
-  readonly #byStream = new Map<string, Set<Follower>>();
+  readonly #followersByStream = new Map<string, Set<Follower>>();
 
   constructor(parts: StreamFollowersParts) {
     this.#parts = parts;
   }
 
-  /** Edges that follow here. */
+  /** How many edges follow streams of this shard at this node. */
   get count(): number {
     return this.#followers.size;
   }
 
   /** Whether any edge follows the stream. */
   isFollowed(stream: string): boolean {
-    return this.#byStream.has(stream);
+    return this.#followersByStream.has(stream);
   }
 
-  /** Sent before something that was received already; or an addition to a follow that is not here. */
+  /**
+   * Whether a request or heartbeat must be ignored: the edge sent it before one that was already received, or it adds
+   * to a follow that this node does not know.
+   */
   isStale({ follow, serial, isFull }: Follow): boolean {
     const follower = this.#followers.get(follow);
-    return follower === undefined ? !isFull : serial <= follower.serial;
+    return follower === undefined ? !isFull : serial <= follower.lastSerial;
   }
 
-  /** All streams that any edge follows. */
+  /** The streams that any edge follows. */
   streams(): string[] {
-    return [...this.#byStream.keys()];
+    return [...this.#followersByStream.keys()];
   }
 
-  /** Whether the stream is there no more in an incarnation that somebody follows. */
+  /** Whether any edge follows the stream in an incarnation other than the current one. */
   isOtherIncarnation(stream: string): boolean {
     const incarnation = this.#parts.find(stream)?.incarnation;
-    return [...(this.#byStream.get(stream) ?? [])].some((one) => one.streams.get(stream)?.incarnation !== incarnation);
+    return [...(this.#followersByStream.get(stream) ?? [])].some(
+      (follower) => follower.streams.get(stream)?.incarnation !== incarnation,
+    );
   }
 
-  /** Subscribers of a topic at all edges that are there. */
+  /** The number of subscribers of a topic at all edges that are alive. */
   countOf(stream: string, topic: string): number {
     const { membership } = this.#parts.node;
-    let sum = 0;
-    for (const { edge, streams } of this.#byStream.get(stream) ?? []) {
-      const counts = streams.get(stream)?.counts;
-      if (membership.isAlive(edge)) sum += counts?.get(topic) ?? counts?.get("") ?? 0;
+    let subscribers = 0;
+    for (const { edge, streams } of this.#followersByStream.get(stream) ?? []) {
+      const counts = streams.get(stream)?.subscriberCounts;
+      if (membership.isAlive(edge)) subscribers += counts?.get(topic) ?? counts?.get("") ?? 0;
     }
-    return sum;
+    return subscribers;
   }
 
-  /** True where the edge has seen all pushes; otherwise it must follow in full again. */
+  /** Applies an edge's heartbeat; false if the edge missed a push or is unknown and so must follow in full again. */
   onHeartbeat(follow: Follow): boolean {
     const follower = this.#followers.get(follow.follow);
     if (follower === undefined || this.isStale(follow)) return false;
-    follower.serial = follow.serial;
+    follower.lastSerial = follow.serial;
     follower.lastContactAt = this.#now();
     for (const { stream, topic, count } of follow.counts) {
-      const counts = follower.streams.get(stream)?.counts;
+      const counts = follower.streams.get(stream)?.subscriberCounts;
       if (count > 0) counts?.set(topic, count);
       else counts?.delete(topic);
     }
     for (const stream of follow.left) this.#unfollow(follower, stream);
     for (const { stream, incarnation } of follow.quiet) {
       const followed = follower.streams.get(stream);
-      if (followed?.incarnation === incarnation && !this.#parts.isInMemory(stream)) followed.isQuiet = true;
+      if (followed?.incarnation === incarnation && !this.#parts.isInMemory(stream)) followed.isPushedByReplica = true;
     }
-    return follower.number === follow.seen;
+    return follower.lastPushNumber === follow.seen;
   }
 
-  /** Admits streams and returns their heads and the number the next push follows on. */
-  admit(follow: Follow, followed: readonly StreamAt[], edge: string): { heads: StreamHead[]; number: number } {
+  /**
+   * Adds streams to an edge's follow (a full follow replaces the edge's earlier ones). Returns the heads of the streams
+   * that exist and the number of the last push.
+   */
+  admit(follow: Follow, requestedStreams: readonly StreamAt[], edge: string): { heads: StreamHead[]; number: number } {
     let follower = this.#followers.get(follow.follow);
     if (follow.isFull || follower === undefined) {
-      for (const old of [...this.#followers.values()]) if (old.edge === edge) this.#drop(old);
-      follower = { follow: follow.follow, edge, streams: new Map(), number: 0, lastContactAt: 0, serial: 0 };
+      for (const existing of [...this.#followers.values()]) if (existing.edge === edge) this.#removeFollower(existing);
+      follower = {
+        followId: follow.follow,
+        edge,
+        streams: new Map(),
+        lastPushNumber: 0,
+        lastContactAt: 0,
+        lastSerial: 0,
+      };
       this.#followers.set(follow.follow, follower);
     }
     follower.lastContactAt = this.#now();
-    follower.serial = follow.serial;
+    follower.lastSerial = follow.serial;
     const heads: StreamHead[] = [];
-    for (const at of followed) {
-      const { stream } = at;
+    for (const requested of requestedStreams) {
+      const { stream } = requested;
       const log = this.#parts.find(stream);
       if (log === undefined) continue;
-      const sent = this.#startFor(log, at);
-      const isQuiet = at.isQuiet && at.incarnation === log.incarnation && !this.#parts.isInMemory(stream);
+      const lastSentSeq = this.#startingSeqFor(log, requested);
+      const isPushedByReplica =
+        requested.isQuiet && requested.incarnation === log.incarnation && !this.#parts.isInMemory(stream);
       follower.streams.set(stream, {
         incarnation: log.incarnation,
-        sent,
-        counts: StreamFollowers.#subscriberCounts(at),
-        isQuiet,
+        lastSentSeq,
+        subscriberCounts: StreamFollowers.#subscriberCounts(requested),
+        isPushedByReplica,
       });
-      let ofStream = this.#byStream.get(stream);
-      if (ofStream === undefined) this.#byStream.set(stream, (ofStream = new Set()));
-      ofStream.add(follower);
-      heads.push(create(StreamHeadSchema, { stream, incarnation: log.incarnation, from: sent, low: log.low }));
+      let followersOfStream = this.#followersByStream.get(stream);
+      if (followersOfStream === undefined) this.#followersByStream.set(stream, (followersOfStream = new Set()));
+      followersOfStream.add(follower);
+      heads.push(create(StreamHeadSchema, { stream, incarnation: log.incarnation, from: lastSentSeq, low: log.low }));
     }
-    return { heads, number: follower.number };
+    return { heads, number: follower.lastPushNumber };
   }
 
-  /** Sends whatever each follower of these streams has not been sent. */
+  /** Pushes to each follower of these streams all messages that it has not been sent yet. */
   push(streams: Iterable<string>): void {
     const batches = new Map<Follower, StreamBatch[]>();
     for (const stream of streams) {
-      for (const follower of this.#byStream.get(stream) ?? []) {
+      for (const follower of this.#followersByStream.get(stream) ?? []) {
         const pending = batches.get(follower) ?? [];
-        // All of it: what is left over here would wait for somebody's next message.
+        // Sends all batches: messages left over would wait until the next one is published on the stream.
         for (
           let batch = this.#nextBatch(follower, stream);
           batch !== undefined;
@@ -166,49 +192,50 @@
     for (const [follower, pending] of batches) this.#send(follower, pending);
   }
 
-  /** Notifies the followers of streams that no contract covers any more. */
+  /** Tells followers that no contract covers these streams any more, and ends the follows of them. */
   end(streams: Iterable<string>): void {
     this.#endStreams(streams, "topic-gone");
   }
 
-  /** Streams that go on in another incarnation, in memory or in the log: a batch of none makes their followers ask. */
+  /** Ends follows of streams that continue in another incarnation; an empty batch makes the edges follow them again. */
   requestRefollow(streams: Iterable<string>): void {
     this.#endStreams(streams, "");
   }
 
-  /** Notifies all followers that nothing is pushed to them from here any more. */
+  /** Tells all followers that this node no longer pushes to them, and removes them. */
   endAll(): void {
     for (const follower of [...this.#followers.values()]) {
-      this.#drop(follower);
+      this.#removeFollower(follower);
       const { pushBatcher, shard, epoch } = this.#parts;
-      pushBatcher.send(follower.edge, { shard, epoch, follow: follower.follow, isUnavailable: true });
+      pushBatcher.send(follower.edge, { shard, epoch, follow: follower.followId, isUnavailable: true });
     }
   }
 
-  /** Ends the follows of edges whose heartbeats have stopped. */
+  /** Removes the followers that have sent nothing for `followerTimeoutMs`. */
   dropUnresponsive(): void {
     const now = this.#now();
     for (const follower of [...this.#followers.values()])
-      if (now - follower.lastContactAt > StreamFollowers.unresponsiveMs) this.#drop(follower);
+      if (now - follower.lastContactAt > StreamFollowers.followerTimeoutMs) this.#removeFollower(follower);
   }
 
   #now(): number {
     return this.#parts.node.parts.clock.now();
   }
 
-  #startFor(log: StreamLog, { stream, incarnation, after }: StreamAt): number {
-    if (incarnation === log.incarnation && log.head - after <= StreamFollowers.maxBehind)
+  /** The offset after which pushes begin. */
+  #startingSeqFor(log: StreamLog, { stream, incarnation, after }: StreamAt): number {
+    if (incarnation === log.incarnation && log.head - after <= StreamFollowers.maxBacklogMessages)
       return Math.max(after, log.low);
     return incarnation !== "" && incarnation !== log.incarnation && this.#parts.isInMemory(stream) ? log.low : log.head;
   }
 
   #endStreams(streams: Iterable<string>, fault: string): void {
     for (const stream of streams) {
-      for (const follower of this.#byStream.get(stream) ?? []) {
+      for (const follower of this.#followersByStream.get(stream) ?? []) {
         follower.streams.delete(stream);
         this.#send(follower, [create(StreamBatchSchema, { stream, fault })]);
       }
-      this.#byStream.delete(stream);
+      this.#followersByStream.delete(stream);
     }
   }
 
@@ -217,38 +244,44 @@
     const log = this.#parts.find(stream);
     if (
       followed === undefined ||
-      followed.isQuiet ||
+      followed.isPushedByReplica ||
       log === undefined ||
       followed.incarnation !== log.incarnation ||
-      followed.sent >= log.head
+      followed.lastSentSeq >= log.head
     )
       return undefined;
-    const messages = sliceMessages(log.messages, log.low, followed.sent, StreamFollowers.maxMessages);
+    const messages = sliceMessages(log.messages, log.low, followed.lastSentSeq, StreamFollowers.maxBatchMessages);
     const prev = (messages[0]?.seq ?? log.head + 1) - 1;
-    followed.sent = messages.at(-1)?.seq ?? log.head;
+    followed.lastSentSeq = messages.at(-1)?.seq ?? log.head;
     return create(StreamBatchSchema, { stream, incarnation: log.incarnation, prev, messages });
   }
 
   #send(follower: Follower, batches: StreamBatch[]): void {
-    follower.number += 1;
+    follower.lastPushNumber += 1;
     const { pushBatcher, shard, epoch } = this.#parts;
-    pushBatcher.send(follower.edge, { shard, epoch, follow: follower.follow, number: follower.number, batches });
+    pushBatcher.send(follower.edge, {
+      shard,
+      epoch,
+      follow: follower.followId,
+      number: follower.lastPushNumber,
+      batches,
+    });
   }
 
-  #drop(follower: Follower): void {
-    this.#followers.delete(follower.follow);
+  #removeFollower(follower: Follower): void {
+    this.#followers.delete(follower.followId);
     for (const stream of [...follower.streams.keys()]) this.#unfollow(follower, stream);
   }
 
   #unfollow(follower: Follower, stream: string): void {
     follower.streams.delete(stream);
-    const ofStream = this.#byStream.get(stream);
-    ofStream?.delete(follower);
-    if (ofStream?.size === 0) this.#byStream.delete(stream);
+    const followersOfStream = this.#followersByStream.get(stream);
+    followersOfStream?.delete(follower);
+    if (followersOfStream?.size === 0) this.#followersByStream.delete(stream);
   }
 
   static #subscriberCounts({ count, counts }: StreamAt): Map<string, number> {
-    const all = [["", count] as const, ...counts.map((one) => [one.topic, one.count] as const)];
-    return new Map(all.filter(([, number]) => number > 0));
+    const entries = [["", count] as const, ...counts.map((ofTopic) => [ofTopic.topic, ofTopic.count] as const)];
+    return new Map(entries.filter(([, subscribers]) => subscribers > 0));
   }
 }
--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -9,38 +9,43 @@
 /** A replica of a set: the identity of its disk, and the name and zone of its machine. */
 export type SetMember = ShardSet["members"][number];
 
-/** One member less, one more, or one for another. */
+/** A change of a replica set by one step: a member leaves, joins, or is replaced by another. */
 export interface ReplicaChange {
-  readonly out: SetMember | undefined;
-  readonly in: SetMember | undefined;
-  readonly why: string;
-  /** The set stands one loss nearer to losing its majority, or an operator waits: not put off behind other copying. */
+  readonly leavingMember: SetMember | undefined;
+  readonly joiningMember: SetMember | undefined;
+  readonly reason: string;
+  /**
+   * The set is one loss closer to losing its majority, or an operator waits for the change; other copying does not
+   * delay it.
+   */
   readonly isUrgent: boolean;
 }
 
+/** A place in the set to fill, with the machines that may fill it. */
 interface Vacancy {
-  readonly out: SetMember | undefined;
-  readonly why: string;
+  readonly leavingMember: SetMember | undefined;
+  readonly reason: string;
   readonly isUrgent: boolean;
-  /** Nobody has to leave or is gone: what the contracts promise must hold after the change too. */
+  /** The leaving member still works, so the change must not break what the contracts promise. */
   readonly isVoluntary: boolean;
   readonly candidates: readonly Candidate[];
 }
 
+/** A live machine outside the set whose disk may hold the replica. */
 interface Candidate extends Location {
   readonly disk: string;
   readonly isStorage: boolean;
 }
 
 /**
- * Decides which change a replica set needs next, from what its leader knows. Losses come first, then what operators
- * ask for, then what is only better.
- * Invariant: it only proposes; whether a change is safe to complete is decided by `ReplicaRepair`.
+ * Chooses the change that a replica set needs next, from what its leader knows: first it replaces lost replicas, then
+ * those on machines being drained, and last it makes optional improvements.
+ * Invariant: it only proposes changes; `ReplicaRepair` decides whether a change is safe to complete.
  */
 export class ReplicaChoice {
-  /** A member that has left the membership or is suspected there is silent once it answered nothing for this long. */
+  /** A member that the membership does not list as alive counts as unresponsive after this time without a reply. */
   static readonly minUnresponsiveMs = 300;
-  /** Every member answered within this time: the set is well, and may be changed for the better. */
+  /** The set is healthy, and may be improved, only if every member has replied within this time. */
   static readonly healthyMs = 1000;
 
   readonly #node: ClusterNode;
@@ -60,128 +65,154 @@
     this.#recentJoins = recentJoins;
   }
 
-  /** Undefined where nothing is to be done, or nobody is there to do it with. */
-  next(isUrgentOnly: boolean): ReplicaChange | undefined {
+  /** The next change; undefined if none is needed or no machine is available for it. */
+  nextChange(isUrgentOnly: boolean): ReplicaChange | undefined {
     const { members } = this.#leader.set;
-    if (members.length > this.#targetSize) return this.#shrink(members);
+    if (members.length > this.#targetSize) return this.#shrinkChange(members);
     for (const vacancy of this.#urgentVacancies(members)) {
-      const change = this.#fill(vacancy, members);
+      const change = this.#changeFor(vacancy, members);
       if (change !== undefined) return change;
     }
     if (isUrgentOnly || !members.every((member) => this.#msSinceContact(member) < ReplicaChoice.healthyMs))
       return undefined;
-    return this.#improvement(members);
+    return this.#improvementChange(members);
   }
 
   get #targetSize(): number {
     return this.#node.parts.settings.replicas;
   }
 
+  /** The places of lost replicas, then of those on machines being drained. */
   *#urgentVacancies(members: readonly SetMember[]): Generator<Vacancy> {
     const { settings } = this.#node.parts;
-    for (const out of members.filter((member) => this.#isBlank(member)))
-      yield this.#vacancyOfLost(out, "the machine came back with a blank disk", this.#freeCandidates(out));
-    for (const out of members) {
-      const unresponsiveMs = this.#unresponsiveMs(out);
+    for (const leavingMember of members.filter((member) => this.#hasNewDisk(member)))
+      yield this.#vacancyOfLost(
+        leavingMember,
+        "the machine came back with a blank disk",
+        this.#freeCandidates(leavingMember),
+      );
+    for (const leavingMember of members) {
+      const unresponsiveMs = this.#unresponsiveMs(leavingMember);
       if (unresponsiveMs <= settings.replaceByNewcomerMs) continue;
       const isLongGone = unresponsiveMs > settings.replaceReplicaMs;
-      const candidates = this.#freeCandidates(out).filter(
-        (one) => isLongGone || (one.isStorage && this.#recentJoins.isSuccessor(one.disk, unresponsiveMs)),
+      const candidates = this.#freeCandidates(leavingMember).filter(
+        (candidate) =>
+          isLongGone || (candidate.isStorage && this.#recentJoins.isLikelyReplacement(candidate.disk, unresponsiveMs)),
       );
-      yield this.#vacancyOfLost(out, "the replica is gone", candidates);
+      yield this.#vacancyOfLost(leavingMember, "the replica is gone", candidates);
     }
-    for (const out of members.filter((member) => this.#node.machines.isDraining(member.name)))
+    for (const leavingMember of members.filter((member) => this.#node.machines.isDraining(member.name)))
       yield {
-        out,
-        why: "the machine is being drained",
+        leavingMember,
+        reason: "the machine is being drained",
         isUrgent: true,
         isVoluntary: true,
-        candidates: this.#freeCandidates(out),
+        candidates: this.#freeCandidates(leavingMember),
       };
   }
 
-  #vacancyOfLost(out: SetMember, why: string, candidates: readonly Candidate[]): Vacancy {
-    return { out, why, isUrgent: true, isVoluntary: false, candidates };
+  #vacancyOfLost(leavingMember: SetMember, reason: string, candidates: readonly Candidate[]): Vacancy {
+    return { leavingMember, reason, isUrgent: true, isVoluntary: false, candidates };
   }
 
-  /** What is not needed to keep a promise through one more loss of what is there. */
-  #improvement(members: readonly SetMember[]): ReplicaChange | undefined {
-    const storage = this.#freeCandidates(undefined).filter((one) => one.isStorage);
+  /** A change that no contract needs for surviving one more loss, but that makes the set larger or better placed. */
+  #improvementChange(members: readonly SetMember[]): ReplicaChange | undefined {
+    const storage = this.#freeCandidates(undefined).filter((candidate) => candidate.isStorage);
     if (storage.length === 0) return undefined;
-    const better = { isUrgent: false, isVoluntary: true, candidates: storage };
+    const improvement = { isUrgent: false, isVoluntary: true, candidates: storage };
     if (members.length < this.#targetSize)
-      return this.#fill({ ...better, out: undefined, why: "the set is too small", isVoluntary: false }, members);
-    const spare = members.find((member) => this.#node.membership.find(member.name)?.isStorage === false);
-    if (spare !== undefined)
-      return this.#fill({ ...better, out: spare, why: "a storage machine can replace a spare" }, members);
+      return this.#changeFor(
+        { ...improvement, leavingMember: undefined, reason: "the set is too small", isVoluntary: false },
+        members,
+      );
+    const nonStorageMember = members.find((member) => this.#node.membership.find(member.name)?.isStorage === false);
+    if (nonStorageMember !== undefined)
+      return this.#changeFor(
+        { ...improvement, leavingMember: nonStorageMember, reason: "a storage machine can replace a spare" },
+        members,
+      );
     const set = members.map((member) => this.#locate(member));
-    for (const out of members) {
-      const change = this.#fill({ ...better, out, why: "the change distributes the set better" }, members);
-      if (change !== undefined && Placement.isBetterDistributed(this.#after(change, members), set)) return change;
+    for (const leavingMember of members) {
+      const change = this.#changeFor(
+        { ...improvement, leavingMember, reason: "the change distributes the set better" },
+        members,
+      );
+      if (change !== undefined && Placement.isBetterDistributed(this.#locationsAfter(change, members), set))
+        return change;
     }
     return undefined;
   }
 
-  /** The lost go first, then who is to be emptied, then who stands closest to others; this disk last. */
-  #shrink(members: readonly SetMember[]): ReplicaChange | undefined {
+  /**
+   * Removes one member of a set that is too large: a lost one first, then one on a machine being drained, then one
+   * whose removal distributes the set better, then any other; never this replica.
+   */
+  #shrinkChange(members: readonly SetMember[]): ReplicaChange | undefined {
     const others = members.filter((member) => member.id !== this.#replica.id);
-    const isClusteredWithOthers = (member: SetMember): boolean => {
-      const rest = members.filter((one) => one !== member).map((one) => this.#locate(one));
-      const locations = members.map((one) => this.#locate(one));
+    const removalImprovesDistribution = (member: SetMember): boolean => {
+      const rest = members.filter((other) => other !== member).map((other) => this.#locate(other));
+      const locations = members.map((other) => this.#locate(other));
       return Placement.isBetterDistributed(rest, locations);
     };
-    const out =
-      others.find((member) => this.#isBlank(member) || this.#unresponsiveMs(member) > ReplicaChoice.healthyMs) ??
+    const leavingMember =
+      others.find((member) => this.#hasNewDisk(member) || this.#unresponsiveMs(member) > ReplicaChoice.healthyMs) ??
       others.find((member) => this.#node.machines.isDraining(member.name)) ??
-      others.find(isClusteredWithOthers) ??
+      others.find(removalImprovesDistribution) ??
       others.at(-1);
-    if (out === undefined) return undefined;
-    return { out, in: undefined, why: "the set is larger than wanted", isUrgent: false };
+    if (leavingMember === undefined) return undefined;
+    return { leavingMember, joiningMember: undefined, reason: "the set is larger than wanted", isUrgent: false };
   }
 
-  #fill(vacancy: Vacancy, members: readonly SetMember[]): ReplicaChange | undefined {
-    const staying = members.filter((member) => member !== vacancy.out).map((member) => this.#locate(member));
-    const storage = vacancy.candidates.filter((one) => one.isStorage);
+  /** Fills the vacancy with the best candidate, preferring storage machines; undefined if no change may be made. */
+  #changeFor(vacancy: Vacancy, members: readonly SetMember[]): ReplicaChange | undefined {
+    const staying = members.filter((member) => member !== vacancy.leavingMember).map((member) => this.#locate(member));
+    const storage = vacancy.candidates.filter((candidate) => candidate.isStorage);
     const pool = storage.length > 0 ? storage : vacancy.candidates;
-    const chosen = Placement.next(RendezvousKeys.replicaSet(this.#replica.shard), staying, pool);
+    const chosen = Placement.bestCandidate(RendezvousKeys.replicaSet(this.#replica.shard), staying, pool);
     if (chosen === undefined) return undefined;
-    const { out, why, isUrgent } = vacancy;
-    const change = { out, in: { id: chosen.disk, name: chosen.name, zone: chosen.zone }, why, isUrgent };
+    const { leavingMember, reason, isUrgent } = vacancy;
+    const change = {
+      leavingMember,
+      joiningMember: { id: chosen.disk, name: chosen.name, zone: chosen.zone },
+      reason,
+      isUrgent,
+    };
     return vacancy.isVoluntary && this.#breaksContract(change, members) ? undefined : change;
   }
 
-  /** Whether a contract asks for a zone's loss to be survived, the set does so now, and would no longer. */
+  /** Whether a contract demands surviving the loss of a zone, and the set does so now but not after the change. */
   #breaksContract(change: ReplicaChange, members: readonly SetMember[]): boolean {
     const needsZones = (this.#node.configuration.configuration?.spaces ?? []).some(({ program }) =>
       program.some(({ contract }) => contract.keep > 0 && (contract.fault_budget.zones ?? 0) > 0),
     );
     if (!needsZones || !Placement.survivesZoneLoss(members.map((member) => this.#locate(member)))) return false;
-    return !Placement.survivesZoneLoss(this.#after(change, members));
+    return !Placement.survivesZoneLoss(this.#locationsAfter(change, members));
   }
 
-  #after(change: ReplicaChange, members: readonly SetMember[]): Location[] {
-    const staying = members.filter((member) => member !== change.out);
-    const next = change.in === undefined ? staying : [...staying, change.in];
+  #locationsAfter(change: ReplicaChange, members: readonly SetMember[]): Location[] {
+    const staying = members.filter((member) => member !== change.leavingMember);
+    const next = change.joiningMember === undefined ? staying : [...staying, change.joiningMember];
     return next.map((member) => this.#locate(member));
   }
 
-  /** Live machines with a disk for topic logs that are not in the set, and are not to be emptied. */
-  #freeCandidates(out: SetMember | undefined): Candidate[] {
+  /** Live machines with a disk for topic logs, neither being drained nor in the set (apart from `leavingMember`). */
+  #freeCandidates(leavingMember: SetMember | undefined): Candidate[] {
     const { membership, machines } = this.#node;
-    const staying = this.#leader.set.members.filter((member) => member !== out);
+    const staying = this.#leader.set.members.filter((member) => member !== leavingMember);
     const isFree = (member: Member): boolean =>
       member.logDisk !== "" &&
-      member.logDisk !== out?.id &&
+      member.logDisk !== leavingMember?.id &&
       membership.isAlive(member.name) &&
       !machines.isDraining(member.name) &&
-      !staying.some((one) => one.id === member.logDisk || one.name === member.name);
+      !staying.some((other) => other.id === member.logDisk || other.name === member.name);
     return membership
       .all()
       .filter(isFree)
       .map(({ name, zone, region, logDisk, isStorage }) => ({ name, zone, region, disk: logDisk, isStorage }));
   }
 
-  #isBlank(member: SetMember): boolean {
+  /** Whether the member's machine is alive with another disk than the one in the set, so the replica's data is lost. */
+  #hasNewDisk(member: SetMember): boolean {
     const { membership } = this.#node;
     const present = membership.find(member.name);
     return (
@@ -192,7 +223,10 @@
     );
   }
 
-  /** A leader of a new epoch has no contacts yet: then the membership tells for how long the member is unresponsive. */
+  /**
+   * Milliseconds for which the member has been unresponsive. The leader of a new epoch has had no contact with members
+   * yet, so for members that are not alive the membership's own time counts too.
+   */
   #unresponsiveMs(member: SetMember): number {
     const { membership } = this.#node;
     const sinceContactMs = this.#msSinceContact(member);
@@ -200,13 +234,15 @@
     return Math.max(sinceContactMs, membership.ageOf(member.name));
   }
 
+  /** Milliseconds since the member's last reply to this leader. */
   #msSinceContact(member: SetMember): number {
     return this.#leader.replicator?.sinceContactMs(member.id) ?? 0;
   }
 
   #locate({ name, zone }: SetMember): Location {
     const { membership } = this.#node;
-    const region = membership.find(name)?.region ?? membership.all().find((one) => one.zone === zone)?.region ?? "";
+    const region =
+      membership.find(name)?.region ?? membership.all().find((machine) => machine.zone === zone)?.region ?? "";
     return { name, zone, region };
   }
 }
--- a/packages/log-storage/src/repair/replicaRepair.ts
+++ b/packages/log-storage/src/repair/replicaRepair.ts
@@ -6,130 +6,141 @@
 import type { Replica } from "../replication/replica.js";
 import type { RecentJoins } from "./recentJoins.js";
 import { ReplicaChoice, type ReplicaChange } from "./replicaChoice.js";
-import { isSafeToDecide } from "./setChange.js";
+import { isSafeToInstall } from "./setChange.js";
 
-interface Move {
+/** The change that is under way. */
+interface ChangeInProgress {
   readonly change: ReplicaChange;
-  readonly set: ShardSet;
-  /** Once it is being decided, the store may have taken the new set, whatever this process has heard of it. */
+  readonly newSet: ShardSet;
+  /** From `deciding` on, the store may have taken the new set, even if this process received no reply saying so. */
   step: "copying" | "joining" | "deciding";
-  joinedAt: number;
+  /** The last index of the log when commits began to need both sets; 0 before. */
+  jointSinceIndex: number;
+  /** Milliseconds of the node's clock. */
   readonly startedAt: number;
 }
-/** The set that the store has taken, and the epoch under which this disk holds it; 0 where it is out. */
+
+/** The set that the store has taken, and the epoch in which this replica leads it; 0 if this replica has left it. */
 export interface InstalledSet {
   set: ShardSet;
   epoch: number;
 }
 
 /**
- * Keeps one held shard's replica set whole, by one change at a time: a joining replica copies, then commits count the
- * old set and the new one, then one transaction of the store swaps the set and moves the epoch.
- * Invariants: a joining replica has everything before it counts; from the moment the new set may be in force until that
- * is
- * decided, commits need a majority of both; the store is asked to take a set only while a majority of it, members that
- * answer just now, has everything that is committed.
+ * Keeps the replica set of a shard that this node leads complete, one change at a time: the joining replica copies the
+ * log, then commits need a majority of both the old and the new set, then one transaction of the metadata store
+ * installs the new set and a new epoch.
+ * Invariants: a joining replica has all committed entries before it counts; from the moment when the new set may be in
+ * force until the outcome is known, commits need a majority of both sets; the store is asked to take a set only while a
+ * majority of it, counting only members that reply, has everything that is committed.
  */
 export class ReplicaRepair {
-  /** A change that has not come to its decision by then is dropped and chosen anew. */
+  /** A change that has not reached `deciding` after this time is abandoned and chosen again. */
   static readonly changeTimeoutMs = 60_000;
-  /** A joining replica that has answered nothing for so long is gone. */
+  /** A joining replica that has sent no reply for this long is considered lost. */
   static readonly joiningLostMs = 3000;
-  /** A joining replica that lacks no more than so many entries is near enough for commits to wait for it. */
+  /** A joining replica that lacks at most this many entries is close enough for commits to wait for it. */
   static readonly maxCatchUpEntries = 20;
 
   readonly #node: ClusterNode;
   readonly #replica: Replica;
   readonly #leader: ShardLeader;
-  readonly #lease: string;
+  readonly #leaseId: string;
   readonly #choice: ReplicaChoice;
-  #move: Move | undefined;
-  #isWriting = false;
+  #current: ChangeInProgress | undefined;
+  #isWritingToStore = false;
 
-  constructor(node: ClusterNode, replica: Replica, leader: ShardLeader, lease: string, recentJoins: RecentJoins) {
+  constructor(node: ClusterNode, replica: Replica, leader: ShardLeader, leaseId: string, recentJoins: RecentJoins) {
     this.#node = node;
     this.#replica = replica;
     this.#leader = leader;
-    this.#lease = lease;
+    this.#leaseId = leaseId;
     this.#choice = new ReplicaChoice(node, replica, leader, recentJoins);
   }
 
-  /** The change under way, for status: machines by name, empty where none leaves or joins. */
+  /** The change under way, for status: `out` and `in` name the machines and are empty where none leaves or joins. */
   get progress(): { out: string; in: string; step: string; why: string } | undefined {
-    if (this.#move === undefined) return undefined;
-    const { change, step } = this.#move;
-    return { out: change.out?.name ?? "", in: change.in?.name ?? "", step, why: change.why };
+    if (this.#current === undefined) return undefined;
+    const { change, step } = this.#current;
+    return { out: change.leavingMember?.name ?? "", in: change.joiningMember?.name ?? "", step, why: change.reason };
   }
 
-  /** Whether a change is under way that could as well be made later. */
+  /** Whether the change under way is not urgent and could be made later. */
   get isImproving(): boolean {
-    return this.#move?.change.isUrgent === false;
+    return this.#current?.change.isUrgent === false;
   }
 
-  /** One step further; a set that the store has taken is handed back to be held under its new epoch. */
+  /** Takes the next step, if one is possible; returns the new set and epoch once the store has taken them. */
   async tick(isUrgentOnly: boolean): Promise<InstalledSet | undefined> {
-    if (!this.#leader.isServing || this.#isWriting) return undefined;
-    if (this.#move === undefined) this.#begin(isUrgentOnly);
-    const move = this.#move;
+    if (!this.#leader.isServing || this.#isWritingToStore) return undefined;
+    if (this.#current === undefined) this.#beginChange(isUrgentOnly);
+    const current = this.#current;
     const { replicator } = this.#leader;
-    if (move === undefined || replicator === undefined) return undefined;
-    if (move.step === "copying" && this.#isCaughtUp(move)) this.#startJoint(move);
-    const joined = { set: move.set, joiningReplica: move.change.in?.id, joinedAt: move.joinedAt };
-    if (move.step !== "copying" && isSafeToDecide(joined, replicator)) return this.#decide(move);
-    if (move.step !== "deciding" && this.#hasFailed(move)) this.#abandon();
+    if (current === undefined || replicator === undefined) return undefined;
+    if (current.step === "copying" && this.#isCaughtUp(current)) this.#startJointCommits(current);
+    const jointSet = {
+      set: current.newSet,
+      joiningReplica: current.change.joiningMember?.id,
+      jointSinceIndex: current.jointSinceIndex,
+    };
+    if (current.step !== "copying" && isSafeToInstall(jointSet, replicator)) return this.#installNewSet(current);
+    if (current.step !== "deciding" && this.#hasFailedOrTimedOut(current)) this.#abandonChange();
     return undefined;
   }
 
-  #begin(isUrgentOnly: boolean): void {
-    const change = this.#choice.next(isUrgentOnly);
+  #beginChange(isUrgentOnly: boolean): void {
+    const change = this.#choice.nextChange(isUrgentOnly);
     if (change === undefined) return;
-    const staying = this.#leader.set.members.filter((member) => member.id !== change.out?.id);
-    const members = change.in === undefined ? staying : [...staying, change.in];
-    this.#move = {
+    const staying = this.#leader.set.members.filter((member) => member.id !== change.leavingMember?.id);
+    const members = change.joiningMember === undefined ? staying : [...staying, change.joiningMember];
+    this.#current = {
       change,
-      set: { members },
+      newSet: { members },
       step: "copying",
-      joinedAt: 0,
+      jointSinceIndex: 0,
       startedAt: this.#node.parts.clock.now(),
     };
-    this.#leader.setQuorums([this.#leader.set], change.in === undefined ? [] : [change.in.id]);
+    this.#leader.setQuorums([this.#leader.set], change.joiningMember === undefined ? [] : [change.joiningMember.id]);
     this.#leader.replicator?.sendHeartbeats(Number.POSITIVE_INFINITY);
     this.#node.parts.log.note("replica set change started", {
       shard: this.#replica.shard,
-      out: change.out?.name ?? "",
-      in: change.in?.name ?? "",
-      why: change.why,
+      out: change.leavingMember?.name ?? "",
+      in: change.joiningMember?.name ?? "",
+      why: change.reason,
     });
   }
 
-  #isCaughtUp({ change }: Move): boolean {
-    if (change.in === undefined) return true;
-    const match = this.#leader.replicator!.matchOf(change.in.id);
+  /** Whether the joining replica has nearly all entries, so that commits may need the new set too. */
+  #isCaughtUp({ change }: ChangeInProgress): boolean {
+    if (change.joiningMember === undefined) return true;
+    const match = this.#leader.replicator!.matchOf(change.joiningMember.id);
     return match > 0 && this.#replica.log.lastIndex - match <= ReplicaRepair.maxCatchUpEntries;
   }
 
-  #startJoint(move: Move): void {
-    move.step = "joining";
-    move.joinedAt = this.#replica.log.lastIndex;
-    this.#leader.setQuorums([this.#leader.set, move.set], []);
+  #startJointCommits(current: ChangeInProgress): void {
+    current.step = "joining";
+    current.jointSinceIndex = this.#replica.log.lastIndex;
+    this.#leader.setQuorums([this.#leader.set, current.newSet], []);
   }
 
-  #hasFailed({ change, startedAt }: Move): boolean {
+  #hasFailedOrTimedOut({ change, startedAt }: ChangeInProgress): boolean {
     const isUnresponsive =
-      change.in !== undefined && this.#leader.replicator!.sinceContactMs(change.in.id) > ReplicaRepair.joiningLostMs;
+      change.joiningMember !== undefined &&
+      this.#leader.replicator!.sinceContactMs(change.joiningMember.id) > ReplicaRepair.joiningLostMs;
     return isUnresponsive || this.#node.parts.clock.now() - startedAt > ReplicaRepair.changeTimeoutMs;
   }
 
-  #abandon(): void {
-    this.#move = undefined;
+  #abandonChange(): void {
+    this.#current = undefined;
     this.#leader.setQuorums([this.#leader.set], []);
   }
 
-  async #decide(move: Move): Promise<InstalledSet | undefined> {
-    move.step = "deciding";
-    this.#isWriting = true;
+  /** Writes the new set, and this node as leader in a new epoch, to the store if neither key has changed. */
+  async #installNewSet(current: ChangeInProgress): Promise<InstalledSet | undefined> {
+    current.step = "deciding";
+    this.#isWritingToStore = true;
     const { shard, id } = this.#replica;
-    const isOut = move.change.out?.id === id;
+    const isThisReplicaLeaving = current.change.leavingMember?.id === id;
     const leaderKey = ShardLeaderKey.of(shard);
     const setKey = ReplicasKey.of(shard);
     const { setRevision } = this.#node.shards.find(shard);
@@ -137,18 +148,18 @@
       { key: leaderKey, revision: this.#leader.epoch },
       { key: setKey, revision: setRevision },
     ];
-    const setPut = { key: setKey, value: ReplicasKey.write(move.set) };
+    const setPut = { key: setKey, value: ReplicasKey.write(current.newSet) };
     const leaderPut = {
       key: leaderKey,
-      value: ShardLeaderKey.write({ name: this.#node.rpc.name, id, lease: this.#lease }),
-      lease: this.#lease,
+      value: ShardLeaderKey.write({ name: this.#node.rpc.name, id, lease: this.#leaseId }),
+      lease: this.#leaseId,
     };
-    const written = await this.#node.store.txn(
-      isOut ? { checks, puts: [setPut], deletes: [leaderKey] } : { checks, puts: [setPut, leaderPut] },
+    const result = await this.#node.store.txn(
+      isThisReplicaLeaving ? { checks, puts: [setPut], deletes: [leaderKey] } : { checks, puts: [setPut, leaderPut] },
     );
-    this.#isWriting = false;
-    if (written.outcome === "done") return { set: move.set, epoch: isOut ? 0 : written.revision! };
-    if (written.outcome === "conflict") this.#leader.stop("the store names another leader or set");
+    this.#isWritingToStore = false;
+    if (result.outcome === "done") return { set: current.newSet, epoch: isThisReplicaLeaving ? 0 : result.revision! };
+    if (result.outcome === "conflict") this.#leader.stop("the store names another leader or set");
     return undefined;
   }
 }
--- a/packages/log-storage/src/repair/setChange.ts
+++ b/packages/log-storage/src/repair/setChange.ts
@@ -2,28 +2,30 @@
 import type { LogReplicator } from "@cranetrack/core/replication/logReplicator.js";
 import { Placement } from "./placement.js";
 
-/** A new set that counts, beside the one in force, since the log had `joinedAt` entries. */
-export interface JoinedSet {
+/** A new set whose majority commits need, besides that of the set in force, for all entries after an index. */
+export interface JointSet {
   readonly set: ShardSet;
+  /** The identity of the joining replica's disk; undefined if no replica joins. */
   readonly joiningReplica: string | undefined;
-  readonly joinedAt: number;
+  /** The last index of the log when commits began to need both sets. */
+  readonly jointSinceIndex: number;
 }
 
-/** Whoever has not answered for so long is not counted on when a set is put in force. */
+/** A member that has not replied for this many milliseconds does not count when a set is put in force. */
 export const responseTimeoutMs = 700;
 
 /**
- * Whether the new set may be put in force by itself. What was committed before it counted may stand on a majority of
- * the old set only; so a majority of the new one, members that answer just now and so are not lost with their disks,
- * must have all of that. Everything later is committed on a majority of both.
+ * Whether the new set may replace the old one. Entries committed before commits needed both sets may be stored on a
+ * majority of the old set only, so a majority of the new set must have them all. Only members that reply count, because
+ * another may have lost its disk. All later entries are committed on a majority of both sets.
  */
-export function isSafeToDecide(
-  { set, joiningReplica, joinedAt }: JoinedSet,
+export function isSafeToInstall(
+  { set, joiningReplica, jointSinceIndex }: JointSet,
   progress: Pick<LogReplicator, "commit" | "matchOf" | "sinceContactMs">,
 ): boolean {
-  if (progress.commit < joinedAt) return false;
-  if (joiningReplica !== undefined && progress.matchOf(joiningReplica) < joinedAt) return false;
+  if (progress.commit < jointSinceIndex) return false;
+  if (joiningReplica !== undefined && progress.matchOf(joiningReplica) < jointSinceIndex) return false;
   const isResponsive = (id: string): boolean => progress.sinceContactMs(id) < responseTimeoutMs;
-  const upToDate = set.members.filter(({ id }) => isResponsive(id) && progress.matchOf(id) >= joinedAt);
+  const upToDate = set.members.filter(({ id }) => isResponsive(id) && progress.matchOf(id) >= jointSinceIndex);
   return upToDate.length >= Placement.majorityOf(set.members.length);
 }
--- a/packages/testkit/src/mutants/repairMutants.ts
+++ b/packages/testkit/src/mutants/repairMutants.ts
@@ -49,7 +49,7 @@
   {
     name: "sets are placed without a look at zones",
     file: "log-storage/dist/repair/placement.js",
-    find: "one.zone < other.zone ||",
+    find: "first.zone < second.zone ||",
     put: "false ||",
     test: "log-storage/dist/repair/placement.test.js",
   },
