--- a/packages/cli/src/cli.test.ts
+++ b/packages/cli/src/cli.test.ts
@@ -9,33 +9,33 @@
 import { nearestName } from "./nearestName.js";
 import { runbooks } from "./runbooks/runbooks.js";
 
-interface Ran {
+interface CommandResult {
   code: number;
   out: string;
   err: string;
 }
 
 /** Runs one command line in this process. */
-async function ctl(...args: string[]): Promise<Ran> {
-  const ran: Ran = { code: -1, out: "", err: "" };
-  const cli = new Cli({ write: (text) => (ran.out += text) }, { write: (text) => (ran.err += text) });
-  ran.code = await cli.run(["node", "cranetrackctl", ...args]);
-  return ran;
+async function runCommand(...args: string[]): Promise<CommandResult> {
+  const result: CommandResult = { code: -1, out: "", err: "" };
+  const cli = new Cli({ write: (text) => (result.out += text) }, { write: (text) => (result.err += text) });
+  result.code = await cli.run(["node", "cranetrackctl", ...args]);
+  return result;
 }
 
-/** A node that writes down what it was called for, and gives every call the same reply. */
+/** A node that records the calls it receives, and gives every call the same reply. */
 const calls: string[] = [];
 let status = 200;
 const reply = { mark: 7, taken: 2, of: 3, nodes: [], isAsked: true, shardsLeft: 4, members: [], shards: [] };
 let server: Server;
-let node: string[];
+let nodeOption: string[];
 before(async () => {
   server = createServer((request, response) => {
     calls.push(`${request.method ?? ""} ${request.url ?? ""}`);
     request.resume().on("end", () => void response.writeHead(status).end(JSON.stringify(reply)));
   });
   await new Promise<void>((resolve) => void server.listen(0, "127.0.0.1", () => resolve()));
-  node = ["--node", `127.0.0.1:${(server.address() as AddressInfo).port}`];
+  nodeOption = ["--node", `127.0.0.1:${(server.address() as AddressInfo).port}`];
 });
 after(() => void server.close());
 
@@ -66,11 +66,11 @@
   for (const [line, call, out] of documented)
     it(`${line.slice(0, 2).join(" ")} calls ${call}`, async () => {
       calls.length = 0;
-      expect(await ctl(...line, ...node)).toEqual({ code: 0, out, err: "" });
+      expect(await runCommand(...line, ...nodeOption)).toEqual({ code: 0, out, err: "" });
       expect(calls).toEqual([call]);
     });
 
-  const earlier: Array<[earlier: string, name: string, argument: string[]]> = [
+  const legacyNames: Array<[legacyName: string, name: string, argument: string[]]> = [
     ["plan put", "configuration apply", [file]],
     ["plan get", "configuration get", []],
     ["plan rollout", "configuration rollout", []],
@@ -78,25 +78,28 @@
     ["machine progress", "drain status", ["m-1"]],
     ["machine refill", "drain cancel", ["m-1"]],
   ];
-  for (const [old, name, argument] of earlier)
-    it(`${old} does what ${name} does, and says so in one line`, async () => {
+  for (const [legacyName, name, argument] of legacyNames)
+    it(`${legacyName} does what ${name} does, and prints a one-line notice`, async () => {
       calls.length = 0;
-      const now = await ctl(...name.split(" "), ...argument, ...node);
-      const then = await ctl(...node, ...old.split(" "), ...argument);
-      const err = `cranetrackctl: "${old}" is the earlier name of "${name}"; it is still accepted\n`;
-      expect(then).toEqual({ ...now, err });
+      const current = await runCommand(...name.split(" "), ...argument, ...nodeOption);
+      const legacy = await runCommand(...nodeOption, ...legacyName.split(" "), ...argument);
+      const err = `cranetrackctl: "${legacyName}" is the earlier name of "${name}"; it is still accepted\n`;
+      expect(legacy).toEqual({ ...current, err });
       expect(calls[1]).toEqual(calls[0]!);
     });
 
-  it("ends with the code of its table: refused 1, misused 2, unanswered 3", async () => {
+  it("exits with the documented code: refused 1, misused 2, unanswered 3", async () => {
     const codes: number[] = [];
-    for (const answer of [200, 422, 503]) {
-      status = answer;
-      codes.push((await ctl("configuration", "get", ...node)).code);
+    for (const responseStatus of [200, 422, 503]) {
+      status = responseStatus;
+      codes.push((await runCommand("configuration", "get", ...nodeOption)).code);
     }
     status = 200;
-    codes.push((await ctl("configuration", "get", "--node", "127.0.0.1:9")).code);
-    codes.push((await ctl("configuration", "apply", ...node)).code, (await ctl("drain", "start", ...node)).code);
+    codes.push((await runCommand("configuration", "get", "--node", "127.0.0.1:9")).code);
+    codes.push(
+      (await runCommand("configuration", "apply", ...nodeOption)).code,
+      (await runCommand("drain", "start", ...nodeOption)).code,
+    );
     expect(codes).toEqual([0, 1, 3, 3, 2, 2]);
   });
 
@@ -110,16 +113,16 @@
     [["runbook", "run", "lost-zones"], "lost-zone", runbooks.map(({ name }) => name).join(", ")],
   ];
   for (const [line, nearest, list] of unknown)
-    it(`${line.join(" ")} is misuse, with the nearest known name and the list, and calls nobody`, async () => {
+    it(`${line.join(" ")} is a usage error that lists the nearest and all known names, and sends no call`, async () => {
       calls.length = 0;
-      const { code, err } = await ctl(...line, ...node);
+      const { code, err } = await runCommand(...line, ...nodeOption);
       expect([code, err.split("\n").length, calls.length]).toEqual([2, 2, 0]);
       expect(err).toInclude(`"${nearest}"`);
       expect(err).toInclude(`Known: ${list}`);
     });
 
-  it("refuses an option that the command does not have", async () => {
-    const { code, err } = await ctl("status", "--nodes", "127.0.0.1:9");
+  it("rejects an option that the command does not have", async () => {
+    const { code, err } = await runCommand("status", "--nodes", "127.0.0.1:9");
     expect([code, err.includes("--nodes")]).toEqual([2, true]);
   });
 
@@ -127,7 +130,7 @@
     it(`${name} --help shows an example`, async (t) => {
       const lines: string[] = [];
       t.mock.method(console, "info", (text: string) => void lines.push(text));
-      const { code } = await ctl(...(name === "" ? [] : [name]), "--help");
+      const { code } = await runCommand(...(name === "" ? [] : [name]), "--help");
       mock.restoreAll();
       expect([code, /Examples?:\n.*cranetrackctl /.test(lines.join("\n"))]).toEqual([0, true]);
     });
@@ -135,16 +138,16 @@
   it("every runbook takes exactly the options that its checks read", async () => {
     for (const { name, args } of runbooks) {
       const flags = Object.keys(args).map((arg) => (arg === "node" ? "target" : arg));
-      const missing = await ctl("runbook", "run", name, ...node);
+      const missing = await runCommand("runbook", "run", name, ...nodeOption);
       expect([missing.code, missing.err]).toEqual([2, `cranetrackctl: runbook ${name} needs --${flags[0]!}\n`]);
       calls.length = 0;
-      const { code, err } = await ctl(
+      const { code, err } = await runCommand(
         "runbook",
         "run",
         name,
         ...flags.flatMap((flag) => [`--${flag}`, file]),
         "--dry-run",
-        ...node,
+        ...nodeOption,
       );
       expect([code, `${err} ${calls.join()}`.includes("undefined")]).toEqual([0, false]);
     }
--- a/packages/cli/src/commands/configurationCommand.ts
+++ b/packages/cli/src/commands/configurationCommand.ts
@@ -3,8 +3,8 @@
 import { rolloutText } from "../statusText.js";
 import { callFleet, type Command, type Invocation } from "./command.js";
 
-/** The HTTP API's path of the configuration; the API keeps its words. */
-const path = "/v1/plan";
+/** The HTTP API's path of the configuration; the API has kept its original names. */
+const configurationPath = "/v1/plan";
 
 /** `configuration`: sends a configuration, reads the one in force, and follows its rollout. */
 export const configurationCommand: Command = {
@@ -17,18 +17,18 @@
     "configuration get --node 10.0.0.11:7100",
     "configuration rollout --node 10.0.0.11:7100",
   ],
-  earlier: { name: "plan", actions: { put: "apply" } },
+  legacy: { name: "plan", actions: { put: "apply" } },
   run(invocation) {
     switch (invocation.action) {
       case "get":
         return callFleet(
           invocation,
-          (client) => client.call("GET", path),
-          // The bytes in force, with one line's end behind them.
+          (client) => client.call("GET", configurationPath),
+          // Prints the configuration byte for byte, and a line break if it does not end with one.
           (_body, raw) => (raw.endsWith("\n") ? raw : `${raw}\n`),
         );
       case "rollout":
-        return callFleet(invocation, (client) => client.call("GET", `${path}/rollout`), rolloutText);
+        return callFleet(invocation, (client) => client.call("GET", `${configurationPath}/rollout`), rolloutText);
       default:
         return apply(invocation);
     }
@@ -41,7 +41,7 @@
   const configuration = FleetClient.readConfigurationFile(file);
   return callFleet(
     invocation,
-    (client) => client.call("PUT", path, configuration),
+    (client) => client.call("PUT", configurationPath, configuration),
     (body) => `version ${String(body["mark"])} accepted\n`,
   );
 }
--- a/packages/cli/src/commands/drainCommand.ts
+++ b/packages/cli/src/commands/drainCommand.ts
@@ -1,12 +1,12 @@
 import { callFleet, type Command } from "./command.js";
 
 /** The HTTP method of each action on a machine's drain request. */
-const methods = { start: "PUT", status: "GET", cancel: "DELETE" } as const;
+const methodByAction = { start: "PUT", status: "GET", cancel: "DELETE" } as const;
 
-/** `drain`: moves all topic logs, leaderships and the vote off a machine, or takes that back. */
+/** `drain`: moves all topic logs, shard leaderships and the vote off a machine, or cancels that. */
 export const drainCommand: Command = {
   name: "drain",
-  actions: Object.keys(methods),
+  actions: Object.keys(methodByAction),
   argument: "name",
   about: "start NAME, status NAME, or cancel NAME",
   examples: [
@@ -14,11 +14,11 @@
     "drain status storage-3 --node 10.0.0.11:7100 --json",
     "drain cancel storage-3 --node 10.0.0.11:7100",
   ],
-  earlier: { name: "machine", actions: { empty: "start", progress: "status", refill: "cancel" } },
+  legacy: { name: "machine", actions: { empty: "start", progress: "status", refill: "cancel" } },
   async run(invocation) {
     const { action, argument: machine } = invocation;
     if (machine === undefined) throw new Error(`drain ${action} needs the machine's name`);
-    const method = methods[action as keyof typeof methods];
+    const method = methodByAction[action as keyof typeof methodByAction];
     return callFleet(
       invocation,
       (client) => client.call(method, `/v1/machines/${encodeURIComponent(machine)}/emptying`),
--- a/packages/cli/src/commands/runbookCommand.ts
+++ b/packages/cli/src/commands/runbookCommand.ts
@@ -1,5 +1,5 @@
 import { exitCodes, type ExitCode } from "../exitCodes.js";
-import { unknownName } from "../nearestName.js";
+import { unknownNameError } from "../nearestName.js";
 import type { Runbook } from "../runbooks/runbook.js";
 import { RunbookRunner } from "../runbooks/runbookRunner.js";
 import { runbooks } from "../runbooks/runbooks.js";
@@ -29,7 +29,7 @@
     const name = invocation.argument ?? "";
     const runbook = runbooks.find((candidate) => candidate.name === name);
     if (runbook === undefined)
-      throw unknownName(
+      throw unknownNameError(
         "runbook",
         name,
         runbooks.map((known) => known.name),
@@ -67,7 +67,7 @@
   const report = await new RunbookRunner({
     client,
     args,
-    say: (line) => void err.write(`${line}\n`),
+    print: (line) => void err.write(`${line}\n`),
     wait: (ms) => new Promise((resolve) => setTimeout(resolve, ms)),
   }).run(runbook, options["dryRun"] === true);
   await client.close();
@@ -75,7 +75,7 @@
   return report.isDone ? exitCodes.done : exitCodes.refused;
 }
 
-/** `--node` already names whom to ask, so a runbook's node is `--target`. */
+/** The option for a runbook's argument: `--node` names the node to call, so the argument `node` is `--target`. */
 function flagOf(arg: string): string {
   return arg === "node" ? "target" : arg;
 }
--- a/packages/cli/src/fleetClient.ts
+++ b/packages/cli/src/fleetClient.ts
@@ -2,17 +2,19 @@
 import { Agent, request } from "undici";
 import { RetryPolicy, type Method, type Unanswered } from "./retryPolicy.js";
 
-/** What the last node that was asked answered. */
+/** The reply of the last node that was called. */
 export interface FleetReply {
   /** The HTTP status; 0 where no node answered. */
   status: number;
+  /** The body as it was received. */
   text: string;
+  /** The parsed body; `{ text }` if it is not JSON. */
   body: Record<string, unknown>;
-  /** Seconds. */
+  /** The header `Retry-After`; undefined if the reply has none. */
   retryAfterSeconds: number | undefined;
 }
 
-/** Calls any node of the fleet over HTTP; the next one where the retry policy lets it. */
+/** Calls nodes of the fleet over HTTP, and tries the next one if `RetryPolicy` allows it. */
 export class FleetClient {
   readonly #nodes: string[];
   readonly #agent = new Agent({ connect: { timeout: 1500 }, headersTimeout: 5000, bodyTimeout: 5000 });
@@ -21,26 +23,29 @@
     this.#nodes = [...nodes];
   }
 
-  /** The file's text, or standard input for `-`. */
+  /** Reads a file, or standard input for `-`; throws if it cannot be read. */
   static readConfigurationFile(path: string): string {
     return readFileSync(path === "-" ? 0 : path, "utf8");
   }
 
   /**
-   * Asks the nodes in turn until one has a final answer. Never throws: a call that no node answered, or with an unknown
-   * outcome, has status 0 and an `error` in its body.
+   * Calls the nodes in order until one gives a final reply. Never throws: if no node replies or the outcome is unknown,
+   * the reply has status 0 and an `error` in its body (`unreachable` or `unsure`).
    */
   async call(method: Method, path: string, body?: string, nodes: readonly string[] = this.#nodes): Promise<FleetReply> {
-    let last = FleetClient.#noAnswer("unreachable", `no node answers: ${nodes.join(", ")}`);
+    let lastReply = FleetClient.#unansweredReply("unreachable", `no node answers: ${nodes.join(", ")}`);
     for (const node of nodes) {
       const attempt = await this.#attempt(node, method, path, body);
-      if (attempt.kind === "answered") last = attempt.reply;
-      if (RetryPolicy.mayGoOn(attempt, method, path)) continue;
+      if (attempt.kind === "answered") lastReply = attempt.reply;
+      if (RetryPolicy.mayTryNextNode(attempt, method, path)) continue;
       if (attempt.kind === "unknown")
-        last = FleetClient.#noAnswer("unsure", `${node} may or may not have carried it out; look before you ask again`);
-      return last;
+        lastReply = FleetClient.#unansweredReply(
+          "unsure",
+          `${node} may or may not have carried it out; look before you ask again`,
+        );
+      return lastReply;
     }
-    return last;
+    return lastReply;
   }
 
   async #attempt(
@@ -50,26 +55,26 @@
     body: string | undefined,
   ): Promise<Unanswered | { kind: "answered"; status: number; reply: FleetReply }> {
     try {
-      const answer = await request(`http://${node}${path}`, {
+      const response = await request(`http://${node}${path}`, {
         method,
         dispatcher: this.#agent,
         ...(body === undefined ? {} : { body, headers: { "Content-Type": "application/json" } }),
       });
-      const status = answer.statusCode;
-      const text = await answer.body.text();
-      const retryAfter = answer.headers["retry-after"];
+      const status = response.statusCode;
+      const text = await response.body.text();
+      const retryAfter = response.headers["retry-after"];
       const retryAfterSeconds = retryAfter === undefined ? undefined : Number(retryAfter);
       return { kind: "answered", status, reply: { status, text, body: FleetClient.#parse(text), retryAfterSeconds } };
     } catch (error) {
-      return RetryPolicy.unansweredFor(error);
+      return RetryPolicy.classifyError(error);
     }
   }
 
-  static #noAnswer(code: string, message: string): FleetReply {
+  static #unansweredReply(code: string, message: string): FleetReply {
     return { status: 0, text: "", body: { error: { code, message } }, retryAfterSeconds: undefined };
   }
 
-  /** Ends the connections to the nodes. */
+  /** Closes the connections to the nodes. */
   close(): Promise<void> {
     return this.#agent.close();
   }
--- a/packages/cli/src/nearestName.ts
+++ b/packages/cli/src/nearestName.ts
@@ -1,23 +1,23 @@
-/** The known name with the fewest changed, added, left out or swapped letters (edit distance); the first of equals. */
+/** The known name with the smallest edit distance (changed, added, missing or swapped letters); the first of equals. */
 export function nearestName(given: string, known: readonly string[]): string | undefined {
   let nearest: string | undefined;
-  let fewest = Infinity;
+  let smallestDistance = Infinity;
   for (const name of known) {
-    const distance = distanceBetween(given, name);
-    if (distance < fewest) [nearest, fewest] = [name, distance];
+    const distance = editDistance(given, name);
+    if (distance < smallestDistance) [nearest, smallestDistance] = [name, distance];
   }
   return nearest;
 }
 
-/** An error for a name that is not known, with the nearest one and the whole list. */
-export function unknownName(kind: string, given: string, known: readonly string[]): Error {
+/** The error for an unknown name; its message gives the nearest known name and all known names. */
+export function unknownNameError(kind: string, given: string, known: readonly string[]): Error {
   return new Error(
     `unknown ${kind} "${given}"; the nearest is "${nearestName(given, known) ?? ""}". Known: ${known.join(", ")}`,
   );
 }
 
-function distanceBetween(from: string, to: string): number {
-  // rows[i][j]: from the first i letters of `from` to the first j of `to`.
+function editDistance(from: string, to: string): number {
+  // rows[i][j] is the distance from the first i letters of `from` to the first j letters of `to`.
   const rows = [Array.from({ length: to.length + 1 }, (_, j) => j)];
   for (let i = 1; i <= from.length; i += 1) {
     const row = [i];
--- a/packages/cli/src/retryPolicy.ts
+++ b/packages/cli/src/retryPolicy.ts
@@ -1,21 +1,18 @@
-/**
- * Which calls an operator's client may send again, to the next node, when nobody knows what became of them. A call that
- * was not sent, or that a node says it did not carry out, may always go on.
- */
+/** The HTTP methods of the operators' API. */
 export type Method = "GET" | "PUT" | "POST" | "DELETE";
 
-/** A call that one node was asked and did not answer. */
+/** The result of a call to one node that gave no response. */
 export type Unanswered =
-  /** No connection came about: nobody has the call. */
+  /** No connection was established, so no node has received the call. */
   | { kind: "notSent" }
-  /** Silence, or a reset once the call was on its way. */
+  /** A timeout, or a connection reset after sending began; the node may have carried out the call. */
   | { kind: "unknown" };
 
-/** What is known of a call that one node was asked; the status of an answer may be final. */
+/** The result of a call to one node; `status` is that of its HTTP response. */
 export type Attempt = { kind: "answered"; status: number } | Unanswered;
 
-/** Errors of the HTTP client that come before the first byte is sent. */
-const beforeSending = new Set([
+/** Error codes of the HTTP client for failures before the first byte is sent. */
+const errorCodesBeforeSending = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
@@ -26,29 +23,34 @@
 
 const configurationPath = "/v1/plan";
 
-/** Not carried out, says the node (see the API's error `unavailable`). */
-const unavailable = 503;
+/** HTTP status by which a node says that it did not carry out the call (the API's error `unavailable`). */
+const unavailableStatus = 503;
 
-/** The rules of this module. */
+/**
+ * Decides which calls an operator's client may send to the next node. A call that was not sent, or that a node says it
+ * did not carry out, may always be sent again; a call with an unknown outcome only if repeating it does no harm.
+ */
 export const RetryPolicy = {
-  unansweredFor(error: unknown): Unanswered {
+  /** Whether a call that failed with this error of the HTTP client may have reached the node. */
+  classifyError(error: unknown): Unanswered {
     const { code } = error as NodeJS.ErrnoException;
-    return { kind: code !== undefined && beforeSending.has(code) ? "notSent" : "unknown" };
+    return { kind: code !== undefined && errorCodesBeforeSending.has(code) ? "notSent" : "unknown" };
   },
 
   /**
-   * Reads change nothing. A configuration is known by its version and content, and is acknowledged again. Other changes
-   * may undo what somebody else did between the two.
+   * Whether repeating a call does no harm. Reads change nothing. A configuration is identified by its version and
+   * content, so a repeated one is only acknowledged again. Any other repeated change could undo what another client did
+   * in between.
    */
   mayRepeat(method: Method, path: string): boolean {
     return method === "GET" || (method === "PUT" && path === configurationPath);
   },
 
-  /** Whether the next node may be asked after an attempt. */
-  mayGoOn(attempt: Attempt, method: Method, path: string): boolean {
+  /** Whether the call may be sent to the next node after this attempt. */
+  mayTryNextNode(attempt: Attempt, method: Method, path: string): boolean {
     switch (attempt.kind) {
       case "answered":
-        return attempt.status === unavailable;
+        return attempt.status === unavailableStatus;
       case "notSent":
         return true;
       case "unknown":
--- a/packages/cli/src/runbooks/runbook.ts
+++ b/packages/cli/src/runbooks/runbook.ts
@@ -1,32 +1,38 @@
 import type { FleetClient } from "../fleetClient.js";
 
-/** What the steps of one run work with; `args` are the runbook's options, and what a step leaves for later ones. */
+/** What the steps of one run use. `args` holds the runbook's options, and values that a step stores for later steps. */
 export interface RunbookContext {
   client: FleetClient;
   args: Record<string, string>;
+  /** Resolves after this many milliseconds. */
   wait(ms: number): Promise<void>;
   /** Prints one line for the operator. */
-  say(line: string): void;
+  print(line: string): void;
 }
-/** What a check found: undefined where all is well, else what is wrong. */
+
+/** Checks a condition: resolves to undefined if it holds, else to a text that says what is wrong. */
 export type Check = (context: RunbookContext) => Promise<string | undefined>;
 
-/** One step of a runbook. Conditions are checked before and after, so that a run stops where it would go wrong. */
+/** One step of a runbook. Its conditions are checked before and after it, so that a run stops at the first problem. */
 export interface Step {
   title: string;
-  /** Must hold before the step is done. */
-  before: Check;
-  /** What is done, and why it failed; left out where an operator does the step, or it only checks. */
+  /** Must hold before the step is performed. */
+  precondition: Check;
+  /**
+   * Performs the step; resolves to undefined, or to why it failed. Omitted if an operator performs the step, or if the
+   * step is only a check.
+   */
   perform?: (context: RunbookContext) => Promise<string | undefined>;
-  /** Must come to hold after the step, within `timeoutMs`. */
-  after: Check;
+  /** Must hold within `timeoutMs` (milliseconds) after the step. */
+  postcondition: Check;
   timeoutMs: number;
 }
 
-/** A procedure that can be read and run: it stops at the first step whose check fails. */
+/** An operators' procedure that can be printed and executed; it stops at the first step that fails. */
 export interface Runbook {
   name: string;
   about: string;
+  /** The required options: name and meaning. */
   args: Record<string, string>;
   steps: Step[];
 }
--- a/packages/cli/src/runbooks/runbooks.ts
+++ b/packages/cli/src/runbooks/runbooks.ts
@@ -2,43 +2,45 @@
 import { FleetClient } from "../fleetClient.js";
 import type { Check, Runbook, RunbookContext } from "./runbook.js";
 
-const healthy = FleetChecks.all(FleetChecks.allAlive, FleetChecks.allShardsLed, FleetChecks.fullStrength);
+const fleetIsHealthy = FleetChecks.all(FleetChecks.allAlive, FleetChecks.allShardsLed, FleetChecks.allReplicasAlive);
 
-/** The documented option of `replace-lathe`; scripts use it. */
+/** The option of `replace-lathe` that names the control node; documented, and used by scripts. */
 const controlNodeFlag = "lathe";
 
-/** Makes one change by the HTTP API; undefined where it was accepted. */
-async function change(
+/** Sends one change to the HTTP API; resolves to undefined if it was accepted, else to the error. */
+async function requestChange(
   context: RunbookContext,
   method: "PUT" | "DELETE",
   path: string,
   body?: string,
 ): Promise<string | undefined> {
   const reply = await context.client.call(method, path, body);
-  const fault = reply.body["error"] as { message: string } | undefined;
-  return reply.status === 200 ? undefined : `${reply.status}: ${fault?.message ?? reply.text}`;
+  const error = reply.body["error"] as { message: string } | undefined;
+  return reply.status === 200 ? undefined : `${reply.status}: ${error?.message ?? reply.text}`;
 }
 
-/** Holds once the operator has restarted the node: it answers, with another incarnation than noted before. */
-const restarted: Check = async (context) => {
-  const seen = await FleetChecks.status(context);
-  const member = seen?.members.find((candidate) => candidate.name === context.args["node"]);
-  const own =
+/** Holds once the operator has restarted the node: it answers with an incarnation other than the stored one. */
+const hasRestarted: Check = async (context) => {
+  const fleet = await FleetChecks.readStatus(context);
+  const member = fleet?.members.find((candidate) => candidate.name === context.args["node"]);
+  const ownStatus =
     member === undefined ? undefined : await context.client.call("GET", "/v1/status", undefined, [member.http]);
-  const before = context.args["incarnation"];
-  if (own?.status !== 200) return `${context.args["node"]} does not answer yet`;
-  return String(own.body["incarnation"]) === before ? `${context.args["node"]} has not been restarted yet` : undefined;
+  const previousIncarnation = context.args["incarnation"];
+  if (ownStatus?.status !== 200) return `${context.args["node"]} does not answer yet`;
+  return String(ownStatus.body["incarnation"]) === previousIncarnation
+    ? `${context.args["node"]} has not been restarted yet`
+    : undefined;
 };
 
-/** Notes the process's incarnation before the operator restarts it; `restarted` compares it. */
+/** Stores the incarnation of the node's process before the operator restarts it, for `hasRestarted` to compare. */
 async function noteIncarnation(context: RunbookContext): Promise<string | undefined> {
-  const seen = await FleetChecks.status(context);
-  const member = seen?.members.find((candidate) => candidate.name === context.args["node"]);
-  const own =
+  const fleet = await FleetChecks.readStatus(context);
+  const member = fleet?.members.find((candidate) => candidate.name === context.args["node"]);
+  const ownStatus =
     member === undefined ? undefined : await context.client.call("GET", "/v1/status", undefined, [member.http]);
-  if (own?.status !== 200) return `${context.args["node"]} does not answer`;
-  context.args["incarnation"] = String(own.body["incarnation"]);
-  context.say(`now stop ${context.args["node"]} with SIGTERM and start it again`);
+  if (ownStatus?.status !== 200) return `${context.args["node"]} does not answer`;
+  context.args["incarnation"] = String(ownStatus.body["incarnation"]);
+  context.print(`now stop ${context.args["node"]} with SIGTERM and start it again`);
   return undefined;
 }
 
@@ -51,21 +53,21 @@
     steps: [
       {
         title: "every shard has a leader",
-        before: FleetChecks.none,
-        after: FleetChecks.allShardsLed,
+        precondition: FleetChecks.alwaysHolds,
+        postcondition: FleetChecks.allShardsLed,
         timeoutMs: 10_000,
       },
       {
         title: "request the drain",
-        before: FleetChecks.isAlive("machine"),
-        perform: (context) => change(context, "PUT", `/v1/machines/${context.args["machine"]}/emptying`),
-        after: FleetChecks.isEmpty,
+        precondition: FleetChecks.isAlive("machine"),
+        perform: (context) => requestChange(context, "PUT", `/v1/machines/${context.args["machine"]}/emptying`),
+        postcondition: FleetChecks.isDrained,
         timeoutMs: 300_000,
       },
       {
         title: "every shard has a leader and all replicas without it",
-        before: FleetChecks.isEmpty,
-        after: FleetChecks.all(FleetChecks.allShardsLed, FleetChecks.fullStrength),
+        precondition: FleetChecks.isDrained,
+        postcondition: FleetChecks.all(FleetChecks.allShardsLed, FleetChecks.allReplicasAlive),
         timeoutMs: 60_000,
       },
     ],
@@ -77,15 +79,15 @@
     steps: [
       {
         title: "cancel the drain request",
-        before: FleetChecks.isAlive("machine"),
-        perform: (context) => change(context, "DELETE", `/v1/machines/${context.args["machine"]}/emptying`),
-        after: FleetChecks.allShardsLed,
+        precondition: FleetChecks.isAlive("machine"),
+        perform: (context) => requestChange(context, "DELETE", `/v1/machines/${context.args["machine"]}/emptying`),
+        postcondition: FleetChecks.allShardsLed,
         timeoutMs: 10_000,
       },
       {
         title: "every shard has a leader and all replicas",
-        before: FleetChecks.none,
-        after: FleetChecks.all(FleetChecks.allShardsLed, FleetChecks.fullStrength),
+        precondition: FleetChecks.alwaysHolds,
+        postcondition: FleetChecks.all(FleetChecks.allShardsLed, FleetChecks.allReplicasAlive),
         timeoutMs: 60_000,
       },
     ],
@@ -95,18 +97,27 @@
     about: "Restart one node; run it once for each, for a rolling restart",
     args: { node: "the node's name" },
     steps: [
-      { title: "the fleet is healthy before", before: healthy, after: healthy, timeoutMs: 10_000 },
+      {
+        title: "the fleet is healthy before",
+        precondition: fleetIsHealthy,
+        postcondition: fleetIsHealthy,
+        timeoutMs: 10_000,
+      },
       {
         title: "the node is restarted",
-        before: FleetChecks.isAlive("node"),
+        precondition: FleetChecks.isAlive("node"),
         perform: noteIncarnation,
-        after: restarted,
+        postcondition: hasRestarted,
         timeoutMs: 120_000,
       },
       {
         title: "the fleet is healthy after",
-        before: FleetChecks.none,
-        after: FleetChecks.all(healthy, FleetChecks.controlNodesUp, FleetChecks.configurationInForce),
+        precondition: FleetChecks.alwaysHolds,
+        postcondition: FleetChecks.all(
+          fleetIsHealthy,
+          FleetChecks.allControlNodesVote,
+          FleetChecks.configurationInForce,
+        ),
         timeoutMs: 60_000,
       },
     ],
@@ -118,20 +129,20 @@
     steps: [
       {
         title: "the lost control node is down",
-        before: FleetChecks.allShardsLed,
-        after: FleetChecks.isGone(controlNodeFlag),
+        precondition: FleetChecks.allShardsLed,
+        postcondition: FleetChecks.isDown(controlNodeFlag),
         timeoutMs: 5000,
       },
       {
         title: "start it again with an empty data folder",
-        before: FleetChecks.isGone(controlNodeFlag),
-        after: FleetChecks.isAlive(controlNodeFlag),
+        precondition: FleetChecks.isDown(controlNodeFlag),
+        postcondition: FleetChecks.isAlive(controlNodeFlag),
         timeoutMs: 300_000,
       },
       {
         title: "it is a voter again",
-        before: FleetChecks.isAlive(controlNodeFlag),
-        after: FleetChecks.controlNodesUp,
+        precondition: FleetChecks.isAlive(controlNodeFlag),
+        postcondition: FleetChecks.allControlNodesVote,
         timeoutMs: 60_000,
       },
     ],
@@ -141,17 +152,26 @@
     about: "Wait for a zone to come back and see that service is complete again",
     args: { zone: "the zone's name" },
     steps: [
-      { title: "the other zones serve", before: FleetChecks.none, after: FleetChecks.allShardsLed, timeoutMs: 15_000 },
+      {
+        title: "the other zones serve",
+        precondition: FleetChecks.alwaysHolds,
+        postcondition: FleetChecks.allShardsLed,
+        timeoutMs: 15_000,
+      },
       {
         title: "the zone's nodes are back",
-        before: FleetChecks.none,
-        after: FleetChecks.zoneAlive,
+        precondition: FleetChecks.alwaysHolds,
+        postcondition: FleetChecks.zoneAlive,
         timeoutMs: 3_600_000,
       },
       {
         title: "everything is complete again",
-        before: FleetChecks.zoneAlive,
-        after: FleetChecks.all(healthy, FleetChecks.controlNodesUp, FleetChecks.configurationInForce),
+        precondition: FleetChecks.zoneAlive,
+        postcondition: FleetChecks.all(
+          fleetIsHealthy,
+          FleetChecks.allControlNodesVote,
+          FleetChecks.configurationInForce,
+        ),
         timeoutMs: 60_000,
       },
     ],
@@ -163,10 +183,10 @@
     steps: [
       {
         title: "send the configuration",
-        before: FleetChecks.none,
+        precondition: FleetChecks.alwaysHolds,
         perform: (context) =>
-          change(context, "PUT", "/v1/plan", FleetClient.readConfigurationFile(context.args["file"]!)),
-        after: FleetChecks.configurationInForce,
+          requestChange(context, "PUT", "/v1/plan", FleetClient.readConfigurationFile(context.args["file"]!)),
+        postcondition: FleetChecks.configurationInForce,
         timeoutMs: 10_000,
       },
     ],
--- a/packages/cli/src/statusText.ts
+++ b/packages/cli/src/statusText.ts
@@ -9,7 +9,7 @@
   faults: { settings: string; last: string; garbledFrames: number };
 }
 
-/** The body of `GET /v1/plan/rollout`; `mark` is the API's word for a version. */
+/** The body of `GET /v1/plan/rollout`; `mark` is the API's name for a configuration version. */
 interface RolloutBody {
   mark: number;
   taken: number;
@@ -17,7 +17,7 @@
   nodes: Array<{ name: string; mark: number; hasTakenUp: boolean; why?: string }>;
 }
 
-/** A node's status for people: configuration, members, shards by leader, and what is wrong, a line each. */
+/** A node's status as text: a line for the configuration, each member, each shard leader, and each problem. */
 export function statusText(body: object): string {
   const status = body as StatusBody;
   const { version, spaces } = status.configuration;
@@ -30,10 +30,12 @@
   for (const { leader } of status.shards) shardsByLeader.set(leader, (shardsByLeader.get(leader) ?? 0) + 1);
   for (const [leader, count] of [...shardsByLeader].sort())
     lines.push(leader === "" ? `${count} shards have no leader` : `${leader} leads ${count} shards`);
-  const alive = new Set(status.members.filter(({ state }) => state === "alive").map(({ name }) => name));
-  const weak = status.shards.filter(({ replicas }) => replicas.some((name) => !alive.has(name)));
-  if (weak.length > 0)
-    lines.push(`${weak.length} shards lack a live replica: ${weak.map(({ shard }) => shard).join(", ")}`);
+  const aliveNodes = new Set(status.members.filter(({ state }) => state === "alive").map(({ name }) => name));
+  const degradedShards = status.shards.filter(({ replicas }) => replicas.some((name) => !aliveNodes.has(name)));
+  if (degradedShards.length > 0)
+    lines.push(
+      `${degradedShards.length} shards lack a live replica: ${degradedShards.map(({ shard }) => shard).join(", ")}`,
+    );
   for (const { space, budget, why } of status.risks) lines.push(`contract at risk: space ${space} (${budget}): ${why}`);
   if (!status.feed.isFresh) lines.push(`${status.name} is out of touch with the store`);
   if (status.faults.settings !== "") lines.push(`settings: ${status.faults.settings}`);
@@ -41,11 +43,11 @@
   return `${lines.join("\n")}\n`;
 }
 
-/** A rollout for people: how many nodes have the version in force, and which have not and why. */
+/** A rollout as text: how many nodes have the version in force, which do not, and why. */
 export function rolloutText(body: object): string {
   const rollout = body as RolloutBody;
-  const late = rollout.nodes
+  const pendingNodes = rollout.nodes
     .filter((node) => !node.hasTakenUp)
     .map((node) => `  ${node.name} at version ${node.mark}: ${node.why ?? ""}\n`);
-  return `version ${rollout.mark}: in force at ${rollout.taken} of ${rollout.of}\n${late.join("")}`;
+  return `version ${rollout.mark}: in force at ${rollout.taken} of ${rollout.of}\n${pendingNodes.join("")}`;
 }
