--- a/packages/core/src/rpc/checksum.ts
+++ b/packages/core/src/rpc/checksum.ts
@@ -1,25 +1,27 @@
 import { crc32 } from "node:zlib";
 
-/** Bytes behind their checksum: what was altered on the way, or on the disk, is not taken for the real thing. */
+/** A CRC-32 header in front of bytes, which detects bytes that were altered on the network or on the disk. */
 export const Checksum = {
-  prepend(bytes: Uint8Array, more?: Uint8Array): Uint8Array {
-    const checksummed = Buffer.allocUnsafe(4 + bytes.length + (more?.length ?? 0));
+  /** Returns a copy of `bytes` and `tail` behind their checksum. */
+  prepend(bytes: Uint8Array, tail?: Uint8Array): Uint8Array {
+    const checksummed = Buffer.allocUnsafe(4 + bytes.length + (tail?.length ?? 0));
     checksummed.set(bytes, 4);
-    if (more !== undefined) checksummed.set(more, 4 + bytes.length);
+    if (tail !== undefined) checksummed.set(tail, 4 + bytes.length);
     checksummed.writeUInt32BE(crc32(checksummed.subarray(4)));
     return checksummed;
   },
 
-  /** Bytes in front of what is checked. */
+  /** Length of the checksum in bytes. */
   headerBytes: 4,
 
-  /** Writes the checksum into the header that was left in front of the bytes; returns the same bytes. */
-  seal(bytes: Uint8Array): Uint8Array {
+  /** Writes the checksum into the `headerBytes` reserved at the front of `bytes`; returns the same array. */
+  fillHeader(bytes: Uint8Array): Uint8Array {
     const view = new DataView(bytes.buffer, bytes.byteOffset);
     view.setUint32(0, crc32(bytes.subarray(Checksum.headerBytes)));
     return bytes;
   },
 
+  /** Returns the bytes behind the checksum; undefined if they do not match it. */
   verify(checksummed: Uint8Array): Uint8Array | undefined {
     if (checksummed.length < 4) return undefined;
     const bytes = checksummed.subarray(4);
--- a/packages/core/src/rpc/codec.test.ts
+++ b/packages/core/src/rpc/codec.test.ts
@@ -25,37 +25,39 @@
   [ScalarType.BYTES]: fc.uint8Array({ maxLength: 300 }),
 };
 
-/** A value of one field; undefined is left out. */
-function valueOf(field: DescField): fc.Arbitrary<unknown> {
-  if (field.fieldKind === "message") return messageOf(field.message);
+/** Generates a value of one field. */
+function fieldValue(field: DescField): fc.Arbitrary<unknown> {
+  if (field.fieldKind === "message") return anyMessage(field.message);
   if (field.fieldKind === "list")
-    return fc.array(field.listKind === "message" ? messageOf(field.message) : scalars[field.scalar!]!, {
+    return fc.array(field.listKind === "message" ? anyMessage(field.message) : scalars[field.scalar!]!, {
       maxLength: 3,
     });
   return scalars[field.scalar!]!;
 }
 
-function oneofOf(oneof: DescOneof): fc.Arbitrary<unknown> {
+function oneofValue(oneof: DescOneof): fc.Arbitrary<unknown> {
   const cases = oneof.fields.map((field) =>
-    valueOf(field).map((value) => ({ case: field.localName, value }) as { case: string | undefined; value: unknown }),
+    fieldValue(field).map(
+      (value) => ({ case: field.localName, value }) as { case: string | undefined; value: unknown },
+    ),
   );
   return fc.oneof(fc.constant({ case: undefined }), ...cases);
 }
 
-/** A message with any of its fields. */
-function messageOf(schema: DescMessage): fc.Arbitrary<Message> {
+/** Generates a message with any subset of its fields. */
+function anyMessage(schema: DescMessage): fc.Arbitrary<Message> {
   const members = schema.members.map((member) => {
-    const value = member.kind === "oneof" ? oneofOf(member) : valueOf(member);
+    const value = member.kind === "oneof" ? oneofValue(member) : fieldValue(member);
     return [member.localName, fc.option(value, { nil: undefined })] as const;
   });
   return fc.record(Object.fromEntries(members)).map((init) => create(schema, init));
 }
 
-/** Guards against bytes that another release, or a log on a disk, would read otherwise. */
+/** Guards against an encoding that another release, or a log on disk, would decode differently. */
 for (const schema of file_cranetrack.messages)
   test(`codecs and protobuf-es agree on ${schema.name}`, () => {
     fc.assert(
-      fc.property(messageOf(schema), (message) => {
+      fc.property(anyMessage(schema), (message) => {
         const bytes = toBinary(schema, message);
         expect(Buffer.from(encodeMessage(schema, message)).toString("hex")).toEqual(Buffer.from(bytes).toString("hex"));
         expect(decodeMessage(schema, bytes)).toEqual(fromBinary(schema, bytes));
@@ -64,13 +66,13 @@
     );
   });
 
-test("what is left out of a message to be encoded is as if it had its zero value", () => {
+test("a field left out of a message is encoded like its zero value", () => {
   const bytes = encodeMessage(FrameSchema, { id: 3, body: { case: "storeReply", value: { kvs: [{ key: "k" }] } } });
   const whole = create(FrameSchema, { id: 3, body: { case: "storeReply", value: { kvs: [{ key: "k" }] } } });
   expect(Buffer.from(bytes)).toEqual(Buffer.from(toBinary(FrameSchema, whole)));
 });
 
-test("bytes that end too early are an error, and fields of a later release are read past", () => {
+test("truncated bytes are an error, and unknown fields of a later release are skipped", () => {
   const bytes = encodeMessage(KvSchema, { key: "some key", revision: 4 });
   for (let length = 1; length < bytes.length; length += 1)
     if (length !== 10) expect(() => decodeMessage(KvSchema, bytes.subarray(0, length))).toThrow();
--- a/packages/core/src/rpc/codec.ts
+++ b/packages/core/src/rpc/codec.ts
@@ -9,8 +9,8 @@
 }
 
 /**
- * The bytes of a message of the protocol, the same as protobuf-es writes but for fields that it doesn't know; behind
- * so many bytes that are left for a header. Several times as fast as `toBinary`.
+ * Encodes a protocol message behind `headerBytes` bytes that are reserved for a header. Writes the same bytes as
+ * protobuf-es, without unknown fields, and is several times as fast as its `toBinary`.
  */
 export function encodeMessage<Schema extends DescMessage>(
   schema: Schema,
@@ -23,8 +23,8 @@
 }
 
 /**
- * A message of the protocol from its bytes. Fields that this release doesn't know are left out. Throws a `RangeError`
- * or another error of the reader where the bytes are none.
+ * Decodes a protocol message. Fields that this release does not know are left out. Throws a `RangeError` or another
+ * error of the reader if the bytes are not a valid message.
  */
 export function decodeMessage<Schema extends DescMessage>(schema: Schema, bytes: Uint8Array): MessageShape<Schema> {
   const reader = protobuf.Reader.create(bytes);
--- a/packages/core/src/rpc/frameTraffic.ts
+++ b/packages/core/src/rpc/frameTraffic.ts
@@ -1,27 +1,27 @@
-/** Frames of one kind since the start; bytes are those of frames that were sent, as they were encoded. */
+/** Frames of one kind since the process started. `sentBytes` is the encoded length of the frames sent. */
 export interface KindTraffic {
   sent: number;
   sentBytes: number;
   received: number;
 }
 
-/** Counts the frames of a process by kind. The kinds are those of the protocol, so that the counters stay few. */
+/** Counts the frames of a process by kind. The protocol defines the kinds, so the number of counters is bounded. */
 export class FrameTraffic {
   readonly #kinds = new Map<string, KindTraffic>();
 
-  /** A frame of a kind was encoded to be sent. */
+  /** Counts a frame that was encoded to be sent; `bytes` is its length. */
   onSent(kind: string | undefined, bytes: number): void {
     const traffic = this.#of(kind);
     traffic.sent += 1;
     traffic.sentBytes += bytes;
   }
 
-  /** A frame of a kind arrived. */
+  /** Counts a received frame. */
   onReceived(kind: string | undefined): void {
     this.#of(kind).received += 1;
   }
 
-  /** By kind, since the start. */
+  /** The counters by kind, since the process started. */
   counts(): Record<string, KindTraffic> {
     return Object.fromEntries([...this.#kinds].map(([kind, traffic]) => [kind, { ...traffic }]));
   }
--- a/packages/core/src/rpc/servedCalls.ts
+++ b/packages/core/src/rpc/servedCalls.ts
@@ -1,34 +1,34 @@
 /**
- * Which calls a process has begun to carry out, so that a frame which arrives twice does not run twice.
- * Invariant: a number at or below its window's floor counts as begun, whether it was or not: forgetting a number
- * never lets it run again.
+ * Remembers which calls a process has started to execute, so that a frame that arrives twice is not executed twice.
+ * Invariant: a call id at or below the floor of its caller's window counts as started, whether it was or not, so that
+ * forgetting an id never lets the call run again.
  */
 export class ServedCalls {
-  /** Numbers remembered for each incarnation of a caller; older ones are below the floor. */
-  static readonly maxNumbers = 1024;
-  /** Lives remembered; the one that called longest ago is forgotten first. */
-  static readonly maxIncarnations = 4096;
+  /** Call ids remembered for each incarnation of a caller; older ones are below the floor. */
+  static readonly maxCallIds = 1024;
+  /** Incarnations of callers remembered; the one that called longest ago is forgotten first. */
+  static readonly maxCallers = 4096;
 
-  readonly #callers = new Map<string, { floor: number; begun: Set<number> }>();
+  readonly #windows = new Map<string, { floor: number; begun: Set<number> }>();
 
-  /** True the first time that a call is seen; what comes too late to be told apart counts as seen. */
-  begin(from: string, callerIncarnation: number, number: number): boolean {
+  /** Returns true the first time that it sees a call. A call with an id below the floor counts as seen. */
+  begin(from: string, callerIncarnation: number, callId: number): boolean {
     const key = `${callerIncarnation} ${from}`;
-    const incarnation = this.#callers.get(key) ?? { floor: 0, begun: new Set<number>() };
-    this.#callers.delete(key);
-    this.#callers.set(key, incarnation);
-    if (this.#callers.size > ServedCalls.maxIncarnations) this.#callers.delete(this.#callers.keys().next().value!);
-    if (number <= incarnation.floor || incarnation.begun.has(number)) return false;
-    incarnation.begun.add(number);
-    if (incarnation.begun.size > ServedCalls.maxNumbers) ServedCalls.#raiseFloor(incarnation);
+    const window = this.#windows.get(key) ?? { floor: 0, begun: new Set<number>() };
+    this.#windows.delete(key);
+    this.#windows.set(key, window);
+    if (this.#windows.size > ServedCalls.maxCallers) this.#windows.delete(this.#windows.keys().next().value!);
+    if (callId <= window.floor || window.begun.has(callId)) return false;
+    window.begun.add(callId);
+    if (window.begun.size > ServedCalls.maxCallIds) ServedCalls.#raiseFloor(window);
     return true;
   }
 
-  /** The lower half goes below the floor, so that this is done seldom. */
-  static #raiseFloor(incarnation: { floor: number; begun: Set<number> }): void {
-    const numbers = [...incarnation.begun].sort((a, b) => a - b);
-    const kept = numbers.splice(numbers.length >> 1);
-    incarnation.floor = numbers.at(-1)!;
-    incarnation.begun = new Set(kept);
+  /** Forgets the lower half of the ids at once, so that the sort is rarely needed. */
+  static #raiseFloor(window: { floor: number; begun: Set<number> }): void {
+    const ids = [...window.begun].sort((a, b) => a - b);
+    const kept = ids.splice(ids.length >> 1);
+    window.floor = ids.at(-1)!;
+    window.begun = new Set(kept);
   }
 }
--- a/packages/core/src/rpc/wire.test.ts
+++ b/packages/core/src/rpc/wire.test.ts
@@ -7,13 +7,13 @@
 
 const frame = Wire.encode({ id: 7, from: "vise-1", to: "anvil-1", body: { case: "ping", value: { about: "x" } } });
 
-test("a frame comes back as it was sent", () => {
+test("a frame decodes to what was encoded", () => {
   const read = Wire.decode(frame);
   expect(read?.from).toEqual("vise-1");
   expect(read?.body.case).toEqual("ping");
 });
 
-test("no single altered bit, no cut and no addition passes for a frame", () => {
+test("a frame with a flipped bit, missing bytes or additional bytes is rejected", () => {
   for (let bit = 0; bit < frame.length * 8; bit += 1) {
     const altered = Uint8Array.from(frame);
     altered[bit >> 3]! ^= 1 << (bit & 7);
@@ -24,7 +24,7 @@
   expect(Wire.decode(Buffer.concat([frame, frame]))).toEqual(undefined);
 });
 
-test("a frame's bytes are those that protobuf writes, and its envelope is found in them", () => {
+test("a frame is encoded as protobuf does, and its envelope is found in the bytes", () => {
   const body = { case: "ping", value: { about: "x" } } as const;
   const frames: MessageInitShape<typeof FrameSchema>[] = [
     { from: "a", body },
@@ -43,15 +43,15 @@
     },
     { from: "a", to: "b", body: { case: "gossip", value: { members: [{ name: "c", version: 2 }], isAsking: true } } },
   ];
-  for (const one of frames)
-    expect(Buffer.from(Wire.encode(one))).toEqual(
-      Buffer.from(Checksum.prepend(toBinary(FrameSchema, create(FrameSchema, one)))),
+  for (const message of frames)
+    expect(Buffer.from(Wire.encode(message))).toEqual(
+      Buffer.from(Checksum.prepend(toBinary(FrameSchema, create(FrameSchema, message)))),
     );
-  for (const one of [frames[1]!, frames[3]!]) {
-    const bytes = Wire.encode(one);
-    const place = Wire.envelopeIn(bytes)!;
-    expect(Wire.decode(Wire.shorten(bytes, place))).toEqual(undefined);
-    expect(Wire.decode(Wire.shorten(bytes, place), Wire.decode(bytes))).toEqual(Wire.decode(bytes));
+  for (const message of [frames[1]!, frames[3]!]) {
+    const bytes = Wire.encode(message);
+    const range = Wire.envelopeIn(bytes)!;
+    expect(Wire.decode(Wire.shorten(bytes, range))).toEqual(undefined);
+    expect(Wire.decode(Wire.shorten(bytes, range), Wire.decode(bytes))).toEqual(Wire.decode(bytes));
   }
-  for (const carried of [frames[2]!, frames[4]!]) expect(Wire.envelopeIn(Wire.encode(carried))).toEqual(undefined);
+  for (const forwarded of [frames[2]!, frames[4]!]) expect(Wire.envelopeIn(Wire.encode(forwarded))).toEqual(undefined);
 });
--- a/packages/core/src/transport/tcpConnection.ts
+++ b/packages/core/src/transport/tcpConnection.ts
@@ -4,164 +4,175 @@
 import type { Urgency } from "./transport.js";
 
 /**
- * One TCP connection carrying frames, each behind its length in four bytes. Only the first frame and those of other
- * nodes say who sends to whom; the others have the length's highest bit set and the envelope left out. A length of
- * nothing is a ping, and is answered with the same.
+ * A TCP connection that carries frames, each behind its length in four bytes. A frame with the same envelope as the
+ * frame before it is sent without its envelope, marked by the highest bit of the length. A length of 0 is a ping, and
+ * the accepting end answers it with another 0.
  */
 export class TcpConnection {
-  /** Bytes that may wait for a peer that does not read; what comes beyond is dropped, frame by frame. */
-  static readonly maxWaiting = 8 * 1024 * 1024;
+  /** Maximum number of bytes queued for a peer that does not read; frames beyond that are dropped. */
+  static readonly maxWaitingBytes = 8 * 1024 * 1024;
   /**
-   * How often a connection in use is pinged, by what it carries; and how long it may stay silent then. A call that is
-   * not answered finds a dead connection sooner; pings are for what nobody answers. At 700 ms they were more than half
-   * of all that an idle edge sent and read.
+   * Minimum milliseconds between pings on a connection in use, by the urgency of its frames. An unanswered call detects
+   * a dead connection sooner; pings cover frames that get no reply. At 700 ms pings were more than half of all traffic
+   * of an idle edge.
    */
-  static readonly pingMs: Readonly<Record<Urgency, number>> = { awaited: 1400, background: 3000 };
-  static readonly silentMs = 2000;
+  static readonly pingIntervalMs: Readonly<Record<Urgency, number>> = { awaited: 1400, background: 3000 };
+  /** Milliseconds after a ping without any received byte until the connection is closed. */
+  static readonly silenceTimeoutMs = 2000;
 
-  static readonly #short = 0x80000000;
+  /** Bit of the length that marks a frame without an envelope. */
+  static readonly #shortFlag = 0x80000000;
 
   readonly #socket: Socket;
-  readonly #take: (frame: Frame) => void;
+  readonly #onFrame: (frame: Frame) => void;
   readonly #isPinging: boolean;
-  /** Invariant: holds the bytes of at most one unfinished frame. */
-  #chunks: Buffer[] = [];
-  #size = 0;
-  /** Frames of this turn of the event loop, not yet written. */
-  #pending: Uint8Array[] = [];
-  #pendingSize = 0;
-  /** The envelope of the latest whole frame that was sent, and of the latest that was read. */
-  #sent: Uint8Array | undefined;
-  #read: Envelope | undefined;
+  /** Invariant: between reads, holds the bytes of at most one incomplete frame. */
+  #receivedChunks: Buffer[] = [];
+  #receivedBytes = 0;
+  /** Frames sent in this turn of the event loop, not yet written to the socket. */
+  #outgoing: Uint8Array[] = [];
+  #outgoingBytes = 0;
+  /** The envelopes of the last frame sent with its envelope, and of the last one received with it. */
+  #sentEnvelope: Uint8Array | undefined;
+  #receivedEnvelope: Envelope | undefined;
   #pingedAt = -Infinity;
-  #deadline: NodeJS.Timeout | undefined;
+  #silenceTimer: NodeJS.Timeout | undefined;
   #isGarbled = false;
   #isClosed = false;
-  #whenClosed: (isGarbled: boolean) => void = () => undefined;
-  /** Whole frames that were dropped because the peer did not read. */
+  #onClosed: (isGarbled: boolean) => void = () => undefined;
+  /** Frames dropped because the peer did not read. */
   dropped = 0;
-  /** Closed because nothing came back. */
+  /** True if the connection was closed because the peer sent nothing after a ping. */
   isSilent = false;
 
-  /** Whoever sends frames pings; the other end answers. */
-  constructor(socket: Socket, take: (frame: Frame) => void, isPinging: boolean) {
+  /** `isPinging`: the end that opened the connection, and sends frames, pings; the other end answers. */
+  constructor(socket: Socket, onFrame: (frame: Frame) => void, isPinging: boolean) {
     this.#socket = socket;
-    this.#take = take;
+    this.#onFrame = onFrame;
     this.#isPinging = isPinging;
     socket.on("data", (chunk: Buffer) => this.#receive(chunk));
     socket.on("error", () => this.close());
-    socket.on("close", () => this.#ended());
+    socket.on("close", () => this.#onEnded());
   }
 
-  onClose(whenClosed: (isGarbled: boolean) => void): void {
-    this.#whenClosed = whenClosed;
+  /** Sets the handler called once when the connection has closed. */
+  onClose(callback: (isGarbled: boolean) => void): void {
+    this.#onClosed = callback;
   }
 
-  get waiting(): number {
-    return this.#socket.writableLength + this.#pendingSize;
+  /** Bytes queued for the peer. */
+  get waitingBytes(): number {
+    return this.#socket.writableLength + this.#outgoingBytes;
   }
 
   send(bytes: Uint8Array, urgency: Urgency = "awaited"): void {
     if (this.#isClosed) return;
-    // A longer frame than may wait goes out alone.
-    if (this.waiting > 0 && this.waiting + bytes.length > TcpConnection.maxWaiting) return void (this.dropped += 1);
-    const place = Wire.envelopeIn(bytes);
-    const envelope = place === undefined ? undefined : bytes.subarray(...place);
-    if (envelope !== undefined && this.#sent !== undefined && Buffer.compare(this.#sent, envelope) === 0)
-      this.#put(Wire.shorten(bytes, place!), TcpConnection.#short);
+    // A frame longer than the limit is sent if the queue is empty.
+    if (this.waitingBytes > 0 && this.waitingBytes + bytes.length > TcpConnection.maxWaitingBytes)
+      return void (this.dropped += 1);
+    const range = Wire.envelopeIn(bytes);
+    const envelope = range === undefined ? undefined : bytes.subarray(...range);
+    if (
+      envelope !== undefined &&
+      this.#sentEnvelope !== undefined &&
+      Buffer.compare(this.#sentEnvelope, envelope) === 0
+    )
+      this.#enqueue(Wire.shorten(bytes, range!), TcpConnection.#shortFlag);
     else {
-      this.#sent = envelope === undefined ? undefined : Buffer.from(envelope);
-      this.#put(bytes, 0);
+      this.#sentEnvelope = envelope === undefined ? undefined : Buffer.from(envelope);
+      this.#enqueue(bytes, 0);
     }
-    if (this.#isPinging) this.#ping(TcpConnection.pingMs[urgency]);
+    if (this.#isPinging) this.#ping(TcpConnection.pingIntervalMs[urgency]);
   }
 
   close(): void {
     this.#socket.destroy();
-    this.#ended();
+    this.#onEnded();
   }
 
-  #put(bytes: Uint8Array, flag: number): void {
-    const head = Buffer.allocUnsafe(4);
-    head.writeUInt32BE(flag + bytes.length);
-    if (this.#pending.length === 0) setImmediate(() => this.#flush());
-    this.#pending.push(head, bytes);
-    this.#pendingSize += 4 + bytes.length;
+  #enqueue(bytes: Uint8Array, flag: number): void {
+    const prefix = Buffer.allocUnsafe(4);
+    prefix.writeUInt32BE(flag + bytes.length);
+    if (this.#outgoing.length === 0) setImmediate(() => this.#flush());
+    this.#outgoing.push(prefix, bytes);
+    this.#outgoingBytes += 4 + bytes.length;
   }
 
-  /** What one turn of the event loop sent goes out together. */
+  /** Writes all frames of one turn of the event loop together. */
   #flush(): void {
-    const pending = this.#pending;
-    this.#pending = [];
-    this.#pendingSize = 0;
+    const outgoing = this.#outgoing;
+    this.#outgoing = [];
+    this.#outgoingBytes = 0;
     if (this.#isClosed) return;
     this.#socket.cork();
-    for (const bytes of pending) this.#socket.write(bytes);
+    for (const bytes of outgoing) this.#socket.write(bytes);
     this.#socket.uncork();
   }
 
-  #ping(periodMs: number): void {
+  #ping(intervalMs: number): void {
     const now = performance.now();
-    if (this.#deadline !== undefined || now - this.#pingedAt < periodMs) return;
+    if (this.#silenceTimer !== undefined || now - this.#pingedAt < intervalMs) return;
     this.#pingedAt = now;
-    this.#put(new Uint8Array(), 0);
-    this.#expect();
+    this.#enqueue(new Uint8Array(), 0);
+    this.#startSilenceTimer();
   }
 
-  /** Closes the connection unless something comes; not while what was sent before still flows. */
-  #expect(): void {
-    const flowed = (): number => this.#socket.bytesWritten - this.#socket.writableLength;
-    const before = flowed();
-    this.#deadline = setTimeout(() => {
-      // Whoever slept itself reads first what came meanwhile.
+  /** Closes the connection if nothing is received in time, unless bytes sent earlier are still being flushed. */
+  #startSilenceTimer(): void {
+    const flushedBytes = (): number => this.#socket.bytesWritten - this.#socket.writableLength;
+    const flushedBefore = flushedBytes();
+    this.#silenceTimer = setTimeout(() => {
+      // If this process was suspended, bytes that arrived in the meantime are read first.
       setImmediate(() => {
-        if (this.#deadline === undefined || this.#isClosed) return;
-        if (this.#socket.writableLength > 0 && flowed() > before) this.#expect();
+        if (this.#silenceTimer === undefined || this.#isClosed) return;
+        if (this.#socket.writableLength > 0 && flushedBytes() > flushedBefore) this.#startSilenceTimer();
         else {
           this.isSilent = true;
           this.close();
         }
       });
-    }, TcpConnection.silentMs);
-    this.#deadline.unref();
+    }, TcpConnection.silenceTimeoutMs);
+    this.#silenceTimer.unref();
   }
 
-  #ended(): void {
+  #onEnded(): void {
     if (this.#isClosed) return;
     this.#isClosed = true;
-    clearTimeout(this.#deadline);
-    this.#pending = [];
-    this.#whenClosed(this.#isGarbled);
+    clearTimeout(this.#silenceTimer);
+    this.#outgoing = [];
+    this.#onClosed(this.#isGarbled);
   }
 
   #receive(chunk: Buffer): void {
-    clearTimeout(this.#deadline);
-    this.#deadline = undefined;
-    this.#chunks.push(chunk);
-    this.#size += chunk.length;
-    while (this.#size >= 4 && !this.#isClosed) {
-      if (this.#chunks[0]!.length < 4) this.#chunks = [Buffer.concat(this.#chunks)];
-      const head = this.#chunks[0]!.readUInt32BE(0);
-      const isShort = head >= TcpConnection.#short;
-      const length = isShort ? head - TcpConnection.#short : head;
-      if (length > Wire.most || (isShort && this.#read === undefined)) return this.#garble();
-      if (this.#size < 4 + length) return;
-      const whole = this.#chunks.length === 1 ? this.#chunks[0]! : Buffer.concat(this.#chunks);
+    clearTimeout(this.#silenceTimer);
+    this.#silenceTimer = undefined;
+    this.#receivedChunks.push(chunk);
+    this.#receivedBytes += chunk.length;
+    while (this.#receivedBytes >= 4 && !this.#isClosed) {
+      if (this.#receivedChunks[0]!.length < 4) this.#receivedChunks = [Buffer.concat(this.#receivedChunks)];
+      const prefix = this.#receivedChunks[0]!.readUInt32BE(0);
+      const isShortened = prefix >= TcpConnection.#shortFlag;
+      const length = isShortened ? prefix - TcpConnection.#shortFlag : prefix;
+      if (length > Wire.maxFrameBytes || (isShortened && this.#receivedEnvelope === undefined))
+        return this.#closeGarbled();
+      if (this.#receivedBytes < 4 + length) return;
+      const whole = this.#receivedChunks.length === 1 ? this.#receivedChunks[0]! : Buffer.concat(this.#receivedChunks);
       const rest = whole.subarray(4 + length);
-      this.#chunks = rest.length > 0 ? [rest] : [];
-      this.#size = rest.length;
+      this.#receivedChunks = rest.length > 0 ? [rest] : [];
+      this.#receivedBytes = rest.length;
       if (length === 0) {
-        if (!this.#isPinging) this.#put(new Uint8Array(), 0);
+        if (!this.#isPinging) this.#enqueue(new Uint8Array(), 0);
         continue;
       }
-      const frame = Wire.decode(whole.subarray(4, 4 + length), isShort ? this.#read : undefined);
-      if (frame === undefined) return this.#garble();
-      if (!isShort && frame.hops === 0) this.#read = { from: frame.from, to: frame.to, fromAddress: frame.fromAddress };
-      this.#take(frame);
+      const frame = Wire.decode(whole.subarray(4, 4 + length), isShortened ? this.#receivedEnvelope : undefined);
+      if (frame === undefined) return this.#closeGarbled();
+      if (!isShortened && frame.hops === 0)
+        this.#receivedEnvelope = { from: frame.from, to: frame.to, fromAddress: frame.fromAddress };
+      this.#onFrame(frame);
     }
   }
 
-  #garble(): void {
+  #closeGarbled(): void {
     this.#isGarbled = true;
     this.close();
   }
--- a/packages/core/src/transport/tcpTransport.test.ts
+++ b/packages/core/src/transport/tcpTransport.test.ts
@@ -18,35 +18,35 @@
 }
 
 test(
-  "a garbled, an oversized and a foreign connection are each closed and counted, and good " + "frames still come",
+  "garbled, oversized and foreign connections are each closed and counted, and valid " + "frames still arrive",
   async () => {
     const address = await freeAddress();
     const transport = new TcpTransport(address, new LogBuffer("test", () => undefined));
     await transport.listen();
-    const [host, port] = TcpTransport.split(address);
-    const wrongs = [
+    const [host, port] = TcpTransport.splitAddress(address);
+    const badBytes = [
       Buffer.from("GET / HTTP/1.1\r\n\r\n"),
       Buffer.from([0, 0, 0, 5, 1, 2, 3, 4, 5]),
       Buffer.from([0xff, 0xff, 0xff, 0xff, 1]),
     ];
-    for (const wrong of wrongs) {
+    for (const bytes of badBytes) {
       const socket = connect(port, host);
       socket.on("error", () => undefined);
-      socket.write(wrong);
+      socket.write(bytes);
       await once(socket, "close");
     }
-    expect(transport.garbled).toEqual(wrongs.length);
+    expect(transport.garbled).toEqual(badBytes.length);
 
     const sender = new TcpTransport(await freeAddress(), new LogBuffer("test", () => undefined));
-    const came = new Promise<Frame>((resolve) => transport.onFrame(resolve));
+    const received = new Promise<Frame>((resolve) => transport.onFrame(resolve));
     sender.send(address, Wire.encode({ id: 1, from: "a", body: { case: "ping", value: { about: "hello" } } }));
-    expect((await came).from).toEqual("a");
+    expect((await received).from).toEqual("a");
     sender.close();
     transport.close();
   },
 );
 
-const pair = async (): Promise<{ sender: TcpTransport; receiver: TcpTransport; frames: Frame[] }> => {
+const connectedPair = async (): Promise<{ sender: TcpTransport; receiver: TcpTransport; frames: Frame[] }> => {
   const [sender, receiver] = await Promise.all(
     [0, 1].map(async () => new TcpTransport(await freeAddress(), new LogBuffer("test", () => undefined))),
   );
@@ -64,12 +64,12 @@
     body: { case: "ping", value: { about } },
     ...more,
   });
-const arrived = async (frames: Frame[], count: number): Promise<void> => {
+const untilReceived = async (frames: Frame[], count: number): Promise<void> => {
   while (frames.length < count) await new Promise((resolve) => setImmediate(resolve));
 };
 
-test("who sends to whom is said once a connection, and restored in every frame, also around relayed ones", async () => {
-  const { sender, receiver, frames } = await pair();
+test("the envelope is sent once per connection and restored in every frame, also around relayed frames", async () => {
+  const { sender, receiver, frames } = await connectedPair();
   const sent = [
     ping("1"),
     ping("2"),
@@ -82,19 +82,19 @@
     ping("9"),
   ];
   for (const bytes of sent) sender.send(receiver.address, bytes);
-  await arrived(frames, sent.length);
+  await untilReceived(frames, sent.length);
   expect(frames).toEqual(sent.map((bytes) => Wire.decode(bytes)!));
   sender.close();
   receiver.close();
 });
 
-test("a connection whose other end reads nothing is closed, what waits is bounded, and it is said", async (t) => {
+test("a connection whose peer does not read is closed and reported, and its queue is bounded", async (t) => {
   const server = createServer((socket) => void socket.pause());
   server.listen(0, "127.0.0.1");
   await once(server, "listening");
   const address = `127.0.0.1:${(server.address() as { port: number }).port}`;
   const sender = new TcpTransport(await freeAddress(), new LogBuffer("test", () => undefined));
-  // Also where the test fails: an open listener would keep its process, and with it the whole run, from ending.
+  // Also runs if the test fails: an open listener would keep the test process from exiting.
   t.after(() => {
     sender.close();
     server.close();
@@ -103,20 +103,20 @@
   const lost = new Promise<string>((resolve) => sender.onLost(resolve));
   const startedAt = performance.now();
   for (let i = 0; i < 100; i += 1) sender.send(address, frame);
-  expect(sender.waiting(address) <= TcpConnection.maxWaiting).toEqual(true);
+  expect(sender.waitingBytes(address) <= TcpConnection.maxWaitingBytes).toEqual(true);
   expect(await lost).toEqual(address);
-  const tookMs = performance.now() - startedAt;
-  expect([tookMs > 1500, tookMs < 4000, sender.isReachable(address)]).toEqual([true, true, false]);
+  const elapsedMs = performance.now() - startedAt;
+  expect([elapsedMs > 1500, elapsedMs < 4000, sender.isReachable(address)]).toEqual([true, true, false]);
 });
 
-test("an address that nobody listens at is lost at once, and tried again after a pause", async () => {
+test("an address without a listener is reported as lost at once, and tried again after a delay", async () => {
   const address = await freeAddress();
   const sender = new TcpTransport(await freeAddress(), new LogBuffer("test", () => undefined));
-  const lost = (): Promise<string> => new Promise((resolve) => sender.onLost(resolve));
+  const nextLoss = (): Promise<string> => new Promise((resolve) => sender.onLost(resolve));
   for (let i = 0; i < 3; i += 1) {
-    const heard = lost();
+    const loss = nextLoss();
     sender.send(address, ping("anybody?"));
-    expect(await heard).toEqual(address);
+    expect(await loss).toEqual(address);
     expect(sender.isReachable(address)).toEqual(false);
   }
   sender.close();
@@ -124,7 +124,7 @@
 
 test("a connection that is reset leaves its address reachable: the next frame opens another", async () => {
   const address = await freeAddress();
-  const [host, port] = TcpTransport.split(address);
+  const [host, port] = TcpTransport.splitAddress(address);
   const server = createServer().listen(port, host);
   await once(server, "listening");
   const transport = new TcpTransport(await freeAddress(), new LogBuffer("test", () => undefined));
@@ -142,9 +142,9 @@
   server.close();
 });
 
-test("what a connection that broke had not delivered is not sent again over the next one", async () => {
+test("frames that a broken connection had not delivered are not sent again over the next one", async () => {
   const address = await freeAddress();
-  const [host, port] = TcpTransport.split(address);
+  const [host, port] = TcpTransport.splitAddress(address);
   const server = createServer().listen(port, host);
   await once(server, "listening");
   const transport = new TcpTransport(await freeAddress(), new LogBuffer("test", () => undefined));
@@ -152,7 +152,7 @@
   transport.send(address, ping("one"));
   const [first] = (await once(server, "connection")) as [Socket];
   first.pause();
-  // More than the machine's buffers take: whole frames wait in the process.
+  // More than the socket buffers hold: whole frames stay queued in the process.
   for (let i = 0; i < 7; i += 1) transport.send(address, ping("x".repeat(1024 * 1024)));
   await new Promise((resolve) => setImmediate(resolve));
   first.resetAndDestroy();
@@ -165,9 +165,9 @@
   receiver.onFrame((frame) => void frames.push(frame));
   transport.send(address, ping("two"));
   transport.send(address, ping("three"));
-  await arrived(frames, 2);
-  const said = frames.map(({ body }) => (body.case === "ping" ? body.value.about : body.case));
-  expect(said).toEqual(["two", "three"]);
+  await untilReceived(frames, 2);
+  const texts = frames.map(({ body }) => (body.case === "ping" ? body.value.about : body.case));
+  expect(texts).toEqual(["two", "three"]);
   transport.close();
   receiver.close();
 });
--- a/packages/core/src/transport/tcpTransport.ts
+++ b/packages/core/src/transport/tcpTransport.ts
@@ -4,126 +4,128 @@
 import type { Transport, Urgency } from "./transport.js";
 import { TcpConnection } from "./tcpConnection.js";
 
-/** Frames over held TCP connections: one outward connection an address, as many inward as come. */
+/** Sends frames over persistent TCP connections: one outgoing per address, any number of incoming ones. */
 export class TcpTransport implements Transport {
+  /** Milliseconds that an attempt to connect may take. */
   static readonly connectTimeoutMs = 1000;
-  /** Pauses between tries to reach an address: the first, doubled with every failure, up to the longest. */
-  static readonly pauseMs = 40;
-  static readonly maxPauseMs = 500;
+  /** First delay in milliseconds between attempts to reach an address; doubles with each failure up to the maximum. */
+  static readonly retryDelayMs = 40;
+  static readonly maxRetryDelayMs = 500;
 
   readonly address: string;
-  readonly #listen: string;
+  readonly #listenAddress: string;
   readonly #server: Server;
   readonly #log: LogBuffer;
-  readonly #outward = new Map<string, TcpConnection>();
-  readonly #inward = new Set<TcpConnection>();
-  /** Invariant: an address is in here only while the latest try to reach it failed. */
-  readonly #unreachable = new Map<string, { tries: number; againAt: number }>();
-  #take: (frame: Frame) => void = () => undefined;
-  #lost: (address: string) => void = () => undefined;
-  /** Garbled connections closed since the start. */
+  readonly #outgoing = new Map<string, TcpConnection>();
+  readonly #incoming = new Set<TcpConnection>();
+  /** Invariant: an address is in here only while the latest attempt to reach it has failed. */
+  readonly #unreachable = new Map<string, { attempts: number; retryAt: number }>();
+  #frameHandler: (frame: Frame) => void = () => undefined;
+  #lossHandler: (address: string) => void = () => undefined;
+  /** Connections closed since the process started because they sent a garbled frame. */
   garbled = 0;
 
   constructor(address: string, log: LogBuffer, listen = address) {
     this.address = address;
-    this.#listen = listen;
+    this.#listenAddress = listen;
     this.#log = log;
-    this.#server = createServer((socket) => this.#admit(socket));
+    this.#server = createServer((socket) => this.#accept(socket));
     this.#server.on("error", (fault) => this.#log.warn("the listening socket failed", { fault: fault.message }));
   }
 
   listen(): Promise<void> {
-    const [host, port] = TcpTransport.split(this.#listen);
+    const [host, port] = TcpTransport.splitAddress(this.#listenAddress);
     return new Promise((resolve, reject) => {
       this.#server.once("error", reject);
       this.#server.listen(port, host, () => resolve());
     });
   }
 
-  onFrame(take: (frame: Frame) => void): void {
-    this.#take = take;
+  onFrame(handler: (frame: Frame) => void): void {
+    this.#frameHandler = handler;
   }
 
-  onLost(take: (address: string) => void): void {
-    this.#lost = take;
+  onLost(handler: (address: string) => void): void {
+    this.#lossHandler = handler;
   }
 
   drop(address: string): void {
-    this.#outward.get(address)?.close();
+    this.#outgoing.get(address)?.close();
   }
 
-  /** False while the next try is not due yet: then a call finds out. */
+  /** False until the next attempt is due; from then on a call tries the address. */
   isReachable(address: string): boolean {
     const failed = this.#unreachable.get(address);
-    return failed === undefined || performance.now() >= failed.againAt;
+    return failed === undefined || performance.now() >= failed.retryAt;
   }
 
   send(address: string, bytes: Uint8Array, urgency: Urgency = "awaited"): void {
-    let connection = this.#outward.get(address);
+    let connection = this.#outgoing.get(address);
     if (connection === undefined) {
       const failed = this.#unreachable.get(address);
-      if (failed !== undefined && performance.now() < failed.againAt)
-        return void setImmediate(() => this.#lost(address));
+      if (failed !== undefined && performance.now() < failed.retryAt)
+        return void setImmediate(() => this.#lossHandler(address));
       connection = this.#open(address);
     }
     connection.send(bytes, urgency);
   }
 
-  /** Bytes that wait for an address. */
-  waiting(address: string): number {
-    return this.#outward.get(address)?.waiting ?? 0;
+  /** Bytes queued for an address. */
+  waitingBytes(address: string): number {
+    return this.#outgoing.get(address)?.waitingBytes ?? 0;
   }
 
   close(): void {
     this.#server.close();
-    for (const connection of [...this.#outward.values(), ...this.#inward]) connection.close();
+    for (const connection of [...this.#outgoing.values(), ...this.#incoming]) connection.close();
   }
 
-  static split(address: string): [string, number] {
-    const cut = address.lastIndexOf(":");
-    return [address.slice(0, cut), Number(address.slice(cut + 1))];
+  static splitAddress(address: string): [string, number] {
+    const colon = address.lastIndexOf(":");
+    return [address.slice(0, colon), Number(address.slice(colon + 1))];
   }
 
   #open(address: string): TcpConnection {
-    const [host, port] = TcpTransport.split(address);
+    const [host, port] = TcpTransport.splitAddress(address);
     const socket = connect({ host, port, noDelay: true });
-    const connection = new TcpConnection(socket, (frame) => this.#take(frame), true);
-    this.#outward.set(address, connection);
-    const giveUp = setTimeout(() => connection.close(), TcpTransport.connectTimeoutMs);
+    const connection = new TcpConnection(socket, (frame) => this.#frameHandler(frame), true);
+    this.#outgoing.set(address, connection);
+    const connectTimer = setTimeout(() => connection.close(), TcpTransport.connectTimeoutMs);
     let isConnected = false;
     socket.once("connect", () => {
-      clearTimeout(giveUp);
+      clearTimeout(connectTimer);
       isConnected = true;
       this.#unreachable.delete(address);
     });
     connection.onClose((isGarbled) => {
-      clearTimeout(giveUp);
-      if (isGarbled) this.#count(address);
-      if (this.#outward.get(address) !== connection) return;
-      this.#outward.delete(address);
-      // A connection that was there and is reset says nothing of the next one.
-      if (isConnected && !connection.isSilent) return this.#lost(address);
-      const tries = (this.#unreachable.get(address)?.tries ?? 0) + 1;
-      const pause = Math.min(TcpTransport.pauseMs * 2 ** (tries - 1), TcpTransport.maxPauseMs) * (0.5 + Math.random());
-      this.#unreachable.set(address, { tries, againAt: performance.now() + pause });
-      this.#lost(address);
+      clearTimeout(connectTimer);
+      if (isGarbled) this.#onGarbled(address);
+      if (this.#outgoing.get(address) !== connection) return;
+      this.#outgoing.delete(address);
+      // The reset of an established connection does not mean that the next one will fail.
+      if (isConnected && !connection.isSilent) return this.#lossHandler(address);
+      const attempts = (this.#unreachable.get(address)?.attempts ?? 0) + 1;
+      const delayMs =
+        Math.min(TcpTransport.retryDelayMs * 2 ** (attempts - 1), TcpTransport.maxRetryDelayMs) * (0.5 + Math.random());
+      this.#unreachable.set(address, { attempts, retryAt: performance.now() + delayMs });
+      this.#lossHandler(address);
     });
     return connection;
   }
 
-  #admit(socket: Socket): void {
+  #accept(socket: Socket): void {
     socket.setNoDelay(true);
-    // An end that is gone without a word is noticed by the machine, sooner or later.
+    // TCP keep-alive detects a peer that disappeared without closing the connection.
     socket.setKeepAlive(true, 10_000);
-    const connection = new TcpConnection(socket, (frame) => this.#take(frame), false);
-    this.#inward.add(connection);
+    const connection = new TcpConnection(socket, (frame) => this.#frameHandler(frame), false);
+    this.#incoming.add(connection);
     connection.onClose((isGarbled) => {
-      this.#inward.delete(connection);
-      if (isGarbled) this.#count(String(socket.remoteAddress));
+      this.#incoming.delete(connection);
+      if (isGarbled) this.#onGarbled(String(socket.remoteAddress));
     });
   }
 
-  #count(peer: string): void {
+  #onGarbled(peer: string): void {
     this.garbled += 1;
     this.#log.warn("closed a connection that sent a garbled frame", { peer });
   }
--- a/packages/testkit/src/mutants/callMutants.ts
+++ b/packages/testkit/src/mutants/callMutants.ts
@@ -37,14 +37,14 @@
   {
     name: "a call that may not be repeated runs whenever its frame comes",
     file: endpoint,
-    find: "if (this.#begun.begin(frame.from, frame.callerIncarnation, frame.id))",
+    find: "if (this.#servedCalls.begin(frame.from, frame.callerIncarnation, frame.id))",
     put: "if (true)",
     test: endpointTest,
   },
   {
     name: "numbers of calls that are forgotten count as new",
     file: "core/dist/rpc/servedCalls.js",
-    find: "number <= incarnation.floor || ",
+    find: "callId <= window.floor || ",
     put: "",
     test: endpointTest,
   },
@@ -128,7 +128,7 @@
   {
     name: "frames run as often as they come, in a run of many lives",
     file: endpoint,
-    find: "if (this.#begun.begin(frame.from, frame.callerIncarnation, frame.id))",
+    find: "if (this.#servedCalls.begin(frame.from, frame.callerIncarnation, frame.id))",
     put: "if (true)",
     test: `${sim}/calls.test.js`,
   },
@@ -177,7 +177,7 @@
   {
     name: "a peer that is late with one call is unresponsive",
     file: "core/dist/rpc/rpcEndpoint.js",
-    find: "if (silentMs > _a.answeringMs)",
+    find: "if (silentMs > _a.recentReplyMs)",
     put: "if (true)",
     test: "core/dist/rpc/rpcEndpoint.test.js",
   },
@@ -205,8 +205,8 @@
   {
     name: "all frames to mute peers take one relay",
     file: "core/dist/rpc/rpcEndpoint.js",
-    find: "const drawn = good[Math.floor(this.#random.draw() * good.length)];",
-    put: "const [drawn] = good;",
+    find: "const chosen = usable[Math.floor(this.#random.draw() * usable.length)];",
+    put: "const [chosen] = usable;",
     test: "core/dist/rpc/rpcEndpoint.test.js",
   },
 ];
--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -157,7 +157,7 @@
   {
     name: "a peer that is cut off is not reached through others",
     file: "core/dist/rpc/rpcEndpoint.js",
-    find: "if (isPing || !this.isUnresponsive(to))",
+    find: "if (isSentDirectly || !this.isUnresponsive(to))",
     put: "if (true)",
     test: `${sim}/sessions.test.js`,
   },
