--- a/packages/core/src/errors.ts
+++ b/packages/core/src/errors.ts
@@ -1,24 +1,24 @@
-/** Errors of the core that a program or a test tells apart. Each has a `code` that stays, whatever its message says. */
+/** Errors of the core that programs and tests distinguish by their `code`, which is stable; messages may change. */
 import VError from "verror";
 
 /**
- * The data folder can't be used, or what it holds can't be believed. A process ends with exit code 3 rather than go on
- * with a part of its data.
+ * The data folder can't be used, or its content is damaged. The process exits with code 3 rather than continue with
+ * only a part of its data.
  */
 export class DataFolderError extends VError {
   readonly code = "data-folder";
 
-  /** `what` was attempted, on which folder or key; the message of `cause` is put behind it. */
-  constructor(what: string, cause?: unknown) {
-    super({ name: "DataFolderError", ...(cause instanceof Error ? { cause } : {}) }, "%s", what);
+  /** `message` says what failed, with the folder or key; the message of `cause` is appended. */
+  constructor(message: string, cause?: unknown) {
+    super({ name: "DataFolderError", ...(cause instanceof Error ? { cause } : {}) }, "%s", message);
   }
 }
 
-/** Something that holds at all times in a right program does not: the process must not go on. */
+/** An invariant of the program is violated: the process must not continue. */
 export class InvariantViolationError extends VError {
   readonly code = "invariant-violation";
 
-  constructor(what: string) {
-    super({ name: "InvariantViolationError" }, "broken invariant: %s", what);
+  constructor(violation: string) {
+    super({ name: "InvariantViolationError" }, "broken invariant: %s", violation);
   }
 }
--- a/packages/core/src/http/jsonBody.ts
+++ b/packages/core/src/http/jsonBody.ts
@@ -1,7 +1,8 @@
 import { ApiReplies, type ApiReply } from "./apiReply.js";
 
+/** Parses JSON request bodies. */
 export const JsonBody = {
-  /** Whatever JSON the body is, or the reply that says that it is none. */
+  /** Returns the parsed JSON, or an error reply if the body is not valid JSON. */
   read(body: Uint8Array): { value: unknown } | { reply: ApiReply } {
     try {
       return { value: JSON.parse(new TextDecoder("utf8", { fatal: true }).decode(body)) as unknown };
--- a/packages/core/src/runtime/clock.ts
+++ b/packages/core/src/runtime/clock.ts
@@ -4,12 +4,13 @@
 }
 
 /**
- * The time seam. `now` is monotonic milliseconds (the standard library's
- * performance.now); it never goes backwards and has no meaning outside the process.
+ * Time and timers; the simulator has its own implementation. `now` is in monotonic milliseconds (`performance.now` of
+ * the standard library): it never goes backwards and has no meaning outside the process.
  */
 export interface Clock {
   now(): number;
-  /** After no time: once what came in together has been taken. */
+  /** Calls `callback` after `ms`; with 0, after events that arrived together have been processed. */
   once(ms: number, callback: () => void): TimerHandle;
+  /** Calls `callback` every `ms` until stopped. */
   every(ms: number, callback: () => void): TimerHandle;
 }
--- a/packages/core/src/runtime/clusterNode.ts
+++ b/packages/core/src/runtime/clusterNode.ts
@@ -15,11 +15,11 @@
 import { StoreClient } from "../store/storeClient.js";
 import { nodeRole } from "../membership/nodeRole.js";
 
-/** What every process of the fleet is made of, whatever its role. */
+/** The parts that every node of the cluster has, whatever its role. */
 export class ClusterNode {
-  static readonly #maxChanges = 2000;
-  /** Some thousands of whole configurations would be more than a process's memory. */
-  static readonly #withoutLarge = (change: Change): Change =>
+  static readonly #maxJournalChanges = 2000;
+  /** Drops large values from the change journal: thousands of whole configurations would not fit into memory. */
+  static readonly #withoutLargeValue = (change: Change): Change =>
     change.value !== undefined && PackedValue.isLarge(change.value) ? { ...change, value: new Uint8Array() } : change;
 
   readonly parts: NodeParts;
@@ -29,7 +29,7 @@
   readonly groups: LogGroups;
   readonly membership: Membership;
   readonly store: StoreClient;
-  readonly journal = new ChangeJournal<Change>(ClusterNode.#maxChanges, ClusterNode.#withoutLarge);
+  readonly journal = new ChangeJournal<Change>(ClusterNode.#maxJournalChanges, ClusterNode.#withoutLargeValue);
   readonly feed: FeedFollower;
   readonly machines: MachinesView;
   readonly configuration: ConfigurationView;
--- a/packages/core/src/runtime/earlierNames.ts
+++ b/packages/core/src/runtime/earlierNames.ts
@@ -1,46 +1,46 @@
-/** Names of earlier versions in settings files and on the command line, which are still taken. */
+/** Accepts the names of earlier versions in settings files and on the command line. */
 import { roleNameOf } from "../membership/nodeRole.js";
 
-/** Each earlier key with the one that took its place. */
+/** The current name of each renamed key. */
 const earlierKeys = new Map([
   ["lathes", "controlNodes"],
   ["holderLeaseMs", "shardLeaseMs"],
   ["mostLinks", "maxConnections"],
 ]);
 
-/** Settings as they were given, in today's names. */
-interface StandardNames {
+/** Settings as they were given, under their current names. */
+interface CurrentNames {
   readonly values: Readonly<Record<string, unknown>>;
-  /** The key that was given for each standard one that was given by its earlier name. */
+  /** Maps a current key to the earlier name under which it was given. */
   readonly givenAs: ReadonlyMap<string, string>;
-  /** A line for each earlier name that was given; it names the one to write instead. */
+  /** A line for each earlier name that was given, with its current name. */
   readonly notices: readonly string[];
-  /** A line for each key that was given by both names: which of the two is meant can't be known. */
+  /** A line for each key that was given under both names, as it is unclear which value is meant. */
   readonly problems: readonly string[];
 }
 
-/** Puts earlier keys and role values in today's words. What a value has to be is not looked at here. */
-export function toStandardNames(given: Readonly<Record<string, unknown>>): StandardNames {
+/** Translates earlier keys and role values to their current names. Does not validate values. */
+export function toCurrentNames(given: Readonly<Record<string, unknown>>): CurrentNames {
   const values: Record<string, unknown> = {};
   const givenAs = new Map<string, string>();
   const notices: string[] = [];
   const problems: string[] = [];
   for (const [key, value] of Object.entries(given)) {
-    const standard = earlierKeys.get(key);
-    if (standard === undefined) values[key] = value;
-    else if (Object.hasOwn(given, standard))
-      problems.push(`${key}: is the earlier name of ${standard}, and both are given; keep ${standard}`);
+    const currentKey = earlierKeys.get(key);
+    if (currentKey === undefined) values[key] = value;
+    else if (Object.hasOwn(given, currentKey))
+      problems.push(`${key}: is the earlier name of ${currentKey}, and both are given; keep ${currentKey}`);
     else {
-      values[standard] = value;
-      givenAs.set(standard, key);
-      notices.push(`setting ${key} is now called ${standard}; the earlier name is still taken`);
+      values[currentKey] = value;
+      givenAs.set(currentKey, key);
+      notices.push(`setting ${key} is now called ${currentKey}; the earlier name is still accepted`);
     }
   }
-  const role = values["role"];
-  const roleName = typeof role === "string" ? roleNameOf(role) : undefined;
+  const givenRole = values["role"];
+  const roleName = typeof givenRole === "string" ? roleNameOf(givenRole) : undefined;
   if (roleName !== undefined) {
     values["role"] = roleName;
-    notices.push(`role ${String(role)} is now called ${roleName}; the earlier name is still taken`);
+    notices.push(`role ${String(givenRole)} is now called ${roleName}; the earlier name is still accepted`);
   }
   return { values, givenAs, notices, problems };
 }
--- a/packages/core/src/runtime/hostClock.ts
+++ b/packages/core/src/runtime/hostClock.ts
@@ -1,5 +1,6 @@
 import type { TimerHandle, Clock } from "./clock.js";
 
+/** The clock and timers of the operating system. */
 export class HostClock implements Clock {
   now(): number {
     return performance.now();
@@ -7,8 +8,8 @@
 
   once(ms: number, callback: () => void): TimerHandle {
     if (ms <= 0) {
-      const turn = setImmediate(callback);
-      return { stop: () => clearImmediate(turn) };
+      const immediate = setImmediate(callback);
+      return { stop: () => clearImmediate(immediate) };
     }
     const timer = setTimeout(callback, ms);
     return { stop: () => clearTimeout(timer) };
--- a/packages/core/src/runtime/invariantMonitor.test.ts
+++ b/packages/core/src/runtime/invariantMonitor.test.ts
@@ -14,7 +14,7 @@
   return { monitor, logged };
 }
 
-test("violations are counted by name, and the first ones are logged with what is known", () => {
+test("violations are counted by name, and the first ones are logged with their context", () => {
   const { monitor, logged } = monitored();
   for (let i = 0; i < InvariantMonitor.maxLogged + 5; i += 1) monitor.violated("publisherOrder", { number: i });
   monitor.violated("committedLog", { index: 7 });
@@ -31,14 +31,14 @@
   expect(logged[0]).toEqual({ text: InvariantMonitor.logText, context: { invariant: "publisherOrder", number: 0 } });
 });
 
-test("a read that is older than what was seen when it began is not believed", () => {
+test("a read older than the revision seen when it began is rejected", () => {
   const { monitor } = monitored();
   let followed = 0;
   const verifier = new ConfigurationVerifier(monitor, () => followed);
   expect(verifier.isCurrent(verifier.bound, 0)).toEqual(true);
   const { bound } = verifier;
   verifier.saw(12);
-  // It began before: what it gives may be older.
+  // The read began before revision 12 was seen, so its result may be older.
   expect([verifier.isCurrent(bound, 9), verifier.bound]).toEqual([true, 12]);
   expect(verifier.isCurrent(verifier.bound, 11)).toEqual(false);
   followed = 20;
--- a/packages/core/src/runtime/invariantMonitor.ts
+++ b/packages/core/src/runtime/invariantMonitor.ts
@@ -1,24 +1,24 @@
 import type { LogBuffer } from "./logBuffer.js";
 
-/** What must hold in every process, whatever fails around it. The names are those of the metrics. */
+/** Invariants that must hold in every process, whatever fails around it. Metrics use the same names. */
 export const invariantNames = [
-  /** A publisher's numbers rise within one incarnation of a stream. */
+  /** The sequence numbers of a publisher increase within one incarnation of a stream. */
   "publisherOrder",
-  /** A confirmed read of the configuration is no older than anything that this process has seen of it before. */
+  /** A confirmed read of the configuration is no older than any version that this process has seen before. */
   "configurationRead",
   /** The configuration in force never goes back to a lower version. */
   "configurationVersion",
-  /** No leader of the present term or a later one has another entry where this log's is committed. */
+  /** No leader of the current term or a later one has a different entry at an index that is committed in this log. */
   "committedLog",
-  /** A confirmed subscription ends only where its client or the end of its connection says so. */
+  /** A confirmed subscription ends only when its client unsubscribes or its connection ends. */
   "subscriptionEnd",
 ] as const;
 export type InvariantName = (typeof invariantNames)[number];
 
-/** Counts violations of the process's invariants and logs each of the first ones, with what is known about it. */
+/** Counts violations of invariants and logs the first `maxLogged` of them with their context. */
 export class InvariantMonitor {
   static readonly maxLogged = 20;
-  /** What the line in the log begins with. */
+  /** Text of the log line. */
   static readonly logText = "an invariant is violated";
 
   readonly #log: Pick<LogBuffer, "fault">;
@@ -28,7 +28,7 @@
     this.#log = log;
   }
 
-  /** Violations since the start, of all invariants. */
+  /** Violations of all invariants since the process started. */
   get total(): number {
     return [...this.#counts.values()].reduce((sum, count) => sum + count, 0);
   }
--- a/packages/core/src/runtime/loadMonitor.test.ts
+++ b/packages/core/src/runtime/loadMonitor.test.ts
@@ -2,8 +2,8 @@
 import { expect } from "earl";
 import { LoadMonitor } from "./loadMonitor.js";
 
-/** Guards against processes that were overloaded without a word in any log (issue 45). */
-test("a late event loop is reported with what its parts say; a calm one is not", () => {
+/** Guards against processes that were overloaded without any log line (issue 45). */
+test("event loop lag is logged with the reports of the components; without lag nothing is logged", () => {
   let now = 0;
   let processorMs = 0;
   let sample: () => void = () => undefined;
@@ -20,14 +20,14 @@
   const monitor = new LoadMonitor(clock, log, () => processorMs);
   monitor.add("rpc", () => ({ fields: { relayed: 3 }, isNotable: false }));
   monitor.start();
-  const pass = (ms: number): void => {
+  const advance = (ms: number): void => {
     now += ms;
     sample();
   };
-  for (let i = 0; i < 4; i += 1) pass(LoadMonitor.sampleMs);
+  for (let i = 0; i < 4; i += 1) advance(LoadMonitor.sampleMs);
   expect(lines).toEqual([]);
   processorMs = 650;
-  pass(LoadMonitor.sampleMs);
-  pass(LoadMonitor.sampleMs + 800);
+  advance(LoadMonitor.sampleMs);
+  advance(LoadMonitor.sampleMs + 800);
   expect(lines).toEqual([{ loopLagMs: 800, worstLoopLagMs: 800, processorShare: 0.5, rpc: '{"relayed":3}' }]);
 });
--- a/packages/core/src/runtime/loadMonitor.ts
+++ b/packages/core/src/runtime/loadMonitor.ts
@@ -1,46 +1,46 @@
 import type { Clock } from "./clock.js";
 import type { LogBuffer } from "./logBuffer.js";
 
-/** What a part of the process says of the last interval, and whether that alone is worth a line. */
+/** What a component reports for the last interval; `isNotable` causes a log line by itself. */
 interface IntervalReport {
   readonly fields: Record<string, string | number>;
   readonly isNotable: boolean;
 }
 
 /**
- * How busy the process is: the processor time that it gets, and how late its event loop is. While the loop is late, or
- * something else is worth it, a line a second is written out at once, so that a process that does nothing but catch up
- * is seen while it does.
+ * Measures the load of the process: its CPU time and the lag of its event loop. While the lag is high or a component
+ * reports something notable, writes a log line every second at once, so that a process that is busy catching up can be
+ * seen while it does.
  */
 export class LoadMonitor {
-  /** How often lateness is sampled, and how often it is reported. */
+  /** Milliseconds between samples of the lag, and between reports. */
   static readonly sampleMs = 250;
   static readonly intervalMs = 1000;
-  /** A loop that is later than this is reported. */
+  /** A lag of at least this many milliseconds is logged. */
   static readonly reportedLagMs = 250;
 
   readonly #clock: Clock;
   readonly #log: Pick<LogBuffer, "report">;
   readonly #processorMs: () => number;
-  readonly #parts = new Map<string, () => IntervalReport>();
+  readonly #reporters = new Map<string, () => IntervalReport>();
   #expectedAt = 0;
   #intervalLagMs = 0;
   #reportedAt = 0;
   #processorAtMs = 0;
-  /** Lateness of the event loop: the worst of the last interval, and since the start. Milliseconds. */
+  /** Lag of the event loop in milliseconds: the maximum of the last interval, and since the process started. */
   loopLagMs = 0;
   worstLoopLagMs = 0;
-  /** The share of a core that the process had in the last interval. */
+  /** CPU time used in the last interval, as a fraction of one core. */
   processorShare = 0;
 
-  /** `processorMs`: processor time of the process so far. */
+  /** `processorMs` returns the CPU time of the process so far, in milliseconds. */
   constructor(clock: Clock, log: Pick<LogBuffer, "report">, processorMs: () => number) {
     this.#clock = clock;
     this.#log = log;
     this.#processorMs = processorMs;
   }
 
-  /** Begins to sample. */
+  /** Starts sampling. */
   start(): void {
     this.#expectedAt = this.#clock.now() + LoadMonitor.sampleMs;
     this.#reportedAt = this.#clock.now();
@@ -48,12 +48,12 @@
     this.#clock.every(LoadMonitor.sampleMs, () => this.#sample());
   }
 
-  /** Has a part of the process report at the end of each interval; what it says goes into the line under its name. */
+  /** Adds a component that reports at the end of each interval; its fields appear in the log line under its name. */
   add(part: string, report: () => IntervalReport): void {
-    this.#parts.set(part, report);
+    this.#reporters.set(part, report);
   }
 
-  /** Fields of status. */
+  /** The load fields of the status. */
   status(): Record<string, number> {
     return {
       loopLagMs: Math.round(this.loopLagMs),
@@ -77,7 +77,7 @@
     this.#processorAtMs = processorMs;
     this.#reportedAt = now;
     this.#intervalLagMs = 0;
-    const reports = [...this.#parts].map(([part, report]) => [part, report()] as const);
+    const reports = [...this.#reporters].map(([part, report]) => [part, report()] as const);
     const isNotable = reports.some(([, report]) => report.isNotable);
     if (!isNotable && this.loopLagMs < LoadMonitor.reportedLagMs) return;
     const fields = reports.map(([part, report]) => [part, JSON.stringify(report.fields)] as const);
--- a/packages/core/src/runtime/logBuffer.ts
+++ b/packages/core/src/runtime/logBuffer.ts
@@ -4,17 +4,16 @@
 type Context = Record<string, string | number | boolean | null>;
 
 /**
- * The last few hundred log lines in memory. They are written out when something goes wrong
- * (`fault`) and otherwise only kept.
+ * Keeps the last log lines in memory (400 by default) and writes them out only when something goes wrong (`fault`).
  */
 export class LogBuffer {
   readonly #name: string;
   readonly #maxLines: number;
   readonly #write: (text: string) => void;
   readonly #log: typeof Roarr;
-  /** Invariant: never longer than #most; oldest first. */
+  /** Oldest first. Invariant: at most `#maxLines` lines. */
   #lines: string[] = [];
-  /** The last fault, as status shows it. */
+  /** Text of the last fault, shown in the status. */
   lastFault = "";
 
   constructor(name: string, write: (text: string) => void = (text) => process.stderr.write(text), maxLines = 400) {
@@ -24,38 +23,39 @@
     this.#log = Roarr.child({ program: name });
   }
 
+  /** A log that is appended to the file at `path`, or written to stderr without a path. */
   static toFile(name: string, path: string | undefined): LogBuffer {
     if (path === undefined) return new LogBuffer(name);
     return new LogBuffer(name, (text) => appendFileSync(path, text));
   }
 
   note(text: string, context: Context = {}): void {
-    this.#keep("note", text, context);
+    this.#append("note", text, context);
   }
 
   warn(text: string, context: Context = {}): void {
-    this.#keep("warn", text, context);
+    this.#append("warn", text, context);
   }
 
-  /** Something went wrong: the whole ring is written out, once. */
+  /** Logs a fault and writes out all buffered lines, which are then removed from the buffer. */
   fault(text: string, context: Context = {}): void {
-    this.#keep("fault", text, context);
+    this.#append("fault", text, context);
     this.lastFault = text;
     const lines = this.#lines;
     this.#lines = [];
     this.#write(lines.map((line) => `${line}\n`).join(""));
   }
 
-  /** A line that is written out by itself at once: the rest of the ring is of no use without a fault. */
+  /** Writes out a single line at once, without the other buffered lines. */
   report(text: string, context: Context = {}): void {
-    this.#write(`${this.#keep("note", text, context)}\n`);
+    this.#write(`${this.#append("note", text, context)}\n`);
   }
 
   get lines(): readonly string[] {
     return this.#lines;
   }
 
-  #keep(level: "note" | "warn" | "fault", text: string, context: Context): string {
+  #append(level: "note" | "warn" | "fault", text: string, context: Context): string {
     const line = JSON.stringify({ at: new Date().toISOString(), level, program: this.#name, text, ...context });
     this.#lines.push(line);
     if (this.#lines.length > this.#maxLines) this.#lines.shift();
--- a/packages/core/src/runtime/nodeParts.ts
+++ b/packages/core/src/runtime/nodeParts.ts
@@ -5,7 +5,7 @@
 import type { Transport } from "../transport/transport.js";
 import type { Settings } from "./settings.js";
 
-/** What a program hands its node: the four seams, the settings and the log. */
+/** What a program passes to its node: settings, log, and the clock, transport, disk and random source. */
 export interface NodeParts {
   readonly settings: Settings;
   readonly clock: Clock;
@@ -13,8 +13,8 @@
   readonly disk: Disk | undefined;
   readonly random: RandomSource;
   readonly log: LogBuffer;
-  /** Rises with every start of the process under the same name. */
+  /** Increases with every start of the process under the same name. */
   readonly incarnation: number;
-  /** Processor time of the process so far, in milliseconds; none given, none is reported. */
+  /** CPU time of the process so far, in milliseconds; without it, 0 is reported. */
   readonly processorMs?: () => number;
 }
--- a/packages/core/src/runtime/nodeStatus.ts
+++ b/packages/core/src/runtime/nodeStatus.ts
@@ -3,21 +3,23 @@
 import type { ClusterNode } from "./clusterNode.js";
 import type { Router } from "../http/router.js";
 
-interface StatusParts {
+/** Values of the status that the node itself does not have. */
+interface StatusSources {
   garbled: () => number;
   settingsFault: () => string;
+  /** Status fields of the role; numbers at the top level become metrics. */
   more: () => object;
   isReady: () => boolean;
 }
 
-/** What a node says of itself: status, health, readiness, metrics. */
+/** Serves what a node reports about itself over HTTP: status, health, readiness and metrics. */
 export class NodeStatus {
   readonly #node: ClusterNode;
-  readonly #parts: StatusParts;
+  readonly #sources: StatusSources;
 
-  constructor(node: ClusterNode, router: Router, parts: StatusParts) {
+  constructor(node: ClusterNode, router: Router, parts: StatusSources) {
     this.#node = node;
-    this.#parts = parts;
+    this.#sources = parts;
     router.on("GET", /^\/v1\/status$/, () => ApiReplies.done(this.status()));
     router.on("GET", /^\/healthz$/, () => ApiReplies.done({ health: "alive" }));
     router.on("GET", /^\/readyz$/, () =>
@@ -26,6 +28,7 @@
     router.on("GET", /^\/metrics$/, () => ({ status: 200, body: this.#metrics() }));
   }
 
+  /** The body of `GET /v1/status`. */
   status(): object {
     const { membership, feed, configuration, shards, parts } = this.#node;
     return {
@@ -33,7 +36,7 @@
       role: parts.settings.role,
       zone: parts.settings.zone,
       incarnation: membership.self.incarnation,
-      isReady: this.#parts.isReady(),
+      isReady: this.#sources.isReady(),
       feed: {
         revision: feed.revision,
         ageMs: Number.isFinite(feed.age) ? Math.round(feed.age) : null,
@@ -65,28 +68,28 @@
       },
       risks: contractRisks(this.#node),
       faults: {
-        settings: this.#parts.settingsFault(),
+        settings: this.#sources.settingsFault(),
         last: parts.log.lastFault,
-        garbledFrames: this.#parts.garbled(),
+        garbledFrames: this.#sources.garbled(),
         droppedFrames: { ...this.#node.rpc.dropped },
         invariants: this.#node.invariants.counts(),
       },
-      ...this.#parts.more(),
+      ...this.#sources.more(),
     };
   }
 
   #metrics(): string {
     const { membership, feed, configuration, shards, load, rpc } = this.#node;
     const memory = process.memoryUsage();
-    const held = shards.all().filter(([, route]) => route.leader === this.#node.parts.settings.name).length;
-    const figures: Record<string, number> = {
+    const heldCount = shards.all().filter(([, route]) => route.leader === this.#node.parts.settings.name).length;
+    const metrics: Record<string, number> = {
       configuration_version: configuration.version,
       feed_revision: feed.revision,
       feed_age_seconds: Number.isFinite(feed.age) ? feed.age / 1000 : -1,
       members_alive: membership.alive().length,
-      shards_held: held,
+      shards_held: heldCount,
       shards_free: shards.all().filter(([, route]) => route.leader === "").length,
-      garbled_frames_total: this.#parts.garbled(),
+      garbled_frames_total: this.#sources.garbled(),
       loop_lag_seconds: load.loopLagMs / 1000,
       loop_lag_worst_seconds: load.worstLoopLagMs / 1000,
       processor_share: load.processorShare,
@@ -96,16 +99,16 @@
       memory_heap_bytes: memory.heapUsed,
     };
     for (const [reason, count] of Object.entries(this.#node.rpc.dropped))
-      figures[`dropped_frames_${NodeStatus.#snake(reason)}_total`] = count;
+      metrics[`dropped_frames_${NodeStatus.#toSnakeCase(reason)}_total`] = count;
     for (const [name, count] of Object.entries(this.#node.invariants.counts()))
-      figures[`invariant_violations_${NodeStatus.#snake(name)}_total`] = count;
-    for (const [key, value] of Object.entries(this.#parts.more()))
-      if (typeof value === "number") figures[NodeStatus.#snake(key)] = value;
-    return Object.entries(figures)
+      metrics[`invariant_violations_${NodeStatus.#toSnakeCase(name)}_total`] = count;
+    for (const [key, value] of Object.entries(this.#sources.more()))
+      if (typeof value === "number") metrics[NodeStatus.#toSnakeCase(key)] = value;
+    return Object.entries(metrics)
       .map(([key, value]) => `cranetrack_${key} ${value}\n`)
       .join("");
   }
-  static #snake(key: string): string {
+  static #toSnakeCase(key: string): string {
     return key.replace(/[A-Z]/g, (letter) => `_${letter.toLowerCase()}`);
   }
 }
--- a/packages/core/src/runtime/program.ts
+++ b/packages/core/src/runtime/program.ts
@@ -2,7 +2,7 @@
 import { roleNameOf, type NodeRole } from "../membership/nodeRole.js";
 import { ProgramHost, type Built, type ProgramParts } from "./programHost.js";
 
-/** The command line that all three daemons share: flags, the settings file, then the host. */
+/** The command line of all three daemons: reads flags and the settings file, then starts the host. */
 export class Program {
   readonly #role: NodeRole;
   readonly #prefixes: string[];
@@ -14,12 +14,13 @@
     this.#build = build;
   }
 
+  /** Runs the daemon; sets the exit code if the settings are invalid. */
   async run(argv: string[]): Promise<void> {
     SettingsSignal.hold();
     const { cac } = await import("cac");
     const { SettingsReader } = await import("./settings.js");
     const cli = cac(`cranetrack-${roleNameOf(this.#role)}`);
-    cli.option("--settings <file>", "Settings file (JSON); flags win over it");
+    cli.option("--settings <file>", "Settings file (JSON); flags override it");
     for (const key of ["name", "zone", "region", "address", "listen", "http", "data", "disk", "log"])
       cli.option(`--${key} <value>`, `Setting ${key}`);
     for (const key of [
@@ -37,14 +38,14 @@
     ])
       cli.option(`--${key} <number>`, `Setting ${key}`);
     for (const key of ["seeds", "founders"])
-      cli.option(`--${key} <list>`, `Setting ${key}: addresses parted by commas`);
+      cli.option(`--${key} <list>`, `Setting ${key}: addresses separated by commas`);
     for (const key of ["stores", "mayFound"]) cli.option(`--${key} <boolean>`, `Setting ${key}: true or false`);
     cli.option("--check", "Only check the settings");
     cli.help();
     cli.version("0.1.0");
     const { options, args } = cli.parse(argv);
     if (options["help"] === true || options["version"] === true) return;
-    const { file, flags, problems } = Program.#flags(options, args);
+    const { file, flags, problems } = Program.#parseFlags(options, args);
     const notices: string[] = [];
     const onEarlierName = (notice: string): void => void notices.push(notice);
     const read =
@@ -54,11 +55,11 @@
           ? SettingsReader.check({ role: roleNameOf(this.#role), ...flags }, onEarlierName)
           : SettingsReader.fromFile(file, flags, onEarlierName);
     if ("settings" in read && read.settings.role !== this.#role)
-      return Program.#refuse([
+      return Program.#reportProblems([
         `role: this program is a ${this.#role} (role ${roleNameOf(this.#role)}), ` +
           `the settings are for a ${read.settings.role} (role ${roleNameOf(read.settings.role)})`,
       ]);
-    if ("problems" in read) return Program.#refuse(read.problems);
+    if ("problems" in read) return Program.#reportProblems(read.problems);
     if (options["check"] === true) {
       process.stderr.write(notices.map((notice) => `${notice}\n`).join(""));
       return void process.stdout.write("settings are good\n");
@@ -67,7 +68,7 @@
     await new ProgramHost(this.#prefixes, this.#build).start(read.settings, watched, notices);
   }
 
-  static #flags(
+  static #parseFlags(
     options: Record<string, unknown>,
     args: readonly string[],
   ): { file: string | undefined; flags: Record<string, unknown>; problems: string[] } {
@@ -85,7 +86,7 @@
     return { file: settings === undefined ? undefined : String(settings), flags, problems };
   }
 
-  static #refuse(problems: readonly string[]): void {
+  static #reportProblems(problems: readonly string[]): void {
     process.stderr.write(problems.map((problem) => `${problem}\n`).join(""));
     process.exitCode = ProgramHost.exits.settings;
   }
--- a/packages/core/src/runtime/programHost.ts
+++ b/packages/core/src/runtime/programHost.ts
@@ -13,61 +13,61 @@
 import { SettingsWatch } from "./settingsWatch.js";
 import { TcpTransport } from "../transport/tcpTransport.js";
 
-/** A server towards clients or operators that a program opens besides the one for other nodes. */
+/** A server for clients or operators, besides the transport for other nodes. */
 export interface Listener {
   listen(): Promise<void>;
   close(): Promise<void>;
 }
-/** What a program builds on a node: its role. */
+/** The role that a program runs on a node. */
 export interface Built {
-  /** Reads what the disk holds; says what is wrong with it, if anything is. */
+  /** Loads the stored data; returns a text that says what is wrong with it, or undefined. */
   load(): string | undefined;
   start(): Promise<void> | void;
-  /** Drains: hands over what it leads or serves, within `ProgramHost.stopMs`. */
+  /** Drains the node: hands over the shards and sessions that it leads or serves, within `ProgramHost.stopMs`. */
   stop(): Promise<void>;
-  /** Its part of `/v1/status`; numbers at the top level are metrics too. */
+  /** Status fields of the role in `/v1/status`; numbers at the top level become metrics. */
   status(): object;
   isReady(): boolean;
-  /** Applies keys of a changed settings file that need no restart (`SettingsWatch.live`). */
+  /** Applies the keys of a changed settings file that need no restart (`SettingsWatch.reloadableKeys`). */
   applySettings?(settings: Settings): void;
   stream?: ConstructorParameters<typeof HttpServer>[1];
   listeners?: readonly Listener[];
 }
-/** What a program is given to build its role on. */
+/** What a program builds its role from. */
 export interface ProgramParts {
   node: ClusterNode;
   disk: Disk | undefined;
   router: Router;
 }
-/** The settings file, which is looked at while the program runs. */
+/** A settings file that is checked for changes while the program runs. */
 export interface WatchedSettings {
   path: string;
   read: () => SettingsRead;
 }
 type OpenDisk = Disk & { close(): Promise<void>; readonly fault?: string };
-interface Seams {
+interface HostParts {
   readonly log: LogBuffer;
   readonly clock: Clock;
   readonly transport: TcpTransport;
 }
-interface Assembled {
+interface AssembledNode {
   readonly disk: OpenDisk | undefined;
   readonly node: ClusterNode;
   readonly router: Router;
   readonly built: Built;
 }
-type Running = Pick<Assembled, "disk" | "node" | "built"> & {
+type RunningNode = Pick<AssembledNode, "disk" | "node" | "built"> & {
   readonly transport: TcpTransport;
   readonly listeners: readonly Listener[];
 };
 
-/** What all programs share, however they came by their settings: clock and transport, listeners, signals. */
+/** Runs a role as a process, wherever its settings came from: disk, clock, transport, listeners and signals. */
 export class ProgramHost {
-  /** Milliseconds that a program may take to stop before it ends as it is. */
+  /** Milliseconds that a program may take to stop before the process exits regardless. */
   static readonly stopMs = 4500;
-  /** Milliseconds between the last notice to the other nodes and the closing of connections. */
-  static readonly leaveMs = 50;
-  /** Exit codes: settings or addresses, the data folder, an uncaught exception. */
+  /** Milliseconds between announcing to other nodes that this node leaves and closing its connections. */
+  static readonly leaveNoticeMs = 50;
+  /** Exit codes for invalid settings or addresses, for the data folder, and for an uncaught exception. */
   static readonly exits = { settings: 2, data: 3, fault: 4 };
 
   readonly #prefixes: string[];
@@ -79,9 +79,8 @@
   }
 
   /**
-   * Starts the program with settings that were checked; `watched` is the file that they came from, `notices` what the
-   * log is to say of them. Resolves once the program serves; a program that can't start ends the process with one of
-   * `exits`.
+   * Starts the program with validated settings. `watched` is the file that they came from; `notices` are warnings to
+   * log about them. Resolves once the program is running; if it can't start, the process exits with one of `exits`.
    */
   async start(settings: Settings, watched?: WatchedSettings, notices: readonly string[] = []): Promise<void> {
     const log = LogBuffer.toFile(settings.name, settings.log);
@@ -89,7 +88,7 @@
     const clock = new HostClock();
     const transport = new TcpTransport(settings.address, log, settings.listen);
     const { disk, node, router, built } = await this.#assemble(settings, { log, clock, transport });
-    ProgramHost.#endOnUncaught(log);
+    ProgramHost.#exitOnUncaught(log);
     const watch = ProgramHost.#watchSettings(watched, settings, clock, log, built);
     const status = new NodeStatus(node, router, {
       garbled: () => transport.garbled,
@@ -104,7 +103,7 @@
       await transport.listen();
       for (const listener of listeners) await listener.listen();
     } catch (cause) {
-      return ProgramHost.#quit(log, ProgramHost.exits.settings, `cannot listen: ${(cause as Error).message}`);
+      return ProgramHost.#exit(log, ProgramHost.exits.settings, `cannot listen: ${(cause as Error).message}`);
     }
     node.start();
     await built.start();
@@ -112,8 +111,8 @@
     ProgramHost.#stopOnSignal({ node, built, transport, listeners, disk });
   }
 
-  /** Opens the disk, makes the node and what the program builds on it, and loads what is stored. */
-  async #assemble(settings: Settings, { log, clock, transport }: Seams): Promise<Assembled> {
+  /** Opens the disk, creates the node and its role, and loads the stored data. */
+  async #assemble(settings: Settings, { log, clock, transport }: HostParts): Promise<AssembledNode> {
     try {
       const disk = await ProgramHost.#openDisk(settings, log);
       const checksummed = disk === undefined ? undefined : new ChecksummedDisk(disk);
@@ -133,10 +132,10 @@
       const router = new Router(node);
       const built = this.#build({ node, disk: checksummed, router });
       const fault = built.load();
-      if (fault !== undefined) return ProgramHost.#quit(log, ProgramHost.exits.data, fault);
+      if (fault !== undefined) return ProgramHost.#exit(log, ProgramHost.exits.data, fault);
       return { disk, node, router, built };
     } catch (cause) {
-      return ProgramHost.#quit(log, ProgramHost.exits.data, (cause as Error).message);
+      return ProgramHost.#exit(log, ProgramHost.exits.data, (cause as Error).message);
     }
   }
 
@@ -146,21 +145,21 @@
   }
 
   /** Writes the log buffer out and ends the process. */
-  static #quit(log: LogBuffer, code: number, text: string): never {
+  static #exit(log: LogBuffer, code: number, text: string): never {
     log.fault(text);
     process.stderr.write(`${text}\n`);
     process.exit(code);
   }
 
-  /** An exception that nobody caught leaves the program in a state that nobody thought of: it must not go on. */
-  static #endOnUncaught(log: LogBuffer): void {
+  /** An uncaught exception leaves the program in an unknown state: the process must not continue. */
+  static #exitOnUncaught(log: LogBuffer): void {
     const quit = (text: string): never =>
-      ProgramHost.#quit(log, ProgramHost.exits.fault, `a broken invariant: ${text}`);
+      ProgramHost.#exit(log, ProgramHost.exits.fault, `a broken invariant: ${text}`);
     process.on("uncaughtException", (fault) => quit(fault.stack ?? fault.message));
     process.on("unhandledRejection", (fault) => quit(String((fault as Error)?.stack ?? fault)));
   }
 
-  /** Applies a settings file that changes, and looks at it at once on SIGHUP. */
+  /** Applies changes of the settings file, and checks the file at once on SIGHUP. */
   static #watchSettings(
     watched: WatchedSettings | undefined,
     settings: Settings,
@@ -171,12 +170,12 @@
     const watch = watched === undefined ? undefined : new SettingsWatch(watched.path, watched.read, settings, clock);
     watch?.on("changed", (changed) => built.applySettings?.(changed));
     watch?.on("fault", (text) => log.fault(text));
-    SettingsSignal.listen(() => watch?.look());
+    SettingsSignal.listen(() => watch?.check());
     return watch;
   }
 
-  /** On SIGTERM and SIGINT: drains, says that the node leaves, closes what is open, and ends within `stopMs`. */
-  static #stopOnSignal({ node, built, transport, listeners, disk }: Running): void {
+  /** On SIGTERM and SIGINT: drains, announces that the node leaves, closes everything, and exits within `stopMs`. */
+  static #stopOnSignal({ node, built, transport, listeners, disk }: RunningNode): void {
     let isStopping = false;
     const stop = async (): Promise<void> => {
       if (isStopping) return;
@@ -184,13 +183,13 @@
       setTimeout(() => process.exit(0), ProgramHost.stopMs).unref();
       await built.stop();
       node.membership.leave();
-      // The closing notice gets a moment to leave; then nothing may come in any more, and only then the disk closes.
+      // Leaves time to send the announcement. The disk closes last, when nothing can arrive any more.
       setTimeout(() => {
         transport.close();
         void Promise.all(listeners.map((listener) => listener.close()))
           .then(() => disk?.close())
           .then(() => process.exit(0));
-      }, ProgramHost.leaveMs);
+      }, ProgramHost.leaveNoticeMs);
     };
     process.on("SIGTERM", () => void stop());
     process.on("SIGINT", () => void stop());
--- a/packages/core/src/runtime/random.ts
+++ b/packages/core/src/runtime/random.ts
@@ -1,7 +1,7 @@
-/** The random seam: everything drawn comes from here, so that a seed replays a run. */
+/** The only source of random values, so that the simulator can replay a run from its seed. */
 export interface RandomSource {
-  /** In [0, 1). */
+  /** A random number in [0, 1). */
   draw(): number;
-  /** A fresh identity, hexadecimal, at least 16 characters. */
+  /** A new unique id: hexadecimal, at least 16 characters. */
   identity(): string;
 }
--- a/packages/core/src/runtime/settings.test.ts
+++ b/packages/core/src/runtime/settings.test.ts
@@ -20,7 +20,7 @@
   return "problems" in read ? read.problems : [];
 };
 
-test("good settings pass with their defaults; every wrong one is named", () => {
+test("valid settings pass with their defaults; every invalid one is named", () => {
   const read = SettingsReader.check(good) as { settings: Settings };
   expect(read.settings.edgeLeaseMs).toEqual(1500);
   expect(read.settings.replicas).toEqual(3);
@@ -43,16 +43,16 @@
   ["storage", "anvil"],
   ["edge", "vise"],
 ] as const)
-  test(`role ${name} is ${stored} between nodes, and settings still take ${stored}, with a line`, () => {
+  test(`role ${name} is ${stored} between nodes, and settings still accept ${stored}, with a notice`, () => {
     const now = readWith({ ...good, role: name, data: "folder" });
     const earlier = readWith({ ...good, role: stored, data: "folder" });
     expect((now.read as { settings: Settings }).settings.role).toEqual(stored);
     expect(earlier.read).toEqual(now.read);
     expect(now.notices).toEqual([]);
-    expect(earlier.notices).toEqual([`role ${stored} is now called ${name}; the earlier name is still taken`]);
+    expect(earlier.notices).toEqual([`role ${stored} is now called ${name}; the earlier name is still accepted`]);
   });
 
-test("an unknown role, or none, is refused with the known ones", () => {
+test("an unknown or missing role is rejected with a list of the known ones", () => {
   const known = ['"control"', '"storage"', '"edge"'];
   for (const role of ["anvils", "Control", 3, undefined]) {
     const problems = problemsOf({ ...good, role });
@@ -69,14 +69,14 @@
 ] as const) {
   const { controlNodes, ...others } = good;
   const rest = standard === "controlNodes" ? others : { ...others, controlNodes };
-  test(`${earlier} is still taken for ${standard}, with one line that names it`, () => {
+  test(`${earlier} is still accepted for ${standard}, with a notice that names the new key`, () => {
     const { read, notices } = readWith({ ...rest, [earlier]: value });
     expect(read).toEqual(SettingsReader.check({ ...rest, [standard]: value }));
     expect((read as { settings: Settings }).settings[standard]).toEqual(value);
-    expect(notices).toEqual([`setting ${earlier} is now called ${standard}; the earlier name is still taken`]);
+    expect(notices).toEqual([`setting ${earlier} is now called ${standard}; the earlier name is still accepted`]);
   });
 
-  test(`${earlier} and ${standard} together are refused by name, and a wrong ${earlier} as what was given`, () => {
+  test(`${earlier} and ${standard} together are rejected; an invalid ${earlier} is reported under that name`, () => {
     expect(problemsOf({ ...rest, [earlier]: value, [standard]: value })).toEqual([
       `${earlier}: is the earlier name of ${standard}, and both are given; keep ${standard}`,
     ]);
@@ -84,7 +84,7 @@
   });
 }
 
-test("as many control nodes vote as found the store, named or not, where the settings do not say otherwise", () => {
+test("the number of voters defaults to the number of founders, listed by address or not", () => {
   const voters = (more: object): number =>
     (SettingsReader.check({ ...good, ...more }) as { settings: Settings }).settings.voters;
   const founders = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"];
@@ -92,32 +92,32 @@
   expect(problemsOf({ ...good, stores: true })).toEqual(["stores: is for control nodes only"]);
 });
 
-test("a changed file is taken up, a bad one changes nothing and is said, and what needs a start is said", () => {
+test("a changed file is applied; an invalid one is only reported, as are changes that need a restart", () => {
   const path = join(mkdtempSync(join(tmpdir(), "cranetrack-settings-")), "s.json");
   const write = (value: unknown): void =>
     writeFileSync(path, typeof value === "string" ? value : JSON.stringify(value));
   write(good);
   const read = SettingsReader.fromFile(path) as { settings: Settings };
-  const beats: Array<() => void> = [];
+  const ticks: Array<() => void> = [];
   const clock = {
     now: () => 0,
     once: () => ({ stop: () => undefined }),
-    every: (_ms: number, ring: () => void) => (beats.push(ring), { stop: () => undefined }),
+    every: (_ms: number, callback: () => void) => (ticks.push(callback), { stop: () => undefined }),
   };
   const watch = new SettingsWatch(path, () => SettingsReader.fromFile(path), read.settings, clock);
   const taken: number[] = [];
   watch.on("changed", (settings) => taken.push(settings.maxConnections));
   write({ ...good, maxConnections: 5 });
-  beats[0]!();
+  ticks[0]!();
   expect(taken).toEqual([5]);
   write("{ broken");
-  beats[0]!();
+  ticks[0]!();
   expect(taken).toEqual([5]);
   expect(watch.fault).toEqual(expect.includes("the old settings stay"));
   write({ ...good, maxConnections: 6, zone: "south" });
-  beats[0]!();
+  ticks[0]!();
   expect(taken).toEqual([5, 6]);
   expect(watch.fault).toEqual("changed in the file and taken up only at the next start: zone");
-  beats[0]!();
+  ticks[0]!();
   expect(taken).toEqual([5, 6]);
 });
--- a/packages/core/src/runtime/settingsWatch.ts
+++ b/packages/core/src/runtime/settingsWatch.ts
@@ -4,20 +4,21 @@
 import type { Settings, SettingsRead } from "./settings.js";
 
 /**
- * Takes up a changed settings file, signal or none. What is bad, or can only be read at a start, changes
- * nothing and is said.
+ * Applies a changed settings file, with or without a signal. Invalid settings, and changes that need a restart, are not
+ * applied but reported as a fault.
  */
 export class SettingsWatch extends EventEmitter<{ changed: [settings: Settings]; fault: [text: string] }> {
-  static readonly periodMs = 1000;
-  /** Keys that a running process applies when its file changes. */
-  static readonly live = ["maxConnections", "bufferBytes"] as const;
+  /** Milliseconds between checks of the file. */
+  static readonly checkIntervalMs = 1000;
+  /** Keys that apply without a restart. */
+  static readonly reloadableKeys = ["maxConnections", "bufferBytes"] as const;
 
   readonly #path: string;
   readonly #readSettings: () => SettingsRead;
   #settings: Settings;
-  /** As it was looked at last: at first not at all, for it may have changed since the settings were read. */
-  #content = "";
-  /** Why the file as it stands is not in force; empty when it is. */
+  /** Content at the last check; empty at first, because the file may have changed since the settings were read. */
+  #lastContent = "";
+  /** Why the current file is not, or not fully, in force; empty if it is. */
   fault = "";
 
   constructor(path: string, readSettings: () => SettingsRead, settings: Settings, clock: Clock) {
@@ -25,35 +26,37 @@
     this.#path = path;
     this.#readSettings = readSettings;
     this.#settings = settings;
-    clock.every(SettingsWatch.periodMs, () => this.look());
+    clock.every(SettingsWatch.checkIntervalMs, () => this.check());
   }
 
-  look(): void {
-    const content = this.#read();
-    if (content === this.#content) return;
-    this.#content = content;
+  /** Reads the file and applies it if its content has changed since the last check. */
+  check(): void {
+    const content = this.#readFile();
+    if (content === this.#lastContent) return;
+    this.#lastContent = content;
     const read = this.#readSettings();
     if ("problems" in read)
-      return this.#refuse(`the settings file is bad, the old settings stay: ${read.problems.join("; ")}`);
-    const live: readonly string[] = SettingsWatch.live;
+      return this.#reportFault(`the settings file is bad, the old settings stay: ${read.problems.join("; ")}`);
+    const reloadable: readonly string[] = SettingsWatch.reloadableKeys;
     const keys = Object.keys({ ...this.#settings, ...read.settings }) as Array<keyof Settings>;
-    const fixed = keys.filter(
-      (key) => !live.includes(key) && JSON.stringify(read.settings[key]) !== JSON.stringify(this.#settings[key]),
+    const restartKeys = keys.filter(
+      (key) => !reloadable.includes(key) && JSON.stringify(read.settings[key]) !== JSON.stringify(this.#settings[key]),
     );
     const applied: Settings = { ...this.#settings };
-    for (const key of SettingsWatch.live) applied[key] = read.settings[key];
+    for (const key of SettingsWatch.reloadableKeys) applied[key] = read.settings[key];
     this.#settings = applied;
     this.fault = "";
     this.emit("changed", applied);
-    if (fixed.length > 0) this.#refuse(`changed in the file and taken up only at the next start: ${fixed.join(", ")}`);
+    if (restartKeys.length > 0)
+      this.#reportFault(`changed in the file and taken up only at the next start: ${restartKeys.join(", ")}`);
   }
 
-  #refuse(text: string): void {
+  #reportFault(text: string): void {
     this.fault = text;
     this.emit("fault", text);
   }
 
-  #read(): string {
+  #readFile(): string {
     try {
       return readFileSync(this.#path, "utf8");
     } catch {
--- a/packages/core/src/runtime/sharedDelay.test.ts
+++ b/packages/core/src/runtime/sharedDelay.test.ts
@@ -2,8 +2,8 @@
 import { expect } from "earl";
 import { SharedDelay } from "./sharedDelay.js";
 
-// Guards against a timer for each of the clients that wait at an edge: wake-ups cost processor time in an outage.
-test("whoever waits during a delay waits for its end, with one timer for all; later ones get a new delay", async () => {
+// Guards against one timer per waiting client at an edge: during an outage the wake-ups cost too much CPU time.
+test("tasks that wait during a delay share its timer and its end; later ones start a new delay", async () => {
   const timers: Array<() => void> = [];
   const idle = { stop: () => undefined };
   const clock = { now: () => 0, once: (_ms: number, fire: () => void) => (timers.push(fire), idle), every: () => idle };
--- a/packages/core/src/runtime/sharedDelay.ts
+++ b/packages/core/src/runtime/sharedDelay.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "./clock.js";
 
-/** One timer for all who wait for a while at the same time, such as between two looks at something that they lack. */
+/** One timer shared by all tasks that wait at the same time, such as between two attempts. */
 export class SharedDelay {
   readonly #clock: Clock;
   readonly #delayMs: number;
@@ -11,7 +11,7 @@
     this.#delayMs = delayMs;
   }
 
-  /** Resolves at the end of the delay under way, or of a new one; so after `delayMs` at the latest. */
+  /** Resolves at the end of the current delay, or of a new one: after `delayMs` milliseconds at the latest. */
   next(): Promise<void> {
     this.#pending ??= new Promise((resolve) => {
       this.#clock.once(this.#delayMs, () => {
--- a/packages/core/src/runtime/stepTimes.ts
+++ b/packages/core/src/runtime/stepTimes.ts
@@ -1,13 +1,13 @@
 import type { Clock } from "./clock.js";
 
-/** Of one step: how often it ended, and the milliseconds it took together and at worst. */
+/** How often a step ended, and its total and maximum duration in milliseconds. */
 export interface StepTime {
   count: number;
   totalMs: number;
   worstMs: number;
 }
 
-/** How long the steps of a kind of work take, since the start and since it was last looked at. Steps are few. */
+/** Durations of the steps of a task, since the process started and per interval. The number of steps is small. */
 export class StepTimes<Step extends string> {
   readonly #clock: Clock;
   readonly #sinceStart = new Map<Step, StepTime>();
@@ -17,7 +17,7 @@
     this.#clock = clock;
   }
 
-  /** Counts a step that took so many milliseconds. */
+  /** Records a step that took `ms` milliseconds. */
   record(step: Step, ms: number): void {
     for (const times of [this.#sinceStart, this.#interval]) {
       const time = times.get(step) ?? { count: 0, totalMs: 0, worstMs: 0 };
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Awaits what a step returns, and counts it. */
+  /** Runs a step, records its duration and returns its result; a step that rejects is not recorded. */
   async measure<T>(step: Step, run: () => Promise<T>): Promise<T> {
     const startedAt = this.#clock.now();
     const result = await run();
@@ -36,12 +36,12 @@
     return result;
   }
 
-  /** By step, since the start. */
+  /** Durations by step, since the process started. */
   totals(): Record<string, StepTime> {
     return Object.fromEntries([...this.#sinceStart].map(([step, time]) => [step, { ...time }]));
   }
 
-  /** The steps since the last call, as fields of a log line: count, mean and worst milliseconds. */
+  /** The steps since the last call as fields of a log line: count, mean and maximum milliseconds. */
   takeInterval(): Record<string, string> {
     const interval = this.#interval;
     this.#interval = new Map();
--- a/packages/core/src/runtime/tokenBucket.test.ts
+++ b/packages/core/src/runtime/tokenBucket.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import { TokenBucket } from "./tokenBucket.js";
 
-test("a burst is let through, and then so many a second; what was not used is kept up to a burst", () => {
+test("allows a burst, then a fixed rate; unused tokens accumulate up to one burst", () => {
   let now = 0;
   const handle = { stop: () => undefined };
   const clock = { now: () => now, once: () => handle, every: () => handle };
--- a/packages/core/src/runtime/tokenBucket.ts
+++ b/packages/core/src/runtime/tokenBucket.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "./clock.js";
 
-/** A limit on how often something is done: so many times at once, and so many a second in the long run. */
+/** A rate limit: up to `burst` operations at once, and `perSecond` a second on average. */
 export class TokenBucket {
   readonly #clock: Clock;
   readonly #burst: number;
@@ -16,7 +16,7 @@
     this.#filledAt = clock.now();
   }
 
-  /** Takes a token; false where none is left. */
+  /** Takes a token; returns false if none is left. */
   take(): boolean {
     const now = this.#clock.now();
     this.#tokens = Math.min(this.#burst, this.#tokens + ((now - this.#filledAt) / 1000) * this.#perSecond);
