--- a/packages/testkit/src/clients/client.ts
+++ b/packages/testkit/src/clients/client.ts
@@ -2,43 +2,49 @@
 import type { ClientPort, PortConnection, PortReply } from "./clientPort.js";
 import type { History } from "../checker/history.js";
 
+/** What a client needs from the run. */
 interface ClientParts {
   session: string;
   port: ClientPort;
   clock: Clock;
+  /** A random number from 0 up to but not including 1. */
   draw: () => number;
   history: History;
+  /** Edges to which it may connect at present. */
   nodes: () => string[];
 }
 
 /**
- * One caller: holds one long connection, comes back with its last places, publishes under rising numbers and
- * tries a number again until it has a final reply.
+ * A client that holds one long connection, resumes its subscriptions from the last known positions after a reconnect,
+ * and publishes under increasing numbers, each of which it retries until it gets a final reply.
  */
 export class Client {
-  /** A connection that stays silent for so many of its beats is given up. */
+  /** After this many heartbeat intervals without data the client closes the connection. */
   static readonly missedHeartbeats = 3;
 
   readonly session: string;
   readonly #parts: ClientParts;
-  /** Topics asked for and the last place known in each. */
+  /** Requested topics and the last known position in each. */
   readonly #cursors = new Map<string, string | undefined>();
+  /** The last number used on each topic. */
   readonly #numbers = new Map<string, number>();
+  /** The latest pending publish on each topic. */
   readonly #lastPublishes = new Map<string, Promise<boolean>>();
   #connection: PortConnection | undefined;
   #node = "";
   #isOpen = false;
-  #isWanted = false;
+  #isStarted = false;
   #attempt = 0;
   /** Publishes that wait for a connection. */
   #openWaiters: Array<() => void> = [];
-  /** Publishes that wait for a reply over the present connection. */
+  /** Publishes that wait for a reply over the current connection. */
   #disconnectWaiters: Array<() => void> = [];
   #heartbeatIntervalMs = 2000;
   #reconnectTimer: TimerHandle | undefined;
   #heartbeatTimeout: TimerHandle | undefined;
   /** Publishes whose number has no final reply yet. */
   pendingPublishes = 0;
+  /** How many times it scheduled a reconnect. */
   reconnects = 0;
 
   constructor(parts: ClientParts) {
@@ -46,57 +52,61 @@
     this.#parts = parts;
   }
 
-  /** The long connection is open. */
+  /** Whether the long connection is open. */
   get isConnected(): boolean {
     return this.#isOpen;
   }
 
-  /** The node of the present connection, or of the last. */
+  /** The node of the current connection, or of the last one. */
   get node(): string {
     return this.#node;
   }
 
-  /** All topics asked for are confirmed on the present connection. */
+  /** Whether all requested topics are confirmed on the current connection. */
   get isFullySubscribed(): boolean {
     return this.#isOpen && this.#confirmed.size === this.#cursors.size;
   }
 
   readonly #confirmed = new Set<string>();
 
-  /** Connects, and keeps connected with these topics until `stop`. */
+  /** Connects and stays connected with subscriptions to these topics until `stop`. */
   start(topics: readonly string[]): void {
     for (const topic of topics) {
       this.#cursors.set(topic, undefined);
       this.#parts.history.add({ kind: "asked", at: this.#now, subscriber: this.session, topic });
     }
-    this.#isWanted = true;
+    this.#isStarted = true;
     void this.#connect();
   }
 
+  /** The requested topics. */
   get topics(): string[] {
     return [...this.#cursors.keys()];
   }
 
-  /** Drops off without a word, and comes back after a while. */
+  /** Closes the connection without notice and reconnects after `ms` milliseconds. */
   disconnectFor(ms: number): void {
     this.#disconnect(true);
     this.#reconnectAfter(ms);
   }
 
-  /** Closes the connection for good. */
+  /** Closes the connection and does not reconnect. */
   stop(): void {
-    this.#isWanted = false;
+    this.#isStarted = false;
     this.#reconnectTimer?.stop();
     this.#disconnect(true);
   }
 
-  /** Publishes under the topic's next number, after the ones before it are settled; true where it was accepted. */
+  /**
+   * Publishes under the topic's next number once the numbers before it have final replies; resolves with whether it was
+   * accepted.
+   */
   publish(topic: string, payload: string): Promise<boolean> {
     const number = (this.#numbers.get(topic) ?? 0) + 1;
     this.#numbers.set(topic, number);
     this.pendingPublishes += 1;
-    const before = this.#lastPublishes.get(topic) ?? Promise.resolve(true);
-    const done = before
+    const previousPublish = this.#lastPublishes.get(topic) ?? Promise.resolve(true);
+    const done = previousPublish
       .then(() => this.#publishUntilFinal(topic, number, payload))
       .then((isAccepted) => {
         this.pendingPublishes -= 1;
@@ -118,8 +128,8 @@
       const node = this.#node;
       history.add({ kind: "tried", at: this.#now, sender: this.session, topic, number, payload });
       const body = JSON.stringify({ topic, number, payload });
-      const asked = port.call(node, "POST", `/v1/sessions/${this.session}/messages`, body);
-      const reply = await Promise.race([asked, this.#whenDisconnected()]);
+      const replyPromise = port.call(node, "POST", `/v1/sessions/${this.session}/messages`, body);
+      const reply = await Promise.race([replyPromise, this.#whenDisconnected()]);
       const about = { at: this.#now, sender: this.session, topic, number };
       if (reply.status === 200) {
         history.add({ kind: "accepted", ...about, place: String(reply.body["place"]) });
@@ -142,7 +152,8 @@
   }
 
   /**
-   * Settles when the present connection breaks: what was asked over it is asked again on the next, under its number.
+   * Resolves when the current connection breaks, so that its pending publishes are retried on the next one under the
+   * same numbers.
    */
   #whenDisconnected(): Promise<PortReply> {
     return new Promise((resolve) => {
@@ -151,21 +162,21 @@
     });
   }
 
-  #pick(): string {
+  #pickNode(): string {
     const nodes = this.#parts.nodes();
     return nodes[(this.#attempt + Math.floor(this.#parts.draw() * nodes.length)) % nodes.length] ?? "";
   }
 
   async #connect(): Promise<void> {
-    if (!this.#isWanted || this.#connection !== undefined) return;
+    if (!this.#isStarted || this.#connection !== undefined) return;
     const attempt = ++this.#attempt;
-    const node = this.#pick();
+    const node = this.#pickNode();
     const subscriptions = [...this.#cursors].map(([topic, after]) =>
       after === undefined ? { topic } : { topic, after },
     );
     this.#confirmed.clear();
-    const isCurrent = (): boolean => attempt === this.#attempt && this.#isWanted;
-    const got = await this.#parts.port.connection(
+    const isCurrent = (): boolean => attempt === this.#attempt && this.#isStarted;
+    const result = await this.#parts.port.connection(
       node,
       this.session,
       { subscriptions },
@@ -180,9 +191,9 @@
         },
       },
     );
-    if (!isCurrent()) return void ("close" in got && got.close());
-    if ("close" in got) this.#connection = got;
-    else this.#reconnectAfter(Math.min(3000, (got.retryAfterSeconds ?? 0.5) * 1000 + this.#parts.draw() * 100));
+    if (!isCurrent()) return void ("close" in result && result.close());
+    if ("close" in result) this.#connection = result;
+    else this.#reconnectAfter(Math.min(3000, (result.retryAfterSeconds ?? 0.5) * 1000 + this.#parts.draw() * 100));
   }
 
   #handleLine(line: Record<string, unknown>, node: string): void {
@@ -228,7 +239,7 @@
     }
   }
 
-  /** Asks for one topic again on the connection that is there. */
+  /** Subscribes to a topic again on the current connection after a random delay. */
   #resubscribe(topic: string): void {
     const attempt = this.#attempt;
     this.#parts.clock.once(300 + this.#parts.draw() * 700, () => {
@@ -247,7 +258,7 @@
     });
   }
 
-  /** Silence is counted from the last line, whatever it said. */
+  /** Restarts the heartbeat time-out; every received line counts as a heartbeat. */
   #restartHeartbeatTimeout(): void {
     this.#heartbeatTimeout?.stop();
     this.#heartbeatTimeout = this.#parts.clock.once(this.#heartbeatIntervalMs * Client.missedHeartbeats, () =>
@@ -255,7 +266,7 @@
     );
   }
 
-  /** The node has fallen silent. */
+  /** Reconnects immediately after a heartbeat time-out. */
   #onHeartbeatTimeout(): void {
     this.#disconnect();
     this.#reconnectAfter(0);
@@ -272,7 +283,7 @@
   }
 
   #reconnectAfter(ms: number): void {
-    if (!this.#isWanted) return;
+    if (!this.#isStarted) return;
     this.reconnects += 1;
     this.#reconnectTimer?.stop();
     this.#reconnectTimer = this.#parts.clock.once(ms, () => void this.#connect());
--- a/packages/testkit/src/clients/clientPort.ts
+++ b/packages/testkit/src/clients/clientPort.ts
@@ -1,4 +1,4 @@
-/** A node's answer to one request of the HTTP API; status 0 where the connection broke before one came. */
+/** A node's reply to one request of the HTTP API; status 0 if the connection broke before the reply. */
 export interface PortReply {
   status: number;
   body: Record<string, unknown>;
@@ -10,20 +10,21 @@
   close(): void;
 }
 
-/** What a client does with the lines of its long connection, and when the node closes it. */
+/** Callbacks for each line of a long connection and for its end. */
 export interface ConnectionHandlers {
   line(line: Record<string, unknown>): void;
   closed(): void;
 }
 
-/** How a client reaches nodes: over HTTP in a real fleet, through virtual wires in the simulator. */
+/** How a client reaches nodes: over HTTP in a real fleet, over simulated connections in the simulator. */
 export interface ClientPort {
-  /** Opens a connection; resolves with the reply where it was refused. */
+  /** Opens a long connection for a session; resolves with the reply if the node refused it. */
   connection(
     node: string,
     session: string,
     body: object,
     handlers: ConnectionHandlers,
   ): Promise<PortConnection | PortReply>;
+  /** Sends one request. */
   call(node: string, method: string, path: string, body: string | undefined): Promise<PortReply>;
 }
--- a/packages/testkit/src/clients/ephemeralClients.ts
+++ b/packages/testkit/src/clients/ephemeralClients.ts
@@ -7,27 +7,30 @@
 import type { ClientPort } from "./clientPort.js";
 import { PipelinedPublisher } from "./pipelinedPublisher.js";
 
+/** What the clients need from the run. */
 interface EphemeralClientParts {
   port: ClientPort;
   clock: Clock;
   random: SimRandom;
-  /** Edges that callers may come to just now. */
+  /** Edges to which clients may connect at present. */
   edges: () => string[];
   topics: readonly string[];
   readers: number;
   publishers: number;
-  /** Messages a second, of all publishers. */
+  /** Messages a second, of all publishers together. */
   perSecond: number;
 }
 
 /**
- * Callers of a space that keeps nothing: publishers that don't wait for one message before the next, and readers that
- * drop off and come back with their places, mostly at another edge. Judged by rules of their own.
+ * Clients of a space without retention: publishers that do not wait for a reply before the next message, and readers
+ * that disconnect and resume from their positions, mostly at another edge. Separate rules apply to them.
  */
 export class EphemeralClients {
-  /** Messages that are published in one go, so that some are always under way at once. */
-  static readonly burst = 4;
-  static readonly dropMs = 900;
+  /** How many messages are published at once, so that several wait for replies at the same time. */
+  static readonly burstSize = 4;
+  /** How often a random reader disconnects. */
+  static readonly disconnectIntervalMs = 900;
+  /** Longest time until it reconnects. */
   static readonly maxDisconnectedMs = 400;
 
   readonly #parts: EphemeralClientParts;
@@ -35,7 +38,7 @@
   readonly #readers: Client[];
   readonly #senders: Client[];
   readonly #publishers: PipelinedPublisher[];
-  #stops: Array<() => void> = [];
+  #stopActions: Array<() => void> = [];
 
   constructor(parts: EphemeralClientParts) {
     this.#parts = parts;
@@ -46,27 +49,30 @@
     );
   }
 
-  /** Messages that came to readers. */
+  /** Number of deliveries to readers. */
   get received(): number {
     return this.#history.seen.filter(({ kind }) => kind === "received").length;
   }
 
+  /** Connects all clients and starts publishes and disconnects. */
   begin(): void {
     const { clock, random, perSecond, topics } = this.#parts;
     for (const reader of this.#readers) reader.start(topics);
     for (const sender of this.#senders) sender.start([]);
-    const bursts = clock.every((1000 * EphemeralClients.burst) / perSecond, () => this.#publish());
-    const drops = clock.every(EphemeralClients.dropMs, () =>
+    const bursts = clock.every((1000 * EphemeralClients.burstSize) / perSecond, () => this.#publish());
+    const drops = clock.every(EphemeralClients.disconnectIntervalMs, () =>
       random.pick(this.#readers).disconnectFor(random.between(0, EphemeralClients.maxDisconnectedMs)),
     );
-    this.#stops = [() => bursts.stop(), () => drops.stop()];
+    this.#stopActions = [() => bursts.stop(), () => drops.stop()];
   }
 
+  /** Stops everything. */
   end(): void {
-    for (const stop of this.#stops.splice(0)) stop();
+    for (const stop of this.#stopActions.splice(0)) stop();
     for (const client of [...this.#readers, ...this.#senders]) client.stop();
   }
 
+  /** Violations of the rules for topics without retention. */
   check(): Breach[] {
     return checkEphemeralTopics(this.#history.seen);
   }
@@ -74,7 +80,7 @@
   #publish(): void {
     const publisher = this.#parts.random.pick(this.#publishers);
     const topic = this.#parts.random.pick(this.#parts.topics);
-    for (let i = 0; i < EphemeralClients.burst; i += 1) publisher.publish(topic);
+    for (let i = 0; i < EphemeralClients.burstSize; i += 1) publisher.publish(topic);
   }
 
   #clients(kind: string, count: number): Client[] {
--- a/packages/testkit/src/clients/httpPort.ts
+++ b/packages/testkit/src/clients/httpPort.ts
@@ -1,11 +1,12 @@
 import { Agent, request } from "undici";
 import type { ClientPort, ConnectionHandlers, PortConnection, PortReply } from "./clientPort.js";
 
-/** Calls over HTTP/1.1, as a caller of the service makes them. */
+/** Requests and long connections over HTTP/1.1, as real clients make them. */
 export class HttpPort implements ClientPort {
   readonly #addressOf: (node: string) => string;
   readonly #agent = new Agent({ connections: null, bodyTimeout: 0, headersTimeout: 8000, connect: { timeout: 1500 } });
 
+  /** `addressOf` gives the `host:port` of a node. */
   constructor(addressOf: (node: string) => string) {
     this.#addressOf = addressOf;
   }
@@ -16,27 +17,27 @@
     body: object,
     handlers: ConnectionHandlers,
   ): Promise<PortConnection | PortReply> {
-    const giveUp = new AbortController();
+    const abortController = new AbortController();
     try {
       const answer = await request(`http://${this.#addressOf(node)}/v1/sessions/${session}/link`, {
         method: "POST",
         dispatcher: this.#agent,
         body: JSON.stringify(body),
         headers: { "Content-Type": "application/json" },
-        signal: giveUp.signal,
+        signal: abortController.signal,
         headersTimeout: 1500,
       });
       if (answer.statusCode !== 200) return HttpPort.#reply(answer.statusCode, await answer.body.text());
-      let rest = "";
+      let partialLine = "";
       answer.body.setEncoding("utf8");
       answer.body.on("data", (chunk: string) => {
-        const lines = (rest + chunk).split("\n");
-        rest = lines.pop()!;
+        const lines = (partialLine + chunk).split("\n");
+        partialLine = lines.pop()!;
         for (const line of lines) handlers.line(JSON.parse(line) as Record<string, unknown>);
       });
       answer.body.on("error", () => undefined);
       answer.body.on("close", () => handlers.closed());
-      return { close: () => giveUp.abort() };
+      return { close: () => abortController.abort() };
     } catch {
       return { status: 0, body: {}, retryAfterSeconds: 0.3 };
     }
@@ -51,16 +52,17 @@
         headersTimeout: 2500,
       });
       return HttpPort.#reply(answer.statusCode, await answer.body.text());
-    } catch (fault) {
-      const isNeverSent = (fault as { code?: string }).code === "ECONNREFUSED";
+    } catch (error) {
+      const isConnectionRefused = (error as { code?: string }).code === "ECONNREFUSED";
       return {
-        status: isNeverSent ? 503 : 0,
-        body: { error: { code: isNeverSent ? "unreachable" : "broken" } },
+        status: isConnectionRefused ? 503 : 0,
+        body: { error: { code: isConnectionRefused ? "unreachable" : "broken" } },
         retryAfterSeconds: 0.3,
       };
     }
   }
 
+  /** Closes all connections. */
   close(): Promise<void> {
     return this.#agent.destroy();
   }
--- a/packages/testkit/src/commands/capacityCommand.ts
+++ b/packages/testkit/src/commands/capacityCommand.ts
@@ -7,8 +7,8 @@
 /** `capacity`: the capacity page's tables, from the recorded slopes. */
 export function registerCapacity(cli: CAC): void {
   cli
-    .command("capacity", "Print the capacity page's tables, worked out from the slopes on record")
-    .option("--page <file>", "Put them into that page instead")
+    .command("capacity", "Print the capacity page's tables, computed from the recorded slopes")
+    .option("--page <file>", "Write them into this page instead")
     .example("cranetrack-lab capacity --page docs/CAPACITY.md")
     .action((options: { page?: string }) => {
       const slopes = SlopeRecord.read();
--- a/packages/testkit/src/commands/catchUpCommand.ts
+++ b/packages/testkit/src/commands/catchUpCommand.ts
@@ -2,10 +2,10 @@
 import { CatchUp, type Comeback } from "../sim/catchUp.js";
 import { measureJournalGrowth } from "../sim/journalGrowth.js";
 
-/** `catch-up`: how a member of the store comes back after many big changes, in the simulator. */
+/** `catch-up`: measures in the simulator how a member of the store catches up after many big changes. */
 export function registerCatchUp(cli: CAC): void {
   cli
-    .command("catch-up", "Measure how members of the store catch up after many big changes, and what that costs")
+    .command("catch-up", "Measure how members of the store catch up after many big changes, and at what cost")
     .option("--changes <n>", "How many changes", { default: 500 })
     .option("--routes <n>", "Routes in each configuration", { default: 0 })
     .option("--document <bytes>", "Bytes of the operators' document", { default: 262_144 })
--- a/packages/testkit/src/commands/commands.test.ts
+++ b/packages/testkit/src/commands/commands.test.ts
@@ -9,7 +9,7 @@
   return { status, out: stdout, errors: stderr };
 }
 
-describe("a name that stands for nothing", () => {
+describe("an unknown name", () => {
   const cases: ReadonlyArray<readonly [args: string[], nearest: string, another: string]> = [
     [["mutnats"], 'no command "mutnats"; did you mean "mutants"?', "explore"],
     [["fleet", "adwn"], 'no deployment "adwn"; did you mean "adwen"?', "reefline"],
@@ -32,14 +32,14 @@
 });
 
 describe("the command line", () => {
-  it("takes the old name of mutants, and names the new one on one line", () => {
+  it("accepts the old name of mutants and prints the new one on one line", () => {
     const { status, errors } = run("sabotage", "--only", "no guard is called this");
     const lines = errors.trim().split("\n");
     expect(lines[0]).toEqual("cranetrack-lab sabotage is now called cranetrack-lab mutants");
     expect([status, lines.length]).toEqual([2, 2]);
   });
 
-  it("prints its commands and exits 2 where none is given", () => {
+  it("prints its commands and exits 2 if none is given", () => {
     const { status, out } = run();
     expect([status, out.includes("mutants"), out.includes("sabotage")]).toEqual([2, true, false]);
   });
@@ -53,7 +53,7 @@
 });
 
 describe("the nearest name", () => {
-  it("is the one that takes the fewest edits, the first of several", () => {
+  it("is the one with the smallest edit distance, the first of several", () => {
     expect(nearestName("kil", ["wipe", "kill", "kilt"])).toEqual("kill");
     expect(nearestName("x", [])).toEqual(undefined);
   });
--- a/packages/testkit/src/commands/costCommand.ts
+++ b/packages/testkit/src/commands/costCommand.ts
@@ -5,9 +5,9 @@
 export function registerCost(cli: CAC): void {
   cli
     .command("cost", "Measure what processes cost one another: an idle fleet, and small calls")
-    .option("--edges <list>", "Idle fleets with so many edges, parted by commas", { default: "6,54" })
+    .option("--edges <list>", "Idle fleets with these numbers of edges, separated by commas", { default: "6,54" })
     .option("--calls <n>", "How many calls", { default: 20_000 })
-    .option("--json", "Only JSON")
+    .option("--json", "Print only JSON")
     .example("cranetrack-lab cost --edges 6 --calls 5000")
     .action(async (options: { edges: string | number; calls: number; json?: boolean }) => {
       const calls = [await Cost.calls(options.calls, 1), await Cost.calls(options.calls, 50)];
--- a/packages/testkit/src/commands/fleetCommand.ts
+++ b/packages/testkit/src/commands/fleetCommand.ts
@@ -3,10 +3,10 @@
 import { Fleet } from "../fleet/fleet.js";
 import { folderOf, settingsOf, type FleetOptions } from "./sharedOptions.js";
 
-/** `fleet`: all processes of a deployment, left running for whoever wants to look or to try something. */
+/** `fleet`: runs all processes of a deployment until interrupted, for manual inspection and trials. */
 export function registerFleet(cli: CAC): void {
   cli
-    .command("fleet <deployment>", "Start a whole fleet on this machine and keep it until interrupted")
+    .command("fleet <deployment>", "Start a whole fleet on this machine and run it until interrupted")
     .option("--folder <folder>", "Where settings, data and logs go")
     .example("cranetrack-lab fleet small --folder /tmp/cranetrack-fleet")
     .action(async (name: string, options: FleetOptions) => {
--- a/packages/testkit/src/commands/runUnderLoad.ts
+++ b/packages/testkit/src/commands/runUnderLoad.ts
@@ -5,12 +5,13 @@
 
 /** Options of `load` and `drill`. */
 export interface LoadOptions extends FleetOptions {
+  /** Share of the deployment's load. */
   share: number;
 }
 
 /**
- * A fleet under load, what happens to it meanwhile, and the clients' verdict: exit code 0 where `meanwhile` was good,
- * no rule was broken and no process fell by itself.
+ * Starts a fleet under load, runs `meanwhile`, checks the clients' history and prints the report as JSON. Exit code 0
+ * if `meanwhile` was good, no rule was broken and no process exited unexpectedly.
  */
 export async function runUnderLoad(
   name: string,
@@ -22,16 +23,16 @@
   const load = new Load(fleet);
   try {
     await fleet.start();
-    await fleet.held();
-    await load.begin(Math.min(1, options.share));
-    load.play(options.share);
+    await fleet.waitForShardLeaders();
+    await load.connectClients(Math.min(1, options.share));
+    load.startTraffic(options.share);
     const { isGood, ...more } = await meanwhile(fleet, load);
     const leasesLost = await fleet.leasesLost();
-    const report = await load.end();
-    const whole = { ...report, breaches: report.breaches.length, fallen: fleet.fallen, leasesLost, ...more };
+    const report = await load.finish();
+    const whole = { ...report, breaches: report.breaches.length, fallen: fleet.unexpectedExits, leasesLost, ...more };
     process.stdout.write(`${JSON.stringify(whole, null, 2)}\n`);
     for (const breach of report.breaches.slice(0, 20)) process.stdout.write(`${breach.rule}: ${breach.text}\n`);
-    process.exitCode = isGood && report.breaches.length === 0 && fleet.fallen.length === 0 ? 0 : 1;
+    process.exitCode = isGood && report.breaches.length === 0 && fleet.unexpectedExits.length === 0 ? 0 : 1;
   } finally {
     load.halt();
     await fleet.stop();
--- a/packages/testkit/src/commands/sharedOptions.ts
+++ b/packages/testkit/src/commands/sharedOptions.ts
@@ -3,23 +3,24 @@
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 
-/** The program itself, for commands that run parts of their work in processes of their own. */
+/** The path of this program, for commands that run part of their work in child processes. */
 export const programPath = fileURLToPath(new URL("../cranetrack-lab.js", import.meta.url));
 
 /** Options of all commands that start a fleet of real processes. */
 export interface FleetOptions {
+  /** Where settings, data and logs go. */
   folder?: string;
-  /** As `--set` gives them: `key=number` parted by commas. */
+  /** Settings as `--set` takes them: `key=number`, separated by commas. */
   set?: string;
 }
 
-/** What `--set` says, by key. */
+/** Parses the value of `--set` into numbers by key. */
 export function settingsOf(list: string | undefined): Record<string, number> {
   const pairs = (list ?? "").split(",").filter((part) => part !== "");
   return Object.fromEntries(pairs.map((pair) => [pair.split("=")[0]!, Number(pair.split("=")[1])]));
 }
 
-/** The folder asked for, or a new temporary one. */
+/** The given folder, or a new temporary one. */
 export function folderOf(named: string | undefined): string {
   return named ?? mkdtempSync(join(tmpdir(), "cranetrack-"));
 }
--- a/packages/testkit/src/commands/simCommand.ts
+++ b/packages/testkit/src/commands/simCommand.ts
@@ -22,16 +22,16 @@
   return `seed ${seed}: ${isGood ? "good" : "BREACH"}  ${figures}  ${trace.slice(0, 12)}\n${broken.join("")}${caused}`;
 }
 
-/** `sim`: seeded faults in the deterministic simulator; a seed gives the same trace each time. */
+/** `sim`: runs seeded faults in the deterministic simulator; a seed gives the same trace each time. */
 export function registerSim(cli: CAC): void {
   cli
     .command("sim", "Run seeded failure scenarios in the simulator")
     .option("--from <seed>", "First seed", { default: 1 })
     .option("--seeds <n>", "How many seeds", { default: 20 })
-    .option("--faults <list>", "Only these faults, parted by commas")
-    .option("--ms <n>", "How long faults rage, in virtual milliseconds", { default: 25_000 })
-    .option("--at-once <n>", "How many at a time", { default: 1 })
-    .option("--json", "A line of JSON for each seed")
+    .option("--faults <list>", "Only these faults, separated by commas")
+    .option("--ms <n>", "How long faults are injected, in virtual milliseconds", { default: 25_000 })
+    .option("--at-once <n>", "How many seeds to run at once", { default: 1 })
+    .option("--json", "Print a line of JSON for each seed")
     .example("cranetrack-lab sim --seeds 50 --faults kill,wipe")
     .action(async (options: SimOptions) => {
       const faults = knownNames("fault", options.faults, Faults.all);
--- a/packages/testkit/src/commands/slopeCommand.ts
+++ b/packages/testkit/src/commands/slopeCommand.ts
@@ -2,13 +2,13 @@
 import { Slopes } from "../capacity/slopes.js";
 import { SlopeRecord } from "../slopes/slopeRecord.js";
 
-/** `slope`: measures one of the slopes that the capacity page rests on. */
+/** `slope`: measures one of the slopes from which the capacity page is computed. */
 export function registerSlope(cli: CAC): void {
   cli
     .command("slope <name>", "Measure one slope of the capacity page, at several sizes")
-    .option("--sizes <list>", "Other sizes, parted by commas")
-    .option("--only <size>", "Print what one size costs, and nothing else")
-    .option("--record", "Keep it: the page's figures follow from what is kept")
+    .option("--sizes <list>", "Other sizes, separated by commas")
+    .option("--only <size>", "Print only the cost of one size")
+    .option("--record", "Record the result; the page is computed from recorded results")
     .example("cranetrack-lab slope feed --sizes 800,1600")
     .action(async (name: string, options: { sizes?: string | number; only?: number; record?: boolean }) => {
       if (options.only !== undefined) {
--- a/packages/testkit/src/commands/soakCommand.ts
+++ b/packages/testkit/src/commands/soakCommand.ts
@@ -14,7 +14,7 @@
   share: number;
 }
 
-/** Deployments of this name are played with the programs of the deploy file. */
+/** Deployments with this prefix are run with the programs of the deploy file. */
 const platformPrefix = "platform-";
 
 async function soakOnce(name: string, seed: number, options: SoakOptions): Promise<SoakReport> {
@@ -25,7 +25,7 @@
   const soak = new Soak(fleet, seed);
   try {
     await fleet.start();
-    await fleet.held();
+    await fleet.waitForShardLeaders();
     return await soak.run(options.seconds, options.profile);
   } finally {
     soak.halt();
@@ -34,7 +34,7 @@
 }
 
 function printReport({ breaches, faults, ...figures }: SoakReport): void {
-  // Scripts read this line: its keys stay as they were first printed.
+  // Scripts parse this line, so its keys must not change.
   process.stdout.write(`${JSON.stringify({ ...figures, troubles: faults.length, breaches: breaches.length })}\n`);
   for (const { rule, text } of breaches.slice(0, 10)) process.stdout.write(`  ${rule}: ${text}\n`);
   if (breaches.length > 0)
@@ -46,31 +46,38 @@
   return runPlatformSoaks(name, { from, seeds, seconds, share });
 }
 
-async function soakProduct(name: string, options: SoakOptions): Promise<number> {
+async function soakFleet(name: string, options: SoakOptions): Promise<number> {
   knownName("profile", options.profile, ["any", "disks"]);
-  let failed = 0;
+  let failedSeeds = 0;
   for (let seed = options.from; seed < options.from + options.seeds; seed += 1) {
     const report = await soakOnce(name, seed, options);
-    if (report.breaches.length > 0) failed += 1;
+    if (report.breaches.length > 0) failedSeeds += 1;
     printReport(report);
   }
-  return failed;
+  return failedSeeds;
 }
 
-/** `soak`: random faults of real processes that overlap, a fleet and a history for each seed. */
+/** `soak`: injects overlapping random faults into real processes, with a new fleet and history for each seed. */
 export function registerSoak(cli: CAC): void {
   cli
-    .command("soak <deployment>", "Real processes under random faults that overlap, checked, one seed after the other")
-    .option("--seconds <n>", "How long faults go on for a seed", { default: 60 })
+    .command(
+      "soak <deployment>",
+      "Run real processes under overlapping random faults and check them, one seed after the other",
+    )
+    .option("--seconds <n>", "How long faults are injected for each seed", { default: 60 })
     .option("--from <seed>", "First seed", { default: 1 })
     .option("--seeds <n>", "How many seeds", { default: 5 })
-    .option("--profile <name>", "any, or disks: one disk lost after the other as soon as users may", { default: "any" })
-    .option("--share <share>", "Of each machine's processor, for platform-control and platform-grown", { default: 1 })
+    .option("--profile <name>", "any, or disks: one disk lost after the other at the users' shortest interval", {
+      default: "any",
+    })
+    .option("--share <share>", "Processor share of each machine, for platform-control and platform-grown", {
+      default: 1,
+    })
     .option("--folder <folder>", "Where settings, data and logs go")
     .example("cranetrack-lab soak control --seconds 30 --seeds 2")
     .example("cranetrack-lab soak platform-control --share 0.5 --seeds 2")
     .action(async (name: string, options: SoakOptions) => {
-      const soak = name.startsWith(platformPrefix) ? soakPlatform : soakProduct;
+      const soak = name.startsWith(platformPrefix) ? soakPlatform : soakFleet;
       const failed = await soak(name, options);
       process.stdout.write(`${options.seeds - failed} passed, ${failed} failed\n`);
       process.exitCode = failed === 0 ? 0 : 1;
--- a/packages/testkit/src/cranetrack-lab.ts
+++ b/packages/testkit/src/cranetrack-lab.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * The test kit's program: one command each for a running fleet, load, chaos drills, soaks, the simulator, the model
- * checker, measurements and mutation testing. Exit codes: 0 good, 1 something was broken, 2 the command line is wrong.
+ * The test kit's program, with commands for running a fleet, load, chaos drills, soaks, the simulator, the model
+ * checker, measurements and mutation testing. Exit codes: 0 passed, 1 a check failed, 2 the command line is wrong.
  */
 import { cac } from "cac";
 import { registerCapacity } from "./commands/capacityCommand.js";
@@ -17,7 +17,7 @@
 import { registerSoak } from "./commands/soakCommand.js";
 import { UnknownNameError } from "./names/knownName.js";
 
-/** Earlier names of commands, still taken. */
+/** Former names of commands, still accepted. */
 const renamedCommands: Readonly<Record<string, string>> = { sabotage: "mutants" };
 
 const args = [...process.argv];
@@ -28,7 +28,7 @@
 }
 
 const cli = cac("cranetrack-lab");
-cli.option("--set <list>", "Settings for all members, as key=number parted by commas");
+cli.option("--set <list>", "Settings for all members, as key=number separated by commas");
 const registrations = [registerFleet, registerLoad, registerDrill, registerSoak, registerSim, registerExplore];
 const measurements = [registerCatchUp, registerCost, registerSlope, registerCapacity, registerMutants];
 for (const register of [...registrations, ...measurements]) register(cli);
--- a/packages/testkit/src/fleet/chaosDrill.ts
+++ b/packages/testkit/src/fleet/chaosDrill.ts
@@ -4,17 +4,19 @@
 import type { Load } from "./load.js";
 import type { Probe } from "./probe.js";
 
-/** One fault that was caused. Times are milliseconds of the load's clock. */
+/** One injected fault. Times are milliseconds of the load's clock. */
 export interface ChaosDrillStep {
   what: string;
-  /** When it was caused, and when service was back. */
+  /** When it was injected, and when service had recovered. */
   from: number;
   to: number;
+  /** From the machines' return until every node was ready. */
   readyMs: number;
-  /** From the machines' return until a message of every caller had reached its readers. */
+  /** From the machines' return until a message of every client had reached its readers. */
   backMs: number;
 }
-/** Deliveries while a step lasted, in milliseconds from the first attempt to the reader. */
+
+/** Delivery delays during a step, in milliseconds from the first publish attempt to the reader. */
 export interface StepDelays {
   what: string;
   backMs: number;
@@ -24,13 +26,16 @@
   max: number;
   above2000: number;
 }
+
 type Target = (typeof ChaosDrill.targets)[number];
 
-/** Causes failures on a real fleet under load, one after the other, and measures how long service takes to be back. */
+/** Injects one fault after the other into a real fleet under load and measures how long service takes to recover. */
 export class ChaosDrill {
-  static readonly backMs = 12_000;
-  /** On what kind of machine a fault is caused; also the words of `--targets`. */
+  /** How long recovery from a fault may take. */
+  static readonly maxRecoveryMs = 12_000;
+  /** The kinds of machines into which a fault is injected; also the values of `--targets`. */
   static readonly targets = ["edge", "holder", "proposer"] as const;
+  /** All drills; also the values of `--only`. */
   static readonly names = [
     "kill",
     "freeze",
@@ -47,35 +52,38 @@
   ];
   readonly #fleet: Fleet;
   readonly #load: Load;
-  readonly #say: (step: ChaosDrillStep) => void;
+  readonly #report: (step: ChaosDrillStep) => void;
+  /** The steps that are over. */
   readonly steps: ChaosDrillStep[] = [];
 
-  constructor(fleet: Fleet, load: Load, say: (step: ChaosDrillStep) => void = () => undefined) {
-    this.#say = say;
+  constructor(fleet: Fleet, load: Load, report: (step: ChaosDrillStep) => void = () => undefined) {
+    this.#report = report;
     this.#fleet = fleet;
     this.#load = load;
   }
 
   /**
-   * The named drills; the first four on an edge, on a machine that holds shards, and on the control node that proposes.
+   * Runs the named drills. Drills on single machines run once for each target: an edge, a machine that leads shards,
+   * and the control node that leads the control group. Throws on an unknown name.
    */
   async run(names: readonly string[], targets: readonly Target[] = ChaosDrill.targets): Promise<void> {
-    const each = async (inject: (name: string, target: Target) => Promise<void>): Promise<void> => {
-      for (const target of targets) await inject(await this.#find(target), target);
+    const injectOnEachTarget = async (inject: (name: string, target: Target) => Promise<void>): Promise<void> => {
+      for (const target of targets) await inject(await this.#findTarget(target), target);
     };
     const drills: Record<string, () => Promise<void>> = {
-      kill: () => each((name, target) => this.kill([name], target)),
-      freeze: () => each((name, target) => this.freeze(name, 5000, target)),
-      cut: () => each((name, target) => this.cut(name, 5000, target)),
-      slow: () => each((name, target) => this.slow(name, 5000, target)),
-      cycle: () => each((name, target) => this.cycle(name, target)),
-      reset: () => this.#cause("nearly all links reset", async () => this.#load.resetAll()),
-      move: () => this.#cause("everybody comes to one zone", async () => this.#load.moveAll()),
-      wipe: () => each((name, target) => (target === "edge" ? Promise.resolve() : this.wipe(name, target))),
+      kill: () => injectOnEachTarget((name, target) => this.kill([name], target)),
+      freeze: () => injectOnEachTarget((name, target) => this.freeze(name, 5000, target)),
+      cut: () => injectOnEachTarget((name, target) => this.cut(name, 5000, target)),
+      slow: () => injectOnEachTarget((name, target) => this.slow(name, 5000, target)),
+      cycle: () => injectOnEachTarget((name, target) => this.terminate(name, target)),
+      reset: () => this.#injectAndMeasure("nearly all links reset", async () => this.#load.resetAll()),
+      move: () => this.#injectAndMeasure("everybody comes to one zone", async () => this.#load.moveAll()),
+      wipe: () =>
+        injectOnEachTarget((name, target) => (target === "edge" ? Promise.resolve() : this.wipe(name, target))),
       zone: () => this.zone(),
       settings: () => this.settings(),
       changeConfiguration: () =>
-        this.#cause("five plans at once, one stale, one broken", () => this.#load.changeConfiguration()),
+        this.#injectAndMeasure("five plans at once, one stale, one broken", () => this.#load.changeConfiguration()),
       blackout: () => this.kill(this.#fleet.names, "everything"),
     };
     for (const name of names) {
@@ -85,74 +93,74 @@
     }
   }
 
-  /** kill -9, then started again. */
+  /** Sends SIGKILL to the processes and starts them again. */
   kill(names: readonly string[], what: string): Promise<void> {
-    return this.#cause(`SIGKILL ${what}`, async () => {
-      await Promise.all(names.map((name) => this.#fleet.end(name, "SIGKILL")));
+    return this.#injectAndMeasure(`SIGKILL ${what}`, async () => {
+      await Promise.all(names.map((name) => this.#fleet.endProcess(name, "SIGKILL")));
       await this.#wait(names.length > 1 ? 500 : 4000);
       for (const name of names) this.#fleet.launch(name);
     });
   }
 
-  /** Politely, and forcibly six seconds later. */
-  cycle(name: string, what: string): Promise<void> {
-    return this.#cause(`SIGTERM ${what}`, async () => {
-      if (!(await this.#fleet.cycle(name))) throw new Error(`${name} had to be killed after SIGTERM`);
+  /** Sends SIGTERM to the process and starts it again; throws if SIGTERM did not suffice. */
+  terminate(name: string, what: string): Promise<void> {
+    return this.#injectAndMeasure(`SIGTERM ${what}`, async () => {
+      if (!(await this.#fleet.terminate(name))) throw new Error(`${name} had to be killed after SIGTERM`);
       this.#fleet.launch(name);
     });
   }
 
-  /** Frozen past every lease, then let go on. */
+  /** Stops the process for longer than every lease lasts, then continues it. */
   freeze(name: string, ms: number, what: string): Promise<void> {
-    return this.#cause(`SIGSTOP ${what}`, async () => {
+    return this.#injectAndMeasure(`SIGSTOP ${what}`, async () => {
       this.#fleet.signal(name, "SIGSTOP");
       await this.#wait(ms);
       this.#fleet.signal(name, "SIGCONT");
     });
   }
 
-  /** The cable of a relayed machine is pulled out, then put back: nothing that others send reaches it. */
+  /** Drops all data on connections that others opened to a relayed machine for a while, then closes them. */
   cut(name: string, ms: number, what: string): Promise<void> {
-    return this.#cause(`cut ${what}`, async () => {
-      this.#fleet.wire(name).set("silent");
+    return this.#injectAndMeasure(`cut ${what}`, async () => {
+      this.#fleet.relayOf(name).setMode("silent");
       await this.#wait(ms);
-      this.#fleet.wire(name).set("reset");
-      this.#fleet.wire(name).set("open");
+      this.#fleet.relayOf(name).setMode("reset");
+      this.#fleet.relayOf(name).setMode("open");
     });
   }
 
-  /** Whatever reaches a relayed machine comes 250 ms late. */
+  /** Delays all data on connections that others opened to a relayed machine by 250 ms for a while. */
   slow(name: string, ms: number, what: string): Promise<void> {
-    return this.#cause(`slow ${what}`, async () => {
-      this.#fleet.wire(name).set("open", 250);
+    return this.#injectAndMeasure(`slow ${what}`, async () => {
+      this.#fleet.relayOf(name).setMode("open", 250);
       await this.#wait(ms);
-      this.#fleet.wire(name).set("open");
+      this.#fleet.relayOf(name).setMode("open");
     });
   }
 
-  /** SIGKILL and an empty data folder: the replica must be repaired from others. */
+  /** Sends SIGKILL and deletes the data folder, so that the replica must be repaired from others. */
   wipe(name: string, what: string): Promise<void> {
-    return this.#cause(`disk of ${what} lost`, async () => {
-      await this.#fleet.end(name, "SIGKILL");
+    return this.#injectAndMeasure(`disk of ${what} lost`, async () => {
+      await this.#fleet.endProcess(name, "SIGKILL");
       this.#fleet.wipe(name);
       this.#fleet.launch(name);
     });
   }
 
-  /** All machines of one zone lose power for a while. */
+  /** Kills all processes of one zone and starts them again after 4 s. */
   zone(): Promise<void> {
     const zone = this.#fleet.zoneOf("anvil-3");
     const names = this.#fleet.names.filter((name) => this.#fleet.zoneOf(name) === zone);
-    return this.#cause("SIGKILL a zone", async () => {
-      await Promise.all(names.map((name) => this.#fleet.end(name, "SIGKILL")));
+    return this.#injectAndMeasure("SIGKILL a zone", async () => {
+      await Promise.all(names.map((name) => this.#fleet.endProcess(name, "SIGKILL")));
       await this.#wait(4000);
       for (const name of names) this.#fleet.launch(name);
     });
   }
 
-  /** Every node's settings file changes, half of them with a signal; then it is as it was. */
+  /** Changes every node's settings file, signals half of the nodes, and changes the files back. */
   settings(): Promise<void> {
-    return this.#cause("settings changed", async () => {
+    return this.#injectAndMeasure("settings changed", async () => {
       this.#fleet.names.forEach((name, i) => {
         this.#fleet.changeSettings(name, { mostLinks: 1900 });
         if (i % 2 === 0) this.#fleet.signal(name, "SIGHUP");
@@ -162,7 +170,7 @@
     });
   }
 
-  /** What readers waited during each step, from its cause until service was back. */
+  /** The delivery delays during each step, from the fault until service had recovered. */
   delays(seen: readonly Seen[]): StepDelays[] {
     const deliveries = Lateness.deliveries(seen);
     return this.steps.map(({ what, from, to, backMs }) => {
@@ -171,17 +179,17 @@
     });
   }
 
-  async #find(target: Target): Promise<string> {
-    const most = (names: readonly string[], counted: readonly string[]): string => {
+  async #findTarget(target: Target): Promise<string> {
+    const withHighestCount = (names: readonly string[], counted: readonly string[]): string => {
       const count = (name: string): number => counted.filter((one) => one === name).length;
       return names.reduce((best, name) => (count(name) > count(best) ? name : best));
     };
     if (target === "edge")
-      return most(
+      return withHighestCount(
         this.#fleet.withRole("vise"),
         this.#load.clients.map((client) => client.node),
       );
-    if (target === "holder") return most(this.#fleet.withRole("anvil"), await this.#fleet.leaders());
+    if (target === "holder") return withHighestCount(this.#fleet.withRole("anvil"), await this.#fleet.shardLeaders());
     for (;;) {
       for (const name of this.#fleet.withRole("lathe")) {
         const { body } = await this.#fleet.call(name, "GET", "/v1/status");
@@ -191,10 +199,10 @@
     }
   }
 
-  /** Causes it, and waits until every node is ready and a message of every caller has reached its readers. */
-  async #cause(what: string, inject: () => Promise<void>): Promise<void> {
+  /** Injects a fault, then waits until every node is ready and a message of every client has reached its readers. */
+  async #injectAndMeasure(what: string, inject: () => Promise<void>): Promise<void> {
     const from = this.#load.now;
-    this.#load.isCalm = true;
+    this.#load.isDisconnectPaused = true;
     await inject();
     const returnedAt = this.#load.now;
     let probe: Probe | undefined;
@@ -202,13 +210,13 @@
       if (this.#load.clients.every((client) => client.isFullySubscribed)) probe ??= this.#load.probe();
       return probe?.isBack === true;
     };
-    const ready = this.#fleet.ready().then((ms) => Math.round(ms));
+    const ready = this.#fleet.waitUntilReady().then((ms) => Math.round(ms));
     while (!isBack() && this.#load.now - returnedAt < 30_000) await this.#wait(20);
     const to = this.#load.now;
     const step = { what, from, to, readyMs: await ready, backMs: Math.round(to - returnedAt) };
     this.steps.push(step);
-    this.#say(step);
-    this.#load.isCalm = false;
+    this.#report(step);
+    this.#load.isDisconnectPaused = false;
     await this.#wait(1500);
   }
 
--- a/packages/testkit/src/fleet/deployments.ts
+++ b/packages/testkit/src/fleet/deployments.ts
@@ -2,38 +2,42 @@
 import type { Settings } from "@cranetrack/core/runtime/settings.js";
 import type { Configuration } from "@cranetrack/core/configuration/configuration.js";
 
-/** One machine of a fleet. Its name decides placement. */
+/** One machine of a fleet. Its name decides which shards and replicas it gets. */
 export interface Machine {
   name: string;
   role: "lathe" | "anvil" | "vise";
   zone: string;
-  /** Settings of its own. */
+  /** Settings of this machine alone. */
   settings?: Partial<Settings>;
 }
+
 /** A fleet and its load, modelled on one of the users' deployments. */
 export interface Deployment {
   name: string;
   zones: string[];
   edges: number;
   connections: number;
-  /** The topics anybody publishes on, and how many a caller reads. */
+  /** Topics on which every client publishes; `reads` is how many of them a client subscribes to. */
   shared: { space: string; topics: number; perSecond: number; reads: number };
-  /** The topics a few senders publish on. */
+  /** Topics on which only the first `senders` clients publish. */
   broadcast: { space: string; topics: number; perSecond: number; reads: number; senders: number };
-  /** Topics of a space that keeps nothing, whose senders don't wait for one message before the next. */
-  passing?: PassingTopics;
-  /** Control nodes that keep the topic logs too, in place of control nodes and storage machines. */
+  /** Topics of a space without retention, whose senders publish without waiting for replies. */
+  ephemeral?: EphemeralTopics;
+  /** Number of control nodes that also store the topic logs; they replace control nodes and storage machines. */
   storingControlNodes?: number;
 }
-export interface PassingTopics {
+
+/** Topics without retention, and their clients. */
+export interface EphemeralTopics {
   space: string;
   topics: number;
+  /** Messages a second, of all senders together. */
   perSecond: number;
   senders: number;
   readers: number;
 }
 
-/** The two deployments of today, as the users describe them. */
+/** The users' two current deployments as they describe them, and two small ones for tests. */
 const deployments: Record<string, Deployment> = {
   reefline: {
     name: "reefline",
@@ -59,7 +63,7 @@
     shared: { space: "notes", topics: 20, perSecond: 30, reads: 4 },
     broadcast: { space: "notices", topics: 2, perSecond: 5, reads: 2, senders: 1 },
   },
-  /** Control and storage on the same three machines, as on the users' control sites. */
+  /** Control nodes that also store topic logs on three machines, as on the users' control sites. */
   control: {
     name: "control",
     zones: ["north", "south", "west"],
@@ -67,13 +71,13 @@
     connections: 24,
     shared: { space: "notes", topics: 24, perSecond: 40, reads: 4 },
     broadcast: { space: "notices", topics: 2, perSecond: 5, reads: 2, senders: 1 },
-    passing: { space: "passing", topics: 4, perSecond: 40, senders: 3, readers: 6 },
+    ephemeral: { space: "passing", topics: 4, perSecond: 40, senders: 3, readers: 6 },
     storingControlNodes: 3,
   },
 };
 
-/** Of machines that are both: a repair is over in the users' time between two losses of a disk. */
-const storing: Partial<Settings> = {
+/** Settings of control nodes that also store: a repair completes within the users' time between two disk losses. */
+const storingControlNodeSettings: Partial<Settings> = {
   stores: true,
   shards: 12,
   disk: "journal",
@@ -85,27 +89,32 @@
 export const Deployments = {
   names: Object.keys(deployments),
 
-  /** By its name; `UnknownNameError` where there is none. */
+  /** Finds a deployment by its name; throws `UnknownNameError` if there is none. */
   find(name: string): Deployment {
     return deployments[knownName("deployment", name, Deployments.names)]!;
   },
 
+  /** The machines of a deployment, spread over its zones. */
   machines({ zones, edges, name, storingControlNodes }: Deployment): Machine[] {
     const zoneOf = (i: number): string => zones[i % zones.length]!;
     const make = (role: Machine["role"], count: number): Machine[] =>
       Array.from({ length: count }, (_, i) => ({ name: `${role}-${i + 1}`, role, zone: zoneOf(i) }));
     if (storingControlNodes !== undefined) {
-      const controlNodes = make("lathe", storingControlNodes).map((machine) => ({ ...machine, settings: storing }));
+      const controlNodes = make("lathe", storingControlNodes).map((machine) => ({
+        ...machine,
+        settings: storingControlNodeSettings,
+      }));
       const edgeMachines = make("vise", edges).map((machine) => ({ ...machine, settings: { shards: 12 } }));
       return [...controlNodes, ...edgeMachines];
     }
     return [...make("lathe", name === "small" ? 3 : 5), ...make("anvil", 3), ...make("vise", edges)];
   },
 
-  configuration({ shared, broadcast, passing }: Deployment, version: number): Configuration {
-    const passingContract = { keep: 0, order: "sender" as const, fault_budget: {} };
-    const passingSpaces =
-      passing === undefined ? [] : [{ name: passing.space, program: [{ when: {}, contract: passingContract }] }];
+  /** A deployment's configuration under a version. */
+  configuration({ shared, broadcast, ephemeral }: Deployment, version: number): Configuration {
+    const ephemeralContract = { keep: 0, order: "sender" as const, fault_budget: {} };
+    const ephemeralSpaces =
+      ephemeral === undefined ? [] : [{ name: ephemeral.space, program: [{ when: {}, contract: ephemeralContract }] }];
     const senders = Array.from({ length: broadcast.senders }, (_, i) => `sender-${i + 1}`);
     return {
       version,
@@ -131,7 +140,7 @@
             },
           ],
         },
-        ...passingSpaces,
+        ...ephemeralSpaces,
       ],
     };
   },
--- a/packages/testkit/src/fleet/fleet.test.ts
+++ b/packages/testkit/src/fleet/fleet.test.ts
@@ -24,7 +24,7 @@
   out: string;
   err: string;
 }
-/** Without stopping this process, through which the fleet's wires run. */
+/** Runs a program asynchronously: the fleet's relays run in this process and must not be blocked. */
 const run = (program: string, ...args: string[]): Promise<Ran> =>
   new Promise((resolve) => {
     const child = spawn(process.execPath, [programOf(program), ...args], { timeout: 60_000 });
@@ -36,12 +36,12 @@
 
 before(async () => {
   await fleet.start();
-  await fleet.held();
+  await fleet.waitForShardLeaders();
 });
 
 after(() => fleet.stop());
 
-test("bad settings and flags end a program with exit 2 and a line a problem; a foreign folder with 3", async () => {
+test("bad settings and flags: exit 2 and one line per problem; a foreign data folder: exit 3", async () => {
   const bad = join(folder, "bad.json");
   writeFileSync(
     bad,
@@ -86,111 +86,104 @@
   expect(ran.err).toEqual(expect.includes("cannot be used"));
 });
 
-test(
-  "callers' and operators' bad input gets a 4xx in the one shape that names the field, on " +
-    "any node, and nothing falls",
-  async () => {
-    const load = new Load(fleet);
-    await load.proposeConfiguration(Deployments.configuration(fleet.deployment, 1));
-    const [edge, other] = fleet.withRole("vise") as [string, string];
-    const lines: Array<Record<string, unknown>> = [];
-    let isOpen = false;
-    // An edge that loses its lease on a busy machine closes its connections: the guest comes back, as any client does.
-    const connect = async (): ReturnType<typeof fleet.port.connection> => {
-      let isClosed = false;
-      const opened = await fleet.port.connection(
-        edge,
-        "guest",
-        { subscriptions: [{ topic: "notes/t1" }] },
-        {
-          line: (line) => {
-            lines.push(line);
-            isOpen ||= line["kind"] === "confirmed";
-          },
-          closed: () => {
-            isClosed = true;
-          },
+test("bad input of clients and operators gets a 4xx reply with an error code, and no process exits", async () => {
+  const load = new Load(fleet);
+  await load.proposeConfiguration(Deployments.configuration(fleet.deployment, 1));
+  const [edge, other] = fleet.withRole("vise") as [string, string];
+  const lines: Array<Record<string, unknown>> = [];
+  let isOpen = false;
+  // On a busy machine an edge may lose its lease and close its connections; the guest then reconnects.
+  const connect = async (): ReturnType<typeof fleet.clientPort.connection> => {
+    let isClosed = false;
+    const opened = await fleet.clientPort.connection(
+      edge,
+      "guest",
+      { subscriptions: [{ topic: "notes/t1" }] },
+      {
+        line: (line) => {
+          lines.push(line);
+          isOpen ||= line["kind"] === "confirmed";
         },
-      );
-      expect("close" in opened).toEqual(true);
-      while (!isOpen && !isClosed) await fleet.call(edge, "GET", "/healthz");
-      return opened;
-    };
-    let connection = await connect();
-    while (!isOpen) connection = await connect();
-    const publish = (body: string, node = edge, session = "guest"): Promise<PortReply> =>
-      fleet.call(node, "POST", `/v1/sessions/${session}/messages`, body);
-    const message = { topic: "notes/t1", number: 1, payload: "x" };
-    const whole = JSON.stringify(message);
-    const cases: Array<[Promise<PortReply>, number, string]> = [
-      [publish("{"), 400, "malformed"],
-      [publish(whole.slice(0, -3)), 400, "malformed"],
-      [publish(JSON.stringify({ ...message, number: "1" })), 400, "malformed"],
-      [publish(JSON.stringify({ ...message, more: 1 })), 400, "malformed"],
-      [publish(JSON.stringify({ ...message, topic: "no topic" })), 400, "malformed"],
-      [publish(JSON.stringify({ ...message, topic: "notopic" })), 404, "unknown-topic"],
-      [publish(JSON.stringify({ ...message, topic: "nowhere/t" })), 404, "unknown-topic"],
-      [publish(JSON.stringify({ ...message, topic: "notices/t1" })), 403, "not-a-publisher"],
-      [publish(JSON.stringify({ ...message, number: 2, payload: "x".repeat(9000) })), 413, "too-large"],
-      [publish("x".repeat(1_300_000)), 413, "too-large"],
-      [publish(whole, other, "stranger"), 409, "no-link"],
-      [fleet.call(edge, "POST", "/v1/sessions/bad%20name/link", "{}"), 400, "malformed"],
-      [
-        fleet.call(edge, "POST", "/v1/sessions/a/link", JSON.stringify({ subscriptions: [{ topic: "no topic" }] })),
-        400,
-        "malformed",
-      ],
-      [fleet.call(edge, "POST", "/v1/sessions/guest/subscriptions", JSON.stringify({ topic: 7 })), 400, "malformed"],
-      [fleet.call(edge, "GET", "/v1/nothing"), 404, "unknown-path"],
-      [fleet.call("anvil-1", "DELETE", "/v1/plan"), 405, "method-not-allowed"],
-      [
-        fleet.call("anvil-1", "PUT", "/v1/plan", JSON.stringify({ mark: 2, spaces: [{ name: "A b" }] })),
-        422,
-        "invalid-plan",
-      ],
-      [
-        fleet.call(other, "PUT", "/v1/plan", documentTextOf(Deployments.configuration(fleet.deployment, 0))),
-        422,
-        "invalid-plan",
-      ],
-      [fleet.call("lathe-2", "PUT", "/v1/machines/nobody/emptying"), 404, "unknown-machine"],
-    ];
-    for (const [asked, status, code] of cases) {
-      const reply = await asked;
-      expect([reply.status, codeOf(reply)]).toEqual([status, code]);
-    }
-    expect((await publish(JSON.stringify({ ...message, number: 3 }), other)).status).toEqual(200);
-    while (!lines.some((line) => line["kind"] === "message")) await fleet.call(edge, "GET", "/healthz");
-    expect(lines.filter((line) => line["kind"] === "message").map((line) => line["number"])).toEqual([3]);
-    if ("close" in connection) connection.close();
-    expect(fleet.fallen).toEqual([]);
-  },
-);
-
-test(
-  "a settings file that changes without a signal is taken up; one that turns bad changes " + "nothing and is said",
-  async () => {
-    const path = fleet.settingsOf("vise-1");
-    const good = readFileSync(path, "utf8");
-    const faultOf = async (): Promise<string> =>
-      ((await fleet.call("vise-1", "GET", "/v1/status")).body["faults"] as { settings: string }).settings;
-    writeFileSync(path, "{ broken");
-    while (!(await faultOf()).includes("the old settings stay")) await fleet.call("vise-1", "GET", "/healthz");
-    expect((await fleet.call("vise-1", "GET", "/readyz")).status).toEqual(200);
-    writeFileSync(path, JSON.stringify({ ...(JSON.parse(good) as object), mostLinks: 0 + 1 }));
-    while ((await faultOf()) !== "") await fleet.call("vise-1", "GET", "/healthz");
-    const connections = await Promise.all(
-      [1, 2].map((i) =>
-        fleet.port.connection("vise-1", `crowd-${i}`, {}, { line: () => undefined, closed: () => undefined }),
-      ),
+        closed: () => {
+          isClosed = true;
+        },
+      },
     );
-    const full = connections.find((connection) => !("close" in connection)) as PortReply;
-    expect([full.status, codeOf(full)]).toEqual([503, "full"]);
-    for (const connection of connections) if ("close" in connection) connection.close();
-    writeFileSync(path, good);
-    fleet.signal("vise-1", "SIGHUP");
-  },
-);
+    expect("close" in opened).toEqual(true);
+    while (!isOpen && !isClosed) await fleet.call(edge, "GET", "/healthz");
+    return opened;
+  };
+  let connection = await connect();
+  while (!isOpen) connection = await connect();
+  const publish = (body: string, node = edge, session = "guest"): Promise<PortReply> =>
+    fleet.call(node, "POST", `/v1/sessions/${session}/messages`, body);
+  const message = { topic: "notes/t1", number: 1, payload: "x" };
+  const whole = JSON.stringify(message);
+  const cases: Array<[Promise<PortReply>, number, string]> = [
+    [publish("{"), 400, "malformed"],
+    [publish(whole.slice(0, -3)), 400, "malformed"],
+    [publish(JSON.stringify({ ...message, number: "1" })), 400, "malformed"],
+    [publish(JSON.stringify({ ...message, more: 1 })), 400, "malformed"],
+    [publish(JSON.stringify({ ...message, topic: "no topic" })), 400, "malformed"],
+    [publish(JSON.stringify({ ...message, topic: "notopic" })), 404, "unknown-topic"],
+    [publish(JSON.stringify({ ...message, topic: "nowhere/t" })), 404, "unknown-topic"],
+    [publish(JSON.stringify({ ...message, topic: "notices/t1" })), 403, "not-a-publisher"],
+    [publish(JSON.stringify({ ...message, number: 2, payload: "x".repeat(9000) })), 413, "too-large"],
+    [publish("x".repeat(1_300_000)), 413, "too-large"],
+    [publish(whole, other, "stranger"), 409, "no-link"],
+    [fleet.call(edge, "POST", "/v1/sessions/bad%20name/link", "{}"), 400, "malformed"],
+    [
+      fleet.call(edge, "POST", "/v1/sessions/a/link", JSON.stringify({ subscriptions: [{ topic: "no topic" }] })),
+      400,
+      "malformed",
+    ],
+    [fleet.call(edge, "POST", "/v1/sessions/guest/subscriptions", JSON.stringify({ topic: 7 })), 400, "malformed"],
+    [fleet.call(edge, "GET", "/v1/nothing"), 404, "unknown-path"],
+    [fleet.call("anvil-1", "DELETE", "/v1/plan"), 405, "method-not-allowed"],
+    [
+      fleet.call("anvil-1", "PUT", "/v1/plan", JSON.stringify({ mark: 2, spaces: [{ name: "A b" }] })),
+      422,
+      "invalid-plan",
+    ],
+    [
+      fleet.call(other, "PUT", "/v1/plan", documentTextOf(Deployments.configuration(fleet.deployment, 0))),
+      422,
+      "invalid-plan",
+    ],
+    [fleet.call("lathe-2", "PUT", "/v1/machines/nobody/emptying"), 404, "unknown-machine"],
+  ];
+  for (const [asked, status, code] of cases) {
+    const reply = await asked;
+    expect([reply.status, codeOf(reply)]).toEqual([status, code]);
+  }
+  expect((await publish(JSON.stringify({ ...message, number: 3 }), other)).status).toEqual(200);
+  while (!lines.some((line) => line["kind"] === "message")) await fleet.call(edge, "GET", "/healthz");
+  expect(lines.filter((line) => line["kind"] === "message").map((line) => line["number"])).toEqual([3]);
+  if ("close" in connection) connection.close();
+  expect(fleet.unexpectedExits).toEqual([]);
+});
+
+test("a changed settings file is applied without a signal; a bad one changes nothing and is reported", async () => {
+  const path = fleet.settingsOf("vise-1");
+  const good = readFileSync(path, "utf8");
+  const faultOf = async (): Promise<string> =>
+    ((await fleet.call("vise-1", "GET", "/v1/status")).body["faults"] as { settings: string }).settings;
+  writeFileSync(path, "{ broken");
+  while (!(await faultOf()).includes("the old settings stay")) await fleet.call("vise-1", "GET", "/healthz");
+  expect((await fleet.call("vise-1", "GET", "/readyz")).status).toEqual(200);
+  writeFileSync(path, JSON.stringify({ ...(JSON.parse(good) as object), mostLinks: 0 + 1 }));
+  while ((await faultOf()) !== "") await fleet.call("vise-1", "GET", "/healthz");
+  const connections = await Promise.all(
+    [1, 2].map((i) =>
+      fleet.clientPort.connection("vise-1", `crowd-${i}`, {}, { line: () => undefined, closed: () => undefined }),
+    ),
+  );
+  const full = connections.find((connection) => !("close" in connection)) as PortReply;
+  expect([full.status, codeOf(full)]).toEqual([503, "full"]);
+  for (const connection of connections) if ("close" in connection) connection.close();
+  writeFileSync(path, good);
+  fleet.signal("vise-1", "SIGHUP");
+});
 
 test("cranetrackctl: status, configurations, drains and runbooks against a fleet, with their exit codes", async () => {
   const ctl = (...args: string[]): Promise<Ran> =>
@@ -225,25 +218,22 @@
   expect((JSON.parse(rollout.out) as { taken: number; of: number }).taken).toEqual(8);
 });
 
-test(
-  "processes killed, cycled, frozen and cut off under load: no breach, service back within " + "12 s each time",
-  async () => {
-    const load = new Load(fleet);
-    try {
-      await load.begin();
-      load.play();
-      const drill = new ChaosDrill(fleet, load);
-      await drill.run(["kill", "freeze", "cycle"], ["edge", "holder", "proposer"]);
-      await drill.run(["cut"], ["holder"]);
-      await drill.run(["reset", "wipe", "settings", "changeConfiguration", "blackout"], ["holder", "proposer"]);
-      const report = await load.end();
-      expect(report.breaches).toEqual([]);
-      expect(fleet.fallen).toEqual([]);
-      expect(drill.steps.filter((step) => step.backMs > ChaosDrill.backMs)).toEqual([]);
-      expect(report.accepted).toEqual(report.sent);
-      expect(report.deliveries > report.accepted).toEqual(true);
-    } finally {
-      load.halt();
-    }
-  },
-);
+test("processes killed, terminated, frozen and cut off under load: no rule broken, recovery within 12 s", async () => {
+  const load = new Load(fleet);
+  try {
+    await load.connectClients();
+    load.startTraffic();
+    const drill = new ChaosDrill(fleet, load);
+    await drill.run(["kill", "freeze", "cycle"], ["edge", "holder", "proposer"]);
+    await drill.run(["cut"], ["holder"]);
+    await drill.run(["reset", "wipe", "settings", "changeConfiguration", "blackout"], ["holder", "proposer"]);
+    const report = await load.finish();
+    expect(report.breaches).toEqual([]);
+    expect(fleet.unexpectedExits).toEqual([]);
+    expect(drill.steps.filter((step) => step.backMs > ChaosDrill.maxRecoveryMs)).toEqual([]);
+    expect(report.accepted).toEqual(report.sent);
+    expect(report.deliveries > report.accepted).toEqual(true);
+  } finally {
+    load.halt();
+  }
+});
--- a/packages/testkit/src/fleet/fleet.ts
+++ b/packages/testkit/src/fleet/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Real processes of one deployment on this machine, each with settings, data and log of its own in one folder. Where
- * a test wants cuts or delays, a machine is reached through a `TcpRelay`.
+ * Real processes of one deployment on this machine, each with its own settings file, data folder and log in one folder.
+ * A machine whose network a test cuts or delays is reached through a `TcpRelay`.
  */
 
 import { spawn, type ChildProcess } from "node:child_process";
@@ -14,61 +14,73 @@
 import { programOf } from "./programOf.js";
 import { drawFreePorts } from "@cranetrack/platform/soak/drawPort.js";
 
+/** One machine of a running fleet. */
 interface Member {
   machine: Machine;
+  /** Where other members reach it, `host:port`. */
   address: string;
+  /** Its HTTP address, `host:port`. */
   http: string;
+  /** Path of its settings file. */
   settings: string;
+  /** Undefined while it is not running. */
   child: ChildProcess | undefined;
   relay: TcpRelay | undefined;
 }
 
-/** A whole fleet of real processes on this machine, on loopback addresses, from settings files. */
+/** A fleet of real processes on loopback addresses of this machine, configured by settings files. */
 export class Fleet {
   readonly deployment: Deployment;
   readonly #folder: string;
-  readonly #relayed: readonly string[];
-  /** Settings that all members get besides. */
-  readonly #more: Record<string, number>;
+  readonly #relayedMachines: readonly string[];
+  /** Further settings that all members get. */
+  readonly #extraSettings: Record<string, number>;
   readonly #members = new Map<string, Member>();
-  readonly port: HttpPort;
-  /** Processes that ended without being told to. */
-  readonly fallen: string[] = [];
+  /** Sends clients' and operators' requests to members by name. */
+  readonly clientPort: HttpPort;
+  /** Processes that exited without being told to, or did not exit cleanly on a signal. */
+  readonly unexpectedExits: string[] = [];
 
-  /** `relayed` machines are reached through wires that can be cut. */
+  /** `relayed` names the machines that others reach through a `TcpRelay`; all members get `extraSettings`. */
   constructor(
     deployment: Deployment,
     folder: string,
     relayed: readonly string[] = [],
-    more: Record<string, number> = {},
+    extraSettings: Record<string, number> = {},
   ) {
-    this.#more = more;
+    this.#extraSettings = extraSettings;
     this.deployment = deployment;
-    this.#relayed = relayed;
+    this.#relayedMachines = relayed;
     this.#folder = folder;
-    this.port = new HttpPort((node) => this.httpOf(node));
+    this.clientPort = new HttpPort((node) => this.httpOf(node));
   }
 
+  /** Names of all members. */
   get names(): string[] {
     return [...this.#members.keys()];
   }
 
+  /** Names of the members with a role. */
   withRole(role: Machine["role"]): string[] {
     return this.names.filter((name) => this.#members.get(name)!.machine.role === role);
   }
 
+  /** The zone of a member. */
   zoneOf(name: string): string {
     return this.#members.get(name)!.machine.zone;
   }
 
+  /** The HTTP address of a member; an unknown name is taken as an address itself. */
   httpOf(name: string): string {
     return this.#members.get(name)?.http ?? name;
   }
 
+  /** Whether a member's process runs. */
   isRunning(name: string): boolean {
     return this.#members.get(name)?.child !== undefined;
   }
 
+  /** Path of a member's settings file. */
   settingsOf(name: string): string {
     return this.#members.get(name)!.settings;
   }
@@ -78,10 +90,10 @@
     const machines = Deployments.machines(this.deployment);
     const ports = await drawFreePorts(machines.length * 3);
     const addresses = ports.map((port) => `127.0.0.1:${port}`);
-    const relayed = (name: string): boolean => this.#relayed.includes(name);
-    // A relayed machine listens on a port of its own and is known to others by its relay's.
-    const open = machines.filter((machine) => !relayed(machine.name));
-    const seeds = (open.length > 0 ? open : machines)
+    const isRelayed = (name: string): boolean => this.#relayedMachines.includes(name);
+    // A relayed machine listens on a separate port; the others know only the address of its relay.
+    const directMachines = machines.filter((machine) => !isRelayed(machine.name));
+    const seeds = (directMachines.length > 0 ? directMachines : machines)
       .map((machine) => addresses[machines.indexOf(machine)]!)
       .slice(0, 3);
     mkdirSync(this.#folder, { recursive: true });
@@ -89,7 +101,7 @@
       const settings = join(this.#folder, `${machine.name}.json`);
       const [address, http] = [addresses[i]!, addresses[machines.length + i]!];
       const content = {
-        ...this.#more,
+        ...this.#extraSettings,
         name: machine.name,
         role: machine.role,
         zone: machine.zone,
@@ -98,7 +110,7 @@
         seeds,
         controlNodes: machines.filter((one) => one.role === "lathe").length,
         log: join(this.#folder, `${machine.name}.log`),
-        ...(relayed(machine.name) ? { listen: addresses[2 * machines.length + i]! } : {}),
+        ...(isRelayed(machine.name) ? { listen: addresses[2 * machines.length + i]! } : {}),
         ...machine.settings,
         ...(machine.role === "vise" ? {} : { data: this.dataOf(machine.name) }),
       };
@@ -109,20 +121,21 @@
         http,
         settings,
         child: undefined,
-        relay: relayed(machine.name)
-          ? new TcpRelay(Fleet.#place(address), Fleet.#place(addresses[2 * machines.length + i]!))
+        relay: isRelayed(machine.name)
+          ? new TcpRelay(Fleet.#hostAndPort(address), Fleet.#hostAndPort(addresses[2 * machines.length + i]!))
           : undefined,
       });
     });
     for (const machine of machines) this.launch(machine.name);
-    await this.ready();
+    await this.waitUntilReady();
   }
 
+  /** Path of a member's data folder. */
   dataOf(name: string): string {
     return join(this.#folder, `${name}.data`);
   }
 
-  /** Starts a machine's process again; does not wait until it is ready. */
+  /** Starts a member's process; does not wait until it is ready. */
   launch(name: string): void {
     const member = this.#members.get(name)!;
     const { role } = member.machine;
@@ -135,46 +148,48 @@
     child.on("exit", (code, signal) => {
       if (member.child !== child) return;
       member.child = undefined;
-      this.fallen.push(`${name} (${signal ?? code})`);
+      this.unexpectedExits.push(`${name} (${signal ?? code})`);
     });
   }
 
+  /** Sends a signal to a member's process. */
   signal(name: string, signal: NodeJS.Signals): void {
     this.#members.get(name)!.child?.kill(signal);
   }
 
-  /** Writes some keys of a member's settings file anew. */
+  /** Replaces some keys in a member's settings file. */
   changeSettings(name: string, change: object): void {
     const path = this.settingsOf(name);
     const present = JSON.parse(readFileSync(path, "utf8")) as object;
     writeFileSync(path, `${JSON.stringify({ ...present, ...change }, null, 2)}\n`);
   }
 
-  /** Ends a process and waits until it is gone. */
-  async end(name: string, signal: NodeJS.Signals): Promise<void> {
+  /** Ends a member's process with a signal and waits until it has exited. */
+  async endProcess(name: string, signal: NodeJS.Signals): Promise<void> {
     const member = this.#members.get(name)!;
     const { child } = member;
     if (child === undefined) return;
     member.child = undefined;
-    const gone = once(child, "exit") as Promise<[number | null, string | null]>;
+    const exited = once(child, "exit") as Promise<[number | null, string | null]>;
     child.kill(signal);
     if (signal !== "SIGKILL") child.kill("SIGCONT");
-    const [code, by] = await gone;
-    if (by !== "SIGKILL" && code !== 0) this.fallen.push(`${name} (${by ?? code} on ${signal})`);
+    const [code, exitSignal] = await exited;
+    if (exitSignal !== "SIGKILL" && code !== 0)
+      this.unexpectedExits.push(`${name} (${exitSignal ?? code} on ${signal})`);
   }
 
-  /** The platform's way: politely, and forcibly six seconds later. Resolves true where politeness did. */
-  async cycle(name: string): Promise<boolean> {
+  /** Ends a process as the platform does: SIGTERM, then SIGKILL after 6 s. Resolves with whether SIGTERM sufficed. */
+  async terminate(name: string): Promise<boolean> {
     const { child } = this.#members.get(name)!;
-    const forced = setTimeout(() => child?.kill("SIGKILL"), 6000);
+    const killTimer = setTimeout(() => child?.kill("SIGKILL"), 6000);
     const startedAt = performance.now();
-    await this.end(name, "SIGTERM");
-    clearTimeout(forced);
+    await this.endProcess(name, "SIGTERM");
+    clearTimeout(killTimer);
     return performance.now() - startedAt < 5900;
   }
 
-  /** The relay through which others reach a machine; only machines named as relayed have one. */
-  wire(name: string): TcpRelay {
+  /** The relay through which others reach a member; only relayed members have one. */
+  relayOf(name: string): TcpRelay {
     return this.#members.get(name)!.relay!;
   }
 
@@ -192,18 +207,20 @@
     });
   }
 
+  /** Kills all processes and closes all relays and connections. */
   async stop(): Promise<void> {
-    await Promise.all(this.names.map((name) => this.end(name, "SIGKILL")));
+    await Promise.all(this.names.map((name) => this.endProcess(name, "SIGKILL")));
     for (const { relay } of this.#members.values()) await relay?.close();
-    await this.port.close();
+    await this.clientPort.close();
   }
 
+  /** Sends an HTTP request to a member. */
   call(name: string, method: string, path: string, body?: string): Promise<PortReply> {
-    return this.port.call(name, method, path, body);
+    return this.clientPort.call(name, method, path, body);
   }
 
-  /** Resolves with the milliseconds until all named nodes say that they are ready. */
-  async ready(names: readonly string[] = this.names, timeoutMs = 30_000): Promise<number> {
+  /** Resolves with the milliseconds until all named members report that they are ready; throws after `timeoutMs`. */
+  async waitUntilReady(names: readonly string[] = this.names, timeoutMs = 30_000): Promise<number> {
     const startedAt = performance.now();
     for (const name of names) {
       while ((await this.call(name, "GET", "/readyz")).status !== 200) {
@@ -214,8 +231,8 @@
     return performance.now() - startedAt;
   }
 
-  /** Resolves once a process answers at all. */
-  async up(name: string, timeoutMs = 30_000): Promise<void> {
+  /** Resolves once a member answers its health check; throws after `timeoutMs`. */
+  async waitUntilAnswering(name: string, timeoutMs = 30_000): Promise<void> {
     const startedAt = performance.now();
     while ((await this.call(name, "GET", "/healthz")).status !== 200) {
       if (performance.now() - startedAt > timeoutMs) throw new Error(`${name} does not answer after ${timeoutMs} ms`);
@@ -223,25 +240,25 @@
     }
   }
 
-  /** Who holds each shard, as one edge sees it; empty for a free one. */
-  async leaders(): Promise<string[]> {
+  /** The leader of each shard as reported by one edge; an empty string for a shard without a leader. */
+  async shardLeaders(): Promise<string[]> {
     const edge = this.withRole("vise").find((name) => this.isRunning(name))!;
     const { body } = await this.call(edge, "GET", "/v1/status");
     return ((body["shards"] ?? []) as Array<{ leader: string }>).map((shard) => shard.leader);
   }
 
-  /** Resolves when every shard has a leader, as one edge sees it. */
-  async held(timeoutMs = 30_000): Promise<void> {
+  /** Resolves once every shard has a leader, as reported by one edge; throws after `timeoutMs`. */
+  async waitForShardLeaders(timeoutMs = 30_000): Promise<void> {
     const startedAt = performance.now();
     for (;;) {
-      const leaders = await this.leaders();
+      const leaders = await this.shardLeaders();
       if (leaders.length > 0 && leaders.every((leader) => leader !== "")) return;
-      if (performance.now() - startedAt > timeoutMs) throw new Error("not every shard is held");
+      if (performance.now() - startedAt > timeoutMs) throw new Error("not every shard has a leader");
       await new Promise((resolve) => setTimeout(resolve, 100));
     }
   }
 
-  /** Leases lost by all running edges and storage machines since their starts. */
+  /** Number of leases that all edges and storage machines have lost since they started. */
   async leasesLost(): Promise<number> {
     const asked = await Promise.all(
       [...this.withRole("anvil"), ...this.withRole("vise")].map((name) => this.call(name, "GET", "/v1/status")),
@@ -249,8 +266,8 @@
     return asked.reduce((sum, reply) => sum + Number(reply.body["leasesLost"] ?? 0), 0);
   }
 
-  /** Resident megabytes of the largest process of each role. */
-  async memory(): Promise<Record<string, number>> {
+  /** Resident memory in MB of the largest process of each role. */
+  async largestMemoryMb(): Promise<Record<string, number>> {
     const largest: Record<string, number> = {};
     for (const { machine } of this.#members.values()) {
       const { body } = await this.call(machine.name, "GET", "/metrics");
@@ -260,7 +277,7 @@
     return largest;
   }
 
-  static #place(address: string): { host: string; port: number } {
+  static #hostAndPort(address: string): { host: string; port: number } {
     const [host, port] = address.split(":") as [string, string];
     return { host, port: Number(port) };
   }
--- a/packages/testkit/src/fleet/load.ts
+++ b/packages/testkit/src/fleet/load.ts
@@ -1,6 +1,6 @@
 /**
- * The load generator: a deployment's clients against real processes, at its rates, with a history that the checker
- * reads at the end.
+ * The load generator: runs a deployment's clients against real processes at its rates and records a history, which the
+ * checker evaluates at the end.
  */
 
 import { HostRandom } from "@cranetrack/core/runtime/hostRandom.js";
@@ -14,11 +14,11 @@
 import type { Fleet } from "./fleet.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
-/** What clients saw in all; delays in milliseconds. */
+/** Totals over all clients; delays are in milliseconds. */
 export interface LoadReport {
   sent: number;
   accepted: number;
-  /** Of readers that were confirmed when the message was first tried. */
+  /** Deliveries to readers whose subscription was confirmed when the message was first published. */
   deliveries: number;
   reconnects: number;
   p50: number;
@@ -29,36 +29,41 @@
   breaches: Breach[];
 }
 
-/** The brief's callers against a real fleet: senders at their rates, readers, drop-offs and zone moves. */
+/** A deployment's clients against a real fleet: publishers at their rates, readers, disconnects and zone changes. */
 export class Load {
   readonly #fleet: Fleet;
   readonly #clock = new HostClock();
   readonly #random = new HostRandom();
   readonly history = new History();
   readonly clients: Client[] = [];
+  /** The zone whose edges each session prefers. */
   readonly #zoneOf = new Map<string, string>();
-  /** No caller drops off of its own accord, so that a recovery can be timed. */
-  isCalm = false;
-  #stops: Array<() => void> = [];
+  /** While true no client disconnects on its own, so that a recovery can be timed. */
+  isDisconnectPaused = false;
+  #stopActions: Array<() => void> = [];
 
   constructor(fleet: Fleet) {
     this.#fleet = fleet;
   }
 
+  /** Sends a configuration until it is accepted; throws if it is refused. */
   async proposeConfiguration(configuration: { version: number }): Promise<void> {
     const text = documentTextOf(configuration);
     this.history.add({ kind: "planTried", at: this.#clock.now(), version: configuration.version, text });
     for (;;) {
       const reply = await this.#fleet.call(this.#fleet.withRole("vise")[0]!, "PUT", "/v1/plan", text);
       if (reply.status === 200) break;
-      if (reply.status < 500) throw new Error(`the plan was refused: ${JSON.stringify(reply.body)}`);
+      if (reply.status < 500) throw new Error(`the configuration was refused: ${JSON.stringify(reply.body)}`);
       await this.#wait(300);
     }
     this.history.add({ kind: "planAccepted", at: this.#clock.now(), version: configuration.version, text });
   }
 
-  /** Configuration, callers, confirmations. */
-  async begin(share = 1): Promise<void> {
+  /**
+   * Proposes the deployment's configuration, connects `share` of its clients and waits until all subscriptions are
+   * confirmed; throws if some are not after 30 s.
+   */
+  async connectClients(share = 1): Promise<void> {
     const { deployment } = this.#fleet;
     await this.proposeConfiguration(Deployments.configuration(deployment, (await this.versionInForce()) + 1));
     await this.#wait(1500);
@@ -68,7 +73,7 @@
       this.#zoneOf.set(session, deployment.zones[i % deployment.zones.length]!);
       const client = new Client({
         session,
-        port: this.#fleet.port,
+        port: this.#fleet.clientPort,
         clock: this.#clock,
         draw: () => this.#random.draw(),
         history: this.history,
@@ -81,16 +86,16 @@
     }
     for (let tries = 0; tries < 300 && !this.clients.every((client) => client.isFullySubscribed); tries += 1)
       await this.#wait(100);
-    const unsettled = this.clients.filter((client) => !client.isFullySubscribed).length;
-    if (unsettled > 0) throw new Error(`${unsettled} callers have no confirmed link after 30 s`);
+    const unconfirmed = this.clients.filter((client) => !client.isFullySubscribed).length;
+    if (unconfirmed > 0) throw new Error(`${unconfirmed} clients have no fully confirmed connection after 30 s`);
   }
 
   /**
-   * Milliseconds from a configuration's acceptance until every node has acknowledged it, for several configurations in
-   * turn.
+   * Proposes `count` configurations in turn; resolves with the milliseconds from each acceptance until every node had
+   * acknowledged it.
    */
-  async takeUps(count: number): Promise<number[]> {
-    const taken: number[] = [];
+  async measureRollouts(count: number): Promise<number[]> {
+    const rolloutMs: number[] = [];
     for (let i = 0; i < count; i += 1) {
       await this.proposeConfiguration(
         Deployments.configuration(this.#fleet.deployment, (await this.versionInForce()) + 1),
@@ -101,68 +106,74 @@
         if (body["taken"] === body["of"] || this.#clock.now() - acceptedAt > 10_000) break;
         await this.#wait(20);
       }
-      taken.push(Math.round(this.#clock.now() - acceptedAt));
+      rolloutMs.push(Math.round(this.#clock.now() - acceptedAt));
     }
-    return taken;
+    return rolloutMs;
   }
 
-  /** The version that an edge reads as the one in force; 0 where it can read none. */
+  /** The version in force as read from an edge; 0 if it cannot read it. */
   async versionInForce(): Promise<number> {
     const read = await this.#fleet.call(this.#fleet.withRole("vise")[0]!, "GET", "/v1/plan");
     return read.status === 200 ? Number(read.body["mark"]) : 0;
   }
 
-  /** Starts the senders and the drop-offs. */
-  play(share = 1): void {
+  /** Starts publishing at `share` of the deployment's rates, and random disconnects and zone changes. */
+  startTraffic(share = 1): void {
     const { shared, broadcast } = this.#fleet.deployment;
-    this.#every(1000 / (shared.perSecond * share), () =>
-      this.#publish(this.#any(this.clients), shared.space, shared.topics),
+    this.#runAtInterval(1000 / (shared.perSecond * share), () =>
+      this.#publish(this.#pick(this.clients), shared.space, shared.topics),
     );
-    this.#every(1000 / (broadcast.perSecond * share), () =>
+    this.#runAtInterval(1000 / (broadcast.perSecond * share), () =>
       this.#publish(
         this.clients[Math.floor(this.#random.draw() * broadcast.senders)]!,
         broadcast.space,
         broadcast.topics,
       ),
     );
-    this.#every(700, () => this.isCalm || this.#any(this.clients).disconnectFor(200 + this.#random.draw() * 3000));
-    this.#every(2500, () => this.isCalm || this.#move(this.#any(this.clients)));
+    this.#runAtInterval(
+      700,
+      () => this.isDisconnectPaused || this.#pick(this.clients).disconnectFor(200 + this.#random.draw() * 3000),
+    );
+    this.#runAtInterval(2500, () => this.isDisconnectPaused || this.#moveToRandomZone(this.#pick(this.clients)));
   }
 
-  /** Operators send several configurations at once, at different nodes; one is stale and one is broken. */
+  /** Sends several configurations to different nodes at once; one is stale and one is invalid. */
   async changeConfiguration(): Promise<void> {
     const { deployment } = this.#fleet;
     const version = await this.versionInForce();
     const edges = this.#fleet.withRole("vise");
-    const stray = [documentTextOf(Deployments.configuration(deployment, version)), '{"mark": 1e9, "spaces": 7}'];
-    const sent = stray.map((text, i) => this.#fleet.call(edges[i % edges.length]!, "PUT", "/v1/plan", text));
+    const rejectedTexts = [
+      documentTextOf(Deployments.configuration(deployment, version)),
+      '{"mark": 1e9, "spaces": 7}',
+    ];
+    const sent = rejectedTexts.map((text, i) => this.#fleet.call(edges[i % edges.length]!, "PUT", "/v1/plan", text));
     for (let i = 1; i <= 3; i += 1) await this.proposeConfiguration(Deployments.configuration(deployment, version + i));
     await Promise.all(sent);
   }
 
-  /** Everybody comes to one zone, and stays there until moved again. */
+  /** Moves all clients to one zone, until they are moved again. */
   moveAll(): void {
-    const zone = this.#any(this.#fleet.deployment.zones);
+    const zone = this.#pick(this.#fleet.deployment.zones);
     for (const client of this.clients) {
       this.#zoneOf.set(client.session, zone);
       client.disconnectFor(this.#random.draw() * 500);
     }
   }
 
-  /** Nearly all at once. */
+  /** Disconnects each client with a probability of 95 %, for up to 500 ms. */
   resetAll(): void {
     for (const client of this.clients) if (this.#random.draw() < 0.95) client.disconnectFor(this.#random.draw() * 500);
   }
 
-  /** Ends everything at once, whatever state it is in. */
+  /** Stops all traffic and clients immediately, in any state. */
   halt(): void {
-    for (const stop of this.#stops.splice(0)) stop();
+    for (const stop of this.#stopActions.splice(0)) stop();
     for (const client of this.clients) client.stop();
   }
 
-  /** Stops sending, waits until everything is settled and delivered, and judges. */
-  async end(): Promise<LoadReport> {
-    for (const stop of this.#stops.splice(0)) stop();
+  /** Stops publishing, waits until every message has a reply and is delivered, and checks the history. */
+  async finish(): Promise<LoadReport> {
+    for (const stop of this.#stopActions.splice(0)) stop();
     for (
       let tries = 0;
       tries < 250 && !this.clients.every((client) => client.isFullySubscribed && client.pendingPublishes === 0);
@@ -178,6 +189,7 @@
     return Load.report(this.history, endAt, this.clients);
   }
 
+  /** Evaluates a history that ended at `endAt`. */
   static report(history: History, endAt: number, clients: readonly Client[]): LoadReport {
     const { seen } = history;
     const delays = Lateness.deliveries(seen).map(({ delay }) => delay);
@@ -192,11 +204,12 @@
     };
   }
 
+  /** Present time of the load's clock, in milliseconds. */
   get now(): number {
     return this.#clock.now();
   }
 
-  /** Every caller publishes once more, on a topic that it reads itself. */
+  /** Lets every client publish one message on a topic that it reads itself, to tell when service has recovered. */
   probe(): Probe {
     const { space } = this.#fleet.deployment.shared;
     return new Probe({
@@ -204,7 +217,7 @@
       clients: this.clients,
       draw: () => this.#random.draw(),
       now: () => this.#clock.now(),
-      topicsFor: (client) => client.topics.filter((topic) => topic.startsWith(`${space}/`)),
+      publishableTopics: (client) => client.topics.filter((topic) => topic.startsWith(`${space}/`)),
     });
   }
 
@@ -223,22 +236,22 @@
     return near.length > 0 ? near : edges;
   }
 
-  #move(client: Client): void {
-    this.#zoneOf.set(client.session, this.#any(this.#fleet.deployment.zones));
+  #moveToRandomZone(client: Client): void {
+    this.#zoneOf.set(client.session, this.#pick(this.#fleet.deployment.zones));
     client.disconnectFor(100);
   }
 
-  #any<T>(list: readonly T[]): T {
+  #pick<T>(list: readonly T[]): T {
     return list[Math.floor(this.#random.draw() * list.length)]!;
   }
 
-  #every(ms: number, action: () => unknown): void {
+  #runAtInterval(ms: number, action: () => unknown): void {
     const startedAt = this.#clock.now();
     let count = 0;
     const timer = this.#clock.every(Math.max(5, ms), () => {
       for (; count < (this.#clock.now() - startedAt) / ms; count += 1) action();
     });
-    this.#stops.push(() => timer.stop());
+    this.#stopActions.push(() => timer.stop());
   }
 
   #wait(ms: number): Promise<void> {
--- a/packages/testkit/src/fleet/programOf.ts
+++ b/packages/testkit/src/fleet/programOf.ts
@@ -1,6 +1,6 @@
 import { fileURLToPath } from "node:url";
 
-/** Where the program of each role is built, and of the command line and this test kit. */
+/** Built program of each role, of the command-line client and of this test kit, without its extension. */
 const programs: Record<string, string> = {
   lathe: "control/cranetrack-control",
   anvil: "log-storage/cranetrack-storage",
@@ -9,7 +9,7 @@
   "cranetrack-lab": "testkit/cranetrack-lab",
 };
 
-/** The built program of a role (or tool), as a path that node can run. */
+/** The path of the built program of a role or tool, which Node.js can run. */
 export function programOf(role: string): string {
   return fileURLToPath(import.meta.resolve(`@cranetrack/${programs[role] ?? role}.js`));
 }
--- a/packages/testkit/src/fleet/soak.test.ts
+++ b/packages/testkit/src/fleet/soak.test.ts
@@ -11,7 +11,7 @@
 const seconds = 15;
 
 test(
-  "real processes under troubles that overlap: no breach, no invariant violated, service back",
+  "real processes under overlapping faults: no rule broken, no invariant violated, service recovers",
   { timeout: 180_000 },
   async () => {
     const deployment = Deployments.find("control");
@@ -20,10 +20,10 @@
     const soak = new Soak(fleet, seed);
     try {
       await fleet.start();
-      await fleet.held();
+      await fleet.waitForShardLeaders();
       const report = await soak.run(seconds);
       expect(report.breaches).toEqual([]);
-      // It had something to judge.
+      // Enough faults, messages and configuration changes took place for the checks to mean something.
       expect(report.faults.length >= 3).toEqual(true);
       expect([report.received > report.accepted, report.passed > 0]).toEqual([true, true]);
       expect([report.changes > 0, report.reads > 0]).toEqual([true, true]);
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -11,31 +11,41 @@
 import { SoakOperators } from "./soakOperators.js";
 import { SoakFaultInjector, type InjectedFault } from "./soakFaultInjector.js";
 
-/** Any troubles, or disks lost one after the other as soon as the users may. */
+/** `any`: random faults; `disks`: one disk lost after the other at the users' shortest interval. */
 export type SoakProfile = "any" | "disks";
-/** What one seed's soak saw; printed as JSON without the lists. */
+
+/** The result of the soak of one seed; printed as JSON, with the lists as counts. */
 export interface SoakReport {
   seed: number;
   breaches: Breach[];
   faults: readonly InjectedFault[];
+  /** Messages accepted from the load's clients. */
   accepted: number;
+  /** Deliveries to the load's readers. */
   received: number;
+  /** Deliveries on topics without retention. */
   passed: number;
+  /** Accepted configuration changes. */
   changes: number;
   reads: number;
+  /** Operators' requests without a definite outcome. */
   unknown: number;
-  /** Milliseconds from the end of all troubles until every caller's message reached its readers. */
+  /** Milliseconds from the end of all faults until a message of every client had reached its readers. */
   backMs: number;
 }
+
 /**
- * Real processes under random troubles that overlap: callers that publish and read kept topics one by one and passing
- * topics without waiting, operators that change and read the configuration anywhere. Everything that they saw is
- * judged, and what the processes themselves counted as violated.
+ * A soak of real processes under overlapping random faults. Clients publish and read retained topics, waiting for each
+ * reply, and topics without retention, not waiting; operators change and read the configuration at any node. Checks
+ * everything they observed, and the invariant violations that the processes logged.
  */
 export class Soak {
-  static readonly backMs = 20_000;
-  static readonly probeMs = 120;
-  static readonly maxProbes = 4;
+  /** How long recovery may take after the last fault. */
+  static readonly maxRecoveryMs = 20_000;
+  /** Interval of publishes in the added spaces. */
+  static readonly probeIntervalMs = 120;
+  /** How many of them may be waiting for a reply. */
+  static readonly maxPendingProbes = 4;
 
   readonly #fleet: Fleet;
   readonly #load: Load;
@@ -51,16 +61,16 @@
     this.#random = new SimRandom(seed);
   }
 
-  /** Faults for so many seconds, then recovery, then every check. */
+  /** Injects faults for `seconds`, waits for recovery and runs all checks. */
   async run(seconds: number, profile: SoakProfile = "any"): Promise<SoakReport> {
     const startedAt = this.#clock.now();
     const now = (): number => this.#clock.now() - startedAt;
-    // A store that was founded once is not founded anew, however many disks were lost: that would hide the loss.
+    // Once founded, the store must not be founded again, however many disks are lost: that would hide the loss.
     for (const name of this.#fleet.withRole("lathe")) this.#fleet.changeSettings(name, { mayFound: false });
-    await this.#load.begin();
+    await this.#load.connectClients();
     const ephemeralClients = this.#ephemeralClients(this.#fleet.deployment);
     ephemeralClients?.begin();
-    this.#load.play();
+    this.#load.startTraffic();
     const operators = new SoakOperators(
       this.#fleet,
       this.#random.fork(),
@@ -69,37 +79,37 @@
       await this.#load.versionInForce(),
     );
     const operating = operators.run();
-    const prober = this.#beginProbing();
+    const prober = this.#startProbing();
     const faults = new SoakFaultInjector(this.#fleet, this.#random.fork(), now);
     const until = now() + seconds * 1000;
-    await (profile === "any" ? faults.rage(until) : faults.loseDisks(until));
-    const backMs = await this.#back();
+    await (profile === "any" ? faults.injectUntil(until) : faults.wipeDisksUntil(until));
+    const backMs = await this.#waitUntilServed();
     operators.stop();
     await operating;
-    await this.#readBack(operators);
+    await this.#checkConfigurationReadable(operators);
     prober.stop();
     ephemeralClients?.end();
-    const report = await this.#load.end();
-    this.#breaches.push(...report.breaches, ...checkReads(operators.accepted, operators.reads));
+    const report = await this.#load.finish();
+    this.#breaches.push(...report.breaches, ...checkReads(operators.acceptedChanges, operators.reads));
     this.#breaches.push(...(ephemeralClients?.check() ?? []));
-    for (const text of operators.refused) this.#breach("change-refused", text);
-    for (const text of this.#fleet.fallen) this.#breach("process-ended", text);
+    for (const text of operators.refusedChanges) this.#breach("change-refused", text);
+    for (const text of this.#fleet.unexpectedExits) this.#breach("process-ended", text);
     for (const text of this.#fleet.logLines(InvariantMonitor.logText)) this.#breach("invariant", text);
     return {
       seed: this.#seed,
       breaches: this.#breaches,
-      faults: faults.done,
+      faults: faults.injected,
       accepted: report.accepted,
       received: report.deliveries,
       passed: ephemeralClients?.received ?? 0,
-      changes: operators.accepted.length,
+      changes: operators.acceptedChanges.length,
       reads: operators.reads.length,
-      unknown: operators.unknown,
+      unknown: operators.unknownOutcomes,
       backMs: Math.round(backMs),
     };
   }
 
-  /** Stops the load where a run failed midway. */
+  /** Stops the load after a failed run. */
   halt(): void {
     this.#load.halt();
   }
@@ -108,40 +118,40 @@
     this.#breaches.push({ rule, at: this.#clock.now(), text });
   }
 
-  /** Until a message of every caller has reached its readers. */
-  async #back(): Promise<number> {
-    const from = this.#clock.now();
-    this.#load.isCalm = true;
-    const isStable = (): boolean => this.#load.clients.every((client) => client.isFullySubscribed);
-    while (!isStable() && this.#clock.now() - from < Soak.backMs) await this.#wait(20);
+  /** Waits until a message of every client has reached its readers; resolves with the milliseconds that took. */
+  async #waitUntilServed(): Promise<number> {
+    const recoveryStart = this.#clock.now();
+    this.#load.isDisconnectPaused = true;
+    const areAllSubscribed = (): boolean => this.#load.clients.every((client) => client.isFullySubscribed);
+    while (!areAllSubscribed() && this.#clock.now() - recoveryStart < Soak.maxRecoveryMs) await this.#wait(20);
     const probe = this.#load.probe();
-    while (!probe.isBack && this.#clock.now() - from < Soak.backMs) await this.#wait(20);
+    while (!probe.isBack && this.#clock.now() - recoveryStart < Soak.maxRecoveryMs) await this.#wait(20);
     if (!probe.isBack)
       this.#breach(
         "service-back",
-        `not everybody is served ${Soak.backMs} ms after the last trouble: ${probe.missing}`,
+        `not every client is served ${Soak.maxRecoveryMs} ms after the last fault: ${probe.missing}`,
       );
-    return this.#clock.now() - from;
+    return this.#clock.now() - recoveryStart;
   }
 
-  async #readBack(operators: SoakOperators): Promise<void> {
-    if ((await operators.readBack(Soak.backMs)) === undefined)
-      this.#breach("configuration-unread", `no node was sure of the configuration for ${Soak.backMs} ms`);
+  async #checkConfigurationReadable(operators: SoakOperators): Promise<void> {
+    if ((await operators.readBack(Soak.maxRecoveryMs)) === undefined)
+      this.#breach("configuration-unread", `no node could read the configuration for ${Soak.maxRecoveryMs} ms`);
   }
 
-  /** Publishes in spaces that come and go: what is refused and accepted there is judged by the versions in force. */
-  #beginProbing(): { stop(): void } {
+  /** Publishes in the spaces that are added and removed; the checker judges the replies by the versions in force. */
+  #startProbing(): { stop(): void } {
     const client = new Client({
       session: "prober",
-      port: this.#fleet.port,
+      port: this.#fleet.clientPort,
       clock: this.#clock,
       draw: () => this.#random.draw(),
       history: this.#load.history,
       nodes: () => this.#edges(),
     });
     client.start([]);
-    const timer = this.#clock.every(Soak.probeMs, () => {
-      if (client.isConnected && client.pendingPublishes < Soak.maxProbes)
+    const timer = this.#clock.every(Soak.probeIntervalMs, () => {
+      if (client.isConnected && client.pendingPublishes < Soak.maxPendingProbes)
         void client.publish(`${this.#random.pick(SoakOperators.addedSpaces)}/t0`, `probe ${this.#random.identity()}`);
     });
     return {
@@ -152,11 +162,11 @@
     };
   }
 
-  #ephemeralClients({ passing: ephemeralClients }: Deployment): EphemeralClients | undefined {
-    if (ephemeralClients === undefined) return undefined;
-    const { space, topics, readers, senders, perSecond } = ephemeralClients;
+  #ephemeralClients({ ephemeral }: Deployment): EphemeralClients | undefined {
+    if (ephemeral === undefined) return undefined;
+    const { space, topics, readers, senders, perSecond } = ephemeral;
     return new EphemeralClients({
-      port: this.#fleet.port,
+      port: this.#fleet.clientPort,
       clock: this.#clock,
       random: this.#random.fork(),
       edges: () => this.#edges(),
--- a/packages/testkit/src/fleet/soakFaultInjector.ts
+++ b/packages/testkit/src/fleet/soakFaultInjector.ts
@@ -1,41 +1,48 @@
 import type { Fleet } from "./fleet.js";
 import type { SimRandom } from "../sim/simRandom.js";
 
-/** What was done to a process, from when to when, in milliseconds since the soak began. */
+/** One fault of a process. `from` and `to` are milliseconds since the soak began. */
 export interface InjectedFault {
   readonly kind: SoakFaultKind;
   readonly name: string;
   readonly from: number;
   readonly to: number;
 }
-/** Kinds in the order that the seed draws from. */
+
+/** Kinds of faults; a seed draws from this order. */
 export const soakFaultKinds = ["kill", "pause", "cut", "lostAnswers", "slow", "reset", "restart", "wipe"] as const;
+
+/** One of the kinds of faults. */
 export type SoakFaultKind = (typeof soakFaultKinds)[number];
 
 /**
- * Random troubles of real processes and of the wires between them, up to three at a time. A disk is lost only once
- * every machine with one has been well for the time that the users give a successor; all other losses may overlap.
+ * Injects random faults into real processes and their network connections, up to three at a time. A disk is lost only
+ * after every machine with a disk has been healthy for the time that the users grant a replacement; all other faults
+ * may overlap.
  */
 export class SoakFaultInjector {
   static readonly maxConcurrent = 3;
+  /** Shortest pause between the starts of two faults. */
   static readonly minPauseMs = 200;
+  /** Longest pause between the starts of two faults. */
   static readonly maxPauseMs = 2500;
-  /** How long a process that is to be restarted may take until it is ready. */
+  /** How long to wait until a process is ready before restarting it, in milliseconds. */
   static readonly readyMs = 5000;
-  /** The users' time from a successor's start until the next disk may be lost, and a bit for the start itself. */
-  static readonly syncMs = 5000;
-  /** The users' shortest time from a successor's start until the next loss. */
-  static readonly successorMs = 4100;
-  /** Of which a process takes so long to start, on the users' machines. */
-  static readonly startMs = 500;
+  /** How long all machines with a disk must be healthy before a disk loss: the users' interval plus time to start. */
+  static readonly minHealthyMs = 5000;
+  /** The users' shortest time from a replacement's start until the next disk loss. */
+  static readonly minDiskLossIntervalMs = 4100;
+  /** The part of that time that a process takes to start on the users' machines. */
+  static readonly assumedStartMs = 500;
 
   readonly #fleet: Fleet;
   readonly #random: SimRandom;
   readonly #now: () => number;
-  readonly #busy = new Set<string>();
-  /** Since when every machine with a disk is well. */
-  #wellSince = 0;
-  readonly done: InjectedFault[] = [];
+  readonly #faultyMachines = new Set<string>();
+  /** When the last fault of a machine with a disk ended. */
+  #disksHealthySince = 0;
+  /** All faults that have ended. */
+  readonly injected: InjectedFault[] = [];
 
   constructor(fleet: Fleet, random: SimRandom, now: () => number) {
     this.#fleet = fleet;
@@ -43,47 +50,47 @@
     this.#now = now;
   }
 
-  /** Begins one trouble after the other until the given time, and returns once all are over. */
-  async rage(until: number): Promise<void> {
-    this.#wellSince = this.#now();
-    const open = new Set<Promise<void>>();
+  /** Starts random faults until the given time and resolves once all are over. */
+  async injectUntil(until: number): Promise<void> {
+    this.#disksHealthySince = this.#now();
+    const runningFaults = new Set<Promise<void>>();
     while (this.#now() < until) {
       await this.#wait(this.#random.between(SoakFaultInjector.minPauseMs, SoakFaultInjector.maxPauseMs));
-      if (open.size >= SoakFaultInjector.maxConcurrent) continue;
-      const fault = this.#begin();
+      if (runningFaults.size >= SoakFaultInjector.maxConcurrent) continue;
+      const fault = this.#startFault();
       if (fault === undefined) continue;
-      open.add(fault);
-      void fault.finally(() => open.delete(fault));
+      runningFaults.add(fault);
+      void fault.finally(() => runningFaults.delete(fault));
     }
-    await Promise.all(open);
+    await Promise.all(runningFaults);
   }
 
   /**
-   * Loses one disk after the other, as soon as the users may: a machine counts as whole again so long after its start.
-   * The time of a start is the users' own, so that a busy machine, on which it takes seconds, judges the repair and not
-   * the start. Meanwhile connections of any machine are reset.
+   * Wipes one disk after the other at the users' shortest interval, and resets connections of random machines
+   * meanwhile. The interval is counted from when the process answers, less the start time on the users' machines: on a
+   * busy machine a start takes seconds, and the test is to judge the repair, not the start.
    */
-  async loseDisks(until: number): Promise<void> {
-    const disks = this.#fleet.names.filter((name) => this.#hasDisk(name));
+  async wipeDisksUntil(until: number): Promise<void> {
+    const diskMachines = this.#fleet.names.filter((name) => this.#hasDisk(name));
     while (this.#now() < until) {
-      const name = this.#random.pick(disks);
-      await this.#run("wipe", name);
-      await this.#fleet.up(name);
-      const nextAt = this.#now() + SoakFaultInjector.successorMs - SoakFaultInjector.startMs;
+      const name = this.#random.pick(diskMachines);
+      await this.#runFault("wipe", name);
+      await this.#fleet.waitUntilAnswering(name);
+      const nextAt = this.#now() + SoakFaultInjector.minDiskLossIntervalMs - SoakFaultInjector.assumedStartMs;
       while (this.#now() < nextAt) {
         await this.#wait(Math.min(this.#random.between(200, 1500), Math.max(1, nextAt - this.#now())));
-        if (this.#now() < nextAt) await this.#run("reset", this.#random.pick(this.#fleet.names));
+        if (this.#now() < nextAt) await this.#runFault("reset", this.#random.pick(this.#fleet.names));
       }
     }
   }
 
-  #begin(): Promise<void> | undefined {
-    const free = this.#fleet.names.filter((name) => !this.#busy.has(name));
+  #startFault(): Promise<void> | undefined {
+    const free = this.#fleet.names.filter((name) => !this.#faultyMachines.has(name));
     if (free.length === 0) return undefined;
     const name = this.#random.pick(free);
     const kind = this.#mayWipe(name) && this.#random.draw() < 0.4 ? "wipe" : this.#random.pick(soakFaultKinds);
     if (kind === "wipe" && !this.#mayWipe(name)) return undefined;
-    return this.#run(kind, name);
+    return this.#runFault(kind, name);
   }
 
   #hasDisk(name: string): boolean {
@@ -91,18 +98,20 @@
   }
 
   #mayWipe(name: string): boolean {
-    const isAnyTroubled = [...this.#busy].some((one) => this.#hasDisk(one));
-    return this.#hasDisk(name) && !isAnyTroubled && this.#now() - this.#wellSince > SoakFaultInjector.syncMs;
+    const isAnyFaulty = [...this.#faultyMachines].some((machine) => this.#hasDisk(machine));
+    return (
+      this.#hasDisk(name) && !isAnyFaulty && this.#now() - this.#disksHealthySince > SoakFaultInjector.minHealthyMs
+    );
   }
 
-  async #run(kind: SoakFaultKind, name: string): Promise<void> {
+  async #runFault(kind: SoakFaultKind, name: string): Promise<void> {
     const from = this.#now();
-    this.#busy.add(name);
+    this.#faultyMachines.add(name);
     const ms = this.#random.between(300, 4000);
     await this.#inject(kind, name, ms);
-    this.#busy.delete(name);
-    if (this.#hasDisk(name)) this.#wellSince = this.#now();
-    this.done.push({ kind, name, from: Math.round(from), to: Math.round(this.#now()) });
+    this.#faultyMachines.delete(name);
+    if (this.#hasDisk(name)) this.#disksHealthySince = this.#now();
+    this.injected.push({ kind, name, from: Math.round(from), to: Math.round(this.#now()) });
   }
 
   async #inject(kind: SoakFaultKind, name: string, ms: number): Promise<void> {
@@ -110,38 +119,38 @@
     switch (kind) {
       case "kill":
       case "wipe":
-        await fleet.end(name, "SIGKILL");
+        await fleet.endProcess(name, "SIGKILL");
         if (kind === "wipe") fleet.wipe(name);
         await this.#wait(ms / 2);
         return fleet.launch(name);
       case "restart":
-        // A process that is still starting ends by the signal itself; one that is not ready in time is left alone.
+        // While it is starting, a process dies by SIGTERM itself, so one that is not ready in time is skipped.
         if (!(await this.#isReady(name))) return;
-        await fleet.cycle(name);
+        await fleet.terminate(name);
         return fleet.launch(name);
       case "pause":
         fleet.signal(name, "SIGSTOP");
         await this.#wait(ms);
         return fleet.signal(name, "SIGCONT");
       case "reset":
-        fleet.wire(name).set("reset");
-        return fleet.wire(name).set("open");
+        fleet.relayOf(name).setMode("reset");
+        return fleet.relayOf(name).setMode("open");
       case "slow":
-        fleet.wire(name).set("open", this.#random.between(20, 300));
+        fleet.relayOf(name).setMode("open", this.#random.between(20, 300));
         await this.#wait(ms);
-        return fleet.wire(name).set("open");
+        return fleet.relayOf(name).setMode("open");
       case "cut":
       case "lostAnswers":
-        fleet.wire(name).set(kind === "cut" ? "silent" : "unresponsive");
+        fleet.relayOf(name).setMode(kind === "cut" ? "silent" : "unresponsive");
         await this.#wait(ms);
-        // What was cut in the middle of a frame can't go on: the wire's connections end.
-        fleet.wire(name).set("reset");
-        return fleet.wire(name).set("open");
+        // Data lost in the middle of a frame cannot be resumed, so the relay's connections are closed.
+        fleet.relayOf(name).setMode("reset");
+        return fleet.relayOf(name).setMode("open");
     }
   }
 
   #isReady(name: string): Promise<boolean> {
-    return this.#fleet.ready([name], SoakFaultInjector.readyMs).then(
+    return this.#fleet.waitUntilReady([name], SoakFaultInjector.readyMs).then(
       () => true,
       () => false,
     );
--- a/packages/testkit/src/fleet/soakOperators.ts
+++ b/packages/testkit/src/fleet/soakOperators.ts
@@ -6,25 +6,27 @@
 import type { Fleet } from "./fleet.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
-/** Operators of a soak: two that change the configuration, and readers that ask any control node at any moment. */
+/** The operators of a soak: two that change the configuration, and three that read it from random control nodes. */
 export class SoakOperators {
-  static readonly changeMs = 500;
-  static readonly readMs = 70;
-  /** Spaces that some versions have and others don't. */
+  /** Mean pause of an operator between two changes. */
+  static readonly changeIntervalMs = 500;
+  /** Mean pause of a reader between two reads. */
+  static readonly readIntervalMs = 70;
+  /** Spaces that some versions have and others do not. */
   static readonly addedSpaces: readonly string[] = ["added-1", "added-2", "added-3"];
 
   readonly #fleet: Fleet;
   readonly #random: SimRandom;
   readonly #now: () => number;
   readonly #history: History;
-  readonly accepted: AcceptedChange[] = [];
+  readonly acceptedChanges: AcceptedChange[] = [];
   readonly reads: ConfigurationRead[] = [];
-  /** Answers without a clear outcome: a node that could not be sure, or was not there. */
-  unknown = 0;
-  /** Changes that were refused though nothing stood in their way, and what the answer said. */
-  readonly refused: string[] = [];
+  /** Number of requests without a definite outcome: the node was unsure or did not answer. */
+  unknownOutcomes = 0;
+  /** Valid changes that were refused, with the error of the answer. */
+  readonly refusedChanges: string[] = [];
   #version: number;
-  #isOver = false;
+  #isStopped = false;
 
   constructor(fleet: Fleet, random: SimRandom, now: () => number, history: History, version: number) {
     this.#fleet = fleet;
@@ -34,16 +36,23 @@
     this.#version = version;
   }
 
-  /** Works until `stop`; resolves when all that was asked is answered. */
+  /** Sends requests until `stop`; resolves once all of them are answered. */
   async run(): Promise<void> {
-    await Promise.all([this.#change(), this.#change(), this.#read(), this.#read(), this.#read()]);
+    await Promise.all([
+      this.#changeRepeatedly(),
+      this.#changeRepeatedly(),
+      this.#readRepeatedly(),
+      this.#readRepeatedly(),
+      this.#readRepeatedly(),
+    ]);
   }
 
+  /** Ends the operators' loops after their current request. */
   stop(): void {
-    this.#isOver = true;
+    this.#isStopped = true;
   }
 
-  /** What some node says is in force, asked until one is sure; undefined where none is for too long. */
+  /** Reads the version in force from random control nodes until one answers; undefined if `timeoutMs` pass before. */
   async readBack(timeoutMs: number): Promise<number | undefined> {
     const end = this.#now() + timeoutMs;
     while (this.#now() < end) {
@@ -53,33 +62,34 @@
     return undefined;
   }
 
-  async #change(): Promise<void> {
-    while (!this.#isOver) {
-      await this.#wait(this.#random.between(0.5, 1.5) * SoakOperators.changeMs);
-      await this.#put((this.#version += 1));
+  async #changeRepeatedly(): Promise<void> {
+    while (!this.#isStopped) {
+      await this.#wait(this.#random.between(0.5, 1.5) * SoakOperators.changeIntervalMs);
+      await this.#putUntilDecided((this.#version += 1));
     }
   }
 
-  /** One change, sent again to any node until its fate is clear or a later one may have overtaken it for long. */
-  async #put(version: number): Promise<void> {
+  /** Sends one change to random control nodes until its outcome is known, for at most 20 attempts. */
+  async #putUntilDecided(version: number): Promise<void> {
     const text = documentTextOf(this.#configurationOf(version));
-    const about = { version, text };
-    for (let tries = 0; tries < 20 && !this.#isOver; tries += 1) {
-      this.#history.add({ kind: "planTried", at: performance.now(), ...about });
-      const { status, body } = await this.#fleet.call(this.#node(), "PUT", "/v1/plan", text);
+    const change = { version, text };
+    for (let tries = 0; tries < 20 && !this.#isStopped; tries += 1) {
+      this.#history.add({ kind: "planTried", at: performance.now(), ...change });
+      const { status, body } = await this.#fleet.call(this.#randomControlNode(), "PUT", "/v1/plan", text);
       if (status === 200) {
-        this.#history.add({ kind: "planAccepted", at: performance.now(), ...about });
-        return void this.accepted.push({ version, at: this.#now() });
+        this.#history.add({ kind: "planAccepted", at: performance.now(), ...change });
+        return void this.acceptedChanges.push({ version, at: this.#now() });
       }
-      // Without a document a version below the one in force is refused as stale.
+      // If sent without a document, a version below the one in force is refused as stale.
       if (status === 409) return;
-      if (status !== 0 && status < 500) return void this.refused.push(`${version}: ${JSON.stringify(body["error"])}`);
-      this.unknown += 1;
+      if (status !== 0 && status < 500)
+        return void this.refusedChanges.push(`${version}: ${JSON.stringify(body["error"])}`);
+      this.unknownOutcomes += 1;
       await this.#wait(100);
     }
   }
 
-  /** The deployment's spaces, and some that come and go from version to version. */
+  /** The deployment's spaces, and added ones that depend on the version. */
   #configurationOf(version: number): Configuration {
     const configuration = Deployments.configuration(this.#fleet.deployment, version);
     const contract = { keep: 60, order: "sender" as const, fault_budget: {} };
@@ -90,19 +100,19 @@
     };
   }
 
-  async #read(): Promise<void> {
-    while (!this.#isOver) {
-      await this.#wait(this.#random.between(0.5, 1.5) * SoakOperators.readMs);
+  async #readRepeatedly(): Promise<void> {
+    while (!this.#isStopped) {
+      await this.#wait(this.#random.between(0.5, 1.5) * SoakOperators.readIntervalMs);
       await this.#readOnce();
     }
   }
 
   async #readOnce(): Promise<number | undefined> {
-    const node = this.#node();
+    const node = this.#randomControlNode();
     const askedAt = this.#now();
     const { status, body } = await this.#fleet.call(node, "GET", "/v1/plan");
     if (status !== 200) {
-      this.unknown += 1;
+      this.unknownOutcomes += 1;
       await this.#wait(50);
       return undefined;
     }
@@ -111,7 +121,7 @@
     return version;
   }
 
-  #node(): string {
+  #randomControlNode(): string {
     return this.#random.pick(this.#fleet.withRole("lathe"));
   }
 
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -146,7 +146,7 @@
       clients: this.clients,
       draw: () => this.#random.draw(),
       now: () => this.#clock.now(),
-      topicsFor: ({ session }) =>
+      publishableTopics: ({ session }) =>
         session.startsWith("sender") ? ["notices/t0", "notices/t1"] : [this.#topicOf("notes"), this.#topicOf("extra")],
     });
   }
