--- a/packages/testkit/src/checker/checkedKeys.ts
+++ b/packages/testkit/src/checker/checkedKeys.ts
@@ -1,22 +1,26 @@
 import type { SequentialModel } from "./linearizability.js";
 
-/** Values by key; undefined where the key is not there. Every write of a history has a value of its own. */
+/** Values by key; undefined if the key does not exist. Every write of a history must have a distinct value. */
 export type Values = Readonly<Record<string, string | undefined>>;
 
-/** Transactions of the store, in which a checked revision is named by the value that it stood for. */
+/** A store transaction or a read. A transaction's checked revisions are given as the values they stand for. */
 export type KeysInput = { kind: "txn"; expected: Values; puts: Values } | { kind: "read"; keys: readonly string[] };
+/** The answer to an operation on the keys. */
 export type KeysOutput = { kind: "done" } | { kind: "conflict" } | { kind: "values"; values: Values };
 
-/** The store's keys: a transaction writes all that it puts if every key that it checks is as expected, else nothing. */
+/**
+ * Sequential specification of the store's keys: a transaction writes all its puts if every checked key has the expected
+ * value, else nothing.
+ */
 export const checkedKeys: SequentialModel<Values, KeysInput, KeysOutput> = {
   initial: {},
 
   step(state, input, output) {
     if (input.kind === "read") {
       if (output === undefined) return state;
-      return output.kind === "values" && holds(state, output.values) ? state : undefined;
+      return output.kind === "values" && matches(state, output.values) ? state : undefined;
     }
-    const isExpected = holds(state, input.expected);
+    const isExpected = matches(state, input.expected);
     if (output?.kind === "conflict") return isExpected ? undefined : state;
     if (output === undefined && !isExpected) return state;
     return isExpected && output?.kind !== "values" ? { ...state, ...input.puts } : undefined;
@@ -28,6 +32,6 @@
   },
 };
 
-function holds(state: Values, values: Values): boolean {
+function matches(state: Values, values: Values): boolean {
   return Object.entries(values).every(([key, value]) => state[key] === value);
 }
--- a/packages/testkit/src/checker/checker.test.ts
+++ b/packages/testkit/src/checker/checker.test.ts
@@ -20,7 +20,7 @@
   version,
   text: configurationText(version, spaces),
 });
-const joins = (subscriber: string, at = 1): Seen[] => [
+const subscribes = (subscriber: string, at = 1): Seen[] => [
   { kind: "asked", at, subscriber, topic },
   { kind: "linked", at, subscriber, node: "n" },
   { kind: "confirmed", at, subscriber, topic },
@@ -49,7 +49,7 @@
   number,
   code,
 });
-const got = (at: number, number: number, subscriber = "a", sender = "s", payload = `p${number}`): Seen => ({
+const received = (at: number, number: number, subscriber = "a", sender = "s", payload = `p${number}`): Seen => ({
   kind: "received",
   at,
   subscriber,
@@ -69,51 +69,67 @@
   ...new Set(Checker.check(seen.flat(), 200_000).map((breach) => breach.rule)),
 ];
 
-test("a history in which all went well has no breach", () => {
+test("a history without faults has no breach", () => {
   expect(
     rulesOf(
       configuration(0, 1),
-      joins("a"),
-      joins("b"),
+      subscribes("a"),
+      subscribes("b"),
       tried(10, 1),
       accepted(12, 1),
-      got(13, 1),
-      got(14, 1, "b"),
+      received(13, 1),
+      received(14, 1, "b"),
       tried(20, 2),
-      got(21, 2),
-      got(21, 2, "b"),
+      received(21, 2),
+      received(21, 2, "b"),
       accepted(22, 2),
       { kind: "planRead", at: 100, text: configurationText(1, ["notices"]) },
     ),
   ).toEqual([]);
 });
 
-const broken: Array<[rule: string, ...seen: Array<Seen | Seen[]>]> = [
-  ["missing", joins("a"), tried(10, 1), accepted(12, 1)],
-  ["skipped", joins("a"), tried(10, 1), accepted(12, 1), tried(20, 2), accepted(22, 2), got(23, 2)],
-  ["twice", joins("a"), tried(10, 1), accepted(12, 1), got(13, 1), got(14, 1)],
-  ["sender-order", joins("a"), tried(10, 1), accepted(12, 1), tried(20, 2), accepted(22, 2), got(23, 2), got(24, 1)],
+const violatingHistories: Array<[rule: string, ...seen: Array<Seen | Seen[]>]> = [
+  ["missing", subscribes("a"), tried(10, 1), accepted(12, 1)],
+  ["skipped", subscribes("a"), tried(10, 1), accepted(12, 1), tried(20, 2), accepted(22, 2), received(23, 2)],
+  ["twice", subscribes("a"), tried(10, 1), accepted(12, 1), received(13, 1), received(14, 1)],
+  [
+    "sender-order",
+    subscribes("a"),
+    tried(10, 1),
+    accepted(12, 1),
+    tried(20, 2),
+    accepted(22, 2),
+    received(23, 2),
+    received(24, 1),
+  ],
   [
     "one-order",
     configuration(0, 1),
-    joins("a"),
-    joins("b"),
+    subscribes("a"),
+    subscribes("b"),
     tried(10, 1),
     tried(10, 1, "z"),
     accepted(12, 1),
     accepted(12, 1, "z"),
-    got(13, 1),
-    got(14, 1, "a", "z"),
-    got(13, 1, "b", "z"),
-    got(14, 1, "b"),
+    received(13, 1),
+    received(14, 1, "a", "z"),
+    received(13, 1, "b", "z"),
+    received(14, 1, "b"),
   ],
-  ["nobody-sent", joins("a"), got(13, 1)],
-  ["changed-bytes", joins("a"), tried(10, 1), accepted(12, 1), got(13, 1, "a", "s", "other")],
-  ["not-asked", tried(10, 1), accepted(12, 1), got(13, 1)],
-  ["refused-delivered", joins("a"), tried(10, 1), refused(12, 1), got(13, 1)],
-  ["expired-early", joins("a"), tried(10, 1), accepted(12, 1), expired(30_000)],
+  ["nobody-sent", subscribes("a"), received(13, 1)],
+  ["changed-bytes", subscribes("a"), tried(10, 1), accepted(12, 1), received(13, 1, "a", "s", "other")],
+  ["not-asked", tried(10, 1), accepted(12, 1), received(13, 1)],
+  ["refused-delivered", subscribes("a"), tried(10, 1), refused(12, 1), received(13, 1)],
+  ["expired-early", subscribes("a"), tried(10, 1), accepted(12, 1), expired(30_000)],
   ["plan-late", configuration(0, 1), tried(4000, 1), refused(4010, 1, "unknown-topic")],
-  ["removed-space", configuration(0, 1), joins("a"), configuration(100, 2, ["other"]), tried(3200, 1), got(3220, 1)],
+  [
+    "removed-space",
+    configuration(0, 1),
+    subscribes("a"),
+    configuration(100, 2, ["other"]),
+    tried(3200, 1),
+    received(3220, 1),
+  ],
   [
     "plan-read-back",
     configuration(0, 1),
@@ -123,7 +139,7 @@
   ["plan-lost", configuration(0, 1), { kind: "planLost", at: 100, why: "404" }],
 ];
 
-const of = (other: string, seen: Seen[]): Seen[] =>
+const onTopic = (other: string, seen: Seen[]): Seen[] =>
   seen.map((one) => ("topic" in one ? { ...one, topic: other } : one));
 const contractEvents = (at: number, version: number, contract: object): Seen[] => {
   const rule = { when: {}, contract: { keep: 60, order: "sender", fault_budget: {}, ...contract } };
@@ -140,29 +156,29 @@
   topic: "notices/t9",
   code: "unavailable",
 });
-/** Two topics of one space; "b" sees their messages the other way round than "a". */
-const crossed = (between: Seen[]): Seen[] => [
+/** Two topics of one space; subscriber "b" receives their messages in the opposite order to subscriber "a". */
+const crossedOrders = (between: Seen[]): Seen[] => [
   configuration(0, 1),
-  ...["a", "b"].flatMap((name) => [...joins(name), ...of("notices/t9", joins(name))]),
+  ...["a", "b"].flatMap((name) => [...subscribes(name), ...onTopic("notices/t9", subscribes(name))]),
   ...between,
   tried(10, 1),
-  ...of("notices/t9", [tried(10, 1, "z"), accepted(12, 1, "z")]),
+  ...onTopic("notices/t9", [tried(10, 1, "z"), accepted(12, 1, "z")]),
   accepted(12, 1),
-  got(13, 1),
-  ...of("notices/t9", [got(14, 1, "a", "z")]),
+  received(13, 1),
+  ...onTopic("notices/t9", [received(14, 1, "a", "z")]),
 ];
 
-broken.push(
-  ["one-order", crossed([]), of("notices/t9", [got(13, 1, "b", "z")]), got(14, 1, "b")],
+violatingHistories.push(
+  ["one-order", crossedOrders([]), onTopic("notices/t9", [received(13, 1, "b", "z")]), received(14, 1, "b")],
   ["slipped-back", { kind: "marked", at: 1, node: "n", version: 4 }, { kind: "marked", at: 2, node: "n", version: 3 }],
   [
     "plan-late",
     contractEvents(0, 1, {}),
     contractEvents(10, 2, { publishers: ["t"] }),
-    joins("a"),
+    subscribes("a"),
     tried(3100, 1),
     accepted(3110, 1),
-    got(3120, 1),
+    received(3120, 1),
   ],
   [
     "plan-late",
@@ -175,37 +191,46 @@
   [
     "expired-early",
     contractEvents(0, 1, { keep: 90 }),
-    joins("a", 70_000),
+    subscribes("a", 70_000),
     tried(70_010, 1),
     accepted(70_012, 1),
     expired(150_000),
   ],
 );
 
-for (const [rule, ...seen] of broken) {
-  test(`a history that breaks "${rule}" is caught for it`, () => {
+for (const [rule, ...seen] of violatingHistories) {
+  test(`a history that breaks the rule "${rule}" is reported under that rule only`, () => {
     expect(rulesOf(...seen)).toEqual([rule]);
   });
 }
 
-test("a topic that could not be had on a connection catches up outside the order; a restart forgets versions", () => {
-  const catching = crossed([faulted(5), ...of("notices/t9", [{ kind: "confirmed", at: 20, subscriber: "b", topic }])]);
-  expect(rulesOf(catching, got(14, 1, "b"), of("notices/t9", [got(21, 1, "b", "z")]))).toEqual([]);
+test("a topic that was unavailable on a connection catches up outside the order; a restart may forget versions", () => {
+  const caughtUp = crossedOrders([
+    faulted(5),
+    ...onTopic("notices/t9", [{ kind: "confirmed", at: 20, subscriber: "b", topic }]),
+  ]);
+  expect(rulesOf(caughtUp, received(14, 1, "b"), onTopic("notices/t9", [received(21, 1, "b", "z")]))).toEqual([]);
   const versions = [4, 0, 4, 5].map((version, at): Seen => ({ kind: "marked", at, node: "n", version }));
   expect(rulesOf(versions)).toEqual([]);
 });
 
-test("a configuration whose put got no final reply may be the one read back; one that was refused may not", () => {
+test("a configuration whose put got no definite reply may be read back; a refused one may not", () => {
   const unknown = { kind: "planTried", at: 5, version: 2, text: configurationText(2, ["other"]) } as const;
   const read: Seen = { kind: "planRead", at: 9, text: configurationText(2, ["other"]) };
   expect(rulesOf(configuration(0, 1), unknown, read)).toEqual([]);
   expect(rulesOf(configuration(0, 1), unknown, { ...unknown, kind: "planRefused" }, read)).toEqual(["plan-read-back"]);
 });
 
-test("late is what a confirmed subscriber waited for longer than 2 s, unless it dropped off of its own accord", () => {
-  const cut = (isOwn: boolean): Seen => ({ kind: "closed", at: 30, subscriber: "a", isOwn });
-  const again: Seen[] = [{ kind: "linked", at: 2900, subscriber: "a", node: "m" }];
-  const history = (isOwn: boolean): Seen[] => [...joins("a"), tried(10, 1), cut(isOwn), ...again, got(3010, 1)];
+test("a delivery is late if a confirmed subscriber waited over 2 s, unless it closed the connection itself", () => {
+  const closed = (isOwn: boolean): Seen => ({ kind: "closed", at: 30, subscriber: "a", isOwn });
+  const reconnected: Seen[] = [{ kind: "linked", at: 2900, subscriber: "a", node: "m" }];
+  const history = (isOwn: boolean): Seen[] => [
+    ...subscribes("a"),
+    tried(10, 1),
+    closed(isOwn),
+    ...reconnected,
+    received(3010, 1),
+  ];
   expect(Lateness.deliveries(history(false)).map((delivery) => delivery.delay)).toEqual([3000]);
   expect(Lateness.deliveries(history(true))).toEqual([]);
   const deliveries = Lateness.deliveries(history(false));
@@ -215,21 +240,28 @@
 });
 
 test(
-  "what the rules allow is no breach: an old place expired, a refused try before an accepted " +
-    "one, a topic made again",
+  "no breach: an old position that expired, a refused attempt before an accepted one, " +
+    "a message to a space removed less than 3 s ago",
   () => {
-    expect(rulesOf(joins("a"), tried(10, 1), accepted(12, 1), expired(100_000))).toEqual([]);
+    expect(rulesOf(subscribes("a"), tried(10, 1), accepted(12, 1), expired(100_000))).toEqual([]);
     expect(
-      rulesOf(joins("a"), tried(10, 1), refused(12, 1, "unavailable"), tried(20, 1), accepted(22, 1), got(23, 1)),
+      rulesOf(
+        subscribes("a"),
+        tried(10, 1),
+        refused(12, 1, "unavailable"),
+        tried(20, 1),
+        accepted(22, 1),
+        received(23, 1),
+      ),
     ).toEqual([]);
     expect(
       rulesOf(
         configuration(0, 1),
-        joins("a"),
+        subscribes("a"),
         configuration(100, 2, ["other"]),
         tried(1500, 1),
         accepted(1510, 1),
-        got(1520, 1),
+        received(1520, 1),
       ),
     ).toEqual([]);
   },
--- a/packages/testkit/src/checker/checker.ts
+++ b/packages/testkit/src/checker/checker.ts
@@ -1,7 +1,8 @@
 /**
- * The checker's way in. It knows a history alone (`history.ts`), the same from the simulator and from real
- * processes, and reports each broken rule by name. Lateness, one version one document (`orderRules`), configuration
- * reads and topics that keep nothing have modules of their own.
+ * Entry point of the history checker. Its only input is a history (`history.ts`), recorded by the simulator or by real
+ * processes, and it reports each violated rule by name. Delivery delay (`lateness`), acknowledged configurations
+ * (`orderRules`), reads of the configuration (`configurationReads`) and topics without retention (`ephemeralRules`)
+ * are checked by modules of their own.
  */
 
 import { Configurations, type TopicContract } from "@cranetrack/core/configuration/configuration.js";
@@ -11,231 +12,257 @@
 import { OrderGraph } from "./orderGraph.js";
 import { ConfigurationHistory } from "./configurationHistory.js";
 
-/** A broken rule: its name, what was seen, and when on the clock of the run. */
+/** A violation: the name of the rule, what was observed, and the time in milliseconds of the run's clock. */
 export interface Breach {
   rule: string;
   text: string;
   at: number;
 }
-const isSmall = (contract: TopicContract, payload: string): boolean =>
+
+/** Whether a payload is within the contract's size limit, which is 64 KiB unless the contract sets one. */
+const fitsPayloadLimit = (contract: TopicContract, payload: string): boolean =>
   Buffer.byteLength(payload) <= (contract.maxBytes ?? 65_536);
 
 /**
- * Judges a history by the users' list of what must never happen, but for how late a message is. Knows only what
- * callers and operators saw.
+ * Checks a history against the rules on delivery, order, retention and configuration that users rely on, except
+ * delivery delay. It uses only what clients and operators observed.
  */
 export class Checker {
+  /** Shortest time for which every accepted message must stay available to subscribers that missed it. */
   static readonly minRetentionMs = 35_000;
+  /** How far back configurations are looked up for the retention that they promised. */
   static readonly maxRetentionMs = 60_000;
 
-  readonly #seen: readonly Seen[];
+  readonly #events: readonly Seen[];
   readonly #endAt: number;
   readonly #breaches: Breach[] = [];
   readonly #messages: SentMessages;
   readonly #readers = new Readers();
   readonly #configurations: ConfigurationHistory;
-  /** By stream of one order and subscriber: what came, in its order. */
-  readonly #orders = new Map<string, Map<string, string[]>>();
-  readonly #versions = new Map<string, number>();
+  /** By totally ordered stream, then by subscriber: the messages received, in the order of their arrival. */
+  readonly #ordersByStream = new Map<string, Map<string, string[]>>();
+  readonly #newestVersionByNode = new Map<string, number>();
 
   constructor(seen: readonly Seen[], endAt: number) {
-    this.#seen = seen;
+    this.#events = seen;
     this.#endAt = endAt;
     this.#messages = new SentMessages(seen);
     this.#configurations = new ConfigurationHistory(seen);
   }
 
-  /** All broken rules of a history that ended at `endAt`; empty where it is good. */
+  /** All violations in a history that ended at `endAt`; empty if there are none. */
   static check(seen: readonly Seen[], endAt: number): Breach[] {
     return new Checker(seen, endAt).#check();
   }
 
   #check(): Breach[] {
-    for (const one of this.#seen) this.#step(one);
-    this.#missing();
+    for (const event of this.#events) this.#apply(event);
+    this.#checkMissing();
     this.#checkOrders();
     return this.#breaches;
   }
 
-  #breach(rule: string, at: number, text: string): void {
+  #report(rule: string, at: number, text: string): void {
     this.#breaches.push({ rule, at, text });
   }
 
-  #step(one: Seen): void {
-    switch (one.kind) {
+  #apply(event: Seen): void {
+    switch (event.kind) {
       case "asked":
-        this.#readers.find(one.subscriber, one.topic).asked = true;
+        this.#readers.find(event.subscriber, event.topic).isSubscribed = true;
         return;
       case "left":
       case "ended":
-        Object.assign(this.#readers.find(one.subscriber, one.topic), {
+        Object.assign(this.#readers.find(event.subscriber, event.topic), {
           confirmedAt: Infinity,
-          ...(one.kind === "left" ? { asked: false } : {}),
+          ...(event.kind === "left" ? { isSubscribed: false } : {}),
         });
         return;
       case "faulted":
-        this.#readers.find(one.subscriber, one.topic).isLagging = true;
+        this.#readers.find(event.subscriber, event.topic).isLagging = true;
         return;
       case "confirmed": {
-        const reader = this.#readers.find(one.subscriber, one.topic);
-        reader.confirmedAt = Math.min(reader.confirmedAt, one.at);
-        reader.seenAt = one.at;
-        if (reader.isLagging) reader.lagsUntil = one.at;
+        const reader = this.#readers.find(event.subscriber, event.topic);
+        reader.confirmedAt = Math.min(reader.confirmedAt, event.at);
+        reader.lastSeenAt = event.at;
+        if (reader.isLagging) reader.caughtUpAt = event.at;
         reader.isLagging = false;
         return;
       }
       case "received":
-        return this.#received(one);
+        return this.#checkReceived(event);
       case "expired":
-        return this.#expired(one);
+        return this.#checkExpired(event);
       case "accepted":
-        return this.#accepted(one);
+        return this.#checkAccepted(event);
       case "marked":
-        return this.#marked(one);
+        return this.#checkShownVersion(event);
       case "planRead":
-        return this.#configurationRead(one);
+        return this.#checkConfigurationRead(event);
       case "planLost":
-        return this.#breach("plan-lost", one.at, one.why);
+        return this.#report("plan-lost", event.at, event.why);
       case "refused":
-        return this.#refused(one);
+        return this.#checkRefused(event);
       default:
     }
   }
 
-  #received(one: Extract<Seen, { kind: "received" }>): void {
-    const reader = this.#readers.find(one.subscriber, one.topic);
-    const key = keyOf(one.sender, one.number);
-    const what = `${one.subscriber} on ${one.topic}: ${key}`;
-    const message = this.#messages.find(one.topic, key);
-    if (!reader.asked) this.#breach("not-asked", one.at, `${what} on a topic that was not asked for`);
-    if (message === undefined || message.firstAt > one.at)
-      this.#breach("nobody-sent", one.at, `${what} was never sent`);
-    else if (message.payload !== one.payload) this.#breach("changed-bytes", one.at, `${what} came with other bytes`);
+  #checkReceived(event: Extract<Seen, { kind: "received" }>): void {
+    const reader = this.#readers.find(event.subscriber, event.topic);
+    const key = keyOf(event.sender, event.number);
+    const description = `${event.subscriber} on ${event.topic}: ${key}`;
+    const message = this.#messages.find(event.topic, key);
+    if (!reader.isSubscribed) this.#report("not-asked", event.at, `${description} on a topic that was not asked for`);
+    if (message === undefined || message.firstAt > event.at)
+      this.#report("nobody-sent", event.at, `${description} was never sent`);
+    else if (message.payload !== event.payload)
+      this.#report("changed-bytes", event.at, `${description} came with another payload`);
     else if (
       message.isRefused &&
       message.acceptedAt === undefined &&
       !message.isUnknown &&
-      message.tries.at(-1)! < one.at
+      message.tries.at(-1)! < event.at
     )
-      this.#breach("refused-delivered", one.at, `${what} was delivered though every try was refused`);
-    if (reader.got.has(key)) this.#breach("twice", one.at, `${what} came twice`);
+      this.#report("refused-delivered", event.at, `${description} was delivered though every try was refused`);
+    if (reader.receivedAt.has(key)) this.#report("twice", event.at, `${description} came twice`);
     else {
-      const last = reader.last.get(one.sender) ?? 0;
-      if (one.number < last) this.#breach("sender-order", one.at, `${what} came after number ${last}`);
-      reader.last.set(one.sender, Math.max(last, one.number));
-      reader.got.set(key, one.at);
-      this.#keepOrder(one, message, reader);
+      const last = reader.lastNumbers.get(event.sender) ?? 0;
+      if (event.number < last) this.#report("sender-order", event.at, `${description} came after number ${last}`);
+      reader.lastNumbers.set(event.sender, Math.max(last, event.number));
+      reader.receivedAt.set(key, event.at);
+      this.#recordOrder(event, message, reader);
     }
-    reader.seenAt = one.at;
-    if (message !== undefined) this.#afterRemoval(one, message);
+    reader.lastSeenAt = event.at;
+    if (message !== undefined) this.#checkRemovedSpace(event, message);
   }
 
   /**
-   * The order in which a subscriber sees a space, or a topic, that has one order for all. A topic that could not be
-   * had for a while, on a connection that went on with others, catches up afterwards; what it missed has no place in
-   * it.
+   * Records the order in which a subscriber receives a stream with a total order (a space or a topic). Messages that
+   * were sent while the topic was unavailable on an open connection are left out: they arrive later as catch-up and
+   * have no place in that order.
    */
-  #keepOrder(one: Extract<Seen, { kind: "received" }>, message: SentMessage | undefined, reader: Reader): void {
-    const stream = this.#configurations.oneOrderOf(one.topic);
-    if (stream === undefined || message === undefined || message.firstAt < reader.lagsUntil) return;
-    const streams = this.#orders.get(stream) ?? new Map<string, string[]>();
-    this.#orders.set(stream, streams);
-    const order = streams.get(one.subscriber) ?? [];
-    streams.set(one.subscriber, order);
-    order.push(`${one.topic} ${keyOf(one.sender, one.number)}`);
+  #recordOrder(event: Extract<Seen, { kind: "received" }>, message: SentMessage | undefined, reader: Reader): void {
+    const stream = this.#configurations.totalOrderStream(event.topic);
+    if (stream === undefined || message === undefined || message.firstAt < reader.caughtUpAt) return;
+    const streams = this.#ordersByStream.get(stream) ?? new Map<string, string[]>();
+    this.#ordersByStream.set(stream, streams);
+    const order = streams.get(event.subscriber) ?? [];
+    streams.set(event.subscriber, order);
+    order.push(`${event.topic} ${keyOf(event.sender, event.number)}`);
   }
 
-  /** New messages of a space that no configuration in force for more than 3 s has. */
-  #afterRemoval(one: Extract<Seen, { kind: "received" }>, message: SentMessage): void {
-    const contracts = this.#configurations.contractsBetween(one.topic, message.firstAt, one.at);
+  /** Reports messages sent and delivered over 3 s after their space was removed from the configuration. */
+  #checkRemovedSpace(event: Extract<Seen, { kind: "received" }>, message: SentMessage): void {
+    const contracts = this.#configurations.possibleContracts(event.topic, message.firstAt, event.at);
     if (contracts === undefined || contracts.some((contract) => contract !== undefined)) return;
-    const what = `${one.topic}: ${keyOf(one.sender, one.number)}`;
-    this.#breach("removed-space", one.at, `${what} was sent and delivered over 3 s after its space was removed`);
+    const description = `${event.topic}: ${keyOf(event.sender, event.number)}`;
+    this.#report(
+      "removed-space",
+      event.at,
+      `${description} was sent and delivered over 3 s after its space was removed`,
+    );
   }
 
   /**
-   * A rule in force for more than 3 s must be known to whoever is asked: what all configurations allow is not refused.
+   * A configuration accepted more than 3 s ago must be in effect at every node: a message that all configurations
+   * possibly in force allow must not be refused.
    */
-  #refused(one: Extract<Seen, { kind: "refused" }>): void {
-    const message = this.#messages.find(one.topic, keyOf(one.sender, one.number));
-    const contracts = this.#configurations.contractsBetween(
-      one.topic,
-      message?.tries.findLast((at) => at <= one.at) ?? one.at,
-      one.at,
+  #checkRefused(event: Extract<Seen, { kind: "refused" }>): void {
+    const message = this.#messages.find(event.topic, keyOf(event.sender, event.number));
+    const contracts = this.#configurations.possibleContracts(
+      event.topic,
+      message?.tries.findLast((at) => at <= event.at) ?? event.at,
+      event.at,
     );
     if (contracts === undefined || message === undefined) return;
     const isWrong = contracts.every((contract) => {
-      if (one.code === "unknown-topic") return contract !== undefined;
-      if (one.code === "not-a-publisher")
-        return contract !== undefined && Configurations.mayPublish(contract, one.sender);
-      return one.code === "too-large" && contract !== undefined && isSmall(contract, message.payload);
+      if (event.code === "unknown-topic") return contract !== undefined;
+      if (event.code === "not-a-publisher")
+        return contract !== undefined && Configurations.mayPublish(contract, event.sender);
+      return event.code === "too-large" && contract !== undefined && fitsPayloadLimit(contract, message.payload);
     });
-    const what = `${one.topic}: ${keyOf(one.sender, one.number)}`;
+    const description = `${event.topic}: ${keyOf(event.sender, event.number)}`;
     if (isWrong)
-      this.#breach("plan-late", one.at, `${what} was refused (${one.code}) over 3 s after a plan allowed it`);
+      this.#report(
+        "plan-late",
+        event.at,
+        `${description} was refused (${event.code}) over 3 s after a plan allowed it`,
+      );
   }
 
-  /** And what none of them allows is not accepted. */
-  #accepted(one: Extract<Seen, { kind: "accepted" }>): void {
-    const message = this.#messages.find(one.topic, keyOf(one.sender, one.number));
+  /** Conversely, a message that none of the configurations possibly in force allows must not be accepted. */
+  #checkAccepted(event: Extract<Seen, { kind: "accepted" }>): void {
+    const message = this.#messages.find(event.topic, keyOf(event.sender, event.number));
     if (message === undefined) return;
-    // An earlier try may have been taken under an earlier configuration.
-    const contracts = this.#configurations.contractsBetween(one.topic, message.firstAt, one.at);
+    // An earlier attempt may have been accepted under an earlier configuration.
+    const contracts = this.#configurations.possibleContracts(event.topic, message.firstAt, event.at);
     if (contracts === undefined) return;
     const isAllowed = contracts.some(
       (contract) =>
-        contract !== undefined && Configurations.mayPublish(contract, one.sender) && isSmall(contract, message.payload),
+        contract !== undefined &&
+        Configurations.mayPublish(contract, event.sender) &&
+        fitsPayloadLimit(contract, message.payload),
     );
-    const what = `${one.topic}: ${keyOf(one.sender, one.number)}`;
-    if (!isAllowed) this.#breach("plan-late", one.at, `${what} was accepted over 3 s after the plans ruled it out`);
+    const description = `${event.topic}: ${keyOf(event.sender, event.number)}`;
+    if (!isAllowed)
+      this.#report("plan-late", event.at, `${description} was accepted over 3 s after the plans ruled it out`);
   }
 
-  /** A node may forget its configuration with a restart, but never goes back to an older one. */
-  #marked({ node, version, at }: Extract<Seen, { kind: "marked" }>): void {
-    const before = this.#versions.get(node) ?? 0;
+  /** A node may lose its configuration in a restart (version 0), but must never return to an older one. */
+  #checkShownVersion({ node, version, at }: Extract<Seen, { kind: "marked" }>): void {
+    const before = this.#newestVersionByNode.get(node) ?? 0;
     if (version > 0 && version < before)
-      this.#breach("slipped-back", at, `${node} showed mark ${version} after ${before}`);
-    this.#versions.set(node, Math.max(before, version));
+      this.#report("slipped-back", at, `${node} showed version ${version} after ${before}`);
+    this.#newestVersionByNode.set(node, Math.max(before, version));
   }
 
-  #expired(one: Extract<Seen, { kind: "expired" }>): void {
-    const reader = this.#readers.find(one.subscriber, one.topic);
-    reader.resetAt = one.at;
-    const { seenAt } = reader;
-    reader.seenAt = one.at;
-    if (this.#configurations.wasGone(one.topic, seenAt, one.at)) return;
-    const keeps = this.#configurations.contractsBetween(one.topic, one.at - Checker.maxRetentionMs, one.at) ?? [];
+  /**
+   * A subscriber may be told that its position expired only if it missed an accepted message that is older than the
+   * retention promised by all configurations possibly in force. 2 % of it are tolerated.
+   */
+  #checkExpired(event: Extract<Seen, { kind: "expired" }>): void {
+    const reader = this.#readers.find(event.subscriber, event.topic);
+    reader.expiredAt = event.at;
+    const { lastSeenAt } = reader;
+    reader.lastSeenAt = event.at;
+    if (this.#configurations.mayHaveBeenRemoved(event.topic, lastSeenAt, event.at)) return;
+    const contracts =
+      this.#configurations.possibleContracts(event.topic, event.at - Checker.maxRetentionMs, event.at) ?? [];
     const retentionMs = Math.max(
       Checker.minRetentionMs,
-      Math.min(...keeps.map((contract) => (contract?.keep ?? 0) * 1000)) * 0.98,
+      Math.min(...contracts.map((contract) => (contract?.keep ?? 0) * 1000)) * 0.98,
     );
-    const minMs = keeps.length === 0 ? Checker.minRetentionMs : retentionMs;
+    const minMs = contracts.length === 0 ? Checker.minRetentionMs : retentionMs;
     const missed = this.#messages
-      .ofTopic(one.topic)
+      .ofTopic(event.topic)
       .filter(
         (message) =>
           message.acceptedAt !== undefined &&
           message.firstAt >= reader.confirmedAt &&
-          message.acceptedAt < one.at &&
-          !reader.got.has(keyOf(message.sender, message.number)),
+          message.acceptedAt < event.at &&
+          !reader.receivedAt.has(keyOf(message.sender, message.number)),
       );
-    if (missed.every((message) => one.at - message.acceptedAt! < minMs))
-      this.#breach(
+    if (missed.every((message) => event.at - message.acceptedAt! < minMs))
+      this.#report(
         "expired-early",
-        one.at,
-        `${one.subscriber} on ${one.topic} was told its place expired; all it missed was younger than ${minMs} ms`,
+        event.at,
+        `${event.subscriber} on ${event.topic} was told its position expired; it missed nothing older than ${minMs} ms`,
       );
   }
 
-  #configurationRead(one: Extract<Seen, { kind: "planRead" }>): void {
+  #checkConfigurationRead(event: Extract<Seen, { kind: "planRead" }>): void {
     const { newest } = this.#configurations;
-    if (newest === undefined || newest.text === one.text || this.#configurations.mayHaveBeenAccepted(one.text)) return;
-    const what = `the plan read back is not the one accepted last (mark ${newest.configuration.version})`;
-    this.#breach("plan-read-back", one.at, what);
+    if (newest === undefined || newest.text === event.text || this.#configurations.mayHaveBeenAccepted(event.text))
+      return;
+    const description = `the plan read back is not the one accepted last (version ${newest.configuration.version})`;
+    this.#report("plan-read-back", event.at, description);
   }
 
-  /** Everything accepted after a confirmation must have come, unless the topic or the place was lost to a rule. */
-  #missing(): void {
+  /**
+   * Every accepted message first tried after the subscription was confirmed must have been received, unless the
+   * subscription ended or its position expired.
+   */
+  #checkMissing(): void {
     for (const [key, reader] of this.#readers.all) {
       if (reader.confirmedAt === Infinity) continue;
       const [subscriber, topic] = key.split(" ") as [string, string];
@@ -244,25 +271,26 @@
         if (
           message.acceptedAt === undefined ||
           message.acceptedAt > this.#endAt ||
-          message.firstAt < Math.max(reader.confirmedAt, reader.resetAt) ||
-          reader.got.has(id)
+          message.firstAt < Math.max(reader.confirmedAt, reader.expiredAt) ||
+          reader.receivedAt.has(id)
         )
           continue;
-        const isSkipped = (reader.last.get(message.sender) ?? 0) > message.number;
-        this.#breach(
+        const isSkipped = (reader.lastNumbers.get(message.sender) ?? 0) > message.number;
+        this.#report(
           isSkipped ? "skipped" : "missing",
           message.acceptedAt,
-          `${subscriber} on ${topic}: ${id} was accepted and never came`,
+          `${subscriber} on ${topic}: ${id} was accepted and never delivered`,
         );
       }
     }
   }
 
+  /** The orders in which subscribers received a totally ordered stream must agree. */
   #checkOrders(): void {
-    for (const [stream, orders] of this.#orders) {
+    for (const [stream, orders] of this.#ordersByStream) {
       const graph = new OrderGraph();
       for (const order of orders.values()) graph.add(order);
-      if (graph.hasCycle()) this.#breach("one-order", this.#endAt, `${stream}: two subscribers saw different orders`);
+      if (graph.hasCycle()) this.#report("one-order", this.#endAt, `${stream}: two subscribers saw different orders`);
     }
   }
 }
--- a/packages/testkit/src/checker/configurationHistory.ts
+++ b/packages/testkit/src/checker/configurationHistory.ts
@@ -7,40 +7,42 @@
 import { Streams } from "@cranetrack/core/configuration/streams.js";
 import type { Seen } from "./history.js";
 
-interface Put {
+/** A configuration as an operator sent it: its text, the parsed form, and the time of the event. */
+interface SentConfiguration {
   at: number;
   configuration: Configuration;
   text: string;
 }
 
-/** The configurations that operators sent, and which of them may have been in force when, as far as they could see. */
+/** The configurations that operators sent, and which of them may have been in force at which time. */
 export class ConfigurationHistory {
-  /** So long a configuration may take until it is in effect everywhere. */
-  static readonly takeUpMs = 3000;
-  /** A reply is on its way for so long at the most, after what it tells of. */
+  /** Longest time after its acceptance until a configuration is in effect at all nodes. */
+  static readonly takeEffectMs = 3000;
+  /** Longest time that a reply takes to arrive after the event it reports. */
   static readonly acknowledgementMs = 1000;
 
-  readonly #accepted: Put[] = [];
-  readonly #tried = new Map<string, Put>();
+  readonly #accepted: SentConfiguration[] = [];
+  readonly #tried = new Map<string, SentConfiguration>();
   readonly #refused = new Set<string>();
 
   constructor(seen: readonly Seen[]) {
-    for (const one of seen) {
-      if (one.kind === "planTried" && !this.#tried.has(one.text))
-        this.#tried.set(one.text, ConfigurationHistory.#put(one));
-      else if (one.kind === "planAccepted") this.#accepted.push(ConfigurationHistory.#put(one));
-      else if (one.kind === "planRefused") this.#refused.add(one.text);
+    for (const event of seen) {
+      if (event.kind === "planTried" && !this.#tried.has(event.text))
+        this.#tried.set(event.text, ConfigurationHistory.#parse(event));
+      else if (event.kind === "planAccepted") this.#accepted.push(ConfigurationHistory.#parse(event));
+      else if (event.kind === "planRefused") this.#refused.add(event.text);
     }
   }
 
-  get newest(): Put | undefined {
-    return this.#accepted.reduce<Put | undefined>(
+  /** The accepted configuration with the highest version. */
+  get newest(): SentConfiguration | undefined {
+    return this.#accepted.reduce<SentConfiguration | undefined>(
       (best, put) => (best === undefined || put.configuration.version > best.configuration.version ? put : best),
       undefined,
     );
   }
 
-  /** A put that got no final reply may have been accepted all the same. */
+  /** A configuration whose put got no definite reply may have been accepted nevertheless. */
   mayHaveBeenAccepted(text: string): boolean {
     const put = this.#tried.get(text);
     return (
@@ -51,14 +53,14 @@
   }
 
   /**
-   * All configurations that somebody may have acted on between two moments: the one accepted for long enough before,
-   * and
-   * every one that was sent since. Undefined where none was in force for sure.
+   * All configurations that a node may have applied between two moments: the newest one that was in effect everywhere
+   * at the first moment, and every later version sent up to the second. Undefined if no configuration was certainly in
+   * effect.
    */
-  between(from: number, to: number): Configuration[] | undefined {
+  possibleConfigurations(from: number, to: number): Configuration[] | undefined {
     const lastResolved = this.#accepted
-      .filter((put) => put.at <= from - ConfigurationHistory.takeUpMs)
-      .reduce<Put | undefined>(
+      .filter((put) => put.at <= from - ConfigurationHistory.takeEffectMs)
+      .reduce<SentConfiguration | undefined>(
         (a, b) => (a === undefined || b.configuration.version > a.configuration.version ? b : a),
         undefined,
       );
@@ -70,27 +72,31 @@
     return [lastResolved.configuration, ...later.map((put) => put.configuration)];
   }
 
-  /** What every configuration that may have been in force then owed the topic; undefined where none was for sure. */
-  contractsBetween(topic: string, from: number, to: number): Array<TopicContract | undefined> | undefined {
-    return this.between(from, to)?.map((configuration) =>
-      ConfigurationHistory.#limited(configuration, Configurations.contractFor(configuration, topic)),
+  /**
+   * The topic's contract in each configuration that may have been in force between two moments (undefined where it has
+   * no such topic); undefined as a whole if no configuration was certainly in effect.
+   */
+  possibleContracts(topic: string, from: number, to: number): Array<TopicContract | undefined> | undefined {
+    return this.possibleConfigurations(from, to)?.map((configuration) =>
+      ConfigurationHistory.#withPayloadLimit(configuration, Configurations.contractFor(configuration, topic)),
     );
   }
 
-  /** Whether some configuration sent in that time did not have the topic. */
-  wasGone(topic: string, from: number, to: number): boolean {
+  /** Whether a configuration without the topic may have been in force between two moments. */
+  mayHaveBeenRemoved(topic: string, from: number, to: number): boolean {
     return [...this.#tried.values(), ...this.#accepted].some(
       ({ at, configuration }) =>
-        at >= from - ConfigurationHistory.takeUpMs &&
+        at >= from - ConfigurationHistory.takeEffectMs &&
         at <= to &&
         Configurations.contractFor(configuration, topic) === undefined,
     );
   }
 
   /**
-   * The stream of one order for all that every configuration of the run which has the topic puts it in; else undefined.
+   * The totally ordered stream of a topic, if all configurations of the run that have the topic put it into the same
+   * one; else undefined.
    */
-  oneOrderOf(topic: string): string | undefined {
+  totalOrderStream(topic: string): string | undefined {
     const streams = new Set(
       [...this.#tried.values(), ...this.#accepted].flatMap(({ configuration }) => {
         const space = Configurations.spaceOf(configuration, topic);
@@ -104,15 +110,15 @@
     return streams.size === 1 ? [...streams][0] : undefined;
   }
 
-  /** The configuration's limit of a payload holds whatever a contract allows. */
-  static #limited({ limits }: Configuration, contract: TopicContract | undefined): TopicContract | undefined {
-    const most = limits?.payloadBytes;
-    return contract === undefined || most === undefined
+  /** The contract with the configuration's payload limit applied, which holds even if the contract allows more. */
+  static #withPayloadLimit({ limits }: Configuration, contract: TopicContract | undefined): TopicContract | undefined {
+    const payloadLimit = limits?.payloadBytes;
+    return contract === undefined || payloadLimit === undefined
       ? contract
-      : { ...contract, maxBytes: Math.min(contract.maxBytes ?? 65_536, most) };
+      : { ...contract, maxBytes: Math.min(contract.maxBytes ?? 65_536, payloadLimit) };
   }
 
-  static #put({ at, text }: { at: number; text: string }): Put {
+  static #parse({ at, text }: { at: number; text: string }): SentConfiguration {
     const read = ConfigurationSchema.read(JSON.parse(text));
     return { at, text, configuration: "configuration" in read ? read.configuration : { version: 0, spaces: [] } };
   }
--- a/packages/testkit/src/checker/configurationReads.ts
+++ b/packages/testkit/src/checker/configurationReads.ts
@@ -1,11 +1,12 @@
 import type { Breach } from "./checker.js";
 
-/** A change that an operator was told is accepted, and when the answer came. */
+/** A configuration change whose acceptance was reported to an operator; `at` is when the reply arrived. */
 export interface AcceptedChange {
   readonly version: number;
   readonly at: number;
 }
-/** A read of the configuration at some node that was answered with one. */
+
+/** A read of the configuration at a node that returned one. Times are in milliseconds of one clock. */
 export interface ConfigurationRead {
   readonly node: string;
   readonly askedAt: number;
@@ -14,24 +15,24 @@
 }
 
 /**
- * Judges reads of the configuration at any node at any moment: none gives an older version than what was accepted
- * before it was asked, or than another read gave before that.
+ * Checks reads of the configuration at any nodes: no read may return an older version than one that was accepted, or
+ * returned by another read, before the read started.
  */
 export function checkReads(accepted: readonly AcceptedChange[], reads: readonly ConfigurationRead[]): Breach[] {
-  const known = [
+  const observations = [
     ...accepted.map(({ version, at }) => ({ version, at, how: "accepted" })),
     ...reads.map(({ version, answeredAt, node }) => ({ version, at: answeredAt, how: `read at ${node}` })),
   ].sort((a, b) => a.at - b.at);
-  const inOrder = [...reads].sort((a, b) => a.askedAt - b.askedAt);
+  const readsByStart = [...reads].sort((a, b) => a.askedAt - b.askedAt);
   const breaches: Breach[] = [];
   let newest = { version: 0, at: 0, how: "" };
-  let next = 0;
-  for (const read of inOrder) {
-    for (; next < known.length && known[next]!.at < read.askedAt; next += 1)
-      if (known[next]!.version > newest.version) newest = known[next]!;
+  let nextIndex = 0;
+  for (const read of readsByStart) {
+    for (; nextIndex < observations.length && observations[nextIndex]!.at < read.askedAt; nextIndex += 1)
+      if (observations[nextIndex]!.version > newest.version) newest = observations[nextIndex]!;
     if (read.version >= newest.version) continue;
     const ago = Math.round(read.askedAt - newest.at);
-    const text = `${read.node} gave version ${read.version}; ${newest.version} was ${newest.how} ${ago} ms before`;
+    const text = `${read.node} returned version ${read.version}; ${newest.version} was ${newest.how} ${ago} ms before`;
     breaches.push({ rule: "configuration-old", at: read.askedAt, text });
   }
   return breaches;
--- a/packages/testkit/src/checker/ephemeralRules.ts
+++ b/packages/testkit/src/checker/ephemeralRules.ts
@@ -1,69 +1,75 @@
 import type { Breach } from "./checker.js";
 import type { Seen } from "./history.js";
 
-interface Fate {
+/** What happened to a message on the publisher's side: how often it was tried and refused. */
+interface SendOutcome {
   payload: string;
   tries: number;
   refusals: number;
 }
+
 type Received = Extract<Seen, { kind: "received" }>;
 
 /**
- * Judges a history of topics whose space keeps nothing: on one connection a publisher's numbers rise and none comes
- * twice,
- * nothing comes that nobody sent, and nothing of which every try was refused for good.
+ * Checks a history of topics without retention. On one connection the numbers of each publisher must rise without
+ * repetition; a message must have been sent with the same payload, and must not arrive if every attempt to send it was
+ * refused.
  */
 export function checkEphemeralTopics(seen: readonly Seen[]): Breach[] {
   const breaches: Breach[] = [];
-  const fates = fatesOf(seen);
-  /** By subscriber, then by topic and publisher: the last number on the present connection. */
+  const outcomes = outcomesOf(seen);
+  /** By subscriber, then by `TOPIC PUBLISHER`: the highest number received on the present connection. */
   const connections = new Map<string, Map<string, number>>();
-  for (const one of seen) {
-    if (one.kind === "linked") connections.set(one.subscriber, new Map());
-    if (one.kind === "ended") forget(connections.get(one.subscriber), one.topic);
-    if (one.kind !== "received") continue;
-    const fault = faultOf(one, fates.get(keyOf(one)), connections.get(one.subscriber) ?? new Map<string, number>());
-    if (fault !== undefined) breaches.push({ ...fault, at: one.at });
+  for (const event of seen) {
+    if (event.kind === "linked") connections.set(event.subscriber, new Map());
+    if (event.kind === "ended") forgetTopic(connections.get(event.subscriber), event.topic);
+    if (event.kind !== "received") continue;
+    const breach = findBreach(
+      event,
+      outcomes.get(keyOf(event)),
+      connections.get(event.subscriber) ?? new Map<string, number>(),
+    );
+    if (breach !== undefined) breaches.push({ ...breach, at: event.at });
   }
   return breaches;
 }
 
-/** What comes after a subscription's end is another subscription's. */
-function forget(connection: Map<string, number> | undefined, topic: string): void {
+/** Drops the numbers of a topic whose subscription ended: later messages belong to another subscription. */
+function forgetTopic(connection: Map<string, number> | undefined, topic: string): void {
   for (const key of connection?.keys() ?? []) if (key.startsWith(`${topic} `)) connection!.delete(key);
 }
 
-function faultOf(
-  one: Received,
-  fate: Fate | undefined,
-  last: Map<string, number>,
+function findBreach(
+  event: Received,
+  outcome: SendOutcome | undefined,
+  lastNumbers: Map<string, number>,
 ): { rule: string; text: string } | undefined {
-  const what = `${one.subscriber} on ${one.topic}: ${one.sender}#${one.number}`;
-  const publisher = `${one.topic} ${one.sender}`;
-  const before = last.get(publisher) ?? 0;
-  last.set(publisher, Math.max(before, one.number));
-  if (fate === undefined) return { rule: "nobody-sent", text: `${what} was never sent` };
-  if (fate.payload !== one.payload) return { rule: "changed-bytes", text: `${what} came with other bytes` };
-  if (fate.refusals > 0 && fate.refusals === fate.tries)
+  const what = `${event.subscriber} on ${event.topic}: ${event.sender}#${event.number}`;
+  const publisher = `${event.topic} ${event.sender}`;
+  const previous = lastNumbers.get(publisher) ?? 0;
+  lastNumbers.set(publisher, Math.max(previous, event.number));
+  if (outcome === undefined) return { rule: "nobody-sent", text: `${what} was never sent` };
+  if (outcome.payload !== event.payload) return { rule: "changed-bytes", text: `${what} came with another payload` };
+  if (outcome.refusals > 0 && outcome.refusals === outcome.tries)
     return { rule: "refused-delivered", text: `${what} was delivered though every try was refused` };
-  if (one.number === before) return { rule: "twice", text: `${what} came twice` };
-  if (one.number < before) return { rule: "sender-order", text: `${what} came after number ${before}` };
+  if (event.number === previous) return { rule: "twice", text: `${what} came twice` };
+  if (event.number < previous) return { rule: "sender-order", text: `${what} came after number ${previous}` };
   return undefined;
 }
 
-function fatesOf(seen: readonly Seen[]): Map<string, Fate> {
-  const fates = new Map<string, Fate>();
-  for (const one of seen) {
-    if (one.kind === "tried") {
-      const fate = fates.get(keyOf(one));
-      if (fate === undefined) fates.set(keyOf(one), { payload: one.payload, tries: 1, refusals: 0 });
-      else fate.tries += 1;
-    } else if (one.kind === "refused") {
-      const fate = fates.get(keyOf(one));
-      if (fate !== undefined) fate.refusals += 1;
+function outcomesOf(seen: readonly Seen[]): Map<string, SendOutcome> {
+  const outcomes = new Map<string, SendOutcome>();
+  for (const event of seen) {
+    if (event.kind === "tried") {
+      const outcome = outcomes.get(keyOf(event));
+      if (outcome === undefined) outcomes.set(keyOf(event), { payload: event.payload, tries: 1, refusals: 0 });
+      else outcome.tries += 1;
+    } else if (event.kind === "refused") {
+      const outcome = outcomes.get(keyOf(event));
+      if (outcome !== undefined) outcome.refusals += 1;
     }
   }
-  return fates;
+  return outcomes;
 }
 
 function keyOf({ topic, sender, number }: { topic: string; sender: string; number: number }): string {
--- a/packages/testkit/src/checker/lateness.ts
+++ b/packages/testkit/src/checker/lateness.ts
@@ -1,69 +1,76 @@
 import type { Seen } from "./history.js";
 
+/** One message received by one subscriber. Times are those of the history; `delay` is in milliseconds. */
 export interface Delivery {
   subscriber: string;
   topic: string;
   id: string;
+  /** When the publisher first tried to send the message. */
   triedAt: number;
   at: number;
   delay: number;
 }
 
-/** How long messages took, from their first try to each subscriber that was owed them. */
+/** Delivery delay: the time from a message's first attempt to its arrival at each subscriber that was owed it. */
 export const Lateness = {
-  /** Nothing may take longer. */
+  /** The bound on the delay of every delivery, in milliseconds. */
   maxMs: 2000,
+  /** The delay aimed for, in milliseconds. */
   aimMs: 333,
 
   /**
-   * Replies by subscribers that were confirmed when the message was first tried and have not dropped off of
-   * their own accord since. A connection that broke, or a node that fell silent, excuses nothing.
+   * Deliveries to subscribers whose subscription was confirmed when the message was first tried and that have not
+   * closed their connection themselves since. A broken connection or a silent node does not exempt a delivery.
    */
   deliveries(seen: readonly Seen[]): Delivery[] {
-    const first = new Map<string, number>();
-    const confirmed = new Map<string, Map<string, number>>();
+    const firstTriedAt = new Map<string, number>();
+    const confirmedAt = new Map<string, Map<string, number>>();
     const deliveries: Delivery[] = [];
     const topicsOf = (subscriber: string): Map<string, number> => {
-      const topics = confirmed.get(subscriber) ?? new Map<string, number>();
-      confirmed.set(subscriber, topics);
+      const topics = confirmedAt.get(subscriber) ?? new Map<string, number>();
+      confirmedAt.set(subscriber, topics);
       return topics;
     };
-    for (const one of seen) {
-      if (one.kind === "tried") {
-        const key = `${one.topic} ${one.sender}#${one.number}`;
-        if (!first.has(key)) first.set(key, one.at);
-      } else if (one.kind === "closed") {
-        if (one.isOwn) confirmed.delete(one.subscriber);
-      } else if (one.kind === "ended" || one.kind === "expired") topicsOf(one.subscriber).delete(one.topic);
-      else if (one.kind === "confirmed") {
-        const topics = topicsOf(one.subscriber);
-        if (!topics.has(one.topic)) topics.set(one.topic, one.at);
-      } else if (one.kind === "received") {
-        const { subscriber, topic, at } = one;
-        const id = `${one.sender}#${one.number}`;
-        const triedAt = first.get(`${topic} ${id}`) ?? -Infinity;
-        const since = confirmed.get(subscriber)?.get(topic) ?? Infinity;
+    for (const event of seen) {
+      if (event.kind === "tried") {
+        const key = `${event.topic} ${event.sender}#${event.number}`;
+        if (!firstTriedAt.has(key)) firstTriedAt.set(key, event.at);
+      } else if (event.kind === "closed") {
+        if (event.isOwn) confirmedAt.delete(event.subscriber);
+      } else if (event.kind === "ended" || event.kind === "expired") topicsOf(event.subscriber).delete(event.topic);
+      else if (event.kind === "confirmed") {
+        const topics = topicsOf(event.subscriber);
+        if (!topics.has(event.topic)) topics.set(event.topic, event.at);
+      } else if (event.kind === "received") {
+        const { subscriber, topic, at } = event;
+        const id = `${event.sender}#${event.number}`;
+        const triedAt = firstTriedAt.get(`${topic} ${id}`) ?? -Infinity;
+        const since = confirmedAt.get(subscriber)?.get(topic) ?? Infinity;
         if (triedAt >= since) deliveries.push({ subscriber, topic, id, triedAt, at, delay: at - triedAt });
       }
     }
     return deliveries;
   },
 
+  /** Count, percentiles and maximum of delays (milliseconds, rounded), and how many exceed `maxMs`. */
   figures(delays: readonly number[]): { deliveries: number; p50: number; p99: number; max: number; above2000: number } {
     const sorted = [...delays].sort((a, b) => a - b);
-    const rank = (share: number): number =>
+    const percentile = (share: number): number =>
       Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0);
     const above2000 = sorted.filter((delay) => delay > Lateness.maxMs).length;
     return {
       deliveries: sorted.length,
-      p50: rank(0.5),
-      p99: rank(0.99),
+      p50: percentile(0.5),
+      p99: percentile(0.99),
       max: Math.round(sorted.at(-1) ?? 0),
       above2000,
     };
   },
 
-  /** Late replies counted by what was going on between the try and the reply; nothing is a cause of its own. */
+  /**
+   * Counts late deliveries by the faults that were active between the first attempt and the delivery (joined by "+");
+   * deliveries without any are counted under "nothing". `worst` is the longest delay in milliseconds.
+   */
   byCause(deliveries: readonly Delivery[], causes: ReadonlyArray<{ what: string; from: number; to: number }>) {
     const counts = new Map<string, { count: number; worst: number }>();
     for (const { triedAt, at, delay } of deliveries) {
--- a/packages/testkit/src/checker/linearizability.test.ts
+++ b/packages/testkit/src/checker/linearizability.test.ts
@@ -7,7 +7,7 @@
 
 type OrderOperation = Operation<OrderInput, OrderOutput>;
 
-/** From `calledAt` to `returnedAt`, which is never where the outcome stayed unknown. */
+/** A put with its call and return times; without `kind` the outcome is unknown and it never returns. */
 function put(
   calledAt: number,
   returnedAt: number,
@@ -31,10 +31,10 @@
 
 const kindOf = (...history: OrderOperation[]): string => checkLinearizability(versionedRegister, history).kind;
 
-test("histories that the orders' rules allow", () => {
+test("histories that the versioned register allows", () => {
   expect(kindOf()).toEqual("linearizable");
   expect(kindOf(read(0, 1, 0, ""))).toEqual("linearizable");
-  // Taken, overtaken, sent again.
+  // Acknowledged, superseded by a higher version, sent again.
   expect(
     kindOf(
       put(0, 1, [7, "a"], "acknowledged"),
@@ -43,14 +43,14 @@
       read(6, 7, 8, "a"),
     ),
   ).toEqual("linearizable");
-  // An answer was lost, and the order is in force all the same; or it is not.
+  // The answer was lost; the put may or may not have taken effect.
   expect(kindOf(put(0, 1, [7, "a"]), read(2, 3, 7, "a"))).toEqual("linearizable");
   expect(kindOf(put(0, 1, [7, "a"]), read(2, 3, 0, ""))).toEqual("linearizable");
-  // It may even take effect later.
+  // A put of unknown outcome may take effect after a later read.
   expect(kindOf(put(0, 1, [7, "a"]), read(2, 3, 0, ""), read(4, 5, 7, "a"))).toEqual("linearizable");
-  // Two operators under one version.
+  // Two operators put different contents under one version.
   expect(kindOf(put(0, 5, [7, "a"], "refused"), put(1, 4, [7, "b"], "acknowledged"))).toEqual("linearizable");
-  // An older change that comes for the first time, and one that cannot be read.
+  // An older version that is put for the first time, and an invalid content.
   expect(
     kindOf(
       put(0, 1, [7, "a"], "acknowledged"),
@@ -62,39 +62,47 @@
   ).toEqual("linearizable");
 });
 
-test("histories that the orders' rules forbid", () => {
-  const taken = put(0, 1, [7, "a"], "acknowledged");
-  const overtaken = put(2, 3, [8, "a"], "acknowledged");
-  const broken: Record<string, OrderOperation[]> = {
-    "two contents under one version": [taken, put(2, 3, [7, "b"], "acknowledged")],
-    "two contents under one version, at once": [
+test("histories that the versioned register forbids", () => {
+  const acknowledged = put(0, 1, [7, "a"], "acknowledged");
+  const superseding = put(2, 3, [8, "a"], "acknowledged");
+  const forbidden: Record<string, OrderOperation[]> = {
+    "two contents under one version": [acknowledged, put(2, 3, [7, "b"], "acknowledged")],
+    "two contents under one version, concurrently": [
       put(0, 9, [7, "a"], "acknowledged"),
       put(1, 8, [7, "b"], "acknowledged"),
     ],
-    "two contents, once another version is in force": [taken, overtaken, put(4, 5, [7, "b"], "acknowledged")],
+    "two contents, once another version is in force": [acknowledged, superseding, put(4, 5, [7, "b"], "acknowledged")],
     "two contents under an older version": [
-      overtaken,
+      superseding,
       put(4, 5, [6, "a"], "acknowledged"),
       put(6, 7, [6, "b"], "acknowledged"),
     ],
-    "a taken order is refused": [taken, put(2, 3, [7, "a"], "refused")],
-    "a taken order is refused once another is in force": [taken, overtaken, put(4, 5, [7, "a"], "refused")],
-    "a refusal of what nobody else sent": [put(0, 1, [7, "a"], "refused")],
-    "a refusal, though the other came after it": [put(0, 1, [7, "a"], "refused"), put(2, 3, [7, "b"], "acknowledged")],
-    "an acknowledged version is lost": [taken, read(2, 3, 0, "")],
-    "an older version is read": [taken, overtaken, read(4, 5, 7, "a")],
-    "an older version takes effect": [overtaken, put(4, 5, [7, "a"], "acknowledged"), read(6, 7, 7, "a")],
+    "an acknowledged order is refused": [acknowledged, put(2, 3, [7, "a"], "refused")],
+    "an acknowledged order is refused once another is in force": [
+      acknowledged,
+      superseding,
+      put(4, 5, [7, "a"], "refused"),
+    ],
+    "a refusal without a competing content": [put(0, 1, [7, "a"], "refused")],
+    "a refusal although the competing content came later": [
+      put(0, 1, [7, "a"], "refused"),
+      put(2, 3, [7, "b"], "acknowledged"),
+    ],
+    "an acknowledged version is lost": [acknowledged, read(2, 3, 0, "")],
+    "an older version is read": [acknowledged, superseding, read(4, 5, 7, "a")],
+    "an older version takes effect": [superseding, put(4, 5, [7, "a"], "acknowledged"), read(6, 7, 7, "a")],
     "reads go back": [put(0, 1, [7, "a"]), read(2, 3, 7, "a"), read(4, 5, 0, "")],
-    "another content is read": [taken, read(2, 3, 7, "b")],
-    "what is invalid is acknowledged": [put(0, 1, [7, "a"], "acknowledged", false)],
-    "what is invalid is in force": [put(0, 1, [7, "a"], undefined, false), read(2, 3, 7, "a")],
-    "what is valid is called invalid": [put(0, 1, [7, "a"], "invalid")],
-    "it took effect before it was called": [read(0, 1, 7, "a"), put(2, 3, [7, "a"])],
+    "another content is read": [acknowledged, read(2, 3, 7, "b")],
+    "an invalid content is acknowledged": [put(0, 1, [7, "a"], "acknowledged", false)],
+    "an invalid content is in force": [put(0, 1, [7, "a"], undefined, false), read(2, 3, 7, "a")],
+    "a valid content is refused as invalid": [put(0, 1, [7, "a"], "invalid")],
+    "a put takes effect before its call": [read(0, 1, 7, "a"), put(2, 3, [7, "a"])],
   };
-  for (const [what, history] of Object.entries(broken)) expect([what, kindOf(...history)]).toEqual([what, "violation"]);
+  for (const [what, history] of Object.entries(forbidden))
+    expect([what, kindOf(...history)]).toEqual([what, "violation"]);
 });
 
-test("a violation names where no operation fits", () => {
+test("a violation names the operations at which the search got stuck", () => {
   const verdict = checkLinearizability(versionedRegister, [
     put(0, 1, [7, "a"], "acknowledged"),
     put(2, 3, [7, "b"], "acknowledged"),
@@ -104,13 +112,13 @@
   expect([verdict.kind, verdict.kind === "violation" && verdict.explained, stuckAt]).toEqual(["violation", 1, [2]]);
 });
 
-/** Every order of every choice of the unknown ones: slow, and simple enough to be believed. */
-function isExplained<S, I, O>(model: SequentialModel<S, I, O>, left: Array<Operation<I, O>>, state: S): boolean {
-  if (left.every(({ output }) => output === undefined)) return true;
-  return left.some((one) => {
-    if (left.some((other) => other !== one && other.returnedAt < one.calledAt)) return false;
-    const next = model.step(state, one.input, one.output);
-    const rest = left.filter((other) => other !== one);
+/** Reference implementation: tries every order with every choice of operations of unknown outcome. */
+function isExplained<S, I, O>(model: SequentialModel<S, I, O>, remaining: Array<Operation<I, O>>, state: S): boolean {
+  if (remaining.every(({ output }) => output === undefined)) return true;
+  return remaining.some((operation) => {
+    if (remaining.some((other) => other !== operation && other.returnedAt < operation.calledAt)) return false;
+    const next = model.step(state, operation.input, operation.output);
+    const rest = remaining.filter((other) => other !== operation);
     return next !== undefined && isExplained(model, rest, next);
   });
 }
@@ -154,14 +162,14 @@
     return { calledAt, returnedAt, input: { kind: "txn", expected, puts }, output };
   });
 
-/** The same cases at every run. */
-const seeded = { seed: 17, numRuns: 3000 };
+/** A fixed seed, so that every run checks the same cases. */
+const fixedSeed = { seed: 17, numRuns: 3000 };
 
 for (const [what, model, operation] of [
   ["orders", versionedRegister, orderOperation],
   ["transactions", checkedKeys, keysOperation],
 ] as Array<[string, SequentialModel<unknown, unknown, unknown>, fc.Arbitrary<Operation<unknown, unknown>>]>)
-  test(`the search agrees with trying everything, on small histories of ${what}`, () => {
+  test(`the search agrees with the exhaustive reference on small histories of ${what}`, () => {
     const verdicts = { linearizable: 0, violation: 0 };
     fc.assert(
       fc.property(fc.array(operation, { maxLength: 6 }), (history) => {
@@ -170,7 +178,7 @@
         expect(kind).toEqual(explained ? "linearizable" : "violation");
         verdicts[explained ? "linearizable" : "violation"] += 1;
       }),
-      seeded,
+      fixedSeed,
     );
     expect([verdicts.linearizable > 300, verdicts.violation > 300]).toEqual([true, true]);
   });
--- a/packages/testkit/src/checker/orderGraph.ts
+++ b/packages/testkit/src/checker/orderGraph.ts
@@ -1,27 +1,29 @@
-/** Orders seen by several readers; they agree exactly when putting them together makes no circle. */
+/** Union of the orders observed by several subscribers; they are consistent exactly if the graph has no cycle. */
 export class OrderGraph {
-  readonly #after = new Map<string, Set<string>>();
+  readonly #successors = new Map<string, Set<string>>();
 
+  /** Adds one subscriber's order: an edge from each item to the next. */
   add(order: readonly string[]): void {
-    order.forEach((one, i) => {
-      if (!this.#after.has(one)) this.#after.set(one, new Set());
-      if (i > 0) this.#after.get(order[i - 1]!)!.add(one);
+    order.forEach((item, i) => {
+      if (!this.#successors.has(item)) this.#successors.set(item, new Set());
+      if (i > 0) this.#successors.get(order[i - 1]!)!.add(item);
     });
   }
 
-  /** True where two orders contradict each other. */
+  /** Whether the orders contradict each other (topological sort by Kahn's algorithm). */
   hasCycle(): boolean {
-    const waits = new Map<string, number>([...this.#after.keys()].map((one) => [one, 0]));
-    for (const next of this.#after.values()) for (const one of next) waits.set(one, waits.get(one)! + 1);
-    const free = [...waits].filter(([, count]) => count === 0).map(([one]) => one);
+    const predecessorCounts = new Map<string, number>([...this.#successors.keys()].map((item) => [item, 0]));
+    for (const next of this.#successors.values())
+      for (const item of next) predecessorCounts.set(item, predecessorCounts.get(item)! + 1);
+    const ready = [...predecessorCounts].filter(([, count]) => count === 0).map(([item]) => item);
     let placed = 0;
-    for (let one = free.pop(); one !== undefined; one = free.pop()) {
+    for (let item = ready.pop(); item !== undefined; item = ready.pop()) {
       placed += 1;
-      for (const next of this.#after.get(one)!) {
-        waits.set(next, waits.get(next)! - 1);
-        if (waits.get(next) === 0) free.push(next);
+      for (const next of this.#successors.get(item)!) {
+        predecessorCounts.set(next, predecessorCounts.get(next)! - 1);
+        if (predecessorCounts.get(next) === 0) ready.push(next);
       }
     }
-    return placed < this.#after.size;
+    return placed < this.#successors.size;
   }
 }
--- a/packages/testkit/src/checker/orderRules.test.ts
+++ b/packages/testkit/src/checker/orderRules.test.ts
@@ -7,15 +7,15 @@
   ({ kind, at: version, version, text }) as Seen;
 const rules = (...history: Seen[]): string[] => checkOrders(history).map(({ rule }) => rule);
 
-test("what was acknowledged may be acknowledged again, and never be refused, also where nobody heard of it", () => {
-  const taken = seen("planTaken", 1, "a");
-  expect(rules(taken, taken)).toEqual([]);
-  expect(rules(taken, seen("planSuperseded", 1, "a"))).toEqual(["acknowledged-refused"]);
-  expect(rules(taken, seen("planRefused", 1, "a"))).toEqual(["acknowledged-refused"]);
-  expect(rules(seen("planSuperseded", 1, "a"), seen("planSuperseded", 1, "b"), taken)).toEqual([]);
+test("an acknowledged change may be acknowledged again but never refused, even if the acknowledgement was lost", () => {
+  const acknowledged = seen("planTaken", 1, "a");
+  expect(rules(acknowledged, acknowledged)).toEqual([]);
+  expect(rules(acknowledged, seen("planSuperseded", 1, "a"))).toEqual(["acknowledged-refused"]);
+  expect(rules(acknowledged, seen("planRefused", 1, "a"))).toEqual(["acknowledged-refused"]);
+  expect(rules(seen("planSuperseded", 1, "a"), seen("planSuperseded", 1, "b"), acknowledged)).toEqual([]);
 });
 
-test("a version is acknowledged with one content", () => {
+test("a version is acknowledged with only one content", () => {
   expect(rules(seen("planTaken", 1, "a"), seen("planTaken", 2, "b"), seen("planSuperseded", 1, "c"))).toEqual([]);
   expect(rules(seen("planTaken", 1, "a"), seen("planTaken", 1, "b"))).toEqual(["two-contents"]);
 });
--- a/packages/testkit/src/checker/orderRules.ts
+++ b/packages/testkit/src/checker/orderRules.ts
@@ -2,27 +2,28 @@
 import type { Seen } from "./history.js";
 
 /**
- * Judges what operators were told: what a node has acknowledged is acknowledged again or left without a clear
- * answer, whether the operator heard of it or not, and no version is acknowledged with two contents.
+ * Checks the answers to configuration changes ("orders"). A change that a node acknowledged must not be refused later,
+ * whether or not the acknowledgement reached the operator; a repeated put is acknowledged again or gets no definite
+ * answer. A version must not be acknowledged with two different contents.
  */
 export function checkOrders(seen: readonly Seen[]): Breach[] {
   const breaches: Breach[] = [];
-  const taken = new Set<string>();
+  const acknowledged = new Set<string>();
   const contents = new Map<number, string>();
-  for (const one of seen) {
-    if (one.kind === "planTaken") {
-      const other = contents.get(one.version);
-      if (other !== undefined && other !== one.text)
+  for (const event of seen) {
+    if (event.kind === "planTaken") {
+      const other = contents.get(event.version);
+      if (other !== undefined && other !== event.text)
         breaches.push({
           rule: "two-contents",
-          at: one.at,
-          text: `mark ${one.version} was acknowledged with two contents`,
+          at: event.at,
+          text: `version ${event.version} was acknowledged with two contents`,
         });
-      contents.set(one.version, one.text);
-      taken.add(one.text);
-    } else if ((one.kind === "planSuperseded" || one.kind === "planRefused") && taken.has(one.text)) {
-      const what = `mark ${one.version} was acknowledged, and refused when it was sent again`;
-      breaches.push({ rule: "acknowledged-refused", at: one.at, text: what });
+      contents.set(event.version, event.text);
+      acknowledged.add(event.text);
+    } else if ((event.kind === "planSuperseded" || event.kind === "planRefused") && acknowledged.has(event.text)) {
+      const text = `version ${event.version} was acknowledged, and refused when it was sent again`;
+      breaches.push({ rule: "acknowledged-refused", at: event.at, text });
     }
   }
   return breaches;
--- a/packages/testkit/src/checker/readers.ts
+++ b/packages/testkit/src/checker/readers.ts
@@ -1,22 +1,27 @@
-/** What one subscriber saw of one topic. Times are those of the history. */
+/** State of one subscription: what one subscriber received on one topic. Times are those of the history. */
 export interface Reader {
+  /** When the present subscription was first confirmed; Infinity while it is not. */
   confirmedAt: number;
-  asked: boolean;
-  got: Map<string, number>;
-  last: Map<string, number>;
-  resetAt: number;
-  /** When it last had the topic. */
-  seenAt: number;
-  /** Could not have the topic on a connection that it had; and until when it caught up after that. */
+  isSubscribed: boolean;
+  /** When each message was received, by message key. */
+  receivedAt: Map<string, number>;
+  /** The highest message number received from each sender. */
+  lastNumbers: Map<string, number>;
+  /** When the subscriber was last told that its position expired; -Infinity if never. */
+  expiredAt: number;
+  /** When the subscription was last known to work: the last confirmation, message or expiry. */
+  lastSeenAt: number;
+  /** The topic is unavailable on an open connection and has not been confirmed again. */
   isLagging: boolean;
-  lagsUntil: number;
+  /** When the topic was confirmed again after it had been unavailable; older messages arrive as catch-up. */
+  caughtUpAt: number;
 }
 
-/** Subscribers by topic, each made when it is first named. */
+/** The readers of a history by subscriber and topic; each is created when it is first looked up. */
 export class Readers {
   readonly #byName = new Map<string, Reader>();
 
-  /** With `subscriber topic`, in the order in which they came up. */
+  /** All readers by the key `SUBSCRIBER TOPIC`, in the order in which they were created. */
   get all(): ReadonlyMap<string, Reader> {
     return this.#byName;
   }
@@ -29,13 +34,13 @@
         key,
         (reader = {
           confirmedAt: Infinity,
-          asked: false,
-          got: new Map(),
-          last: new Map(),
-          resetAt: -Infinity,
-          seenAt: -Infinity,
+          isSubscribed: false,
+          receivedAt: new Map(),
+          lastNumbers: new Map(),
+          expiredAt: -Infinity,
+          lastSeenAt: -Infinity,
           isLagging: false,
-          lagsUntil: -Infinity,
+          caughtUpAt: -Infinity,
         }),
       );
     return reader;
--- a/packages/testkit/src/checker/sentMessages.ts
+++ b/packages/testkit/src/checker/sentMessages.ts
@@ -1,54 +1,58 @@
 import type { Seen } from "./history.js";
 
-/** One message as its sender saw it: every attempt, and what came of them. Times are those of the history. */
+/** One message as its sender observed it: all attempts and their outcomes. Times are those of the history. */
 export interface SentMessage {
   sender: string;
   topic: string;
   number: number;
   payload: string;
+  /** When the first attempt started. */
   firstAt: number;
+  /** When each attempt started, the first included. */
   tries: number[];
+  /** When the first acceptance arrived; undefined if none did. */
   acceptedAt: number | undefined;
-  /** An attempt ended without a reply. */
+  /** At least one attempt ended without a reply. */
   isUnknown: boolean;
+  /** At least one attempt was refused. */
   isRefused: boolean;
 }
 
-/** A message's name within its topic. */
+/** Identifies a message within its topic. */
 export const keyOf = (sender: string, number: number): string => `${sender}#${number}`;
 
-/** Everything that was published, whatever the outcome, by topic, sender and number. */
+/** All messages of a history that a publisher tried to send, whatever the outcome, by topic, sender and number. */
 export class SentMessages {
   readonly #byTopic = new Map<string, Map<string, SentMessage>>();
 
   constructor(seen: readonly Seen[]) {
-    for (const one of seen)
-      if (one.kind === "tried" || one.kind === "accepted" || one.kind === "refused" || one.kind === "unsure")
-        this.#note(one);
+    for (const event of seen)
+      if (event.kind === "tried" || event.kind === "accepted" || event.kind === "refused" || event.kind === "unsure")
+        this.#record(event);
   }
 
   find(topic: string, key: string): SentMessage | undefined {
     return this.#byTopic.get(topic)?.get(key);
   }
 
-  /** In the order of their first attempts. */
+  /** The messages of a topic in the order of their first attempts. */
   ofTopic(topic: string): SentMessage[] {
     return [...(this.#byTopic.get(topic)?.values() ?? [])];
   }
 
-  #note(one: Extract<Seen, { kind: "tried" | "accepted" | "refused" | "unsure" }>): void {
-    let topic = this.#byTopic.get(one.topic);
-    if (topic === undefined) this.#byTopic.set(one.topic, (topic = new Map()));
-    const key = keyOf(one.sender, one.number);
-    const message = topic.get(key);
-    if (one.kind === "tried") {
-      if (message !== undefined) return void message.tries.push(one.at);
-      const { sender, number, payload, at } = one;
+  #record(event: Extract<Seen, { kind: "tried" | "accepted" | "refused" | "unsure" }>): void {
+    let messages = this.#byTopic.get(event.topic);
+    if (messages === undefined) this.#byTopic.set(event.topic, (messages = new Map()));
+    const key = keyOf(event.sender, event.number);
+    const message = messages.get(key);
+    if (event.kind === "tried") {
+      if (message !== undefined) return void message.tries.push(event.at);
+      const { sender, number, payload, at } = event;
       const outcome = { acceptedAt: undefined, isUnknown: false, isRefused: false };
-      topic.set(key, { sender, topic: one.topic, number, payload, firstAt: at, tries: [at], ...outcome });
+      messages.set(key, { sender, topic: event.topic, number, payload, firstAt: at, tries: [at], ...outcome });
     } else if (message !== undefined) {
-      if (one.kind === "accepted") message.acceptedAt ??= one.at;
-      else if (one.kind === "unsure") message.isUnknown = true;
+      if (event.kind === "accepted") message.acceptedAt ??= event.at;
+      else if (event.kind === "unsure") message.isUnknown = true;
       else message.isRefused = true;
     }
   }
--- a/packages/testkit/src/checker/soakRules.test.ts
+++ b/packages/testkit/src/checker/soakRules.test.ts
@@ -9,28 +9,28 @@
 };
 const refused = (number: number): Seen => ({ kind: "refused", at: 0, sender: "pen", topic: "p/t", number, code: "x" });
 const unknown = (number: number): Seen => ({ kind: "unsure", at: 0, sender: "pen", topic: "p/t", number });
-const connectedEvent: Seen = { kind: "linked", at: 0, subscriber: "desk", node: "vise-1" };
+const connected: Seen = { kind: "linked", at: 0, subscriber: "desk", node: "vise-1" };
 const got = (number: number, payload = `p${number}`): Seen => {
   return { kind: "received", at: 1, subscriber: "desk", topic: "p/t", sender: "pen", number, payload };
 };
 const rulesOf = (...seen: Seen[]): string[] => checkEphemeralTopics(seen).map(({ rule }) => rule);
 
-test("on one connection numbers rise, and none comes twice; a new connection begins anew", () => {
-  const sent = [tried(1), tried(2), tried(3), connectedEvent];
+test("on one connection numbers rise without repetition; a new connection starts over", () => {
+  const sent = [tried(1), tried(2), tried(3), connected];
   expect(rulesOf(...sent, got(1), got(3))).toEqual([]);
   expect(rulesOf(...sent, got(2), got(2))).toEqual(["twice"]);
   expect(rulesOf(...sent, got(3), got(1))).toEqual(["sender-order"]);
-  expect(rulesOf(...sent, got(3), connectedEvent, got(3))).toEqual([]);
+  expect(rulesOf(...sent, got(3), connected, got(3))).toEqual([]);
 });
 
-test("nothing comes that nobody sent, that was changed, or of which every try was refused", () => {
-  expect(rulesOf(connectedEvent, got(1))).toEqual(["nobody-sent"]);
-  expect(rulesOf(tried(1), connectedEvent, got(1, "other"))).toEqual(["changed-bytes"]);
-  expect(rulesOf(tried(1), refused(1), connectedEvent, got(1))).toEqual(["refused-delivered"]);
-  expect(rulesOf(tried(1), unknown(1), tried(1), refused(1), connectedEvent, got(1))).toEqual([]);
+test("a message that was never sent, was changed, or was refused at every attempt is not delivered", () => {
+  expect(rulesOf(connected, got(1))).toEqual(["nobody-sent"]);
+  expect(rulesOf(tried(1), connected, got(1, "other"))).toEqual(["changed-bytes"]);
+  expect(rulesOf(tried(1), refused(1), connected, got(1))).toEqual(["refused-delivered"]);
+  expect(rulesOf(tried(1), unknown(1), tried(1), refused(1), connected, got(1))).toEqual([]);
 });
 
-test("a read is as new as what was accepted, or read elsewhere, before it was asked", () => {
+test("a read is at least as new as any version accepted, or read elsewhere, before it started", () => {
   const read = (version: number, askedAt: number, answeredAt = askedAt + 10): Parameters<typeof checkReads>[1][0] => {
     return { node: "lathe-1", askedAt, answeredAt, version };
   };
--- a/packages/testkit/src/checker/versionedRegister.ts
+++ b/packages/testkit/src/checker/versionedRegister.ts
@@ -1,48 +1,49 @@
 import type { SequentialModel } from "./linearizability.js";
 
-/** What operators do with the configuration. */
+/** An operator's operation on the configuration: put one under a version, or read the one in force. */
 export type OrderInput = { kind: "put"; version: number; content: string; isValid: boolean } | { kind: "read" };
 
-/** What they were told for good. */
+/** The definite answer to an operation. */
 export type OrderOutput =
   | { kind: "acknowledged" }
-  /** A definite refusal because another content has the version. */
+  /** Refused because the version was already used for another content. */
   | { kind: "refused" }
-  /** A definite refusal for what the order is. */
+  /** Refused because the content itself is invalid. */
   | { kind: "invalid" }
-  /** The version and content in force; version 0 where there is none. */
+  /** The version and content in force; version 0 if there is none. */
   | { kind: "content"; version: number; content: string };
 
-/** The register's sequential state. */
+/** State of the register: the version and content in force. */
 export interface RegisterState {
   version: number;
   content: string;
-  /** The one content that each version may be acknowledged with. */
+  /** By version, the only content that may be acknowledged under it. */
   contents: ReadonlyMap<number, string>;
 }
 
 /**
- * The configuration as operators may see it. The highest version holds; a version that is not above it changes
- * nothing; one content alone may be acknowledged under a version, the first, and it always may; another one may be
- * refused; and nothing else is refused.
+ * Sequential specification of the configuration as operators observe it. The highest version is in force; a put of a
+ * lower or equal version is acknowledged without effect. The first content put under a version is the only one that
+ * may be acknowledged under it, any number of times; another content is refused, and so is invalid content. Nothing
+ * else is refused.
  */
 export const versionedRegister: SequentialModel<RegisterState, OrderInput, OrderOutput> = {
   initial: { version: 0, content: "", contents: new Map() },
 
   step(state, input, output) {
     if (input.kind === "read") return stepRead(state, output);
-    const taken = state.contents.get(input.version);
-    const isOther = taken !== undefined && taken !== input.content;
+    const firstContent = state.contents.get(input.version);
+    const hasOtherContent = firstContent !== undefined && firstContent !== input.content;
     switch (output?.kind) {
       case "invalid":
         return input.isValid ? undefined : state;
       case "refused":
-        return isOther ? state : undefined;
+        return hasOtherContent ? state : undefined;
       case "content":
         return undefined;
       case "acknowledged":
       case undefined:
-        return !input.isValid || isOther ? undefined : put(state, input.version, input.content);
+        return !input.isValid || hasOtherContent ? undefined : put(state, input.version, input.content);
     }
   },
 
@@ -54,8 +55,8 @@
 
 function stepRead(state: RegisterState, output: OrderOutput | undefined): RegisterState | undefined {
   if (output === undefined) return state;
-  const isHeld = output.kind === "content" && output.version === state.version && output.content === state.content;
-  return isHeld ? state : undefined;
+  const isInForce = output.kind === "content" && output.version === state.version && output.content === state.content;
+  return isInForce ? state : undefined;
 }
 
 function put(state: RegisterState, version: number, content: string): RegisterState {
