--- a/packages/testkit/src/explore/action.ts
+++ b/packages/testkit/src/explore/action.ts
@@ -1,7 +1,4 @@
-/**
- * What may happen in one step of the model. `member` is the machine it happens on, `other` the second machine of an
- * action that has one, `nth` picks among several (a message of a channel, a number of writes).
- */
+/** All kinds of actions of the model. Printed traces, and the tests made from them, contain these names. */
 export const actionKinds = [
   "deliver",
   "drop",
@@ -33,22 +30,26 @@
   "undrain",
 ] as const;
 
-/** What can happen in the model; names rest in printed traces. */
+/** What can happen in one step of the model. */
 export type ActionKind = (typeof actionKinds)[number];
 
+/** One step of the model. */
 export interface Action {
   readonly kind: ActionKind;
+  /** Index of the machine on which it happens (for a message: the sender). */
   readonly member: number;
+  /** Index of the second machine, where the kind has one (for a message: the receiver). */
   readonly other: number;
+  /** Selects among several: which frame of a channel, or how many pending writes reach the disk. */
   readonly nth: number;
 }
 
-/** An action as printed traces write it. */
+/** Creates an action; printed traces consist of these calls. */
 export function step(kind: ActionKind, member: number, other = 0, nth = 0): Action {
   return { kind, member, other, nth };
 }
 
-/** As it stands in a test. */
+/** Source text of the `step` call that creates an action; trailing zeros are left out. */
 export function actionText({ kind, member, other, nth }: Action): string {
   const numbers = [member, other, nth];
   while (numbers.length > 1 && numbers.at(-1) === 0) numbers.pop();
--- a/packages/testkit/src/explore/choices.ts
+++ b/packages/testkit/src/explore/choices.ts
@@ -1,8 +1,8 @@
 import { step, type Action, type ActionKind } from "./action.js";
 import type { ModelWorld } from "./modelWorld.js";
 
-/** Kinds of actions that are about two machines. */
-const paired: ReadonlySet<ActionKind> = new Set([
+/** Kinds of actions that involve two machines. */
+const twoMachineKinds: ReadonlySet<ActionKind> = new Set([
   "deliver",
   "drop",
   "duplicate",
@@ -19,43 +19,43 @@
   "join",
 ]);
 
-/** Leaders' clocks move more often, or no leader would stay. */
-function ticks(world: ModelWorld): Action[] {
-  const found = Choices.of(world, "tick");
-  const led = found.filter(({ member }) => world.machines[member]!.member?.isActingLeader === true);
-  return [...found, ...led, ...led];
+/** Possible ticks, with those of leaders three times: otherwise no leader would keep its leadership. */
+function weightedTicks(world: ModelWorld): Action[] {
+  const actions = Choices.enabled(world, "tick");
+  const ofLeaders = actions.filter(({ member }) => world.machines[member]!.member?.isActingLeader === true);
+  return [...actions, ...ofLeaders, ...ofLeaders];
 }
 
-/** Which actions of a kind mean something in a state. */
+/** Which actions are possible in a state of the model. */
 export const Choices = {
-  /** All with the plain `nth`: the oldest frame, all writes, nothing unsynced kept. */
-  of(world: ModelWorld, kind: ActionKind): Action[] {
-    const found: Action[] = [];
+  /** All possible actions of a kind with `nth` 0: the oldest frame, all writes synced, no unsynced write kept. */
+  enabled(world: ModelWorld, kind: ActionKind): Action[] {
+    const actions: Action[] = [];
     const count = world.machines.length;
     for (let member = 0; member < count; member += 1)
-      for (let other = 0; other < (paired.has(kind) ? count : 1); other += 1) {
+      for (let other = 0; other < (twoMachineKinds.has(kind) ? count : 1); other += 1) {
         const action = step(kind, member, other);
-        if (world.isEnabled(action)) found.push(action);
+        if (world.isEnabled(action)) actions.push(action);
       }
-    return found;
+    return actions;
   },
 
-  /** The one that a drawn number stands for, if there is any; now and then with another `nth`. */
+  /** The possible action that a random number selects, if there is any; sometimes with `nth` other than 0. */
   pick(world: ModelWorld, kind: ActionKind, drawn: number): Action | undefined {
-    const found = kind === "tick" ? ticks(world) : Choices.of(world, kind);
-    const action = found[drawn % Math.max(1, found.length)];
+    const actions = kind === "tick" ? weightedTicks(world) : Choices.enabled(world, kind);
+    const action = actions[drawn % Math.max(1, actions.length)];
     if (action === undefined) return undefined;
-    const most = Choices.most(world, action);
+    const highest = Choices.maxNth(world, action);
     const rest = Math.floor(drawn / 64);
-    const isPlain = kind !== "crash" && rest % 4 !== 0;
-    return isPlain || most === 0 ? action : { ...action, nth: Math.floor(rest / 4) % (most + 1) };
+    const keepsDefaultNth = kind !== "crash" && rest % 4 !== 0;
+    return keepsDefaultNth || highest === 0 ? action : { ...action, nth: Math.floor(rest / 4) % (highest + 1) };
   },
 
-  /** The highest `nth` that means something. */
-  most(world: ModelWorld, { kind, member, other }: Action): number {
+  /** The highest `nth` with which an action is possible. */
+  maxNth(world: ModelWorld, { kind, member, other }: Action): number {
     const machine = world.machines[member]!;
-    if (kind === "crash" || kind === "sync") return machine.disk.pending;
+    if (kind === "crash" || kind === "sync") return machine.disk.pendingCount;
     const isFrame = kind === "deliver" || kind === "drop" || kind === "duplicate";
-    return isFrame ? world.network.count(machine.name, world.machines[other]!.name) - 1 : 0;
+    return isFrame ? world.network.frameCount(machine.name, world.machines[other]!.name) - 1 : 0;
   },
 };
--- a/packages/testkit/src/explore/coverage.ts
+++ b/packages/testkit/src/explore/coverage.ts
@@ -1,16 +1,17 @@
-/** How often each action was taken and each interesting event came about, over any number of runs. */
+/** Counts how often each action was performed and each notable event occurred, over any number of runs. */
 export class Coverage {
   readonly #counts = new Map<string, number>();
 
-  count(what: string, times = 1): void {
-    this.#counts.set(what, (this.#counts.get(what) ?? 0) + times);
+  count(name: string, times = 1): void {
+    this.#counts.set(name, (this.#counts.get(name) ?? 0) + times);
   }
 
-  of(what: string): number {
-    return this.#counts.get(what) ?? 0;
+  countOf(name: string): number {
+    return this.#counts.get(name) ?? 0;
   }
 
+  /** One line per counted name, sorted. */
   get lines(): string[] {
-    return [...this.#counts].sort(([a], [b]) => (a < b ? -1 : 1)).map(([what, count]) => `${what}: ${count}`);
+    return [...this.#counts].sort(([a], [b]) => (a < b ? -1 : 1)).map(([name, count]) => `${name}: ${count}`);
   }
 }
--- a/packages/testkit/src/explore/exhaustiveSearch.ts
+++ b/packages/testkit/src/explore/exhaustiveSearch.ts
@@ -5,26 +5,28 @@
 import { Trace } from "./trace.js";
 import { Violation } from "./violation.js";
 
+/** Start state and bounds of a search. */
 export interface SearchSettings {
   readonly world: WorldSettings;
-  /** Leads to the state from which the search starts. */
+  /** Actions that lead to the state from which the search starts. */
   readonly prefix: readonly Action[];
-  /** How often each kind of action may be taken on one path; a kind that is not named is not taken. */
+  /** How often each kind of action may be performed on one path; a kind that is not named is never performed. */
   readonly limits: Partial<Record<ActionKind, number>>;
-  /** How many actions a path may have after the prefix. */
+  /** Most actions of a path after the prefix. */
   readonly depth: number;
-  /** The search ends, unfinished, after so many states. */
+  /** Number of states after which the search stops unfinished. */
   readonly maxStates: number;
-  /** How long a path that fails may be shrunk. */
+  /** How long a failing path may be shrunk, in milliseconds. */
   readonly shrinkMs: number;
 }
 
-/** How far a search came, and the shortest violation it found. */
+/** The extent of a search, and the violation it found, shrunk. */
 export interface SearchReport {
   readonly states: number;
   readonly transitions: number;
-  /** Paths up to this many actions were all tried, but for those whose state was known. */
+  /** All paths of up to this many actions were explored, except continuations of known states. */
   readonly depth: number;
+  /** The search reached its depth, or ran out of new states, within `maxStates` and without a violation. */
   readonly isWhole: boolean;
   readonly ms: number;
   readonly coverage: Coverage;
@@ -34,9 +36,9 @@
 
 /**
  * Bounded exhaustive search, breadth first. Worlds can't be copied, so each path is replayed from the start
- * (stateless search); a state that was reached before, by whichever path, is not gone on from.
- * Two states are the same where each machine's disk, what its process took in since its start, and what is under way
- * are: the code is deterministic, so they go on alike.
+ * (stateless search); a state that was reached before, by any path, is not expanded again.
+ * Two states are the same if the disk of each machine, the inputs of its process since its start, and the frames in
+ * flight are the same: the code is deterministic, so they behave alike.
  */
 export class ExhaustiveSearch {
   readonly #settings: SearchSettings;
@@ -67,7 +69,7 @@
       const next: Action[][] = [];
       for (const path of level) {
         const failed = await this.#expand(path, next);
-        if (failed !== undefined) return { ...report(false), ...(await this.#shrunk([...prefix, ...failed])) };
+        if (failed !== undefined) return { ...report(false), ...(await this.#shrink([...prefix, ...failed])) };
         if (this.#known.size >= maxStates) return report(false);
       }
       level = next;
@@ -76,7 +78,7 @@
     return report(true);
   }
 
-  /** Tries every action after a path, and adds the paths to states that were not known; the path that failed. */
+  /** Tries every action after a path and adds the paths that lead to new states to `next`; returns a failing path. */
   async #expand(path: Action[], next: Action[][]): Promise<Action[] | undefined> {
     let world: ModelWorld | undefined = await this.#replay(path);
     const choices = this.#choices(world, path);
@@ -84,7 +86,7 @@
       world ??= await this.#replay(path);
       const longer = [...path, action];
       try {
-        await world.take(action);
+        await world.perform(action);
       } catch (cause) {
         if (!(cause instanceof Violation)) throw cause;
         return longer;
@@ -103,22 +105,22 @@
 
   #choices(world: ModelWorld, path: readonly Action[]): Action[] {
     const limits = Object.entries(this.#settings.limits) as Array<[ActionKind, number]>;
-    const open = limits.filter(([kind, most]) => path.filter((one) => one.kind === kind).length < most);
-    return open.flatMap(([kind]) => Choices.of(world, kind));
+    const allowed = limits.filter(([kind, limit]) => path.filter((action) => action.kind === kind).length < limit);
+    return allowed.flatMap(([kind]) => Choices.enabled(world, kind));
   }
 
-  /** What may still be done is part of the state. */
+  /** Whether a state is new. The actions used up are part of it, as they decide which actions may still follow. */
   #isNew(world: ModelWorld, path: readonly Action[]): boolean {
     const used = Object.keys(this.#settings.limits)
       .filter((kind) => kind !== "deliver")
-      .map((kind) => path.filter((one) => one.kind === kind).length);
+      .map((kind) => path.filter((action) => action.kind === kind).length);
     const key = `${world.hash()},${used.join()}`;
     if (this.#known.has(key)) return false;
     this.#known.add(key);
     return true;
   }
 
-  #shrunk(actions: readonly Action[]): ReturnType<typeof Trace.shrink> {
+  #shrink(actions: readonly Action[]): ReturnType<typeof Trace.shrink> {
     return Trace.shrink(this.#settings.world, actions, this.#settings.shrinkMs);
   }
 }
--- a/packages/testkit/src/explore/explore.test.ts
+++ b/packages/testkit/src/explore/explore.test.ts
@@ -1,7 +1,7 @@
 /**
- * The model tests of the replicated log: what each of the five points of docs/consensus.md rests on, and the test
- * that checks it. `violation.ts` names the properties; `observer.ts`, `callers.ts`, `contactWatch.ts` and `recovery.ts`
- * check them.
+ * Model tests of the replicated log: the properties behind each of the five points of docs/consensus.md, and the test
+ * that checks them. `violation.ts` names the properties; `observer.ts`, `modelClients.ts`, `contactWatch.ts` and
+ * `recovery.ts` check them.
  *
  * | point | properties | test |
  * |---|---|---|
@@ -16,12 +16,13 @@
 import { expect } from "earl";
 import { ExhaustiveSearch } from "./exhaustiveSearch.js";
 import { RandomWalk, type WalkReport } from "./randomWalk.js";
-import { scenarios, searchOf } from "./scenarios.js";
+import { scenarios, searchSettingsOf } from "./scenarios.js";
 import { Trace } from "./trace.js";
 
-/** A failure is told soon; `cranetrack-lab explore` shrinks it further. */
+/** Short, so that a failure is reported soon; `cranetrack-lab explore` shrinks it further. */
 const shrinkMs = 3000;
 
+/** A group of random walks. */
 interface Group {
   machines: number;
   walks: number;
@@ -33,16 +34,16 @@
   const world = { machines, voters: 3, syncsAtOnce: false, isTended };
   const report = await new RandomWalk({ world, profiles, walks, seed: 17, steps: 400, shrinkMs }).run();
   const { violation, trace } = report;
-  if (violation !== undefined) throw new Error(Trace.test(world, { violation, trace }), { cause: violation });
+  if (violation !== undefined) throw new Error(Trace.testSource(world, { violation, trace }), { cause: violation });
   return report;
 }
 
-/** What came about at least once, or the walks show nothing. */
+/** Events that must have occurred at least once; otherwise the walks would prove nothing. */
 function expectAll({ coverage }: WalkReport, events: readonly string[]): void {
-  expect(events.filter((event) => coverage.of(`event: ${event}`) === 0)).toEqual([]);
+  expect(events.filter((event) => coverage.countOf(`event: ${event}`) === 0)).toEqual([]);
 }
 
-test("point 1, cut off: without a majority nothing is confirmed, and nothing older is read afterwards", async () => {
+test("point 1, cut off: without a majority nothing is confirmed, and later reads return nothing older", async () => {
   const report = await walk({ machines: 3, walks: 150, profiles: ["cutOff", "frozen"] });
   expectAll(report, ["leader elected", "leader replaced", "read confirmed", "read refused", "change answered done"]);
 });
@@ -63,12 +64,12 @@
   ]);
 });
 
-test("point 3, losses: members as production tends them, with lost disks, joining replicas and drains", async () => {
+test("point 3, losses: production code maintains members, with lost disks, joining replicas and drains", async () => {
   const report = await walk({ machines: 5, walks: 150, profiles: ["tended"] });
   expectAll(report, ["joint members committed", "other voters committed", "leader replaced", "snapshot installed"]);
 });
 
-test("point 4, catching up: after restarts and snapshots all have the same log and the same state", async () => {
+test("point 4, catching up: after restarts and snapshots all members have the same log and state", async () => {
   const report = await walk({ machines: 3, walks: 200, profiles: ["restarts", "losses", "everything"] });
   expectAll(report, ["snapshot installed", "log truncated", "leader replaced"]);
 });
@@ -79,9 +80,9 @@
 });
 
 for (const scenario of scenarios)
-  test(`exhaustive search from "${scenario.name}" to depth ${scenario.depth} breaks nothing`, async () => {
+  test(`exhaustive search from "${scenario.name}" to depth ${scenario.depth} finds no violation`, async () => {
     const world = { ...scenario.world };
-    const settings = await searchOf({ ...scenario, world }, { maxStates: 100_000, shrinkMs });
+    const settings = await searchSettingsOf({ ...scenario, world }, { maxStates: 100_000, shrinkMs });
     const report = await new ExhaustiveSearch(settings).run();
     expect([report.violation?.message, report.isWhole]).toEqual([undefined, true]);
   });
--- a/packages/testkit/src/explore/found.test.ts
+++ b/packages/testkit/src/explore/found.test.ts
@@ -1,6 +1,6 @@
 /**
- * Traces that the explorer found in versions before, shrunk, and some that walks hardly come by, made by hand. Each
- * breaks a property where its guard is taken out.
+ * Shrunk traces that the explorer found in earlier versions, and some written by hand that random walks hardly reach.
+ * Each violates a property if the guard it is meant for is removed from the code.
  */
 import { test } from "node:test";
 import { expect } from "earl";
@@ -11,10 +11,10 @@
 const three: WorldSettings = { machines: 3, voters: 3, syncsAtOnce: false };
 const five: WorldSettings = { ...three, machines: 5 };
 
-/** What a trace breaks, of which each action has to mean something, or it shows nothing. */
-async function broken(settings: WorldSettings, actions: readonly Action[]): Promise<string | undefined> {
+/** The violation of a trace, if any. Every action must be possible; otherwise the trace would prove nothing. */
+async function violationOf(settings: WorldSettings, actions: readonly Action[]): Promise<string | undefined> {
   const world = await ModelWorld.replay(settings, actions);
-  expect(world.taken).toEqual([...actions]);
+  expect(world.performed).toEqual([...actions]);
   return (await Trace.play(settings, actions))?.violation.message;
 }
 
@@ -34,16 +34,16 @@
   step("deliver", 0, 1),
 ];
 
-test("a follower goes by the members its log names before its disk has synced them", async () => {
-  expect(await broken(five, [...elected, step("addLearner", 1, 3), step("deliver", 1), step("deliver", 1)])).toEqual(
-    undefined,
-  );
+test("a follower uses the membership in its log before its disk has synced it", async () => {
+  expect(
+    await violationOf(five, [...elected, step("addLearner", 1, 3), step("deliver", 1), step("deliver", 1)]),
+  ).toEqual(undefined);
 });
 
-test("a leader that leaves may lead once more, where only its log has the new voters", async () => {
-  // Voters 0, 1 and 2, of which 2 has lost its disk; 3 takes the place of 0. The joint members are committed, the new
-  // set alone is only in the log of 0, which then loses power. The others need its vote, and it has the newest log.
-  const leaves = [
+test("a removed leader may lead once more if only its log has the new voters", async () => {
+  // Voters are 0, 1 and 2, and 2 has lost its disk; 3 replaces 0. The joint membership is committed; the new set alone
+  // is only in the log of 0, which then loses power. The others need the vote of 0, and 0 has the newest log.
+  const removal = [
     step("loseDisk", 2),
     step("tick", 0),
     step("tick", 0),
@@ -77,12 +77,12 @@
     step("drop", 0, 3),
     step("crash", 0),
   ];
-  expect(await broken({ machines: 4, voters: 3, syncsAtOnce: true }, leaves)).toEqual(undefined);
+  expect(await violationOf({ machines: 4, voters: 3, syncsAtOnce: true }, removal)).toEqual(undefined);
 });
 
-test("entries of an older term are not committed by counting, though they come in a frame of their own", async () => {
-  // 0 has a big entry of term 1 alone, loses power and leads term 2, in which the entry reaches 2 by itself at first.
-  const older = [
+test("entries of an older term are not committed by counting replicas, even in a frame of their own", async () => {
+  // Only 0 has a big entry of term 1; it loses power and leads term 2, in which the entry first reaches 2 alone.
+  const olderTerm = [
     step("tick", 0),
     step("tick", 0),
     step("deliver", 0, 1),
@@ -142,12 +142,12 @@
     step("deliver", 2),
     step("deliver", 2),
   ];
-  expect(await broken({ machines: 3, voters: 3, syncsAtOnce: true }, older)).toEqual(undefined);
+  expect(await violationOf({ machines: 3, voters: 3, syncsAtOnce: true }, olderTerm)).toEqual(undefined);
 });
 
-test("a voter that lacks the entry which names a candidate answers it", async () => {
-  // 3 becomes a voter beside 0, 1 and 2; 2 has missed all of it, 3 has one entry more than 1, and 0 loses its disk.
-  const unnamed = [
+test("a voter answers a candidate even if it lacks the entry that made the candidate a voter", async () => {
+  // 3 becomes a voter in addition to 0, 1 and 2. 2 missed all of it, 3 has one entry more than 1, and 0 loses its disk.
+  const missedPromotion = [
     step("tick", 0),
     step("tick", 0),
     step("deliver", 0, 1),
@@ -181,5 +181,5 @@
     step("deliver", 0, 3),
     step("loseDisk", 0),
   ];
-  expect(await broken({ machines: 4, voters: 3, syncsAtOnce: true }, unnamed)).toEqual(undefined);
+  expect(await violationOf({ machines: 4, voters: 3, syncsAtOnce: true }, missedPromotion)).toEqual(undefined);
 });
--- a/packages/testkit/src/explore/maintenanceSteps.ts
+++ b/packages/testkit/src/explore/maintenanceSteps.ts
@@ -7,26 +7,28 @@
 import type { ModelMember } from "./modelMember.js";
 
 /**
- * What happens around the code that tends the members in production: machines ask to join, operators want machines
- * drained, and change their minds. What is done about it that code decides.
+ * Inputs of the production code that maintains the membership: machines ask to join, and operators drain machines or
+ * cancel a drain. That code decides what to do about them.
  */
 export class MaintenanceSteps {
   readonly #machines: readonly ModelMachine[];
-  readonly #wanted: number;
+  readonly #voterTarget: number;
 
-  constructor(machines: readonly ModelMachine[], wanted: number) {
+  constructor(machines: readonly ModelMachine[], voterTarget: number) {
     this.#machines = machines;
-    this.#wanted = wanted;
+    this.#voterTarget = voterTarget;
   }
 
-  /** `join` happens on the machine that asks, the others on the leader. */
+  /** `join` happens on the machine that asks, the other kinds on the leader. */
   isEnabled(kind: ActionKind, member: ModelMember, other: ModelMachine): boolean {
     switch (kind) {
       case "join":
         return this.#mayJoin(member, other);
       case "drain":
         return (
-          member.raft.isLeader && !MaintenanceSteps.#isDrained(member, other) && this.#drainedBy(member) < this.#most
+          member.raft.isLeader &&
+          !MaintenanceSteps.#isDrained(member, other) &&
+          this.#drainedCount(member) < this.#maxDrained
         );
       case "undrain":
         return member.raft.isLeader && MaintenanceSteps.#isDrained(member, other);
@@ -35,7 +37,7 @@
     }
   }
 
-  take(kind: ActionKind, member: ModelMember, other: ModelMachine): void {
+  perform(kind: ActionKind, member: ModelMember, other: ModelMachine): void {
     const key = DrainKey.of(other.name);
     const put = { key, value: DrainKey.write() } as Partial<Kv> as Kv;
     if (kind === "join") return MaintenanceSteps.#join(member, other.member!);
@@ -44,7 +46,7 @@
     void member.raft.propose(toBinary(StoreCommandSchema, command));
   }
 
-  /** As the store's service does it: only a confirmed leader answers. */
+  /** Handles a join like the store's service: only a leader with confirmed leadership accepts it. */
   static #join({ id, name }: ModelMember, { raft, changes }: ModelMember): void {
     void raft.confirm().then((isConfirmed) => {
       if (isConfirmed) changes?.join({ id, name } as Parameters<typeof changes.join>[0]);
@@ -54,15 +56,15 @@
   #mayJoin({ id }: ModelMember, { member: leader }: ModelMachine): boolean {
     if (leader?.isRunning !== true || !leader.raft.isLeader) return false;
     const { members } = leader.raft;
-    return ![...MemberSets.of(members).flat(), ...members.learners].some((one) => one.id === id);
+    return ![...MemberSets.of(members).flat(), ...members.learners].some((member) => member.id === id);
   }
 
-  /** So many machines are left that all votes find a place. */
-  get #most(): number {
-    return this.#machines.length - this.#wanted;
+  /** Most machines that may be drained: enough for all voters must remain. */
+  get #maxDrained(): number {
+    return this.#machines.length - this.#voterTarget;
   }
 
-  #drainedBy(leader: ModelMember): number {
+  #drainedCount(leader: ModelMember): number {
     return this.#machines.filter((machine) => MaintenanceSteps.#isDrained(leader, machine)).length;
   }
 
--- a/packages/testkit/src/explore/memberSteps.ts
+++ b/packages/testkit/src/explore/memberSteps.ts
@@ -7,54 +7,53 @@
 import type { Observer } from "./observer.js";
 
 /**
- * Changes of members, asked of a leader one step at a time, and which disks may be lost.
- * The rules are those of the code that changes members in production: a joining replica learns before it votes, one
- * change
- * at a time, and voters are taken out or exchanged only where a majority of the new set is there. A leader may leave.
+ * Membership changes, requested from a leader one step at a time, and the rule about which disks may be lost.
+ * The rules are those of the production code: a joining replica is a learner before it votes, there is one change at a
+ * time, and voters are removed or replaced only if a majority of the new set has its disks. A leader may be removed.
  */
 export class MemberSteps {
   readonly #machines: readonly ModelMachine[];
   readonly #observer: Observer;
   readonly #coverage: Coverage;
-  readonly #wanted: number;
-  /** Disk identities that are to leave, each with the reason. */
+  readonly #voterTarget: number;
+  /** Voters to be removed, by disk identity, with the reason. */
   readonly #leaving = new Map<string, "replace" | "drain">();
 
-  constructor(machines: readonly ModelMachine[], observer: Observer, coverage: Coverage, wanted: number) {
+  constructor(machines: readonly ModelMachine[], observer: Observer, coverage: Coverage, voterTarget: number) {
     this.#machines = machines;
     this.#observer = observer;
     this.#coverage = coverage;
-    this.#wanted = wanted;
+    this.#voterTarget = voterTarget;
   }
 
   isEnabled(kind: ActionKind, { raft, name }: ModelMember, { diskId, name: other }: ModelMachine): boolean {
     if (!raft.isLeader) return false;
     const { voters, learners } = raft.members;
-    const isMember = [...voters, ...learners].some((one) => one.id === diskId);
+    const isMember = [...voters, ...learners].some((member) => member.id === diskId);
     switch (kind) {
       case "addLearner":
         return !isMember && learners.length === 0;
       case "promote":
-        return learners.some((one) => one.id === diskId) && raft.progressOf(diskId).match > 0;
+        return learners.some((member) => member.id === diskId) && raft.progressOf(diskId).match > 0;
       case "removeVoter": {
-        const rest = voters.filter((one) => one.name !== other);
-        const isMeant = other !== name && rest.length > 1 && rest.length < voters.length;
-        return isMeant && MemberSteps.#isMajority(this.#machines, rest);
+        const rest = voters.filter((member) => member.name !== other);
+        const isRemovable = other !== name && rest.length > 1 && rest.length < voters.length;
+        return isRemovable && MemberSteps.#hasMajorityOfDisks(this.#machines, rest);
       }
       case "removeLearner":
-        return learners.some((one) => one.name === other);
+        return learners.some((member) => member.name === other);
       case "replace":
-        return voters.some((one) => one.name === other && one.id !== diskId && !this.#leaving.has(one.id));
+        return voters.some((member) => member.name === other && member.id !== diskId && !this.#leaving.has(member.id));
       case "drain":
-        return voters.some((one) => one.id === diskId && !this.#leaving.has(one.id));
+        return voters.some((member) => member.id === diskId && !this.#leaving.has(member.id));
       case "tend":
-        return this.#next(raft) !== undefined;
+        return this.#nextChange(raft) !== undefined;
       default:
         return false;
     }
   }
 
-  take(kind: ActionKind, { raft }: ModelMember, { diskId, name }: ModelMachine): void {
+  perform(kind: ActionKind, { raft }: ModelMember, { diskId, name }: ModelMachine): void {
     const { voters, learners } = raft.members;
     const other = { id: diskId, name } as StoreMember;
     switch (kind) {
@@ -64,33 +63,33 @@
         return raft.changeMembers([...voters, other], MemberSteps.#without(learners, diskId));
       case "removeVoter":
         return raft.changeMembers(
-          voters.filter((one) => one.name !== name),
+          voters.filter((member) => member.name !== name),
           learners,
         );
       case "removeLearner":
         return raft.changeMembers(
           voters,
-          learners.filter((one) => one.name !== name),
+          learners.filter((member) => member.name !== name),
         );
       case "replace":
-        return void this.#leaving.set(voters.find((one) => one.name === name)!.id, "replace");
+        return void this.#leaving.set(voters.find((member) => member.name === name)!.id, "replace");
       case "drain":
         return void this.#leaving.set(diskId, "drain");
       default:
-        return this.#next(raft)?.();
+        return this.#nextChange(raft)?.();
     }
   }
 
   /**
-   * Whether a disk may be lost: with it, and those that were lost and are still named as voters or learners, a
-   * majority of every set that matters is left.
+   * Whether a disk may be lost: in every membership that may be in force, the lost disks (this one included) that are
+   * still named as voters or learners must be fewer than half of each voter set.
    */
-  mayLose(machine: ModelMachine): boolean {
-    const left = new Set(this.#machines.filter((one) => one !== machine).map((one) => one.diskId));
-    const members = [...this.#observer.relevantMembers(), ...this.#observer.laterMembers()];
-    return members.every((one) =>
-      MemberSets.of(one).every((voters) => {
-        const named = new Set([...voters, ...one.learners].map(({ id }) => id));
+  mayLoseDisk(machine: ModelMachine): boolean {
+    const left = new Set(this.#machines.filter((other) => other !== machine).map((other) => other.diskId));
+    const members = [...this.#observer.relevantMembers(), ...this.#observer.uncommittedMembers()];
+    return members.every((membership) =>
+      MemberSets.of(membership).every((voters) => {
+        const named = new Set([...voters, ...membership.learners].map(({ id }) => id));
         const lost = [...named].filter((id) => !left.has(id));
         return lost.length * 2 < voters.length;
       }),
@@ -101,35 +100,38 @@
     return [...this.#leaving].join(";");
   }
 
-  /** What the change under way needs next: a learner, or to take it in the place of who leaves, in one exchange. */
-  #next(raft: ModelMember["raft"]): (() => void) | undefined {
+  /**
+   * The next step for a voter that is to be removed: add a learner, or exchange the voter for a learner that is ready.
+   * Undefined if there is nothing to do now.
+   */
+  #nextChange(raft: ModelMember["raft"]): (() => void) | undefined {
     const { voters, learners } = raft.members;
-    const out = voters.find((one) => this.#leaving.has(one.id));
-    if (out === undefined || !raft.hasStableMembers) return undefined;
-    const rest = MemberSteps.#without(voters, out.id);
-    const ready = learners.find((one) => raft.progressOf(one.id).match > 0);
-    const next = voters.length > this.#wanted || ready === undefined ? rest : [...rest, ready];
-    if (next.length >= this.#wanted && MemberSteps.#isMajority(this.#machines, next)) {
+    const leaving = voters.find((member) => this.#leaving.has(member.id));
+    if (leaving === undefined || !raft.hasStableMembers) return undefined;
+    const remaining = MemberSteps.#without(voters, leaving.id);
+    const ready = learners.find((member) => raft.progressOf(member.id).match > 0);
+    const next = voters.length > this.#voterTarget || ready === undefined ? remaining : [...remaining, ready];
+    if (next.length >= this.#voterTarget && MemberSteps.#hasMajorityOfDisks(this.#machines, next)) {
       return () => {
-        this.#coverage.count(`event: ${this.#leaving.get(out.id)} begun`);
+        this.#coverage.count(`event: ${this.#leaving.get(leaving.id)} begun`);
         raft.changeMembers(
           next,
-          learners.filter((one) => !next.includes(one)),
+          learners.filter((member) => !next.includes(member)),
         );
       };
     }
-    const spare = this.#machines.find((one) => !voters.some(({ id: voter }) => voter === one.diskId));
+    const spare = this.#machines.find((machine) => !voters.some(({ id: voter }) => voter === machine.diskId));
     if (spare === undefined || learners.length > 0) return undefined;
     return () => raft.changeMembers(voters, [{ id: spare.diskId, name: spare.name } as StoreMember]);
   }
 
-  /** Whether most of these voters' disks are there. */
-  static #isMajority(machines: readonly ModelMachine[], voters: readonly StoreMember[]): boolean {
-    const ids = new Set(machines.map((one) => one.diskId));
-    return voters.filter((one) => ids.has(one.id)).length * 2 > voters.length;
+  /** Whether a majority of these voters still has its disk. */
+  static #hasMajorityOfDisks(machines: readonly ModelMachine[], voters: readonly StoreMember[]): boolean {
+    const ids = new Set(machines.map((machine) => machine.diskId));
+    return voters.filter((member) => ids.has(member.id)).length * 2 > voters.length;
   }
 
   static #without(list: StoreMember[], id: string): StoreMember[] {
-    return list.filter((one) => one.id !== id);
+    return list.filter((member) => member.id !== id);
   }
 }
--- a/packages/testkit/src/explore/modelClock.ts
+++ b/packages/testkit/src/explore/modelClock.ts
@@ -1,16 +1,18 @@
 import type { TimerHandle, Clock } from "@cranetrack/core/runtime/clock.js";
 
+/** A timer of the model's clock; `at` is in milliseconds of that clock. */
 interface Timer {
   at: number;
+  /** Rises with each timer: timers that are due at the same time fire in the order of their creation. */
   order: number;
-  /** Undefined: rings once. */
+  /** Interval of a periodic timer; undefined if the timer fires only once. */
   everyMs: number | undefined;
   fire: () => void;
 }
 
 /**
- * One process's own monotonic clock. It moves only when told to, and independently of all others: safety may not
- * rest on clocks of different processes running alike.
+ * The monotonic clock of one process. It advances only on request and independently of all others: safety must not
+ * depend on the clocks of different processes running at the same rate.
  */
 export class ModelClock implements Clock {
   #now = 0;
@@ -29,7 +31,7 @@
     return this.#add({ at: this.#now + ms, order: (this.#order += 1), everyMs: ms, fire });
   }
 
-  /** Rings what is due by now; true where anything was. */
+  /** Fires the timers that are due; true if there were any. */
   fireExpired(): boolean {
     const expired = this.#timers.filter((timer) => timer.at <= this.#now);
     expired.sort((a, b) => a.at - b.at || a.order - b.order);
@@ -37,7 +39,7 @@
     return expired.length > 0;
   }
 
-  /** Moves on to the next timer and rings all that is due then. */
+  /** Advances to the next timer and fires all that are due then. */
   tick(): void {
     const next = Math.min(...this.#timers.map((timer) => timer.at));
     if (!Number.isFinite(next)) return;
@@ -45,7 +47,7 @@
     this.fireExpired();
   }
 
-  /** The process did not run for a while. */
+  /** Advances by `ms` at once, as for a process that did not run meanwhile, and fires the timers that are due. */
   jump(ms: number): void {
     this.#now += ms;
     this.fireExpired();
@@ -57,8 +59,8 @@
   }
 
   #remove(timer: Timer): void {
-    const place = this.#timers.indexOf(timer);
-    if (place !== -1) this.#timers.splice(place, 1);
+    const index = this.#timers.indexOf(timer);
+    if (index !== -1) this.#timers.splice(index, 1);
   }
 
   #fire(timer: Timer): void {
--- a/packages/testkit/src/explore/modelDisk.ts
+++ b/packages/testkit/src/explore/modelDisk.ts
@@ -1,31 +1,34 @@
 import type { Disk, DiskChange } from "@cranetrack/core/storage/disk.js";
 
-type Kept = Map<string, Uint8Array>;
+/** Stored values by key. */
+type Records = Map<string, Uint8Array>;
 
+/** A write that is not durable yet; `resolve` settles the caller's promise. */
 interface Write {
   changes: DiskChange[];
   resolve: () => void;
 }
 
 /**
- * A machine's disk, whose writes reach it only when told to.
- * Invariant (that of the disk seam): writes become durable in the order they were asked for, each whole or not at
- * all; after a loss of power some prefix of those under way is there. That a torn record counts as not written is
- * the journal's part, and tested with it.
+ * A machine's disk, whose writes become durable only on request.
+ * Invariant (that of the `Disk` interface): writes become durable in the order they were requested, each whole or not
+ * at all; after a power loss a prefix of the pending writes is durable. That a torn record counts as not written is
+ * ensured by the journal and tested there.
  */
 export class ModelDisk {
-  #durable: Kept = new Map();
+  #durable: Records = new Map();
   #pending: Write[] = [];
-  /** Rises with each change of what is durable. */
+  /** Rises with each change of the durable contents. */
   version = 0;
 
-  get pending(): number {
+  /** Number of writes that are not durable yet. */
+  get pendingCount(): number {
     return this.#pending.length;
   }
 
-  /** The disk as one process's life sees it. */
+  /** The disk as one process sees it: its own writes are visible at once. Writes after `isUp` turned false are lost. */
   mount(isUp: () => boolean): Disk {
-    const live: Kept = new Map(this.#durable);
+    const live: Records = new Map(this.#durable);
     return {
       read: (prefix) => ModelDisk.#read(live, prefix),
       write: (changes) => {
@@ -36,50 +39,51 @@
     };
   }
 
-  /** What would be there after a loss of power just now that keeps nothing unsynced. */
+  /** The contents that a power loss right now would leave if no pending write reached the disk. */
   get durable(): Disk {
     return { read: (prefix) => ModelDisk.#read(this.#durable, prefix), write: () => Promise.resolve() };
   }
 
-  /** The oldest writes under way reach the disk, and those who asked for them hear so. */
+  /** Makes the oldest `count` pending writes durable and resolves their promises. */
   sync(count = Infinity): void {
-    for (const write of this.#keep(count)) write.resolve();
+    for (const write of this.#flush(count)) write.resolve();
   }
 
-  /** Power is lost: so many of the oldest writes under way reached the disk. */
-  fall(kept: number): void {
-    this.#keep(kept);
+  /** Loses power: the oldest `kept` pending writes become durable, the others are lost, and no promise resolves. */
+  losePower(kept: number): void {
+    this.#flush(kept);
     this.#pending = [];
   }
 
+  /** Replaces the disk by a blank one. */
   wipe(): void {
     this.#durable = new Map();
     this.#pending = [];
     this.version += 1;
   }
 
-  /** Everything that is durable, in a fixed order. */
+  /** The durable contents as text, in a fixed order. */
   text(): string {
     return ModelDisk.#read(this.#durable, "")
       .map(({ key, value }) => `${key}=${Buffer.from(value).toString("latin1")}`)
       .join("\n");
   }
 
-  #keep(count: number): Write[] {
-    const done = this.#pending.splice(0, Math.min(count, this.#pending.length));
-    for (const { changes } of done) ModelDisk.#apply(this.#durable, changes);
-    if (done.length > 0) this.version += 1;
-    return done;
+  #flush(count: number): Write[] {
+    const writes = this.#pending.splice(0, Math.min(count, this.#pending.length));
+    for (const { changes } of writes) ModelDisk.#apply(this.#durable, changes);
+    if (writes.length > 0) this.version += 1;
+    return writes;
   }
 
-  static #read(kept: Kept, prefix: string): Array<{ key: string; value: Uint8Array }> {
-    return [...kept]
+  static #read(records: Records, prefix: string): Array<{ key: string; value: Uint8Array }> {
+    return [...records]
       .filter(([key]) => key.startsWith(prefix))
       .sort(([a], [b]) => (a < b ? -1 : 1))
       .map(([key, value]) => ({ key, value }));
   }
 
-  static #apply(to: Kept, changes: DiskChange[]): void {
+  static #apply(to: Records, changes: DiskChange[]): void {
     for (const change of changes) {
       if ("isRemoved" in change) to.delete(change.key);
       else to.set(change.key, change.value);
--- a/packages/testkit/src/explore/modelMachine.ts
+++ b/packages/testkit/src/explore/modelMachine.ts
@@ -1,30 +1,31 @@
 import { ModelDisk } from "./modelDisk.js";
 import type { ModelMember } from "./modelMember.js";
 
-/** A place where processes live one after the other, and its disk, which has an identity of its own. */
+/** A machine on which processes run one after another, and its disk, which has an identity of its own. */
 export class ModelMachine {
   readonly name: string;
-  readonly place: number;
+  readonly index: number;
   readonly disk = new ModelDisk();
-  /** The process that runs now. */
+  /** The present process, or the last one if it crashed. */
   member: ModelMember | undefined;
+  /** Number of processes started on this machine. */
   incarnations = 0;
-  #disks = 0;
-  /** Stands for all that the process has taken in since its start, and for its disk before: same text, same state. */
+  #replacedDiskCount = 0;
+  /** Digest of all inputs of the process since its start and of the disk it started from: same digest, same state. */
   history = "";
 
-  constructor(place: number) {
-    this.place = place;
-    this.name = `m${place}`;
+  constructor(index: number) {
+    this.index = index;
+    this.name = `m${index}`;
   }
 
-  /** Who this machine is in the replicated log: a blank disk makes it another. */
+  /** Identity of this machine as a member of the replicated log; a replaced disk gives it a new one. */
   get diskId(): string {
-    return `${this.name}#${this.#disks}`;
+    return `${this.name}#${this.#replacedDiskCount}`;
   }
 
   replaceDisk(): void {
     this.disk.wipe();
-    this.#disks += 1;
+    this.#replacedDiskCount += 1;
   }
 }
--- a/packages/testkit/src/explore/modelMember.ts
+++ b/packages/testkit/src/explore/modelMember.ts
@@ -11,20 +11,21 @@
 import type { ModelMachine } from "./modelMachine.js";
 import type { ModelNetwork } from "./modelNetwork.js";
 
-/** Small bounds, so that short runs reach what takes production long. */
+/** Small bounds, so that short runs reach states that take long in production. All times are in milliseconds. */
 export const modelBounds = {
-  /** Below one heartbeat interval: one tick or two without a word from the leader are an election timeout. */
+  /** Below one heartbeat interval: one or two ticks without a message from the leader are an election timeout. */
   electionMs: 60,
-  /** A voter that is silent for longer is replaced, where members are tended. */
+  /** A voter that is silent for longer is replaced, if members are maintained automatically (`isTended`). */
   replaceVoterMs: 200,
   /** Applied entries after which a log is compacted. */
   compactAt: 3,
+  /** Timeout of a call. */
   callMs: 200,
-  /** How far a clock goes while its process is frozen. */
+  /** How far a clock advances while its process is frozen. */
   frozenMs: 1000,
 } as const;
 
-/** One process's life on a machine: the production classes over the model's clock, disk and network. */
+/** One process on a machine: the production classes on top of the model's clock, disk and network. */
 export class ModelMember {
   static readonly founding = "founding";
 
@@ -35,7 +36,7 @@
   readonly log: ReplicaLog;
   readonly raft: RaftNode;
   readonly endpoint: RpcEndpoint;
-  /** Where it decides itself, as leader, who is a member. */
+  /** The production code that maintains the membership on the leader; undefined where actions change members. */
   readonly changes: MemberChanges | undefined;
   isUp = true;
   isFrozen = false;
@@ -56,7 +57,7 @@
         clock: this.clock,
         transport: network.attach(this.name, isUp),
         disk: undefined,
-        random: new SimRandom(machine.place * 1000 + incarnation),
+        random: new SimRandom(machine.index * 1000 + incarnation),
         log: new LogBuffer(this.name, () => undefined),
         incarnation,
       },
@@ -64,7 +65,7 @@
     );
     this.log = new ReplicaLog(machine.disk.mount(isUp), "store");
     this.endpoint = node.rpc;
-    // Gossip is not part of the model: everybody knows every address, and nobody carries frames for others.
+    // Gossip is not part of the model: every process knows every address, and none relays frames for others.
     this.endpoint.addressOf = (name) => name;
     this.endpoint.relaysFor = () => [];
     this.raft = new RaftNode({
@@ -87,14 +88,14 @@
     return this.isUp && !this.isFrozen;
   }
 
-  /** Whether it acts as the leader of its term, with or without an entry of this term committed. */
+  /** Whether the process acts as leader of its term, whether or not an entry of this term is committed yet. */
   get isActingLeader(): boolean {
     return this.isUp && this.raft.leaderName === this.name;
   }
 
-  /** Every other machine keeps an entry in front of its snapshots' ends. */
-  static #compaction({ place }: ModelMachine): CompactionBounds {
-    return { entries: modelBounds.compactAt, bytes: 1e6, kept: { entries: place % 2, bytes: 1e6 } };
+  /** Machines with odd indexes keep one entry before the end of their snapshots, the others none. */
+  static #compaction({ index }: ModelMachine): CompactionBounds {
+    return { entries: modelBounds.compactAt, bytes: 1e6, kept: { entries: index % 2, bytes: 1e6 } };
   }
 
   static #settings({ name }: ModelMachine, voters: number): Settings {
--- a/packages/testkit/src/explore/modelNetwork.ts
+++ b/packages/testkit/src/explore/modelNetwork.ts
@@ -2,21 +2,23 @@
 import { Wire } from "@cranetrack/core/rpc/wire.js";
 import type { Transport } from "@cranetrack/core/transport/transport.js";
 
-/** Frames under way between machines, in the order they were sent, until each is delivered, lost or sent again. */
+/** Frames in flight between machines. Each channel keeps them in the order they were sent until they are taken out. */
 export class ModelNetwork {
-  /** More than so many frames under way from one machine to another: the oldest is lost. */
+  /** Most frames in flight from one machine to another; above it the oldest frame is lost. */
   static readonly channelFrames = 6;
 
   readonly #channels = new Map<string, Uint8Array[]>();
   readonly #cuts = new Set<string>();
-  readonly #takers = new Map<string, (frame: Frame) => void>();
+  readonly #receivers = new Map<string, (frame: Frame) => void>();
   readonly #onSend: (from: string, to: string, frame: Frame) => void;
+  /** Number of frames lost because a channel was full. */
   overflows = 0;
 
   constructor(onSend: (from: string, to: string, frame: Frame) => void) {
     this.#onSend = onSend;
   }
 
+  /** The transport of a process at an address; it sends nothing once `isUp` is false. */
   attach(address: string, isUp: () => boolean): Transport {
     return {
       address,
@@ -24,22 +26,22 @@
         if (isUp()) this.#send(address, to, bytes);
       },
       isReachable: () => true,
-      onFrame: (take) => void this.#takers.set(address, take),
+      onFrame: (receive) => void this.#receivers.set(address, receive),
       onLost: () => undefined,
       drop: () => undefined,
     };
   }
 
-  /** The process at an address is gone; what was sent to it stays under way. */
+  /** Removes the process at an address; frames sent to it stay in flight. */
   detach(address: string): void {
-    this.#takers.delete(address);
+    this.#receivers.delete(address);
   }
 
-  count(from: string, to: string): number {
+  frameCount(from: string, to: string): number {
     return this.#channels.get(`${from}>${to}`)?.length ?? 0;
   }
 
-  /** Takes a frame from its channel: the bytes, to be delivered or not. */
+  /** Removes a frame from its channel and returns its bytes. */
   take(from: string, to: string, nth: number): Uint8Array {
     return this.#channels.get(`${from}>${to}`)!.splice(nth, 1)[0]!;
   }
@@ -50,15 +52,16 @@
     if (frames.length > ModelNetwork.channelFrames) frames.shift();
   }
 
-  /** Hands bytes over; the frame that they are, where anybody took it. */
+  /** Hands a frame to the process at an address; undefined if it is garbled or no process is attached there. */
   deliver(to: string, bytes: Uint8Array): Frame | undefined {
     const frame = Wire.decode(bytes);
-    const take = this.#takers.get(to);
-    if (frame === undefined || take === undefined) return undefined;
-    take(frame);
+    const receive = this.#receivers.get(to);
+    if (frame === undefined || receive === undefined) return undefined;
+    receive(frame);
     return frame;
   }
 
+  /** Loses all frames sent from one machine to another until `mend`; those in flight stay. */
   cut(from: string, to: string): void {
     this.#cuts.add(`${from}>${to}`);
   }
@@ -71,7 +74,7 @@
     return this.#cuts.has(`${from}>${to}`);
   }
 
-  /** All that is under way and all cuts, in a fixed order. */
+  /** All frames in flight and all cuts as text, in a fixed order. */
   text(): string {
     const channels = [...this.#channels].filter(([, frames]) => frames.length > 0).sort(([a], [b]) => (a < b ? -1 : 1));
     const frames = channels.map(
--- a/packages/testkit/src/explore/modelWorld.ts
+++ b/packages/testkit/src/explore/modelWorld.ts
@@ -14,21 +14,22 @@
 import { MaintenanceSteps } from "./maintenanceSteps.js";
 import { Violation, type PropertyName } from "./violation.js";
 
+/** Settings of a world; printed with a trace for `--replay`. */
 export interface WorldSettings {
   readonly machines: number;
-  /** The first so many machines found the store; the others are blank. */
+  /** How many machines found the store, counted from the first; the others start with a blank disk. */
   readonly voters: number;
-  /** Writes are synced in the step that asks for them, except where a member's are held back. */
+  /** Writes are synced in the step that requests them, except on machines whose syncs are withheld (`hold`). */
   readonly syncsAtOnce: boolean;
-  /** Leaders decide themselves who is a member, as in production; else members change by actions. */
+  /** Leaders maintain the membership themselves, as in production; otherwise actions change it. */
   readonly isTended?: boolean;
-  /** Properties that are known not to hold, so that others can be looked for beside them. */
+  /** Properties whose violations are ignored because they are known, so that a run can find others. */
   readonly ignored?: readonly PropertyName[];
 }
 
 /**
- * Members of one replicated log, and everything that can happen to them, one action at a time. After each action all
- * promises settle, then all properties are checked.
+ * The members of one replicated log and everything that can happen to them, one action at a time. After each action
+ * all promises settle and then all properties are checked.
  * Invariant: the same settings and actions give the same states.
  */
 export class ModelWorld {
@@ -40,10 +41,10 @@
   readonly clients: ModelClients;
   readonly steps: MemberSteps;
   readonly maintenanceSteps: MaintenanceSteps;
-  /** Whose writes are not synced at once. */
-  readonly #held = new Set<ModelMachine>();
-  /** All actions that were carried out. */
-  readonly taken: Action[] = [];
+  /** Machines whose writes are not synced at once although `syncsAtOnce` is set. */
+  readonly #syncsWithheld = new Set<ModelMachine>();
+  /** All actions performed so far. */
+  readonly performed: Action[] = [];
 
   private constructor(settings: WorldSettings, coverage: Coverage) {
     this.settings = settings;
@@ -54,11 +55,12 @@
     this.steps = new MemberSteps(this.machines, this.observer, coverage, settings.voters);
     this.maintenanceSteps = new MaintenanceSteps(this.machines, settings.voters);
     this.network = new ModelNetwork((from, to, frame) => {
-      const machine = this.machines.find((one) => one.name === from)!;
-      this.observer.sent(machine, to, frame);
+      const machine = this.machines.find((sender) => sender.name === from)!;
+      this.observer.checkSent(machine, to, frame);
     });
   }
 
+  /** A world whose founding machines have the first membership on disk and whose processes have all started. */
   static async start(settings: WorldSettings, coverage = new Coverage()): Promise<ModelWorld> {
     const world = new ModelWorld(settings, coverage);
     const founders = world.machines.slice(0, settings.voters);
@@ -77,18 +79,18 @@
     return world;
   }
 
-  /** A world in which all these actions were taken; those that can't be are passed over. */
+  /** A world in which these actions were performed; actions that are not possible are skipped. */
   static async replay(
     settings: WorldSettings,
     actions: readonly Action[],
     coverage = new Coverage(),
   ): Promise<ModelWorld> {
     const world = await ModelWorld.start(settings, coverage);
-    for (const action of actions) await world.take(action);
+    for (const action of actions) await world.perform(action);
     return world;
   }
 
-  /** Whether an action means anything in this state. */
+  /** Whether an action is possible in this state. */
   isEnabled({ kind, member: at, other, nth }: Action): boolean {
     const machine = this.machines[at];
     const second = this.machines[other];
@@ -97,26 +99,26 @@
     const isRunning = member?.isRunning === true;
     switch (kind) {
       case "deliver":
-        return nth < this.network.count(machine.name, second.name) && second.member?.isFrozen !== true;
+        return nth < this.network.frameCount(machine.name, second.name) && second.member?.isFrozen !== true;
       case "drop":
       case "duplicate":
-        return nth < this.network.count(machine.name, second.name);
+        return nth < this.network.frameCount(machine.name, second.name);
       case "tick":
       case "freeze":
       case "stop":
         return isRunning;
       case "standBy":
-        return isRunning && this.observer.isOut(machine.diskId);
+        return isRunning && this.observer.isRemoved(machine.diskId);
       case "sync":
-        return isRunning && machine.disk.pending > 0;
+        return isRunning && machine.disk.pendingCount > 0;
       case "hold":
-        return this.settings.syncsAtOnce && isRunning && !this.#held.has(machine);
+        return this.settings.syncsAtOnce && isRunning && !this.#syncsWithheld.has(machine);
       case "crash":
-        return member?.isUp === true && nth <= machine.disk.pending;
+        return member?.isUp === true && nth <= machine.disk.pendingCount;
       case "restart":
         return member?.isUp !== true;
       case "loseDisk":
-        return this.steps.mayLose(machine);
+        return this.steps.mayLoseDisk(machine);
       case "thaw":
         return member?.isFrozen === true;
       case "cut":
@@ -134,32 +136,35 @@
     }
   }
 
-  /** Carries an action out and checks all properties; false where it means nothing. */
-  async take(action: Action): Promise<boolean> {
+  /**
+   * Performs an action and checks all properties; false if the action is not possible.
+   * @throws Violation if a property does not hold afterwards.
+   */
+  async perform(action: Action): Promise<boolean> {
     if (!this.isEnabled(action)) return false;
-    this.taken.push(action);
+    this.performed.push(action);
     this.coverage.count(`action: ${action.kind}`);
-    this.observer.keep(() => this.#carryOut(action));
+    this.observer.captureFault(() => this.#execute(action));
     await this.#runUntilIdle();
-    this.observer.keep(() => this.clients.check());
+    this.observer.captureFault(() => this.clients.check());
     this.observer.check();
     return true;
   }
 
-  /** Stands for the whole state: worlds with the same text go on alike. */
+  /** Digest of the whole state: worlds with the same digest behave alike from here on. */
   hash(): string {
     const machines = this.machines.map(
       ({ history, disk, member, diskId }) =>
-        `${history},${disk.pending},${member?.isUp},${member?.isFrozen},${diskId},${disk.text()}`,
+        `${history},${disk.pendingCount},${member?.isUp},${member?.isFrozen},${diskId},${disk.text()}`,
     );
-    const held = this.machines.map((machine) => this.#held.has(machine)).join();
+    const held = this.machines.map((machine) => this.#syncsWithheld.has(machine)).join();
     const text = [machines.join("\n"), held, this.network.text(), this.observer.text(), this.clients.text()];
     return createHash("sha1")
       .update(`${text.join("\n")}\n${this.steps.text()}`)
       .digest("base64");
   }
 
-  #carryOut({ kind, member: at, other, nth }: Action): void {
+  #execute({ kind, member: at, other, nth }: Action): void {
     const machine = this.machines[at]!;
     const second = this.machines[other]!;
     const member = machine.member!;
@@ -171,21 +176,21 @@
       case "duplicate":
         return this.network.duplicate(machine.name, second.name, nth);
       case "tick":
-        this.#remember(machine, "tick");
+        this.#extendHistory(machine, "tick");
         return member.clock.tick();
       case "sync":
-        this.#held.delete(machine);
-        this.#remember(machine, `sync ${nth}`);
+        this.#syncsWithheld.delete(machine);
+        this.#extendHistory(machine, `sync ${nth}`);
         return machine.disk.sync(nth === 0 ? Infinity : nth);
       case "hold":
-        return void this.#held.add(machine);
+        return void this.#syncsWithheld.add(machine);
       case "crash":
         return this.#crash(machine, nth);
       case "stop":
         member.raft.resign();
         return this.#crash(machine, Infinity);
       case "standBy":
-        this.#remember(machine, kind);
+        this.#extendHistory(machine, kind);
         return member.raft.standBy();
       case "restart":
         return this.#boot(machine);
@@ -197,27 +202,27 @@
         return undefined;
       case "thaw":
         member.isFrozen = false;
-        this.#remember(machine, "thaw");
+        this.#extendHistory(machine, "thaw");
         return member.clock.jump(modelBounds.frozenMs);
       case "cut":
         return this.network.cut(machine.name, second.name);
       case "mend":
         return this.network.mend(machine.name, second.name);
       case "propose":
-        this.#remember(machine, kind);
+        this.#extendHistory(machine, kind);
         return this.clients.propose(member, nth > 0);
       case "order":
-        this.#remember(machine, kind);
+        this.#extendHistory(machine, kind);
         return this.clients.order(member);
       case "read":
-        this.#remember(machine, kind);
+        this.#extendHistory(machine, kind);
         return this.clients.read(member);
       case "call":
-        this.#remember(machine, `call ${other}`);
+        this.#extendHistory(machine, `call ${other}`);
         return this.clients.call(member, second.name);
       default:
-        this.#remember(machine, `${kind} ${second.diskId}`);
-        return this.#memberSteps.take(kind, member, second);
+        this.#extendHistory(machine, `${kind} ${second.diskId}`);
+        return this.#memberSteps.perform(kind, member, second);
     }
   }
 
@@ -232,22 +237,22 @@
   #deliver(from: ModelMachine, to: ModelMachine, nth: number): void {
     const bytes = this.network.take(from.name, to.name, nth);
     if (to.member?.isUp !== true) return;
-    this.#remember(to, Buffer.from(bytes).toString("latin1"));
+    this.#extendHistory(to, Buffer.from(bytes).toString("latin1"));
     const frame = this.network.deliver(to.name, bytes);
-    if (frame !== undefined) this.observer.delivered(to, frame);
+    if (frame !== undefined) this.observer.recordDelivered(to, frame);
   }
 
   #crash(machine: ModelMachine, kept: number): void {
     if (machine.member !== undefined) machine.member.isUp = machine.member.isFrozen = false;
-    this.#held.delete(machine);
+    this.#syncsWithheld.delete(machine);
     this.network.detach(machine.name);
-    machine.disk.fall(kept);
+    machine.disk.losePower(kept);
     machine.history = "";
   }
 
   #boot(machine: ModelMachine): void {
     machine.incarnations += 1;
-    this.#remember(machine, `start ${machine.incarnations} from ${machine.diskId} ${machine.disk.text()}`);
+    this.#extendHistory(machine, `start ${machine.incarnations} from ${machine.diskId} ${machine.disk.text()}`);
     try {
       const member = new ModelMember(machine, this.network, machine.incarnations, this.#maintenance);
       machine.member = member;
@@ -258,24 +263,24 @@
     }
   }
 
-  #remember(machine: ModelMachine, what: string): void {
+  #extendHistory(machine: ModelMachine, what: string): void {
     machine.history = createHash("sha1").update(machine.history).update(what).digest("base64");
   }
 
-  /** All promises settle, and what is to be done after no time is done; where writes sync at once, they do. */
+  /** Lets all promises settle and fires all due timers until nothing is left to do; syncs writes if `syncsAtOnce`. */
   async #runUntilIdle(): Promise<void> {
-    for (let isOver = false; !isOver;) {
+    for (let isIdle = false; !isIdle;) {
       await new Promise<void>((resolve) => void setImmediate(resolve));
-      isOver = true;
+      isIdle = true;
       for (const machine of this.machines) {
         const { member } = machine;
         if (member?.isRunning !== true) continue;
-        this.observer.keep(() => {
-          if (member.clock.fireExpired()) isOver = false;
+        this.observer.captureFault(() => {
+          if (member.clock.fireExpired()) isIdle = false;
         });
-        if (!this.settings.syncsAtOnce || this.#held.has(machine) || machine.disk.pending === 0) continue;
+        if (!this.settings.syncsAtOnce || this.#syncsWithheld.has(machine) || machine.disk.pendingCount === 0) continue;
         machine.disk.sync();
-        isOver = false;
+        isIdle = false;
       }
     }
   }
--- a/packages/testkit/src/explore/observer.ts
+++ b/packages/testkit/src/explore/observer.ts
@@ -9,25 +9,25 @@
 import { Violation, type PropertyName } from "./violation.js";
 
 /**
- * Sees every machine's disk, every process and every frame, remembers what was promised, and checks after each step
- * that all of it holds.
+ * Observes every machine's disk, every process and every frame, records what the processes promised (votes, synced
+ * entries, commits), and checks after each step that the properties hold.
  */
 export class Observer {
   readonly committed = new CommittedLog();
   readonly #machines: readonly ModelMachine[];
   readonly #coverage: Coverage;
-  /** Term to the process that led it. */
+  /** The process that led each term. */
   readonly #leaders = new Map<number, ModelMember>();
-  /** Voter and term to the name of the candidate. */
+  /** The candidate that each voter voted for, by `VOTER in TERM`. */
   readonly #votes = new Map<string, string>();
-  #members: Members | undefined;
+  #lastCommittedMembers: Members | undefined;
   readonly #lastIndexes = new WeakMap<ReplicaLog, number>();
-  readonly #contacts = new Map<ModelMember, ContactWatch>();
-  /** The last commit whose disks were looked at as it came about. */
+  readonly #contactWatches = new Map<ModelMember, ContactWatch>();
+  /** The last commit index at which the disks were checked. */
   #checkedIndex = 0;
-  readonly #durable = new Map<ModelMachine, { version: number; log: ReplicaLog }>();
-  /** Found where it must not be thrown: in the middle of the code under test. */
-  #found: Error | undefined;
+  readonly #durableLogs = new Map<ModelMachine, { version: number; log: ReplicaLog }>();
+  /** The first violation or error since the last check; the code under test must not see it thrown. */
+  #firstFault: Error | undefined;
   readonly #ignored: ReadonlySet<PropertyName>;
 
   constructor(machines: readonly ModelMachine[], coverage: Coverage, ignored: readonly PropertyName[] = []) {
@@ -36,17 +36,19 @@
     this.#ignored = new Set(ignored);
   }
 
-  /** Listens to a process from its start on. */
+  /** Observes a process from its start on. */
   watch(member: ModelMember): void {
-    this.#contacts.set(member, new ContactWatch(member));
+    this.#contactWatches.set(member, new ContactWatch(member));
     const { raft, log, name } = member;
     const installed = (index: number): void =>
-      this.keep(() => this.committed.installed(name, index, log.snapshotTerm, raft.metadata.snapshot(undefined)));
+      this.captureFault(() =>
+        this.committed.checkInstalled(name, index, log.snapshotTerm, raft.metadata.snapshot(undefined)),
+      );
     if (log.snapshotIndex > 0) installed(log.snapshotIndex);
     raft.on("applied", ({ revision }) =>
-      this.keep(() => {
-        if (member.isActingLeader && revision > this.committed.last) this.#checkCommit(member, revision);
-        this.committed.applied(name, log.at(revision)!, raft.metadata.snapshot(undefined));
+      this.captureFault(() => {
+        if (member.isActingLeader && revision > this.committed.lastIndex) this.#checkCommit(member, revision);
+        this.committed.recordApplied(name, log.at(revision)!, raft.metadata.snapshot(undefined));
       }),
     );
     raft.on("snapshotInstalled", () => {
@@ -55,104 +57,108 @@
     });
   }
 
-  /** Keeps what is found until the step is over. */
-  keep(look: () => void): void {
+  /** Runs a check and keeps what it throws until the step is over (`check`), unless the property is ignored. */
+  captureFault(check: () => void): void {
     try {
-      look();
+      check();
     } catch (cause) {
       if (cause instanceof Violation && this.#ignored.has(cause.property)) return;
-      this.#found ??= cause as Error;
+      this.#firstFault ??= cause as Error;
     }
   }
 
-  /** What is on a machine's disk, as a start after a loss of power would find it. */
-  durable(machine: ModelMachine): ReplicaLog {
-    const known = this.#durable.get(machine);
+  /** The log on a machine's disk as a start after a power loss would find it. */
+  durableLog(machine: ModelMachine): ReplicaLog {
+    const known = this.#durableLogs.get(machine);
     if (known?.version === machine.disk.version) return known.log;
     const log = new ReplicaLog(machine.disk.durable, "store");
-    this.#durable.set(machine, { version: machine.disk.version, log });
+    this.#durableLogs.set(machine, { version: machine.disk.version, log });
     return log;
   }
 
-  /** Promises are judged as they are sent. */
-  sent(machine: ModelMachine, to: string, frame: Frame): void {
-    this.keep(() => this.#checkFrame(machine, to, frame));
+  /** Checks the promises in a frame as it is sent. */
+  checkSent(machine: ModelMachine, to: string, frame: Frame): void {
+    this.captureFault(() => this.#checkFrame(machine, to, frame));
   }
 
   #checkFrame(machine: ModelMachine, to: string, { body }: Frame): void {
-    const disk = this.durable(machine);
+    const disk = this.durableLog(machine);
     if (body.case === "vote" && !body.value.isPre) {
       const isKept = disk.term === body.value.term && disk.vote === machine.diskId;
-      if (!isKept && disk.term <= body.value.term) this.#unsynced(machine, `its vote for itself in ${body.value.term}`);
-      this.#voted(machine, body.value.term, machine.name);
+      if (!isKept && disk.term <= body.value.term)
+        this.#throwUnsynced(machine, `its vote for itself in term ${body.value.term}`);
+      this.#recordVote(machine, body.value.term, machine.name);
     }
     if (body.case === "voteReply" && body.value.isGranted && !body.value.isPre) {
       const { term } = body.value;
       const isKept = disk.term === term && disk.vote.startsWith(`${to}#`);
-      if (!isKept && disk.term <= term) this.#unsynced(machine, `a vote for ${to} in ${term}`);
-      this.#voted(machine, term, to);
+      if (!isKept && disk.term <= term) this.#throwUnsynced(machine, `a vote for ${to} in term ${term}`);
+      this.#recordVote(machine, term, to);
     }
     if (body.case !== "appendReply") return;
-    const { term, isAccepted: isTaken, match } = body.value;
-    if (disk.term < term) this.#unsynced(machine, `an answer in term ${term}, with ${disk.term} synced`);
-    if (isTaken && disk.lastIndex < match)
-      this.#unsynced(machine, `entries up to ${match}, with ${disk.lastIndex} synced`);
+    const { term, isAccepted, match } = body.value;
+    if (disk.term < term) this.#throwUnsynced(machine, `term ${term}, with term ${disk.term} synced`);
+    if (isAccepted && disk.lastIndex < match)
+      this.#throwUnsynced(machine, `entries up to ${match}, with ${disk.lastIndex} synced`);
   }
 
-  /** A frame arrived. */
-  delivered({ member }: ModelMachine, frame: Frame): void {
-    if (member !== undefined) this.#contacts.get(member)?.take(frame);
+  /** A frame arrived at a machine's process. */
+  recordDelivered({ member }: ModelMachine, frame: Frame): void {
+    if (member !== undefined) this.#contactWatches.get(member)?.recordFrame(frame);
   }
 
-  /** Throws the first thing that was found since the last check, or is wrong now. */
+  /**
+   * Checks the present state.
+   * @throws the first violation or error found since the last check or now.
+   */
   check(): void {
     for (const machine of this.#machines) {
       const { member } = machine;
       if (member?.isUp !== true) continue;
-      this.keep(() => this.#checkLog(member));
-      this.keep(() => this.#checkMembers(member));
-      this.keep(() => this.#checkSynced(machine, member));
-      if (member.isActingLeader) this.keep(() => this.#checkLeader(member));
-      if (!member.isFrozen) this.keep(() => this.#contacts.get(member)!.check());
+      this.captureFault(() => this.#checkLog(member));
+      this.captureFault(() => this.#checkMembers(member));
+      this.captureFault(() => this.#checkSynced(machine, member));
+      if (member.isActingLeader) this.captureFault(() => this.#checkLeader(member));
+      if (!member.isFrozen) this.captureFault(() => this.#contactWatches.get(member)!.check());
     }
-    this.keep(() => this.#checkDisks());
-    if (this.#found !== undefined) throw this.#found;
+    this.captureFault(() => this.#checkDisks());
+    if (this.#firstFault !== undefined) throw this.#firstFault;
   }
 
-  /** What the checks rest on beside the machines' own state. */
+  /** The state that the checks depend on in addition to the machines' own. */
   text(): string {
     return `${this.committed.text()};${[...this.#votes].sort().join()};${[...this.#leaders.keys()].join()}`;
   }
 
-  /** The members that matter now: the newest committed, and a leader's own that may not be committed yet. */
+  /** The memberships that count now: the newest committed one, and those of leaders, which may be uncommitted. */
   relevantMembers(): Members[] {
-    const committed = this.committed.membersAt(this.committed.last);
-    const led = this.#led().map((one) => one.raft.members);
+    const committed = this.committed.membersAt(this.committed.lastIndex);
+    const led = this.#newestLeaders().map((leader) => leader.raft.members);
     return [committed, ...led].filter((members) => members !== undefined);
   }
 
-  /** Whether the members are committed and nobody has this disk for a voter or a learner. */
-  isOut(id: string): boolean {
-    const members = [...this.relevantMembers(), ...this.laterMembers()];
-    const named = members.flatMap((one) => [...MemberSets.of(one).flat(), ...one.learners]);
-    return this.committed.last > 0 && !named.some((one) => one.id === id);
+  /** Whether anything is committed and no membership names this disk as a voter or a learner. */
+  isRemoved(id: string): boolean {
+    const members = [...this.relevantMembers(), ...this.uncommittedMembers()];
+    const namedMembers = members.flatMap((membership) => [...MemberSets.of(membership).flat(), ...membership.learners]);
+    return this.committed.lastIndex > 0 && !namedMembers.some((member) => member.id === id);
   }
 
-  /** Members named after the last commit, in any process's log or on any disk: they may come to be in force. */
-  laterMembers(): Members[] {
-    const logs = this.#machines.flatMap((machine) => [this.durable(machine), machine.member?.log]);
+  /** Memberships in logs that go beyond the last commit, in processes or on disks: they may come into force. */
+  uncommittedMembers(): Members[] {
+    const logs = this.#machines.flatMap((machine) => [this.durableLog(machine), machine.member?.log]);
     return logs
       .filter((log) => log !== undefined)
-      .filter((log) => log.lastIndex > this.committed.last)
+      .filter((log) => log.lastIndex > this.committed.lastIndex)
       .map((log) => CommittedLog.newestMembers(log))
       .filter((members) => members !== undefined);
   }
 
-  #unsynced(machine: ModelMachine, what: string): never {
-    throw new Violation("answers only what is on disk", `${machine.name} answers for ${what}`);
+  #throwUnsynced(machine: ModelMachine, what: string): never {
+    throw new Violation("answers only what is on disk", `${machine.name} promises ${what}`);
   }
 
-  #voted(machine: ModelMachine, term: number, candidate: string): void {
+  #recordVote(machine: ModelMachine, term: number, candidate: string): void {
     const key = `${machine.diskId} in ${term}`;
     const before = this.#votes.get(key);
     if (before !== undefined && before !== candidate)
@@ -170,7 +176,7 @@
     this.#coverage.count("event: leader elected");
     if (this.#leaders.size > 1) this.#coverage.count("event: leader replaced");
     for (const voters of MemberSets.of(members)) {
-      const votes = voters.filter((one) => this.#votes.get(`${one.id} in ${term}`) === member.name);
+      const votes = voters.filter((voter) => this.#votes.get(`${voter.id} in ${term}`) === member.name);
       if (votes.length * 2 <= voters.length)
         throw new Violation(
           "votes of voters only",
@@ -184,46 +190,46 @@
     this.#lastIndexes.set(log, log.lastIndex);
     if (before !== undefined && log.lastIndex < before) this.#coverage.count("event: log truncated");
     for (let i = log.baseIndex + 1; i <= log.lastIndex; i += 1)
-      this.committed.seen(name, log.at(i)!, log.termAt(i - 1)!);
+      this.committed.checkEntry(name, log.at(i)!, log.termAt(i - 1)!);
     for (let i = Math.max(1, log.baseIndex); i <= raft.commit; i += 1)
-      if (log.termAt(i) !== this.committed.at(i)?.term)
-        throw new Violation("commits stay", `${name} has no entry ${i} as it was committed any more`);
+      if (log.termAt(i) !== this.committed.entryAt(i)?.term)
+        throw new Violation("commits stay", `${name} no longer has entry ${i} as it was committed`);
   }
 
   #checkMembers({ name, log, raft }: ModelMember): void {
     const expected = CommittedLog.newestMembers(log) ?? this.committed.membersAt(log.baseIndex);
     const [inForce, written] = [MemberSets.text(raft.members), MemberSets.text(expected)];
     if (inForce !== written)
-      throw new Violation("members are the log's newest", `${name} goes by ${inForce}, its log says ${written}`);
+      throw new Violation("members are the log's newest", `${name} uses ${inForce}, its log says ${written}`);
   }
 
   #checkSynced(machine: ModelMachine, { name, log }: ModelMember): void {
-    const disk = this.durable(machine);
+    const disk = this.durableLog(machine);
     if (log.syncedIndex > log.baseIndex && disk.termAt(log.syncedIndex) !== log.termAt(log.syncedIndex))
-      throw new Violation("answers only what is on disk", `${name} takes entry ${log.syncedIndex} for synced`);
+      throw new Violation("answers only what is on disk", `${name} claims that entry ${log.syncedIndex} is synced`);
   }
 
   /**
-   * What is committed is on so many disks that nobody without it can be elected, by whatever members may be in force,
-   * and that the loss of a minority of disks leaves it somewhere. A disk that was lost votes no more.
+   * Committed entries must be on so many disks that no member without them can be elected under any membership that
+   * may be in force, and that they survive the loss of a minority of the disks. A lost disk no longer votes.
    */
   #checkDisks(): void {
-    const { last } = this.committed;
-    const term = this.committed.at(last)?.term;
+    const { lastIndex } = this.committed;
+    const term = this.committed.entryAt(lastIndex)?.term;
     if (term === undefined) return;
-    const lacking = this.#lacking(last, term);
+    const lacking = this.#disksLacking(lastIndex, term);
     for (const members of this.relevantMembers())
       if (MemberSets.of(members).every((voters) => Observer.#isMajority(voters, lacking)))
-        throw new Violation("commits on enough disks", Observer.#missing(last, lacking, members));
-    if (last > this.#checkedIndex) this.#countMembers();
-    this.#checkedIndex = last;
+        throw new Violation("commits on enough disks", Observer.#missingText(lastIndex, lacking, members));
+    if (lastIndex > this.#checkedIndex) this.#countMemberChange();
+    this.#checkedIndex = lastIndex;
   }
 
-  /** A leader takes an entry for committed: by every set of voters in force there, and in its own term. */
+  /** A leader treats an entry as committed: it must be on a majority of every voter set, and of the leader's term. */
   #checkCommit({ name, log, raft }: ModelMember, index: number): void {
-    const lacking = this.#lacking(index, log.termAt(index)!);
+    const lacking = this.#disksLacking(index, log.termAt(index)!);
     if (MemberSets.of(raft.members).some((voters) => Observer.#isMajority(voters, lacking)))
-      throw new Violation("commits on enough disks", Observer.#missing(index, lacking, raft.members));
+      throw new Violation("commits on enough disks", Observer.#missingText(index, lacking, raft.members));
     const term = log.termAt(raft.commit);
     if (term !== raft.term)
       throw new Violation(
@@ -232,40 +238,40 @@
       );
   }
 
-  /** The disks, by their identities, that have not got an entry. */
-  #lacking(index: number, term: number): Set<string> {
+  /** The identities of the disks that lack an entry. */
+  #disksLacking(index: number, term: number): Set<string> {
     const machines = this.#machines.filter((machine) => {
-      const disk = this.durable(machine);
+      const disk = this.durableLog(machine);
       return disk.baseIndex < index && disk.termAt(index) !== term;
     });
     return new Set(machines.map((machine) => machine.diskId));
   }
 
   static #isMajority(voters: readonly StoreMember[], ids: ReadonlySet<string>): boolean {
-    return voters.filter((one) => ids.has(one.id)).length * 2 > voters.length;
+    return voters.filter((member) => ids.has(member.id)).length * 2 > voters.length;
   }
 
-  static #missing(index: number, lacking: ReadonlySet<string>, members: Members): string {
-    return `entry ${index} is committed, and not on ${[...lacking].join(", ")} (${MemberSets.text(members)})`;
+  static #missingText(index: number, lacking: ReadonlySet<string>, members: Members): string {
+    return `entry ${index} is committed but not on ${[...lacking].join(", ")} (${MemberSets.text(members)})`;
   }
 
-  #countMembers(): void {
-    const members = this.committed.membersAt(this.committed.last)!;
-    const before = this.#members;
-    this.#members = members;
+  #countMemberChange(): void {
+    const members = this.committed.membersAt(this.committed.lastIndex)!;
+    const before = this.#lastCommittedMembers;
+    this.#lastCommittedMembers = members;
     if (before === undefined || before === members) return;
-    const idsOf = (one: Members): string =>
-      MemberSets.of(one)[0]!
+    const idsOf = (membership: Members): string =>
+      MemberSets.of(membership)[0]!
         .map(({ id }) => id)
         .join();
     if (MemberSets.of(members).length > 1) this.#coverage.count("event: joint members committed");
     else if (idsOf(members) !== idsOf(before)) this.#coverage.count("event: other voters committed");
   }
 
-  /** Those that act as leaders in the newest term that anybody leads. */
-  #led(): ModelMember[] {
+  /** The processes that act as leaders in the newest term that any process leads. */
+  #newestLeaders(): ModelMember[] {
     const leaders = this.#machines.flatMap(({ member }) => (member?.isActingLeader === true ? [member] : []));
-    const newest = Math.max(0, ...leaders.map((one) => one.raft.term));
-    return leaders.filter((one) => one.raft.term === newest);
+    const newest = Math.max(0, ...leaders.map((leader) => leader.raft.term));
+    return leaders.filter((leader) => leader.raft.term === newest);
   }
 }
--- a/packages/testkit/src/explore/randomWalk.ts
+++ b/packages/testkit/src/explore/randomWalk.ts
@@ -8,36 +8,39 @@
 import { Violation } from "./violation.js";
 import { profiles, type Weights } from "./profiles.js";
 
+/** Settings of a run of random walks. */
 export interface WalkSettings {
   readonly world: WorldSettings;
-  /** Names of profiles; each walk goes by one of them. */
+  /** Names of profiles; each walk uses one of them. */
   readonly profiles: readonly string[];
   readonly seed: number;
   readonly walks: number;
-  /** How many actions are drawn for a walk; what means nothing in the state it comes to is passed over. */
+  /** Number of actions drawn for a walk; those that are not possible in the state they meet are skipped. */
   readonly steps: number;
-  /** How long a walk that fails may be shrunk. */
+  /** How long a failing walk may be shrunk, in milliseconds. */
   readonly shrinkMs: number;
 }
 
-/** What the walks covered, and a violation shrunk to few actions. */
+/** What the walks covered, and the violation found, if any. */
 export interface WalkReport {
   readonly walks: number;
   readonly states: number;
+  /** Most actions performed in one walk. */
   readonly longest: number;
   readonly ms: number;
   readonly coverage: Coverage;
   readonly violation: Violation | undefined;
-  /** Shrunk: the actions that lead to the violation. */
+  /** The shrunk list of actions that lead to the violation. */
   readonly trace: readonly Action[];
 }
 
-interface Drawn {
+/** A drawn kind of action, and the random number that selects one of the possible actions of this kind. */
+interface DrawnAction {
   kind: ActionKind;
   number: number;
 }
 
-/** Seeded random walks, drawn by fast-check; one that breaks a property is shrunk by it. */
+/** Seeded random walks drawn by fast-check, which also shrinks a walk that violates a property. */
 export class RandomWalk {
   readonly #settings: WalkSettings;
   readonly #coverage = new Coverage();
@@ -53,8 +56,8 @@
   async run(): Promise<WalkReport> {
     const startedAt = performance.now();
     const { seed, walks, world, shrinkMs } = this.#settings;
-    const property = fc.asyncProperty(this.#drawn(), (drawn) => this.#walk(drawn));
-    // Shrunk afterwards, as the actions that were taken: what a drawn number stands for depends on those before it.
+    const property = fc.asyncProperty(this.#drawnWalks(), (drawn) => this.#walk(drawn));
+    // Shrunk afterwards, as a list of performed actions: what a drawn number selects depends on the actions before it.
     await fc.check(property, { seed, numRuns: walks, endOnFailure: true });
     const ms = performance.now() - startedAt;
     const found = this.#failed === undefined ? undefined : await Trace.shrink(world, this.#failed, shrinkMs);
@@ -69,35 +72,35 @@
     };
   }
 
-  async #walk(drawn: readonly Drawn[]): Promise<void> {
+  async #walk(drawn: readonly DrawnAction[]): Promise<void> {
     const world = await ModelWorld.start(this.#settings.world, this.#coverage);
     this.#walks += 1;
-    let taken: readonly Action[] = [];
+    let performed: readonly Action[] = [];
     try {
       for (const { kind, number } of drawn) {
         const action = Choices.pick(world, kind, number);
-        if (action !== undefined) await world.take(action);
+        if (action !== undefined) await world.perform(action);
       }
-      taken = [...world.taken];
+      performed = [...world.performed];
       if (world.settings.ignored?.includes("all catch up") !== true) await Recovery.run(world);
     } catch (cause) {
-      this.#failed = taken.length > 0 ? taken : [...world.taken];
+      this.#failed = performed.length > 0 ? performed : [...world.performed];
       throw cause;
     } finally {
-      this.#states += world.taken.length;
-      this.#longest = Math.max(this.#longest, world.taken.length);
+      this.#states += world.performed.length;
+      this.#longest = Math.max(this.#longest, world.performed.length);
     }
   }
 
-  #drawn(): fc.Arbitrary<Drawn[]> {
+  #drawnWalks(): fc.Arbitrary<DrawnAction[]> {
     const { steps } = this.#settings;
     const walks = this.#settings.profiles.map((name) =>
-      fc.array(RandomWalk.#one(profiles[name]!), { minLength: steps, maxLength: steps }),
+      fc.array(RandomWalk.#drawnAction(profiles[name]!), { minLength: steps, maxLength: steps }),
     );
     return fc.oneof(...walks);
   }
 
-  static #one(weights: Weights): fc.Arbitrary<Drawn> {
+  static #drawnAction(weights: Weights): fc.Arbitrary<DrawnAction> {
     const kinds = (Object.entries(weights) as Array<[ActionKind, number]>).map(([kind, weight]) => ({
       weight: Math.round(weight * 10),
       arbitrary: fc.constant(kind),
--- a/packages/testkit/src/explore/recovery.ts
+++ b/packages/testkit/src/explore/recovery.ts
@@ -3,37 +3,40 @@
 import type { ModelWorld } from "./modelWorld.js";
 import { Violation } from "./violation.js";
 
-/** The end of all troubles: every machine runs, every frame arrives, every write is synced. */
+/** The end of all faults: every machine runs, every frame arrives, every write is synced. */
 export const Recovery = {
-  /** How often the clocks move on before all must have caught up. */
+  /** Number of rounds of ticks within which all members must have caught up. */
   rounds: 60,
 
-  /** After it a leader must take a change, and every member that runs must have it. */
+  /**
+   * Ends all faults; then a leader must commit a change and every running member must get it.
+   * @throws Violation if they don't within `rounds`.
+   */
   async run(world: ModelWorld): Promise<void> {
     for (const kind of ["thaw", "mend", "restart"] as const)
-      for (const action of Choices.of(world, kind)) await world.take(action);
+      for (const action of Choices.enabled(world, kind)) await world.perform(action);
     for (let round = 0; round < Recovery.rounds; round += 1) {
-      for (const action of Choices.of(world, "join")) await world.take(action);
-      await calm(world);
+      for (const action of Choices.enabled(world, "join")) await world.perform(action);
+      await settle(world);
       if (await isCaughtUp(world)) return;
-      // The clocks of different machines differ: somebody asks for votes first.
+      // Clocks differ: each round advances only those of leaders and of one machine, so that one campaigns first.
       for (let at = 0; at < world.machines.length; at += 1)
         if (at === round % world.machines.length || world.machines[at]!.member?.isActingLeader === true)
-          await world.take(step("tick", at));
+          await world.perform(step("tick", at));
     }
     const states = world.machines.map(({ member }) => `${member?.name} ${member?.raft.term}/${member?.raft.commit}`);
-    throw new Violation("all catch up", `not after ${Recovery.rounds} rounds without troubles: ${states.join(", ")}`);
+    throw new Violation("all catch up", `not after ${Recovery.rounds} rounds without faults: ${states.join(", ")}`);
   },
 };
 
-/** Delivers and syncs until nothing is under way. */
-async function calm(world: ModelWorld): Promise<void> {
-  for (let step = 0; step < 2000; step += 1) {
-    const [sync] = Choices.of(world, "sync");
-    const [deliver] = Choices.of(world, "deliver");
+/** Syncs writes and delivers frames until none is pending. */
+async function settle(world: ModelWorld): Promise<void> {
+  for (let performed = 0; performed < 2000; performed += 1) {
+    const [sync] = Choices.enabled(world, "sync");
+    const [deliver] = Choices.enabled(world, "deliver");
     const next = sync ?? deliver;
     if (next === undefined) return;
-    await world.take(next);
+    await world.perform(next);
   }
   throw new Violation("all catch up", "the members never stop sending");
 }
@@ -41,15 +44,15 @@
 async function isCaughtUp(world: ModelWorld): Promise<boolean> {
   const at = world.machines.findIndex(({ member }) => member?.raft.isLeader === true);
   if (at === -1) return false;
-  await world.take(step("propose", at));
-  await calm(world);
-  await world.take(step("tick", at));
-  await calm(world);
+  await world.perform(step("propose", at));
+  await settle(world);
+  await world.perform(step("tick", at));
+  await settle(world);
   const { raft } = world.machines[at]!.member!;
   if (!raft.isLeader) return false;
-  const members = [...raft.members.voters, ...raft.members.learners].map((one) => one.id);
-  const running = world.machines.filter((machine) => members.includes(machine.diskId));
+  const memberIds = [...raft.members.voters, ...raft.members.learners].map((member) => member.id);
+  const running = world.machines.filter((machine) => memberIds.includes(machine.diskId));
   return running.every(
-    ({ member }) => member?.raft.commit === raft.commit && raft.commit === world.observer.committed.last,
+    ({ member }) => member?.raft.commit === raft.commit && raft.commit === world.observer.committed.lastIndex,
   );
 }
--- a/packages/testkit/src/explore/trace.ts
+++ b/packages/testkit/src/explore/trace.ts
@@ -4,30 +4,33 @@
 import { Recovery } from "./recovery.js";
 import { Violation } from "./violation.js";
 
-/** Actions, and the property that they break. */
+/** Actions and the violation they lead to. */
 export interface FoundTrace {
   readonly violation: Violation;
   readonly trace: readonly Action[];
 }
 
-/** Actions that lead to a violation. */
+/** Plays, shrinks and prints lists of actions. */
 export const Trace = {
-  /** What a list of actions breaks, or the end of all troubles after it; and those of them that were taken. */
+  /** Performs a list of actions and then the recovery; the violation, if any, and the actions actually performed. */
   async play(settings: WorldSettings, actions: readonly Action[]): Promise<FoundTrace | undefined> {
     const world = await ModelWorld.start(settings);
     let trace: readonly Action[] | undefined;
     try {
-      for (const action of actions) await world.take(action);
-      trace = [...world.taken];
+      for (const action of actions) await world.perform(action);
+      trace = [...world.performed];
       if (settings.ignored?.includes("all catch up") !== true) await Recovery.run(world);
       return undefined;
     } catch (cause) {
       const violation = cause instanceof Violation ? cause : new Violation("no fault thrown", String(cause));
-      return { violation, trace: trace ?? [...world.taken] };
+      return { violation, trace: trace ?? [...world.performed] };
     }
   },
 
-  /** A shorter list that breaks the same property, found by fast-check within so many milliseconds. */
+  /**
+   * Shrinks a failing list with fast-check, for at most `maxMs` milliseconds, to a shorter one that violates the same
+   * property. Undefined if the list violates nothing.
+   */
   async shrink(settings: WorldSettings, actions: readonly Action[], maxMs: number): Promise<FoundTrace | undefined> {
     let found = await Trace.play(settings, actions);
     const property = found?.violation.property;
@@ -49,9 +52,9 @@
     return found;
   },
 
-  /** A test that plays a list of actions. */
-  test(settings: WorldSettings, { violation, trace }: FoundTrace): string {
-    const steps = trace.map((one) => `    ${actionText(one)},\n`).join("");
+  /** Source text of a test that plays the trace. */
+  testSource(settings: WorldSettings, { violation, trace }: FoundTrace): string {
+    const steps = trace.map((action) => `    ${actionText(action)},\n`).join("");
     return (
       `test("${violation.property}: say what happens here", async () => {\n` +
       `  const settings = ${JSON.stringify(settings)};\n` +
--- a/packages/testkit/src/explore/violation.ts
+++ b/packages/testkit/src/explore/violation.ts
@@ -1,4 +1,4 @@
-/** What must hold in every state of the model. */
+/** Properties that must hold in every state of the model. */
 export type PropertyName =
   | "one leader a term"
   | "one vote a term"
@@ -19,7 +19,7 @@
   | "calls run at most once"
   | "no fault thrown";
 
-/** A property does not hold: the run ends here, and what led to it is shrunk. */
+/** A property does not hold. It ends the run, and the actions that led to it are shrunk. */
 export class Violation extends Error {
   readonly property: PropertyName;
 
