--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -60,9 +60,13 @@
   const { fleet } = await startTestFleet(64);
   const request = { subscriptions: [{ topic: "notes/t1" }] };
   const clients = Array.from({ length: 8 }, (_, i) => new TestClient(fleet, "vise-1", `desk-${i}`, request));
-  expect(await fleet.until(() => clients.every((client) => client.of("confirmed").length === 1), 6000)).toEqual(true);
+  expect(await fleet.until(() => clients.every((client) => client.linesOf("confirmed").length === 1), 6000)).toEqual(
+    true,
+  );
   const moved = clients.map((_, i) => new TestClient(fleet, "vise-2", `desk-${i}`, request));
-  expect(await fleet.until(() => moved.every((client) => client.of("confirmed").length === 1), 6000)).toEqual(true);
+  expect(await fleet.until(() => moved.every((client) => client.linesOf("confirmed").length === 1), 6000)).toEqual(
+    true,
+  );
   const [old, young] = ["vise-1", "vise-2"].map((name) => fleet.find(name)!.edge!.sessions);
   expect([old!.table.size, old!.keptPulls, young!.table.size]).toEqual([0, 8, 8]);
   for (const client of moved) client.close();
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -14,7 +14,7 @@
 const wanted: Partial<CallCounts> = {
   answered: 10_000,
   unknown: 500,
-  carriedByOthers: 500,
+  relayed: 500,
   restarts: 200,
   restartsBesideFrozen: 50,
   unasked: 100,
@@ -108,7 +108,7 @@
 test("a session pulled again after its state was forgotten is not taken for complete", async () => {
   const { fleet, publish } = await startTestFleet(9103);
   const first = new TestClient(fleet, "vise-1", "desk", { subscriptions: [{ topic: "notes/t1" }] });
-  expect(await fleet.until(() => first.of("confirmed").length === 1, 5000)).toEqual(true);
+  expect(await fleet.until(() => first.linesOf("confirmed").length === 1, 5000)).toEqual(true);
   expect((await publish("desk", 1))["receipt"]).toEqual("accepted");
   // An asker that never hears the reply, nor writes the key.
   const { epoch } = fleet.find("vise-1")!.edge!.sessions.table.get("desk")!;
@@ -116,7 +116,7 @@
   void fleet.find("vise-3")!.node.rpc.call("vise-1", { case: "pull", value: pull }, 500);
   await fleet.run(Sessions.keepShippedMs + 2000);
   const second = new TestClient(fleet, "vise-2", "desk", { subscriptions: [{ topic: "notes/t1" }] });
-  expect(await fleet.until(() => second.of("confirmed").length === 1, 5000)).toEqual(true);
+  expect(await fleet.until(() => second.linesOf("confirmed").length === 1, 5000)).toEqual(true);
   const { edge, node } = fleet.find("vise-2")!;
   expect(edge!.sessions.table.get("desk")!.isComplete(node.parts.clock.now())).toEqual(false);
 });
--- a/packages/testkit/src/sim/catchUp.test.ts
+++ b/packages/testkit/src/sim/catchUp.test.ts
@@ -17,7 +17,7 @@
     const logBytes = storeCompaction.bytes + storeCompaction.kept.bytes + documentBytes;
     expect(report.diskBytes <= logBytes + 2 * mib).toEqual(true);
     // A snapshot and at most the log behind it; what the changes add meanwhile is bounded by the time.
-    const changed = Math.ceil(report.caughtUpMs! / CatchUp.changeMs) * documentBytes;
+    const changed = Math.ceil(report.caughtUpMs! / CatchUp.changeIntervalMs) * documentBytes;
     expect(report.bytes.pieces + report.bytes.appends <= logBytes + 2 * mib + 2 * changed).toEqual(true);
     expect(report.longestPiece <= SnapshotSender.pieceBytes + 1024).toEqual(true);
     expect(report.bytes.pieces > 0).toEqual(true);
--- a/packages/testkit/src/sim/catchUp.ts
+++ b/packages/testkit/src/sim/catchUp.ts
@@ -8,45 +8,45 @@
 import { SimConfigurations, type SimSpaces } from "./simConfigurations.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
-/** How a member of the metadata store comes back: with its disk, with an empty one, or as another machine. */
+/** How a member of the metadata store returns: with its disk, with an empty disk, or as a new machine. */
 export type Comeback = "restarted" | "blank" | "new";
 
 export interface CatchUpOptions {
   readonly seed: number;
   readonly comeback: Comeback;
-  /** Changes of configuration while the member is away, one after the other. */
+  /** Number of sequential configuration changes while the member is down. */
   readonly changes: number;
-  /** Routes in each configuration, and bytes of the operators' document beside it. */
+  /** Routes in each configuration, and size in bytes of the operators' document stored with it. */
   readonly routes: number;
   readonly documentBytes: number;
 }
 
 export interface CatchUpReport {
   readonly comeback: Comeback;
-  /** From its start until it had applied all that the leader had committed; undefined where that never came. */
+  /** Virtual ms from its start until it had applied all that the leader had committed; undefined if it never did. */
   readonly caughtUpMs: number | undefined;
-  /** Bytes that came to it on the way, and how many of them were pieces of a snapshot, and entries. */
+  /** Bytes sent to it meanwhile: in total, in frames with snapshot chunks, and in frames with log entries. */
   readonly bytes: { readonly all: number; readonly pieces: number; readonly appends: number };
-  /** The longest frame of a snapshot. */
+  /** Size of the largest snapshot frame, in bytes. */
   readonly longestPiece: number;
-  /** What the fullest disk of a member keeps, and how many entries of the log the leader holds in memory. */
+  /** Bytes on the fullest disk of a control node. */
   readonly diskBytes: number;
   readonly changesMade: number;
 }
 
 /**
- * A member of the store is away during many big changes, and comes back while they go on: how long until it is
- * caught up, in virtual time, and what that costs.
+ * Takes a member of the store down during many large configuration changes, brings it back while they continue, and
+ * measures how long it takes to catch up in virtual time and how many bytes that costs.
  */
 export class CatchUp {
-  static readonly changeMs = 100;
-  static readonly maxMs = 20_000;
+  static readonly changeIntervalMs = 100;
+  static readonly catchUpTimeoutMs = 20_000;
 
   readonly #options: CatchUpOptions;
   readonly #fleet: SimFleet;
   readonly #load: SimLoad;
   #isChanging = false;
-  #made = 0;
+  #acceptedChanges = 0;
   #bytes = { all: 0, pieces: 0, appends: 0 };
   #longestPiece = 0;
 
@@ -63,17 +63,17 @@
 
   async #run(): Promise<CatchUpReport> {
     const fleet = this.#fleet;
-    if (!(await this.#load.begin(0, 6, ["lathe-4"]))) throw new Error("the fleet did not begin");
+    if (!(await this.#load.start(0, 6, ["lathe-4"]))) throw new Error("the fleet did not start serving");
     const absentMember = fleet.withRole("lathe").find((name) => name !== "lathe-4" && name !== fleet.leader)!;
-    this.#leave(absentMember);
-    void this.#change();
-    if (!(await fleet.until(() => this.#made >= this.#options.changes, this.#options.changes * 2000)))
-      throw new Error("the changes were not taken");
-    const back = this.#options.comeback === "new" ? "lathe-4" : absentMember;
-    this.#countBytesTo(fleet.addressOf(back));
+    this.#stopMember(absentMember);
+    void this.#proposeChanges();
+    if (!(await fleet.until(() => this.#acceptedChanges >= this.#options.changes, this.#options.changes * 2000)))
+      throw new Error("the configuration changes were not accepted in time");
+    const returningMember = this.#options.comeback === "new" ? "lathe-4" : absentMember;
+    this.#countBytesTo(fleet.addressOf(returningMember));
     const startedAt = fleet.world.now;
-    fleet.start(back);
-    const isCaughtUp = await fleet.until(() => this.#isCaughtUp(back), CatchUp.maxMs);
+    fleet.start(returningMember);
+    const isCaughtUp = await fleet.until(() => this.#isCaughtUp(returningMember), CatchUp.catchUpTimeoutMs);
     const caughtUpMs = isCaughtUp ? fleet.world.now - startedAt : undefined;
     this.#isChanging = false;
     return {
@@ -82,13 +82,13 @@
       bytes: this.#bytes,
       longestPiece: this.#longestPiece,
       diskBytes: Math.max(...fleet.withRole("lathe").map((name) => fleet.diskOf(name).bytes)),
-      changesMade: this.#made,
+      changesMade: this.#acceptedChanges,
     };
   }
 
-  #leave(absentMember: string): void {
+  #stopMember(absentMember: string): void {
     if (this.#options.comeback === "restarted") return this.#fleet.kill(absentMember);
-    if (this.#options.comeback === "new") return this.#fleet.retire(absentMember);
+    if (this.#options.comeback === "new") return this.#fleet.removeForGood(absentMember);
     this.#fleet.wipe(absentMember);
   }
 
@@ -96,7 +96,7 @@
     return this.#fleet.find(name)?.control?.raft;
   }
 
-  /** All that was committed is applied there, and the changes went on meanwhile. */
+  /** Whether its commit index is at most one entry behind the leader's; the changes continue meanwhile. */
   #isCaughtUp(name: string): boolean {
     const { leader: leaderName } = this.#fleet;
     const leader = leaderName === undefined ? undefined : this.#raftOf(leaderName);
@@ -104,18 +104,18 @@
     return own !== undefined && leader !== undefined && own.commit > 0 && own.commit >= leader.commit - 1;
   }
 
-  /** One change after the other, at a node that answers. */
-  async #change(): Promise<void> {
+  /** Proposes one change after the other at the leader, until `#isChanging` is cleared. */
+  async #proposeChanges(): Promise<void> {
     this.#isChanging = true;
     while (this.#isChanging) {
       const { leader: leaderName } = this.#fleet;
       const node = leaderName === undefined ? undefined : this.#fleet.find(leaderName)?.node;
       if (node !== undefined) {
         const answer = await proposeConfiguration(node, Buffer.from(this.#configuration()), this.#document());
-        if (answer.status === 200) this.#made += 1;
+        if (answer.status === 200) this.#acceptedChanges += 1;
       }
       await new Promise<void>((resolve) => {
-        this.#fleet.world.at(this.#fleet.world.now + CatchUp.changeMs, resolve);
+        this.#fleet.world.at(this.#fleet.world.now + CatchUp.changeIntervalMs, resolve);
       });
     }
   }
@@ -126,10 +126,10 @@
     return documentTextOf(SimConfigurations.write(this.#load.nextVersion, spaces, Object.keys(spaces)));
   }
 
-  /** Bytes that no compression makes smaller and no difference from the document before: the worst there can be. */
+  /** Worst case: pseudo-random bytes, which neither compression nor a diff to the previous document makes smaller. */
   #document(): Uint8Array {
     const key = Buffer.alloc(16);
-    key.writeUInt32BE(this.#made);
+    key.writeUInt32BE(this.#acceptedChanges);
     return createCipheriv("aes-128-ctr", key, Buffer.alloc(16)).update(Buffer.alloc(this.#options.documentBytes));
   }
 
@@ -137,9 +137,9 @@
     this.#fleet.wires.mutate = (_from, to, bytes) => {
       if (to !== address) return undefined;
       this.#bytes.all += bytes.length;
-      const kind = Wire.decode(bytes)?.body.case;
-      if (kind === "append") this.#bytes.appends += bytes.length;
-      if (kind === "snapshot") {
+      const bodyCase = Wire.decode(bytes)?.body.case;
+      if (bodyCase === "append") this.#bytes.appends += bytes.length;
+      if (bodyCase === "snapshot") {
         this.#bytes.pieces += bytes.length;
         this.#longestPiece = Math.max(this.#longestPiece, bytes.length);
       }
--- a/packages/testkit/src/sim/changeFaultInjector.ts
+++ b/packages/testkit/src/sim/changeFaultInjector.ts
@@ -1,26 +1,27 @@
 import { FaultInjector, type InjectFault } from "./faultInjector.js";
 import { SimLoad } from "./simLoad.js";
 import { SimConfigurations } from "./simConfigurations.js";
-import type { GivenAnswer } from "./simPort.js";
+import type { NodeAnswer } from "./simPort.js";
 
-/** What befalls operators' orders, and machines just after they acknowledged something. */
+/** Faults around operators' configuration changes, and of machines right after they acknowledged a request. */
 export class ChangeFaultInjector extends FaultInjector {
-  /** Between an acknowledgement and the loss of power that follows it. */
-  static readonly rightAfterMs = 4;
-  static readonly sentMs = [5, 400] as const;
-  /** Within which a disk that is to be lost is lost. */
-  static readonly lossMs = 2500;
-
-  /** Most answers to operators are lost on their way; the same orders come again, to other machines. */
+  /** Longest delay between an answer and the fault that it triggers, in ms. */
+  static readonly maxDelayAfterAnswerMs = 4;
+  /** Bounds of the delay between sending a change and the fault, in ms. */
+  static readonly delayAfterSendMs = [5, 400] as const;
+  /** How long one disk loss stays reserved, in ms: the disk is lost within that time. */
+  static readonly lossReservationMs = 2500;
+
+  /** Most answers to operators are lost in transit; operators send the same changes again, to other machines. */
   readonly lostAnswers: InjectFault = (_name, ms) => {
     this.fleet.port.answerLoss = 0.7;
-    for (let i = 0; i < 4; i += 1) this.later((i * ms) / 4, () => this.#change());
-    return this.later(ms, () => void (this.fleet.port.answerLoss = 0));
+    for (let i = 0; i < 4; i += 1) this.schedule((i * ms) / 4, () => this.#proposeChange());
+    return this.schedule(ms, () => void (this.fleet.port.answerLoss = 0));
   };
 
   /** A change every 100 ms. */
   readonly storm: InjectFault = (_name, ms) => {
-    for (let at = 0; at < ms; at += 100) this.later(at, () => this.#change());
+    for (let at = 0; at < ms; at += 100) this.schedule(at, () => this.#proposeChange());
     return ms;
   };
 
@@ -31,60 +32,68 @@
     return 0;
   };
 
-  /** What acknowledges a change loses power right after it. */
-  readonly ackKill: InjectFault = () => this.#afterAck((name) => this.#fall([name], (one) => this.fleet.kill(one)));
+  /** The machine that acknowledges a change loses power right afterwards. */
+  readonly ackKill: InjectFault = () =>
+    this.#afterAck((name) => this.#endThenRevive([name], (machineName) => this.fleet.kill(machineName)));
 
-  /** The same, with the leader as well. */
+  /** Like `ackKill`, and the leader loses power as well. */
   readonly ackKillTwo: InjectFault = () =>
-    this.#afterAck((name) => this.#fall([name, this.fleet.leader ?? name], (one) => this.fleet.kill(one)));
+    this.#afterAck((name) =>
+      this.#endThenRevive([name, this.fleet.leader ?? name], (machineName) => this.fleet.kill(machineName)),
+    );
 
-  /** Its process ends, and the disk keeps what was written. */
-  readonly ackCrash: InjectFault = () => this.#afterAck((name) => this.#fall([name], (one) => this.fleet.crash(one)));
+  /** Like `ackKill`, but only the process ends, and its disk keeps all writes. */
+  readonly ackCrash: InjectFault = () =>
+    this.#afterAck((name) => this.#endThenRevive([name], (machineName) => this.fleet.crash(machineName)));
 
-  /** 5 to 400 ms after a change was sent, acknowledged or not. */
+  /** Two machines, one of them the leader, lose power 5 to 400 ms after a change was sent, acknowledged or not. */
   readonly sentKill: InjectFault = () => {
-    const names = [this.random.pick(this.counted), this.fleet.leader];
-    this.#change();
-    const ms = this.random.between(...ChangeFaultInjector.sentMs);
-    this.later(ms, () =>
-      this.#fall(
-        names.filter((one) => one !== undefined),
-        (one) => this.fleet.kill(one),
+    const names = [this.random.pick(this.durableMachines), this.fleet.leader];
+    this.#proposeChange();
+    const ms = this.random.between(...ChangeFaultInjector.delayAfterSendMs);
+    this.schedule(ms, () =>
+      this.#endThenRevive(
+        names.filter((machineName) => machineName !== undefined),
+        (machineName) => this.fleet.kill(machineName),
       ),
     );
     return ms + 2000;
   };
 
-  /** What has just taken a client's message loses power. */
+  /** The machine that has just accepted a client's message loses power. */
   readonly takenKill: InjectFault = () =>
-    this.#after(ChangeFaultInjector.#isTaken, (name) => this.#fall([name], (one) => this.fleet.kill(one)));
+    this.#afterNextAnswer(ChangeFaultInjector.#isAcceptedPublish, (name) =>
+      this.#endThenRevive([name], (machineName) => this.fleet.kill(machineName)),
+    );
 
-  /** All machines that count lose power right after a client's message was taken. */
+  /** All control and storage machines lose power right after a client's message was accepted. */
   readonly takenKillAll: InjectFault = () =>
-    this.#after(ChangeFaultInjector.#isTaken, () => this.#fall(this.counted, (one) => this.fleet.kill(one)));
+    this.#afterNextAnswer(ChangeFaultInjector.#isAcceptedPublish, () =>
+      this.#endThenRevive(this.durableMachines, (machineName) => this.fleet.kill(machineName)),
+    );
 
   /** A disk is lost right after a change was acknowledged. */
   readonly ackWipe: InjectFault = () => this.#wipeAfterAck([]);
 
-  /** The same, and all others that count lose power. */
-  readonly ackWipeAll: InjectFault = () => this.#wipeAfterAck(this.counted);
+  /** Like `ackWipe`, and all other control and storage machines lose power. */
+  readonly ackWipeAll: InjectFault = () => this.#wipeAfterAck(this.durableMachines);
 
   /** A disk is lost 5 to 400 ms after a change was sent. */
   readonly sentWipe: InjectFault = () => {
-    if (!this.fleet.reserveLoss(ChangeFaultInjector.lossMs)) return FaultInjector.notNow;
-    const name = this.random.pick(this.counted);
-    this.#change();
-    const ms = this.random.between(...ChangeFaultInjector.sentMs);
-    this.later(ms, () => {
-      if (this.fleet.mayLose) this.#fall([name], (one) => this.fleet.wipe(one));
+    if (!this.fleet.reserveLoss(ChangeFaultInjector.lossReservationMs)) return FaultInjector.notApplicable;
+    const name = this.random.pick(this.durableMachines);
+    this.#proposeChange();
+    const ms = this.random.between(...ChangeFaultInjector.delayAfterSendMs);
+    this.schedule(ms, () => {
+      if (this.fleet.mayLoseDisk) this.#endThenRevive([name], (machineName) => this.fleet.wipe(machineName));
     });
     return ms + 2000;
   };
 
-  /** A machine comes back and is sent a change at once, by two operators. */
+  /** Two operators send different changes under one version to a machine that has just restarted. */
   readonly meet: InjectFault = (name, ms) => {
     this.fleet.kill(name);
-    return this.later(ms * 0.4, () => {
+    return this.schedule(ms * 0.4, () => {
       this.fleet.revive(name);
       const version = this.load.nextVersion;
       void this.load.proposeConfiguration(SimLoad.configuration(version), name);
@@ -95,52 +104,52 @@
     });
   };
 
-  static #isOrder({ method, path, status }: GivenAnswer): boolean {
+  static #isAcceptedConfiguration({ method, path, status }: NodeAnswer): boolean {
     return method === "PUT" && path === "/v1/plan" && status === 200;
   }
 
-  static #isTaken({ method, path, status }: GivenAnswer): boolean {
+  static #isAcceptedPublish({ method, path, status }: NodeAnswer): boolean {
     return method === "POST" && path.endsWith("/messages") && status === 200;
   }
 
-  #change(): void {
+  #proposeChange(): void {
     void this.load.proposeConfiguration(
       SimConfigurations.write(this.load.nextVersion, SimConfigurations.changed(this.random)),
     );
   }
 
   #wipeAfterAck(others: readonly string[]): number {
-    if (!this.fleet.reserveLoss(ChangeFaultInjector.lossMs)) return FaultInjector.notNow;
+    if (!this.fleet.reserveLoss(ChangeFaultInjector.lossReservationMs)) return FaultInjector.notApplicable;
     return this.#afterAck((acknowledging) => {
-      if (!this.fleet.mayLose) return;
-      const isCounted = this.counted.includes(acknowledging);
-      const lost = isCounted && this.random.draw() < 0.5 ? acknowledging : this.random.pick(this.counted);
-      for (const one of others) if (one !== lost) this.fleet.kill(one);
-      this.#fall([lost, ...others], (one) => {
-        if (one === lost) this.fleet.wipe(one);
+      if (!this.fleet.mayLoseDisk) return;
+      const isCounted = this.durableMachines.includes(acknowledging);
+      const lost = isCounted && this.random.draw() < 0.5 ? acknowledging : this.random.pick(this.durableMachines);
+      for (const machineName of others) if (machineName !== lost) this.fleet.kill(machineName);
+      this.#endThenRevive([lost, ...others], (machineName) => {
+        if (machineName === lost) this.fleet.wipe(machineName);
       });
     });
   }
 
-  #afterAck(strike: (name: string) => void): number {
-    this.#change();
-    return this.#after(ChangeFaultInjector.#isOrder, strike);
+  #afterAck(injectFault: (name: string) => void): number {
+    this.#proposeChange();
+    return this.#afterNextAnswer(ChangeFaultInjector.#isAcceptedConfiguration, injectFault);
   }
 
-  /** Once, at the next such answer within two seconds. */
-  #after(isMeant: (answer: GivenAnswer) => boolean, strike: (name: string) => void): number {
+  /** Injects the fault once, after the next matching answer within two seconds. */
+  #afterNextAnswer(matches: (answer: NodeAnswer) => boolean, injectFault: (name: string) => void): number {
     const { onAnswer } = this.fleet.port;
-    const look = (answer: GivenAnswer): void => {
-      if (!isMeant(answer) || !onAnswer.delete(look)) return;
-      this.later(this.random.between(0, ChangeFaultInjector.rightAfterMs), () => strike(answer.name));
+    const listener = (answer: NodeAnswer): void => {
+      if (!matches(answer) || !onAnswer.delete(listener)) return;
+      this.schedule(this.random.between(0, ChangeFaultInjector.maxDelayAfterAnswerMs), () => injectFault(answer.name));
     };
-    onAnswer.add(look);
-    this.later(2000, () => void onAnswer.delete(look));
+    onAnswer.add(listener);
+    this.schedule(2000, () => void onAnswer.delete(listener));
     return 4000;
   }
 
-  #fall(names: readonly string[], end: (name: string) => void): void {
-    for (const one of names) end(one);
-    this.later(this.random.between(500, 2000), () => this.reviveAll(names));
+  #endThenRevive(names: readonly string[], end: (name: string) => void): void {
+    for (const machineName of names) end(machineName);
+    this.schedule(this.random.between(500, 2000), () => this.reviveAll(names));
   }
 }
--- a/packages/testkit/src/sim/configurationCapacity.test.ts
+++ b/packages/testkit/src/sim/configurationCapacity.test.ts
@@ -37,7 +37,7 @@
 }
 
 for (const [how, end] of [
-  ["stopped", "cycle"],
+  ["stopped", "stopGracefully"],
   ["killed", "kill"],
 ] as const)
   test(`a machine that was ${how} is still the fleet's: plans that ask for no more are accepted`, async () => {
@@ -56,7 +56,7 @@
 
 test("the first configuration rests on the replica sets, also while one of their machines is down", async () => {
   const fleet = await withDisks(93, 3);
-  fleet.cycle("lathe-1");
+  fleet.stopGracefully("lathe-1");
   await fleet.run(3000);
   expect(await put(fleet, 1)).toEqual({ status: 200, paths: [] });
 });
--- a/packages/testkit/src/sim/connections.test.ts
+++ b/packages/testkit/src/sim/connections.test.ts
@@ -2,7 +2,7 @@
 import type { SessionEndpoint } from "@cranetrack/edge/connections/clientEndpoint.js";
 import { EdgeClientEndpoint } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
 import { expect } from "earl";
-import { EndpointConnection, open, resultOf } from "./endpointConnection.js";
+import { EndpointConnection, connectSession, resultOf } from "./endpointConnection.js";
 import { startTestFleet } from "./testClient.js";
 import type { SimFleet } from "./simFleet.js";
 
@@ -13,7 +13,7 @@
 
 test("a connection's topics go with it: pulled, stopped and shipped, it goes on at the client's place", async () => {
   const { fleet } = await startTestFleet(71);
-  const first = await open(fleet, "vise-1", "desk");
+  const first = await connectSession(fleet, "vise-1", "desk");
   const start = await place(fleet, first.connection);
   expect((await resultOf(fleet, first.connection.publish("notes/t1", 1, "one"))).outcome).toEqual("accepted");
   expect(await fleet.until(() => first.wire.numbers().length === 1, 2000)).toEqual(true);
@@ -21,7 +21,7 @@
   const steps: string[] = [];
   fleet.find("vise-1")!.edge!.sessions.on("step", (step) => steps.push(step));
   fleet.find("vise-2")!.edge!.sessions.on("step", (step) => steps.push(step));
-  const second = await open(fleet, "vise-2", "desk");
+  const second = await connectSession(fleet, "vise-2", "desk");
   expect(steps).toEqual(["pull", "stopped", "shipped", "owner-written"]);
   expect([first.wire.isClosed, first.wire.lines.at(-1)!["kind"]]).toEqual([true, "goodbye"]);
   expect((await resultOf(fleet, first.connection.subscribe("notes/t2"))).outcome).toEqual("moved");
@@ -45,7 +45,7 @@
 
 test("each wrong topic or place is answered by itself, and a topic that was left gives nothing more", async () => {
   const { fleet } = await startTestFleet(72);
-  const { wire, connection } = await open(fleet, "vise-1", "desk");
+  const { wire, connection } = await connectSession(fleet, "vise-1", "desk");
   const asked = ["notes/t1", "nowhere/t1", "notes/t2", "a blank/t"].map((topic) =>
     connection.subscribe(topic, topic === "notes/t2" ? "malformed" : undefined),
   );
@@ -61,7 +61,7 @@
 
 test("a publish that no leader took is away; one whose earlier try may have been taken is never promised", async () => {
   const { fleet } = await startTestFleet(73);
-  const { connection } = await open(fleet, "vise-1", "desk");
+  const { connection } = await connectSession(fleet, "vise-1", "desk");
   expect((await resultOf(fleet, connection.publish("notes/t1", 1, "one"))).outcome).toEqual("accepted");
   // Both ways to the leaders go while the edge's own lease holds.
   fleet.isolate("vise-1", ["anvil-1", "anvil-2", "anvil-3", "lathe-1", "lathe-2", "lathe-3"], "in");
@@ -109,7 +109,7 @@
 test("sessions that are found under an earlier lease of their edge give it up once, and are admitted", async () => {
   const { fleet } = await startTestFleet(77);
   const names = ["desk", "pen", "ink"];
-  for (const name of names) await open(fleet, "vise-1", name);
+  for (const name of names) await connectSession(fleet, "vise-1", name);
   fleet.kill("vise-1");
   await fleet.run(100);
   const { edge, node } = fleet.start("vise-1");
@@ -131,11 +131,11 @@
 
 test("a topic that was left and asked for again, before it joined, goes on at the later place", async () => {
   const { fleet } = await startTestFleet(75);
-  const pen = await open(fleet, "vise-1", "pen");
+  const pen = await connectSession(fleet, "vise-1", "pen");
   const start = await place(fleet, pen.connection);
   for (const number of [1, 2, 3])
     expect((await resultOf(fleet, pen.connection.publish("notes/t1", number, "x"))).outcome).toEqual("accepted");
-  const { wire, connection } = await open(fleet, "vise-2", "desk");
+  const { wire, connection } = await connectSession(fleet, "vise-2", "desk");
   const later = start.replace(/\d+$/, "3");
   const again = connection.subscribe("notes/t1", start).then(async (first) => {
     expect(first.outcome).toEqual("confirmed");
--- a/packages/testkit/src/sim/cutOff.test.ts
+++ b/packages/testkit/src/sim/cutOff.test.ts
@@ -4,7 +4,7 @@
 import { startTestFleet, type TestFleet } from "./testClient.js";
 import { Scenario } from "./scenario.js";
 import { SimLoad } from "./simLoad.js";
-import { accepted, actingOnOld, boundMs } from "./staleNodes.js";
+import { proposeUntilAccepted, nodesActingOnOlderVersion, staleActionBoundMs } from "./staleNodes.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 type Ways = "in" | "out" | "both";
@@ -69,8 +69,9 @@
   /** Who acts on what is too old, or went back within one life. */
   look(): void {
     const { fleet } = this.#all;
-    const least = this.acknowledgedBy(fleet.world.now - boundMs);
-    for (const name of actingOnOld(fleet, least)) this.wrong.push(`${name} acts below ${least} at ${fleet.world.now}`);
+    const least = this.acknowledgedBy(fleet.world.now - staleActionBoundMs);
+    for (const name of nodesActingOnOlderVersion(fleet, least))
+      this.wrong.push(`${name} acts below ${least} at ${fleet.world.now}`);
     for (const name of fleet.names) {
       const node = fleet.find(name)?.node;
       const before = this.#highest.get(name) ?? 0;
@@ -98,7 +99,7 @@
 async function played(cut: Cut, meanwhile: Meanwhile): Promise<{ all: TestFleet; sides: Sides; off: string[] }> {
   const all = await startTestFleet(cut.seed, Scenario.machines(cut.controlCount));
   const { fleet, load } = all;
-  const sides = new Sides(all, await accepted(all, fleet.leader!));
+  const sides = new Sides(all, await proposeUntilAccepted(all, fleet.leader!));
   await fleet.run(1000);
   const leader = fleet.leader!;
   const members = [leader, ...fleet.withRole("lathe").filter((name) => name !== leader)];
--- a/packages/testkit/src/sim/diskFaultInjector.ts
+++ b/packages/testkit/src/sim/diskFaultInjector.ts
@@ -1,25 +1,25 @@
 import { FaultInjector, type InjectFault } from "./faultInjector.js";
 
-/** Disks that are full, hang or refuse a write. */
+/** Faults of disks: full, hanging, or failing a write. */
 export class DiskFaultInjector extends FaultInjector {
   readonly fullDisk: InjectFault = (_name, ms) => {
-    const name = this.random.pick(this.counted);
-    this.fleet.diskOf(name).fill(true);
-    return this.later(ms, () => this.fleet.diskOf(name).fill(false));
+    const name = this.random.pick(this.durableMachines);
+    this.fleet.diskOf(name).setFull(true);
+    return this.schedule(ms, () => this.fleet.diskOf(name).setFull(false));
   };
 
   readonly hungDisk: InjectFault = (_name, ms) => {
-    this.fleet.diskOf(this.random.pick(this.counted)).hang(ms);
+    this.fleet.diskOf(this.random.pick(this.durableMachines)).hang(ms);
     return ms;
   };
 
-  /** A write fails: the process ends, and what no sync covered may be there or not. */
+  /** A write fails: the process ends, and unsynced writes may or may not be on the disk afterwards. */
   readonly refusedWrite: InjectFault = () => {
-    const name = this.random.pick(this.counted);
+    const name = this.random.pick(this.durableMachines);
     this.fleet.diskOf(name).onRefuse = () => {
       this.fleet.kill(name);
-      this.later(700, () => this.fleet.revive(name));
+      this.schedule(700, () => this.fleet.revive(name));
     };
-    return this.later(3000, () => void (this.fleet.diskOf(name).onRefuse = undefined));
+    return this.schedule(3000, () => void (this.fleet.diskOf(name).onRefuse = undefined));
   };
 }
--- a/packages/testkit/src/sim/disks.test.ts
+++ b/packages/testkit/src/sim/disks.test.ts
@@ -31,7 +31,7 @@
   const fleet = await founded(301, 4);
   fleet.kill("lathe-3");
   fleet.diskOf("lathe-4").restore(fleet.diskOf("lathe-3").copy());
-  expect(fleet.start("lathe-4").fault).toEqual("the data folder is that of lathe-3, and this is lathe-4");
+  expect(fleet.start("lathe-4").startFailure).toEqual("the data folder is that of lathe-3, and this is lathe-4");
   // Whoever led may just have been killed.
   expect(await fleet.until(() => fleet.leader !== undefined, 3000)).toEqual(true);
   await fleet.run(1000);
--- a/packages/testkit/src/sim/drains.test.ts
+++ b/packages/testkit/src/sim/drains.test.ts
@@ -62,7 +62,7 @@
     const leaving = who === "leader" ? fleet.leader! : [first, second, third].find((one) => one !== fleet.leader)!;
     expect((await ask(others(fleet, leaving)[0]!, "PUT", path(leaving)))["status"]).toEqual(200);
     expect(await emptied(all, leaving, others(fleet, leaving))).toEqual(true);
-    fleet.retire(leaving);
+    fleet.removeForGood(leaving);
     const cut = [first, second, third].find((one) => one !== leaving)!;
     fleet.isolate(cut, fleet.names, "both");
     expect(await isServed(all, others(fleet, leaving, cut)[0]!)).toEqual(true);
@@ -127,7 +127,7 @@
   await fleet.run(3000);
   expect(await order(first!)).toEqual(200);
   fleet.revive(second!);
-  fleet.retire(leaving);
+  fleet.removeForGood(leaving);
   // Longer than the others remember it.
   await fleet.run(75_000);
   expect(fleet.find(first!)!.node.membership.find(leaving)).toEqual(undefined);
--- a/packages/testkit/src/sim/elections.test.ts
+++ b/packages/testkit/src/sim/elections.test.ts
@@ -40,7 +40,7 @@
     const controlNodes = fleet.withRole("lathe");
     const termOf = (): number => Math.max(...controlNodes.map((name) => fleet.find(name)!.control!.raft!.term));
     const before = termOf();
-    for (const controlNode of controlNodes) fleet.wires.slow.set(fleet.addressOf(controlNode), 100);
+    for (const controlNode of controlNodes) fleet.wires.extraLatencyMs.set(fleet.addressOf(controlNode), 100);
     await fleet.run(8000);
     changes.push(termOf() - before);
     expect(fleet.leader !== undefined).toEqual(true);
--- a/packages/testkit/src/sim/endpointConnection.ts
+++ b/packages/testkit/src/sim/endpointConnection.ts
@@ -1,4 +1,4 @@
-/** Clients of an edge's in-process interface, which the users' platform is served by. */
+/** Test clients of an edge's in-process interface, the one that the users' platform calls. */
 import type { ClientConnection } from "@cranetrack/edge/connections/clientConnection.js";
 import type { SessionEndpoint } from "@cranetrack/edge/connections/clientEndpoint.js";
 import { EdgeClientEndpoint } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
@@ -6,10 +6,10 @@
 
 type Line = Record<string, unknown>;
 
-/** Milliseconds that a call may take. */
-const maxMs = 6000;
+/** Virtual milliseconds that a call may take. */
+const callTimeoutMs = 6000;
 
-/** A client's end of an in-process connection: keeps the lines that it is sent. */
+/** The client's end of an in-process connection: records the lines sent to it. */
 export class EndpointConnection implements ClientConnection {
   readonly lines: Line[] = [];
   waitingBytes = 0;
@@ -35,16 +35,17 @@
   }
 }
 
-/** Runs the fleet until a call has its answer; throws where it has none in time. */
+/** Runs the fleet until a call has been answered; throws if that takes more than 6 s of virtual time. */
 export async function resultOf<T>(fleet: SimFleet, call: Promise<T>): Promise<T> {
   let answer: { value: T } | undefined;
   void call.then((value) => (answer = { value }));
-  if (!(await fleet.until(() => answer !== undefined, maxMs))) throw new Error(`no answer in ${maxMs} ms`);
+  if (!(await fleet.until(() => answer !== undefined, callTimeoutMs)))
+    throw new Error(`no answer in ${callTimeoutMs} ms`);
   return answer!.value;
 }
 
-/** Connects a session at an edge; throws where that does not admit it. */
-export async function open(
+/** Connects a session at an edge; throws if the edge does not admit it. */
+export async function connectSession(
   fleet: SimFleet,
   edge: string,
   session: string,
--- a/packages/testkit/src/sim/faultInjector.ts
+++ b/packages/testkit/src/sim/faultInjector.ts
@@ -2,13 +2,16 @@
 import type { SimLoad } from "./simLoad.js";
 import type { SimRandom } from "./simRandom.js";
 
-/** Given a machine and a length, both drawn; returns after how many milliseconds the failure is over, -1 for never. */
+/**
+ * Injects a fault, given a randomly drawn machine and duration in ms. Returns after how many ms the fault is over, or
+ * `FaultInjector.notApplicable` if it can't be injected now.
+ */
 export type InjectFault = (name: string, ms: number) => number;
 
-/** What all kinds of failures work with. */
+/** Base class of the groups of fault injectors. */
 export abstract class FaultInjector {
-  /** A failure that needs a moment or a state does not come about where neither comes. */
-  static readonly notNow = -1;
+  /** Returned by a fault that needs a state of the fleet which does not hold now. */
+  static readonly notApplicable = -1;
 
   protected readonly fleet: SimFleet;
   protected readonly load: SimLoad;
@@ -20,32 +23,36 @@
     this.random = random;
   }
 
-  protected later(ms: number, task: () => void): number {
+  /** Runs a task after a delay in ms, and returns the delay. */
+  protected schedule(ms: number, task: () => void): number {
     this.fleet.world.at(this.fleet.world.now + ms, task);
     return ms;
   }
 
-  /** The machines whose loss counts: those with a disk that something was promised on. */
-  protected get counted(): string[] {
-    return [...this.fleet.withRole("lathe"), ...this.fleet.withRole("anvil")].filter((one) => this.fleet.isUsed(one));
+  /** Control and storage machines in use: those whose disks hold acknowledged data, so that their loss counts. */
+  protected get durableMachines(): string[] {
+    return [...this.fleet.withRole("lathe"), ...this.fleet.withRole("anvil")].filter((machineName) =>
+      this.fleet.isUsed(machineName),
+    );
   }
 
   protected get edges(): string[] {
-    return this.fleet.withRole("vise").filter((one) => this.fleet.isUsed(one));
+    return this.fleet.withRole("vise").filter((machineName) => this.fleet.isUsed(machineName));
   }
 
-  protected some(names: readonly string[], count: number): string[] {
-    const left = [...names];
+  /** Draws up to `count` different names. */
+  protected pickSome(names: readonly string[], count: number): string[] {
+    const remaining = [...names];
     const drawn: string[] = [];
-    while (left.length > 0 && drawn.length < count) {
-      const one = this.random.pick(left);
-      left.splice(left.indexOf(one), 1);
-      drawn.push(one);
+    while (remaining.length > 0 && drawn.length < count) {
+      const machineName = this.random.pick(remaining);
+      remaining.splice(remaining.indexOf(machineName), 1);
+      drawn.push(machineName);
     }
     return drawn;
   }
 
   protected reviveAll(names: readonly string[]): void {
-    for (const one of names) this.fleet.revive(one);
+    for (const machineName of names) this.fleet.revive(machineName);
   }
 }
--- a/packages/testkit/src/sim/faultKinds.test.ts
+++ b/packages/testkit/src/sim/faultKinds.test.ts
@@ -16,7 +16,7 @@
   const names = inGroup(group);
   test(`seed ${seedOf(group)}: ${names.join(", ")} come about, no breach, service back`, async () => {
     const options = { faults: names, isDealt: true, faultMs: 45_000, machines: Scenario.machines(5, 4, 5) };
-    const { faults, breaches } = await Scenario.run(seedOf(group), { ...options, later: ["anvil-4", "vise-5"] });
+    const { faults, breaches } = await Scenario.run(seedOf(group), { ...options, lateMachines: ["anvil-4", "vise-5"] });
     expect(breaches.map(({ rule, text }) => `${rule}: ${text}`)).toEqual([]);
     const caused = new Set(faults.map((fault) => fault.split(" ")[1]));
     expect(names.filter((name) => !caused.has(name))).toEqual([]);
--- a/packages/testkit/src/sim/faults.ts
+++ b/packages/testkit/src/sim/faults.ts
@@ -8,7 +8,7 @@
 import type { SimFleet } from "./simFleet.js";
 import type { SimLoad } from "./simLoad.js";
 
-/** The first kinds; seeds that were kept from then draw from them. */
+/** The oldest kinds, in their old order: seeds recorded with only these still draw from this list. */
 const firstNames = [
   "kill",
   "wipe",
@@ -81,11 +81,11 @@
   "drainReturned",
 ] as const;
 
-/** A fault as `--faults` and reports name it. */
+/** A fault's name in `--faults` and in reports. */
 export type FaultName = (typeof names)[number];
-/** How a run ends: right after one more change was acknowledged, or without one. */
+/** The last fault of a run; the kinds that begin with `ack` come right after one more acknowledged change. */
 export type Closing = "kill" | "wipe" | "all" | "ackKillAll" | "ackCrashAll" | "ackWipe" | "ackWipeAll";
-/** A failure, and when it began and was over. */
+/** An injected fault, the machine drawn for it, and its start and end in virtual ms. */
 export interface FaultSpan {
   what: FaultName;
   name: string;
@@ -93,7 +93,7 @@
   to: number;
 }
 
-/** Causes the brief's failures by a seed, and ends them. */
+/** Injects faults drawn from a seed, and ends them. */
 export class Faults {
   static readonly all: readonly FaultName[] = names;
   static readonly first: readonly FaultName[] = firstNames;
@@ -103,9 +103,10 @@
   readonly #names: readonly FaultName[];
   readonly #random: SimRandom;
   readonly #injectors: Record<FaultName, InjectFault>;
-  /** Kinds still to be drawn before any comes again; empty where each draw is by itself. */
-  #deck: FaultName[] = [];
+  /** When every kind is to come once before any is repeated: the kinds that are still to come in this round. */
+  #remainingKinds: FaultName[] = [];
   closing: Closing | undefined;
+  /** All faults injected so far, in order of their start. */
   readonly spans: FaultSpan[] = [];
 
   constructor(fleet: SimFleet, load: SimLoad, chosen: readonly FaultName[]) {
@@ -123,35 +124,35 @@
     this.#injectors = { ...first, ...orders, ...machines, ...cuts, ...disks };
   }
 
-  /** One fault after the other, some while the last still lasts. */
-  async rage(ms: number, isDealt = false): Promise<void> {
+  /** Injects one fault after the other for `ms` of virtual time; they may overlap. */
+  async injectFor(ms: number, isDealt = false): Promise<void> {
     const end = this.#fleet.world.now + ms;
     while (this.#fleet.world.now < end) {
-      const what = isDealt ? this.#deal() : this.#random.pick(this.#names);
-      if (!this.#cause(what) && isDealt) this.#deck.push(what);
+      const what = isDealt ? this.#pickRemainingKind() : this.#random.pick(this.#names);
+      if (!this.#inject(what) && isDealt) this.#remainingKinds.push(what);
       await this.#fleet.run(this.#random.between(200, 5000));
     }
   }
 
-  /** Everything that failed is over, and every machine runs; what operators changed is changed back. */
+  /** Waits until the last fault is over, clears what is left of the faults, and starts all machines again. */
   async heal(): Promise<void> {
     const { world } = this.#fleet;
     const last = Math.max(world.now, ...this.spans.map(({ to }) => to));
     await this.#fleet.run(last - world.now);
     this.#fleet.wires.heal();
-    this.#load.crowdAt([]);
-    this.#load.hurry(1);
+    this.#load.connectAllTo([]);
+    this.#load.setPublishFactor(1);
     this.#fleet.port.answerLoss = 0;
-    for (const name of this.#fleet.names) this.#fleet.diskOf(name).mend();
+    for (const name of this.#fleet.names) this.#fleet.diskOf(name).clearFaults();
     for (const name of this.#fleet.names) this.#fleet.revive(name);
   }
 
-  /** A last fault, just before operators ask for their configuration back. */
-  async finish(): Promise<void> {
+  /** Injects a last fault, just before the configuration is read back. */
+  async injectClosingFault(): Promise<void> {
     const closings: Closing[] = ["kill", "wipe", "all", "ackKillAll", "ackCrashAll", "ackWipe", "ackWipeAll"];
     this.closing = this.#random.pick(closings);
-    if (this.closing.startsWith("ack")) await this.#acknowledged();
-    const counted = [...this.#fleet.withRole("lathe"), ...this.#fleet.withRole("anvil")];
+    if (this.closing.startsWith("ack")) await this.#runUntilAcknowledged();
+    const durableMachines = [...this.#fleet.withRole("lathe"), ...this.#fleet.withRole("anvil")];
     const lost = this.#random.pick(this.#fleet.withRole("lathe").filter((name) => this.#fleet.isUsed(name)));
     switch (this.closing) {
       case "kill":
@@ -160,44 +161,44 @@
         return this.#fleet.wipe(lost);
       case "ackWipe":
         this.#fleet.wipe(lost);
-        return this.#back([lost]);
+        return this.#scheduleRevival([lost]);
       case "ackWipeAll":
         this.#fleet.wipe(lost);
-        for (const name of counted) this.#fleet.kill(name);
-        return this.#back(counted);
+        for (const name of durableMachines) this.#fleet.kill(name);
+        return this.#scheduleRevival(durableMachines);
       case "ackCrashAll":
         for (const name of this.#fleet.names) this.#fleet.crash(name);
-        return this.#back(this.#fleet.names);
+        return this.#scheduleRevival(this.#fleet.names);
       default:
         for (const name of this.#fleet.names) this.#fleet.kill(name);
-        return this.#back(this.#fleet.names);
+        return this.#scheduleRevival(this.#fleet.names);
     }
   }
 
-  #back(names: readonly string[]): void {
+  #scheduleRevival(names: readonly string[]): void {
     this.#fleet.world.at(this.#fleet.world.now + 500, () => names.forEach((name) => this.#fleet.revive(name)));
   }
 
-  /** Until one more change was acknowledged, and not a millisecond longer. */
-  async #acknowledged(): Promise<void> {
+  /** Runs until one more change was acknowledged, to the millisecond; gives up after 5 s. */
+  async #runUntilAcknowledged(): Promise<void> {
     let isDone = false;
-    const look = (): void => void (isDone = true);
+    const finish = (): void => void (isDone = true);
     const { onAnswer } = this.#fleet.port;
     onAnswer.add(({ method, status }) => {
-      if (method === "PUT" && status === 200) look();
+      if (method === "PUT" && status === 200) finish();
     });
     void this.#load.restore();
     for (let ms = 0; ms < 5000 && !isDone; ms += 1) await this.#fleet.run(1);
   }
 
-  #deal(): FaultName {
-    if (this.#deck.length === 0) this.#deck = [...this.#names];
-    const [drawn] = this.#deck.splice(Math.floor(this.#random.draw() * this.#deck.length), 1);
+  #pickRemainingKind(): FaultName {
+    if (this.#remainingKinds.length === 0) this.#remainingKinds = [...this.#names];
+    const [drawn] = this.#remainingKinds.splice(Math.floor(this.#random.draw() * this.#remainingKinds.length), 1);
     return drawn!;
   }
 
-  /** False where it could not come about now. */
-  #cause(what: FaultName): boolean {
+  /** Injects one fault; false if it is not applicable now. */
+  #inject(what: FaultName): boolean {
     const { world } = this.#fleet;
     const name = this.#random.pick(this.#fleet.names.filter((one) => this.#fleet.isUsed(one)));
     const from = world.now;
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -39,15 +39,15 @@
   const replica = set!.members.find((member) => member.zone === fleet.zoneOf(edge))!.name;
   const reader = new TestClient(fleet, edge, "desk", { subscriptions: [{ topic }] });
   const pen = new TestClient(fleet, near, "pen", { subscriptions: [] });
-  expect(await fleet.until(() => reader.of("confirmed").length === 1 && pen.of("open").length === 1, 5000)).toEqual(
-    true,
-  );
+  expect(
+    await fleet.until(() => reader.linesOf("confirmed").length === 1 && pen.linesOf("open").length === 1, 5000),
+  ).toEqual(true);
   expect(await fleet.until(() => serverOf({ fleet, edge }) === replica, 3000)).toEqual(true);
   await fleet.run(1000);
   const acceptedAt: number[] = [];
   const seenAt: number[] = [];
   const look = (): void => {
-    while (seenAt.length < reader.got().length) seenAt.push(fleet.world.now);
+    while (seenAt.length < reader.deliveries().length) seenAt.push(fleet.world.now);
   };
   const play = async (ms: number): Promise<number> => {
     const end = fleet.world.now + ms;
@@ -66,7 +66,7 @@
         look();
       }
     }
-    for (let i = 0; i < 300 && reader.got().length < acceptedAt.length; i += 1) {
+    for (let i = 0; i < 300 && reader.deliveries().length < acceptedAt.length; i += 1) {
       await fleet.run(10);
       look();
     }
@@ -90,9 +90,14 @@
 
 /** All messages came, each once and in order, and the client heard of no trouble. */
 function expectWhole({ reader }: Scene): void {
-  expect(reader.got(topic).length > 20).toEqual(true);
-  expect(reader.got(topic)).toEqual(reader.got(topic).map((_, i) => i + 1));
-  expect([reader.of("expired"), reader.of("ended"), reader.of("fault"), reader.isClosed]).toEqual([[], [], [], false]);
+  expect(reader.deliveries(topic).length > 20).toEqual(true);
+  expect(reader.deliveries(topic)).toEqual(reader.deliveries(topic).map((_, i) => i + 1));
+  expect([reader.linesOf("expired"), reader.linesOf("ended"), reader.linesOf("fault"), reader.isClosed]).toEqual([
+    [],
+    [],
+    [],
+    false,
+  ]);
 }
 
 /** What a leader says of a shard's log, to one of its replicas; also where it comes through another node. */
--- a/packages/testkit/src/sim/founding.test.ts
+++ b/packages/testkit/src/sim/founding.test.ts
@@ -223,7 +223,7 @@
       .node.shards.all()
       .map(([, route]) => route.leader);
     expect(leaders.every((leaderName) => leaderName.startsWith("lathe-"))).toEqual(true);
-    const lost = fleet.leaderName!;
+    const lost = fleet.shardLeader!;
     fleet.kill(lost);
     await fleet.run(4000);
     expect((await publish("s1", 2))["status"]).toEqual(200);
--- a/packages/testkit/src/sim/freshness.test.ts
+++ b/packages/testkit/src/sim/freshness.test.ts
@@ -8,7 +8,7 @@
 import { startTestFleet } from "./testClient.js";
 import type { SimFleet } from "./simFleet.js";
 import { SimConfigurations } from "./simConfigurations.js";
-import { accepted, actingOnOld, boundMs } from "./staleNodes.js";
+import { proposeUntilAccepted, nodesActingOnOlderVersion, staleActionBoundMs } from "./staleNodes.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 const inForceAt = (fleet: SimFleet, name: string): number => {
@@ -20,17 +20,17 @@
   const all = await startTestFleet(501);
   const { fleet } = all;
   const behind = fleet.withRole("lathe").find((name) => name !== fleet.leader)!;
-  const before = await accepted(all, fleet.leader!);
+  const before = await proposeUntilAccepted(all, fleet.leader!);
   await fleet.run(1000);
   // As a wire does that carries small frames only.
   fleet.wires.mutate = (_from, to, bytes) => {
     const body = to === fleet.addressOf(behind) ? Wire.decode(bytes)?.body : undefined;
     return body?.case === "append" && body.value.entries.length > 0 ? [] : undefined;
   };
-  const version = await accepted(all, fleet.leader!);
+  const version = await proposeUntilAccepted(all, fleet.leader!);
   expect([before > 0, version > before, inForceAt(fleet, behind)]).toEqual([true, true, before]);
-  await fleet.run(boundMs);
-  expect(actingOnOld(fleet, version)).toEqual([]);
+  await fleet.run(staleActionBoundMs);
+  expect(nodesActingOnOlderVersion(fleet, version)).toEqual([]);
   // One that knows nothing yet, in the zone of the member that is behind.
   const edge = fleet.withRole("vise").find((name) => fleet.zoneOf(name) === fleet.zoneOf(behind))!;
   fleet.kill(edge);
@@ -57,7 +57,7 @@
     await fleet.run(2000);
     fleet.kill(edge);
     await fleet.run(500);
-    const version = await accepted(all, fleet.leader!);
+    const version = await proposeUntilAccepted(all, fleet.leader!);
     const { feed, configuration } = fleet.start(edge).node;
     while (feed.revision === 0) await fleet.run(5);
     expect([round, configuration.version]).toEqual([round, version]);
@@ -72,7 +72,7 @@
   fleet.pause(frozen!, 20_000);
   const wakesAt = fleet.world.now + 20_000;
   await fleet.run(2000);
-  const version = await accepted(all, fleet.leader!);
+  const version = await proposeUntilAccepted(all, fleet.leader!);
   await fleet.run(wakesAt - fleet.world.now);
   const { feed, configuration } = fleet.find(frozen!)!.node;
   expect(configuration.version < version).toEqual(true);
@@ -93,13 +93,13 @@
   for (const name of together) fleet.pause(name, 20_000);
   const wakesAt = fleet.world.now + 20_000;
   await fleet.run(3000);
-  const version = await accepted(all, fleet.leader!);
+  const version = await proposeUntilAccepted(all, fleet.leader!);
   expect(version > 0).toEqual(true);
   await fleet.run(wakesAt - fleet.world.now);
   const old = new Set<string>();
   for (let ms = 0; ms < 3000; ms += 1) {
     await fleet.run(1);
-    for (const name of actingOnOld(fleet, version)) old.add(`${name} ${ms}`);
+    for (const name of nodesActingOnOlderVersion(fleet, version)) old.add(`${name} ${ms}`);
   }
   expect([...old]).toEqual([]);
 });
--- a/packages/testkit/src/sim/generalFaultInjector.ts
+++ b/packages/testkit/src/sim/generalFaultInjector.ts
@@ -6,14 +6,15 @@
 type InjectFault = (name: string, ms: number) => number;
 
 /**
- * The failures of the brief, one function each. An act is given a machine and a length, both drawn, and returns
- * after how many milliseconds the failure itself is over; what it takes to recover is not its business.
+ * Faults of machines, links, clients and operators, one function each. A function is given a randomly drawn machine
+ * and a duration in ms, and returns after how many ms the fault itself is over (-1: not applicable now); the time to
+ * recover is not part of it.
  */
 export class GeneralFaultInjector {
   readonly #fleet: SimFleet;
   readonly #load: SimLoad;
   readonly #random: SimRandom;
-  #forwarded = 0;
+  #temporaryEdgeCount = 0;
 
   constructor(fleet: SimFleet, load: SimLoad, random: SimRandom) {
     this.#fleet = fleet;
@@ -23,16 +24,16 @@
 
   readonly kill: InjectFault = (name, ms) => {
     this.#fleet.kill(name);
-    return this.#later(ms * 0.6, () => this.#fleet.revive(name));
+    return this.#schedule(ms * 0.6, () => this.#fleet.revive(name));
   };
 
-  /** A disk is lost for good, and only where no other loss is still to be mended: one loss is what is promised. */
+  /** A disk is lost for good, only if no other loss awaits repair: the fleet tolerates one loss at a time. */
   readonly wipe: InjectFault = () => {
     if (!this.#fleet.reserveLoss(0)) return -1;
     const name = this.#random.pick([...this.#fleet.withRole("lathe"), ...this.#fleet.withRole("anvil")]);
     if (this.#fleet.find(name) === undefined) return -1;
     this.#fleet.wipe(name);
-    return this.#later(this.#random.between(500, 8000), () => this.#fleet.revive(name));
+    return this.#schedule(this.#random.between(500, 8000), () => this.#fleet.revive(name));
   };
 
   readonly pause: InjectFault = (name, ms) => {
@@ -42,66 +43,66 @@
 
   readonly isolate: InjectFault = (name, ms) => {
     this.#fleet.isolate(name, this.#fleet.names, this.#random.pick(["in", "out", "both"]));
-    return this.#later(ms, () => this.#fleet.wires.heal());
+    return this.#schedule(ms, () => this.#fleet.wires.heal());
   };
 
   readonly cut: InjectFault = (_name, ms) => {
     for (let i = 0; i < 4; i += 1) {
-      const [one, other] = [this.#random.pick(this.#fleet.names), this.#random.pick(this.#fleet.names)];
-      this.#fleet.isolate(one, [other], this.#random.pick(["in", "out", "both"]));
+      const [machineName, other] = [this.#random.pick(this.#fleet.names), this.#random.pick(this.#fleet.names)];
+      this.#fleet.isolate(machineName, [other], this.#random.pick(["in", "out", "both"]));
     }
-    return this.#later(ms, () => this.#fleet.wires.heal());
+    return this.#schedule(ms, () => this.#fleet.wires.heal());
   };
 
   readonly loss: InjectFault = (_name, ms) => {
     this.#fleet.wires.loss = this.#random.between(0.01, 0.15);
-    return this.#later(ms, () => void (this.#fleet.wires.loss = 0));
+    return this.#schedule(ms, () => void (this.#fleet.wires.loss = 0));
   };
 
   readonly slowNode: InjectFault = (name, ms) => {
-    this.#fleet.wires.slow.set(this.#fleet.addressOf(name), this.#random.between(50, 400));
-    return this.#later(ms, () => void this.#fleet.wires.slow.clear());
+    this.#fleet.wires.extraLatencyMs.set(this.#fleet.addressOf(name), this.#random.between(50, 400));
+    return this.#schedule(ms, () => void this.#fleet.wires.extraLatencyMs.clear());
   };
 
   readonly slowDisk: InjectFault = (name, ms) => {
-    this.#fleet.diskOf(name).slowness = this.#random.between(10, 150);
-    return this.#later(ms, () => void (this.#fleet.diskOf(name).slowness = 1));
+    this.#fleet.diskOf(name).syncTimeFactor = this.#random.between(10, 150);
+    return this.#schedule(ms, () => void (this.#fleet.diskOf(name).syncTimeFactor = 1));
   };
 
   readonly cycle: InjectFault = (name) => {
-    this.#fleet.cycle(name);
-    return this.#later(6500, () => this.#fleet.revive(name));
+    this.#fleet.stopGracefully(name);
+    return this.#schedule(6500, () => this.#fleet.revive(name));
   };
 
   readonly rolling: InjectFault = () => {
     const names = this.#fleet.withRole(this.#random.pick(["lathe", "anvil", "vise"]));
     names.forEach((name, i) => {
-      this.#later(i * 2500, () => this.#fleet.cycle(name));
-      this.#later(i * 2500 + 2400, () => this.#fleet.revive(name));
+      this.#schedule(i * 2500, () => this.#fleet.stopGracefully(name));
+      this.#schedule(i * 2500 + 2400, () => this.#fleet.revive(name));
     });
     return names.length * 2500;
   };
 
   readonly crowd: InjectFault = () => {
-    this.#load.dropAll();
+    this.#load.disconnectAll();
     return 500;
   };
 
-  /** Everybody comes to a third of the edges. */
+  /** All clients reconnect to one third of the edges. */
   readonly third: InjectFault = (_name, ms) => {
-    this.#load.crowdAt(this.#fleet.withRole("vise").slice(0, Math.ceil(this.#fleet.withRole("vise").length / 3)));
-    this.#load.dropAll();
-    return this.#later(ms, () => this.#load.crowdAt([]));
+    this.#load.connectAllTo(this.#fleet.withRole("vise").slice(0, Math.ceil(this.#fleet.withRole("vise").length / 3)));
+    this.#load.disconnectAll();
+    return this.#schedule(ms, () => this.#load.connectAllTo([]));
   };
 
   readonly move: InjectFault = () => {
-    for (let i = 0; i < 4; i += 1) this.#load.moveOne();
+    for (let i = 0; i < 4; i += 1) this.#load.moveOneClient();
     return 2000;
   };
 
   /**
-   * Operators send different configurations under one version, at different nodes, and one sends what is stale or
-   * broken.
+   * Operators send different configurations under one version to different nodes, and also a stale and an invalid
+   * one.
    */
   readonly race: InjectFault = () => {
     const version = this.#load.nextVersion;
@@ -112,7 +113,7 @@
     return 0;
   };
 
-  /** The same while the control node that proposes is frozen. */
+  /** Like `race`, while the leader of the metadata store is paused. */
   readonly raceFrozen: InjectFault = (name, ms) => {
     const leader = this.#fleet.leader;
     if (leader !== undefined) this.#fleet.pause(leader, ms);
@@ -128,10 +129,10 @@
     return 0;
   };
 
-  /** A space is removed, and made again a while later with another contract, also with another order. */
+  /** A space is removed, and created again later with another contract, possibly with another message order. */
   readonly remake: InjectFault = (_name, ms) => {
     void this.#load.proposeConfiguration(SimLoad.configuration(this.#load.nextVersion, ["notes", "notices"]));
-    return this.#later(ms, () => {
+    return this.#schedule(ms, () => {
       const spaces = SimConfigurations.usual();
       Object.assign(spaces["extra"]![0]!.contract, {
         order: this.#random.pick(["space", "sender", "topic"]),
@@ -143,36 +144,38 @@
 
   readonly zone: InjectFault = (name, ms) => {
     const zone = this.#fleet.zoneOf(name);
-    const names = this.#fleet.names.filter((one) => this.#fleet.zoneOf(one) === zone && this.#fleet.isUsed(one));
-    for (const one of names) this.#fleet.kill(one);
-    return this.#later(ms * 0.7, () => names.forEach((one) => this.#fleet.revive(one)));
+    const names = this.#fleet.names.filter(
+      (machineName) => this.#fleet.zoneOf(machineName) === zone && this.#fleet.isUsed(machineName),
+    );
+    for (const machineName of names) this.#fleet.kill(machineName);
+    return this.#schedule(ms * 0.7, () => names.forEach((machineName) => this.#fleet.revive(machineName)));
   };
 
-  /** Power is lost everywhere. */
+  /** All machines lose power. */
   readonly all: InjectFault = () => {
-    for (const one of this.#fleet.names) this.#fleet.kill(one);
-    return this.#later(1000, () => this.#reviveAll());
+    for (const machineName of this.#fleet.names) this.#fleet.kill(machineName);
+    return this.#schedule(1000, () => this.#reviveAll());
   };
 
-  /** A storage machine is to be emptied; it is restarted midway, and the wish is taken back. */
+  /** A storage machine is drained, sometimes restarted meanwhile, and the drain is cancelled. */
   readonly emptying: InjectFault = (_name, ms) => {
     const machine = this.#random.pick(this.#fleet.withRole("anvil"));
-    this.#load.ask("PUT", machine);
+    this.#load.requestEmptying("PUT", machine);
     if (this.#random.draw() < 0.5) {
-      this.#later(ms * 0.3, () => this.#fleet.kill(machine));
-      this.#later(ms * 0.4, () => this.#fleet.revive(machine));
+      this.#schedule(ms * 0.3, () => this.#fleet.kill(machine));
+      this.#schedule(ms * 0.4, () => this.#fleet.revive(machine));
     }
-    return this.#later(ms, () => this.#load.ask("DELETE", machine));
+    return this.#schedule(ms, () => this.#load.requestEmptying("DELETE", machine));
   };
 
-  /** Power is lost everywhere while replicas are being moved. */
+  /** All machines lose power while replicas are being moved. */
   readonly allMoving: InjectFault = (name, ms) => {
     this.emptying(name, ms + 1500);
-    this.#later(this.#random.between(200, 1200), () => this.all(name, 0));
+    this.#schedule(this.#random.between(200, 1200), () => this.all(name, 0));
     return ms + 1500;
   };
 
-  /** A node that was never there joins. */
+  /** A machine that was never started joins. */
   readonly added: InjectFault = () => {
     const unused = this.#fleet.names.filter((name) => !this.#fleet.isUsed(name) && !this.#fleet.isRetired(name));
     if (unused.length === 0) return -1;
@@ -180,60 +183,61 @@
     return 0;
   };
 
-  /** A node that was added is gone for good; a storage machine only while nothing else is to be mended. */
+  /** A machine that was added is removed for good, only if no other loss awaits repair; else a temporary edge comes. */
   readonly gone: InjectFault = () => {
-    const extra = this.#load.later.filter((name) => this.#fleet.find(name) !== undefined);
-    if (extra.length === 0) return this.#passing();
+    const lateMachines = this.#load.lateMachines.filter((name) => this.#fleet.find(name) !== undefined);
+    if (lateMachines.length === 0) return this.#addTemporaryEdge();
     if (!this.#fleet.reserveLoss(0)) return -1;
-    const name = this.#random.pick(extra);
-    this.#fleet.retire(name);
+    const name = this.#random.pick(lateMachines);
+    this.#fleet.removeForGood(name);
     return 0;
   };
 
-  /** An edge that nobody knew comes, and is gone for good a few seconds later. */
-  #passing(): number {
-    this.#forwarded += 1;
-    const name = `vise-passing-${this.#forwarded}`;
+  /** A new edge joins, and is removed for good a few seconds later. */
+  #addTemporaryEdge(): number {
+    this.#temporaryEdgeCount += 1;
+    const name = `vise-passing-${this.#temporaryEdgeCount}`;
     const zone = this.#fleet.zoneOf(this.#random.pick(this.#fleet.names));
-    this.#fleet.enlist({ name, role: "vise", zone });
+    this.#fleet.addMachine({ name, role: "vise", zone });
     this.#fleet.start(name);
-    return this.#later(this.#random.between(3000, 6000), () => this.#fleet.retire(name));
+    return this.#schedule(this.#random.between(3000, 6000), () => this.#fleet.removeForGood(name));
   }
 
-  /** A shard's leader and the edge of some session fail at once, each in its own way. */
+  /** A shard's leader and some session's edge fail at the same time, each with a fault of its own. */
   readonly pair: InjectFault = (_name, ms) => {
-    const leaderName = this.#fleet.leaderName;
+    const leaderName = this.#fleet.shardLeader;
     const { node } = this.#random.pick(this.#load.clients);
-    const ways = [this.kill, this.pause, this.isolate];
-    for (const name of [leaderName, node]) if (name !== undefined && name !== "") this.#random.pick(ways)(name, ms);
+    const injectors = [this.kill, this.pause, this.isolate];
+    for (const name of [leaderName, node])
+      if (name !== undefined && name !== "") this.#random.pick(injectors)(name, ms);
     return ms;
   };
 
-  /** Nearly all connections are reset, and again while the sessions that they left are being pulled. */
+  /** All client connections are reset, and again while other edges take over their sessions; then an edge is paused. */
   readonly pulls: InjectFault = (_name, ms) => {
-    this.#load.dropAll();
-    this.#later(350, () => this.#load.dropAll());
-    this.#later(450, () => this.#fleet.pause(this.#random.pick(this.#fleet.withRole("vise")), ms));
+    this.#load.disconnectAll();
+    this.#schedule(350, () => this.#load.disconnectAll());
+    this.#schedule(450, () => this.#fleet.pause(this.#random.pick(this.#fleet.withRole("vise")), ms));
     return 450 + ms;
   };
 
-  /** One of the next frames is dropped, doubled, delayed or altered. */
+  /** One of the next 410 frames is dropped, duplicated, delayed, reordered, truncated or altered. */
   readonly mutate: InjectFault = () => {
-    let left = 10 + Math.floor(this.#random.draw() * 400);
-    const way = this.#random.pick(["drop", "double", "delay", "swap", "truncate", "alter"]);
+    let framesLeft = 10 + Math.floor(this.#random.draw() * 400);
+    const mutation = this.#random.pick(["drop", "double", "delay", "swap", "truncate", "alter"]);
     this.#fleet.wires.mutate = (_from, _to, bytes) => {
-      left -= 1;
-      if (left !== 0) return undefined;
+      framesLeft -= 1;
+      if (framesLeft !== 0) return undefined;
       this.#fleet.wires.mutate = undefined;
-      if (way === "drop") return [];
-      if (way === "double")
+      if (mutation === "drop") return [];
+      if (mutation === "double")
         return [
           { bytes, delay: 0 },
           { bytes, delay: this.#random.between(1, 3000) },
         ];
-      if (way === "delay") return [{ bytes, delay: this.#random.between(100, 5000) }];
-      if (way === "swap") return [{ bytes, delay: this.#random.between(2, 20) }];
-      if (way === "truncate")
+      if (mutation === "delay") return [{ bytes, delay: this.#random.between(100, 5000) }];
+      if (mutation === "swap") return [{ bytes, delay: this.#random.between(2, 20) }];
+      if (mutation === "truncate")
         return [{ bytes: bytes.subarray(0, Math.floor(this.#random.draw() * bytes.length)), delay: 0 }];
       const altered = Uint8Array.from(bytes);
       altered[Math.floor(this.#random.draw() * altered.length)]! ^= 1 << Math.floor(this.#random.draw() * 8);
@@ -246,7 +250,7 @@
     for (const name of this.#fleet.names) this.#fleet.revive(name);
   }
 
-  #later(ms: number, task: () => void): number {
+  #schedule(ms: number, task: () => void): number {
     this.#fleet.world.at(this.#fleet.world.now + ms, task);
     return ms;
   }
--- a/packages/testkit/src/sim/hostile.test.ts
+++ b/packages/testkit/src/sim/hostile.test.ts
@@ -69,7 +69,7 @@
 
 test("not even what only members may say crashes a process when its contents are wild", async () => {
   const fleet = new SimFleet(42, Scenario.machines());
-  expect(await new SimLoad(fleet).begin(4)).toEqual(true);
+  expect(await new SimLoad(fleet).start(4)).toEqual(true);
   const random = fleet.world.random.fork();
   const stranger = fleet.wires.attach("10.9.9.9:1", { isDead: false, pausedUntil: 0 });
   const ids = fleet.names
@@ -101,8 +101,8 @@
   async () => {
     const fleet = new SimFleet(41, Scenario.machines());
     const load = new SimLoad(fleet);
-    expect(await load.begin(8)).toEqual(true);
-    load.play(20);
+    expect(await load.start(8)).toEqual(true);
+    load.startPublishing(20);
     const stranger = fleet.wires.attach("10.9.9.9:1", { isDead: false, pausedUntil: 0 });
     const random = fleet.world.random.fork();
     const kinds = FrameSchema.oneofs[0]!.fields.filter((field) => !memberKinds.has(field.localName));
--- a/packages/testkit/src/sim/journalGrowth.ts
+++ b/packages/testkit/src/sim/journalGrowth.ts
@@ -9,24 +9,25 @@
 import { ChecksummedDisk } from "@cranetrack/core/storage/checksummedDisk.js";
 import { storeCompaction } from "@cranetrack/control/consensus/storeLog.js";
 
+/** What `measureJournalGrowth` measured. */
 export interface JournalGrowthReport {
   readonly changes: number;
-  /** The longest the journal was, beside which a compaction needs room for what is kept. */
+  /** The largest size of the journal; a compaction needs room for the retained data in addition. */
   readonly maxJournalBytes: number;
-  /** The most that the process held beyond what it began with. */
+  /** The largest increase of the process's resident memory over its initial value. */
   readonly maxResidentBytes: number;
-  /** Whether writes ever had to wait for room. */
+  /** Whether the journal ever ran full, so that writes had to wait for room. */
   readonly wasFull: boolean;
 }
 
-/** The store's log on a real journal, in the room that a control machine has, through many big changes. */
+/** Appends many large entries to the store's log on a real journal, limited to `maxBytes` as on a control machine. */
 export async function measureJournalGrowth(
   changes: number,
   changeBytes: number,
   maxBytes: number,
 ): Promise<JournalGrowthReport> {
   const folder = mkdtempSync(join(tmpdir(), "cranetrack-journal-"));
-  const residentAtFirst = process.memoryUsage().rss;
+  const initialResidentBytes = process.memoryUsage().rss;
   let wasFull = false;
   let maxJournalBytes = 0;
   let maxResidentBytes = 0;
@@ -40,7 +41,7 @@
       compaction.applied(entry);
       if (compaction.shouldCompact) await compaction.compact(index, Buffer.alloc(changeBytes));
       maxJournalBytes = Math.max(maxJournalBytes, statSync(join(folder, "journal")).size);
-      maxResidentBytes = Math.max(maxResidentBytes, process.memoryUsage().rss - residentAtFirst);
+      maxResidentBytes = Math.max(maxResidentBytes, process.memoryUsage().rss - initialResidentBytes);
     }
     return { changes, maxJournalBytes, maxResidentBytes, wasFull };
   } finally {
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -60,8 +60,8 @@
     const topics = ["notes/t1", "notes/t2", "notes/t3"];
     const client = new TestClient(fleet, "vise-2", "other", { subscriptions: topics.map((topic) => ({ topic })) });
     await fleet.run(1500);
-    expect(client.of("confirmed").map(({ topic }) => topic)).toEqual(topics.slice(0, 2));
-    expect(client.of("fault").map(({ topic, code }) => [topic, code])).toEqual([["notes/t3", "too-many"]]);
+    expect(client.linesOf("confirmed").map(({ topic }) => topic)).toEqual(topics.slice(0, 2));
+    expect(client.linesOf("fault").map(({ topic, code }) => [topic, code])).toEqual([["notes/t3", "too-many"]]);
     const one = (): Promise<Record<string, unknown>> =>
       ask("vise-2", "POST", "/v1/sessions/other/subscriptions", JSON.stringify({ topic: "notes/t3" }));
     expect((await one())["status"]).toEqual(409);
--- a/packages/testkit/src/sim/lossBudget.ts
+++ b/packages/testkit/src/sim/lossBudget.ts
@@ -1,42 +1,43 @@
 import type { SimFleet } from "./simFleet.js";
 
 /**
- * When one more disk may be lost, as users count it: a machine is lost while it is down, frozen, cut off or without
- * its disk, and for a fixed time after it is back, or its successor's start. Whether anything is mended by then is
- * the fleet's business.
+ * Decides when one more disk may be lost, by the rule that users are given: a machine counts as lost while it is down,
+ * paused, partitioned or without a working disk, and for a fixed time after its return or its successor's start. The
+ * fleet must have repaired the loss by then.
  */
 export class LossBudget {
-  static readonly lookMs = 50;
+  static readonly checkIntervalMs = 50;
 
   readonly #fleet: SimFleet;
-  readonly #syncMs: number;
+  readonly #minIntervalMs: number;
   #lastFaultAt: number;
 
   constructor(fleet: SimFleet, syncMs: number) {
     this.#fleet = fleet;
-    this.#syncMs = syncMs;
+    this.#minIntervalMs = syncMs;
     this.#lastFaultAt = fleet.world.now;
-    this.#look();
+    this.#recordFaults();
   }
 
-  get isFree(): boolean {
-    return this.#fleet.world.now - this.#lastFaultAt >= this.#syncMs;
+  /** Whether the required time has passed since the last fault. */
+  get allowsLoss(): boolean {
+    return this.#fleet.world.now - this.#lastFaultAt >= this.#minIntervalMs;
   }
 
-  #look(): void {
+  #recordFaults(): void {
     const { world } = this.#fleet;
-    if (this.#isTroubled) this.#lastFaultAt = world.now;
-    world.at(world.now + LossBudget.lookMs, () => this.#look());
+    if (this.#isFaulty) this.#lastFaultAt = world.now;
+    world.at(world.now + LossBudget.checkIntervalMs, () => this.#recordFaults());
   }
 
-  get #isTroubled(): boolean {
+  get #isFaulty(): boolean {
     const { world, wires } = this.#fleet;
-    const counted = [...this.#fleet.withRole("lathe"), ...this.#fleet.withRole("anvil")];
-    const used = counted.filter((name) => this.#fleet.isUsed(name));
-    const isBad = (name: string): boolean => {
+    const durableMachines = [...this.#fleet.withRole("lathe"), ...this.#fleet.withRole("anvil")];
+    const used = durableMachines.filter((name) => this.#fleet.isUsed(name));
+    const isMachineFaulty = (name: string): boolean => {
       const running = this.#fleet.find(name);
-      return running === undefined || running.body.pausedUntil > world.now || this.#fleet.diskOf(name).isTroubled;
+      return running === undefined || running.processState.pausedUntil > world.now || this.#fleet.diskOf(name).isFaulty;
     };
-    return wires.isTroubled || used.some(isBad);
+    return wires.isFaulty || used.some(isMachineFaulty);
   }
 }
--- a/packages/testkit/src/sim/lostOwner.test.ts
+++ b/packages/testkit/src/sim/lostOwner.test.ts
@@ -8,7 +8,7 @@
 
 async function connect({ fleet }: TestFleet, edge: string): Promise<TestClient> {
   const client = new TestClient(fleet, edge, "desk", { subscriptions: [{ topic }] });
-  expect(await fleet.until(() => client.of("confirmed").length === 1, 5000)).toEqual(true);
+  expect(await fleet.until(() => client.linesOf("confirmed").length === 1, 5000)).toEqual(true);
   return client;
 }
 
--- a/packages/testkit/src/sim/memberChanges.test.ts
+++ b/packages/testkit/src/sim/memberChanges.test.ts
@@ -89,12 +89,12 @@
     const fleet = await founded(101 + i, 4, ["lathe-4"]);
     const writer = new Writer(fleet);
     await fleet.run(1000);
-    fleet.retire("lathe-3");
+    fleet.removeForGood("lathe-3");
     fleet.start("lathe-4");
     await fleet.run(syncMs);
     const before = writer.acknowledged.length;
     expect(before > 5).toEqual(true);
-    fleet.retire(second);
+    fleet.removeForGood(second);
     for (const name of ["lathe-1", "lathe-2", "lathe-4"]) fleet.kill(name);
     await fleet.run(300);
     for (const name of ["lathe-1", "lathe-2", "lathe-4"]) fleet.revive(name);
@@ -105,11 +105,11 @@
 test("a joining replica that is lost again at any moment of being taken in stops nothing", async () => {
   for (let afterMs = 400; afterMs <= 2800; afterMs += 120) {
     const fleet = await founded(110, 4, ["lathe-4"]);
-    fleet.retire("lathe-3");
+    fleet.removeForGood("lathe-3");
     fleet.start("lathe-4");
     await fleet.run(afterMs);
     const isIn = voters(fleet).includes("lathe-4");
-    fleet.retire("lathe-4");
+    fleet.removeForGood("lathe-4");
     await fleet.run(2500);
     const writer = new Writer(fleet);
     await fleet.run(1000);
@@ -137,7 +137,7 @@
       await fleet.run(500);
       const [out, other] = ["lathe-1", "lathe-2", "lathe-3"].filter((name) => name !== fleet.leader);
       const leader = fleet.leader!;
-      fleet.retire(out!);
+      fleet.removeForGood(out!);
       fleet.start("lathe-4");
       const isAt = (): boolean => {
         const now = fleet.find(leader)!.control!.raft!.members;
@@ -170,7 +170,7 @@
       fleet.wipe(lost);
       await fleet.run(1500);
       fleet.start(lost);
-      if (slowMs > 0) fleet.wires.slow.set(fleet.addressOf(lost), slowMs);
+      if (slowMs > 0) fleet.wires.extraLatencyMs.set(fleet.addressOf(lost), slowMs);
       const isIn = (): boolean => {
         const present = members(fleet)?.voters.find((one) => one.name === lost)?.id;
         return present !== undefined && present !== before && isVoting(fleet, ...fleet.withRole("lathe"));
@@ -186,13 +186,13 @@
   const fleet = await founded(116, 5, ["lathe-4", "lathe-5"]);
   fleet.wires.mutate = (_from, to, bytes) =>
     to === fleet.addressOf("lathe-4") && Wire.decode(bytes)?.body.case === "append" ? [] : undefined;
-  fleet.retire("lathe-3");
+  fleet.removeForGood("lathe-3");
   fleet.start("lathe-4");
   for (let ms = 0; ms < 4000; ms += 10) {
     await fleet.run(10);
     expect({ ms, isIn: voters(fleet).includes("lathe-4") }).toEqual({ ms, isIn: false });
   }
-  fleet.retire("lathe-4");
+  fleet.removeForGood("lathe-4");
   fleet.start("lathe-5");
   expect(await fleet.until(() => isVoting(fleet, "lathe-1", "lathe-2", "lathe-5"), 6000)).toEqual(true);
 });
@@ -204,11 +204,11 @@
   expect(await fleet.until(() => isVoting(fleet, ...all), 6000)).toEqual(true);
   const writer = new Writer(fleet);
   await fleet.run(500);
-  for (const name of ["lathe-1", "lathe-4"]) fleet.retire(name);
+  for (const name of ["lathe-1", "lathe-4"]) fleet.removeForGood(name);
   for (const name of ["lathe-6", "lathe-7"]) fleet.start(name);
   await fleet.run(syncMs);
   expect(isVoting(fleet, "lathe-2", "lathe-3", "lathe-5", "lathe-6", "lathe-7")).toEqual(true);
-  for (const name of ["lathe-3", "lathe-5"]) fleet.retire(name);
+  for (const name of ["lathe-3", "lathe-5"]) fleet.removeForGood(name);
   for (const name of ["lathe-2", "lathe-6", "lathe-7"]) fleet.kill(name);
   await fleet.run(300);
   for (const name of ["lathe-2", "lathe-6", "lathe-7"]) fleet.revive(name);
@@ -224,7 +224,7 @@
   expect(await fleet.until(isOut, 5000)).toEqual(true);
   await fleet.run(3000);
   expect(isVoting(fleet, "lathe-1", "lathe-3", "lathe-4")).toEqual(true);
-  fleet.retire("lathe-4");
+  fleet.removeForGood("lathe-4");
   expect(await fleet.until(() => isVoting(fleet, "lathe-1", "lathe-2", "lathe-3"), 5000)).toEqual(true);
 });
 
@@ -260,10 +260,10 @@
     await fleet.run(syncMs);
     const [first, second] = ["lathe-1", "lathe-2", "lathe-3"].filter((name) => name !== fleet.leader);
     const [leaving, lost] = who === "leader" ? [fleet.leader!, first!] : [first!, second!];
-    fleet.cycle(leaving);
+    fleet.stopGracefully(leaving);
     expect(await fleet.until(() => fleet.find(leaving) === undefined, 4500)).toEqual(true);
-    fleet.retire(leaving);
-    fleet.retire(lost);
+    fleet.removeForGood(leaving);
+    fleet.removeForGood(lost);
     const rest = fleet.withRole("lathe").filter((name) => fleet.find(name) !== undefined);
     for (const name of rest) fleet.kill(name);
     await fleet.run(300);
@@ -276,7 +276,7 @@
   const fleet = await founded(119, 3);
   const stopped = async (...names: string[]): Promise<number> => {
     const at = fleet.world.now;
-    for (const name of names) fleet.cycle(name);
+    for (const name of names) fleet.stopGracefully(name);
     expect(await fleet.until(() => names.every((name) => fleet.find(name) === undefined), 5000)).toEqual(true);
     return fleet.world.now - at;
   };
@@ -285,7 +285,7 @@
   await fleet.run(3000);
   const larger = await founded(120, 5);
   const at = larger.world.now;
-  for (const name of larger.withRole("lathe")) larger.cycle(name);
+  for (const name of larger.withRole("lathe")) larger.stopGracefully(name);
   const isStill = (): boolean => larger.withRole("lathe").every((name) => larger.find(name) === undefined);
   expect(await larger.until(isStill, 4500)).toEqual(true);
   expect(larger.world.now - at < 4500).toEqual(true);
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -29,7 +29,7 @@
 ): Promise<TestClient> {
   const client = new TestClient(fleet, node, session, { subscriptions: subscriptions });
   const isConnected = (): boolean =>
-    client.of("open").length > 0 && client.of("confirmed").length === subscriptions.length;
+    client.linesOf("open").length > 0 && client.linesOf("confirmed").length === subscriptions.length;
   expect(await fleet.until(isConnected, 5000)).toEqual(true);
   return client;
 }
@@ -69,10 +69,10 @@
     expect((await publish("pen", number, "vise-2"))["place"]).toEqual(reply["place"]);
   }
   expect((await publish("pen", 1, "vise-2", "extra/t0"))["receipt"]).toEqual("accepted");
-  expect(await fleet.until(() => readers[1]!.got().length === 6, 2000)).toEqual(true);
+  expect(await fleet.until(() => readers[1]!.deliveries().length === 6, 2000)).toEqual(true);
   await fleet.run(500);
-  for (const reader of readers) expect(reader.got("notes/t1")).toEqual([1, 2, 3, 4, 5]);
-  expect(readers[1]!.got("extra/t0")).toEqual([1]);
+  for (const reader of readers) expect(reader.deliveries("notes/t1")).toEqual([1, 2, 3, 4, 5]);
+  expect(readers[1]!.deliveries("extra/t0")).toEqual([1]);
   expect(logged(all)).toEqual(before);
   const { shard } = shardLeaderOf(all, "notes/t1");
   for (const name of fleet.withRole("anvil"))
@@ -102,7 +102,7 @@
   await connectSession(all, "vise-2", "pen", []);
   for (let number = 1; number <= 3; number += 1)
     expect((await publish("pen", number, "vise-2"))["receipt"]).toEqual("accepted");
-  expect(await fleet.until(() => reader.got().length === 3, 2000)).toEqual(true);
+  expect(await fleet.until(() => reader.deliveries().length === 3, 2000)).toEqual(true);
   const { name } = shardLeaderOf(all, "notes/t1");
   fleet.kill(name);
   expect(
@@ -120,10 +120,10 @@
     }
     expect(reply["receipt"]).toEqual("accepted");
   }
-  expect(await fleet.until(() => reader.got().length >= 5, 4000)).toEqual(true);
+  expect(await fleet.until(() => reader.deliveries().length >= 5, 4000)).toEqual(true);
   await fleet.run(2000);
-  expect(reader.got("notes/t1")).toEqual([1, 2, 3, 4, 5]);
-  expect([reader.of("expired"), reader.of("ended"), reader.isClosed]).toEqual([[], [], false]);
+  expect(reader.deliveries("notes/t1")).toEqual([1, 2, 3, 4, 5]);
+  expect([reader.linesOf("expired"), reader.linesOf("ended"), reader.isClosed]).toEqual([[], [], false]);
 });
 
 function leaderShard({ fleet }: TestFleet): number {
@@ -137,19 +137,19 @@
   const reader = await connectSession(all, "vise-1", "desk", [{ topic: "notes/t1" }]);
   await connectSession(all, "vise-2", "pen", []);
   for (let number = 1; number <= 2; number += 1) await publish("pen", number, "vise-2");
-  expect(await fleet.until(() => reader.got().length === 2, 2000)).toEqual(true);
-  const place = String(reader.of("message")[0]!["place"]);
+  expect(await fleet.until(() => reader.deliveries().length === 2, 2000)).toEqual(true);
+  const place = String(reader.linesOf("message")[0]!["place"]);
   reader.close();
   await publish("pen", 3, "vise-2");
   // From the tail, as long as it has it.
   const soon = await connectSession(all, "vise-3", "desk", [{ topic: "notes/t1", after: place }]);
-  expect(await fleet.until(() => soon.got().length === 2, 2000)).toEqual(true);
-  expect(soon.got("notes/t1")).toEqual([2, 3]);
+  expect(await fleet.until(() => soon.deliveries().length === 2, 2000)).toEqual(true);
+  expect(soon.deliveries("notes/t1")).toEqual([2, 3]);
   soon.close();
   await fleet.run(15_000);
   for (const after of [place, "1-0123456789.7", "ffffff-0123456789.3"]) {
     const again = await connectSession(all, "vise-1", "desk", [{ topic: "notes/t1", after }]);
-    expect([again.of("expired"), again.of("fault"), again.got()]).toEqual([[], [], []]);
+    expect([again.linesOf("expired"), again.linesOf("fault"), again.deliveries()]).toEqual([[], [], []]);
     again.close();
     await fleet.run(200);
   }
@@ -225,7 +225,7 @@
   void fleet.port
     .call("vise-2", "POST", "/v1/sessions/pen/messages", body)
     .then((got) => (reply = { status: got.status, ...got.body }));
-  expect(await fleet.until(() => reader.got().length === 1, 1000)).toEqual(true);
+  expect(await fleet.until(() => reader.deliveries().length === 1, 1000)).toEqual(true);
   // Its leader gives the shard up; number 2 is at the next leader before number 1 comes again.
   fleet.wires.mutate = (from, _to, bytes) =>
     from === pen && Wire.decode(bytes)?.body.case === "publish" ? [{ bytes, delay: 100 }] : undefined;
@@ -262,14 +262,14 @@
   await connectSession(all, "vise-2", "pen", []);
   const first = await connectSession(all, "vise-1", "desk", [{ topic }]);
   expect((await publish("pen", 1, "vise-2"))["receipt"]).toEqual("accepted");
-  expect(await fleet.until(() => first.got().length === 1, 1000)).toEqual(true);
-  const after = first.of("message")[0]!["place"];
+  expect(await fleet.until(() => first.deliveries().length === 1, 1000)).toEqual(true);
+  const after = first.linesOf("message")[0]!["place"];
   first.close();
   await fleet.run(100);
   expect((await publish("pen", 2, "vise-2"))["receipt"]).toEqual("accepted");
   // At an edge that follows the topic only from now on: what it missed is fetched.
   const again = await connectSession(all, "vise-3", "desk", [{ topic, after }]);
-  expect(await fleet.until(() => again.got().length === 1, 1000)).toEqual(true);
+  expect(await fleet.until(() => again.deliveries().length === 1, 1000)).toEqual(true);
   const { name, shard } = shardLeaderOf(all, topic);
   fleet.kill(name);
   const next = (): string => fleet.find("vise-2")!.node.shards.find(shard).leader;
@@ -283,8 +283,8 @@
     }
     expect(reply["receipt"]).toEqual("accepted");
   }
-  expect(await fleet.until(() => again.got(topic).includes(3), 3000)).toEqual(true);
-  expect(again.got(topic)).toEqual([2, 3]);
+  expect(await fleet.until(() => again.deliveries(topic).includes(3), 3000)).toEqual(true);
+  expect(again.deliveries(topic)).toEqual([2, 3]);
 });
 
 test("one order for all holds over a change of leader, also for what only some edges were given", async () => {
@@ -308,7 +308,9 @@
   for (const pen of pens) {
     const body = JSON.stringify({ topic, number: 1, payload: pen });
     void fleet.port.call("vise-2", "POST", `/v1/sessions/${pen}/messages`, body);
-    expect(await fleet.until(() => readers[0]!.of("message").length === pens.indexOf(pen) + 1, 1000)).toEqual(true);
+    expect(await fleet.until(() => readers[0]!.linesOf("message").length === pens.indexOf(pen) + 1, 1000)).toEqual(
+      true,
+    );
   }
   fleet.kill(name);
   await fleet.run(100);
@@ -326,7 +328,9 @@
     }
   }
   const ordersOf = (): string[][] =>
-    readers.map((reader) => reader.of("message").map((line) => `${String(line["sender"])} ${String(line["number"])}`));
+    readers.map((reader) =>
+      reader.linesOf("message").map((line) => `${String(line["sender"])} ${String(line["number"])}`),
+    );
   expect(await fleet.until(() => ordersOf().every((order) => order.includes("pen-b 2")), 3000)).toEqual(true);
   const [whole, part] = ordersOf() as [string[], string[]];
   expect(whole).toEqual(["pen-a 1", "pen-b 1", "pen-a 2", "pen-b 2"]);
@@ -387,7 +391,7 @@
     await fleet.run(2000);
     for (let i = 0; i < 3; i += 1)
       expect((await publish("pen", (number += 1), "vise-2"))["receipt"]).toEqual("accepted");
-    expect(await fleet.until(() => reader.got().length === number, 3000)).toEqual(true);
+    expect(await fleet.until(() => reader.deliveries().length === number, 3000)).toEqual(true);
   }
-  expect(reader.got("notes/t1")).toEqual(Array.from({ length: 12 }, (_, i) => i + 1));
+  expect(reader.deliveries("notes/t1")).toEqual(Array.from({ length: 12 }, (_, i) => i + 1));
 });
--- a/packages/testkit/src/sim/oldState.test.ts
+++ b/packages/testkit/src/sim/oldState.test.ts
@@ -9,7 +9,7 @@
   const fleet = new SimFleet(seed, Scenario.machines(3, 3, 1));
   for (const name of fleet.names) fleet.configure(name, { replaceVoterMs: 60_000 });
   const load = new SimLoad(fleet);
-  expect(await load.begin(0)).toEqual(true);
+  expect(await load.start(0)).toEqual(true);
   return { fleet, load, controlNodes: fleet.withRole("lathe") };
 }
 
--- a/packages/testkit/src/sim/orderHistories.test.ts
+++ b/packages/testkit/src/sim/orderHistories.test.ts
@@ -47,10 +47,10 @@
   fleet.startAll();
   expect(await fleet.until(() => fleet.leader !== undefined, 15_000)).toEqual(true);
   const start = fleet.world.now;
-  StoreFaults.cause(fleet, faults);
+  StoreFaults.schedule(fleet, faults);
   for (const { at: after, operator, input: order } of asked)
     fleet.world.at(start + after, () => void operators[operator]!.ask(contentOf(order)));
-  await fleet.run(StoreFaults.lengthMs + calmMs);
+  await fleet.run(StoreFaults.maxBurstAtMs + calmMs);
   fleet.wires.heal();
   for (const name of fleet.withRole("lathe")) fleet.start(name);
   await fleet.run(calmMs);
--- a/packages/testkit/src/sim/orders.test.ts
+++ b/packages/testkit/src/sim/orders.test.ts
@@ -17,7 +17,7 @@
   static async at(seed: number): Promise<Orders> {
     const fleet = new SimFleet(seed, Scenario.machines());
     const load = new SimLoad(fleet);
-    expect(await load.begin(0)).toEqual(true);
+    expect(await load.start(0)).toEqual(true);
     return new Orders(fleet, load);
   }
 
--- a/packages/testkit/src/sim/partitionInjector.ts
+++ b/packages/testkit/src/sim/partitionInjector.ts
@@ -1,49 +1,54 @@
 import { FaultInjector, type InjectFault } from "./faultInjector.js";
 
-/** Cuts between machines that count, between those and edges, and connections that are reset. */
+/** Partitions among control and storage machines, partitions between them and edges, and connection resets. */
 export class PartitionInjector extends FaultInjector {
-  /** Longer than any lease, any suspicion and any feed. */
-  static readonly longMs = 20_000;
+  /** Longer than any lease, any failure detection timeout and any feed timeout. */
+  static readonly longCutMs = 20_000;
 
   readonly coreCut: InjectFault = (_name, ms) => this.#cut("both", ms);
 
   readonly coreCutOneWay: InjectFault = (_name, ms) => this.#cut(this.random.pick(["in", "out"]), ms);
 
-  readonly coreCutLong: InjectFault = () => this.#cut("both", PartitionInjector.longMs);
+  readonly coreCutLong: InjectFault = () => this.#cut("both", PartitionInjector.longCutMs);
 
-  /** Seeds begin with those that are cut off, and some other machines are started anew. */
+  /** The settings list the isolated machine as the first seed, and some other machines restart. */
   readonly coreCutSeeds: InjectFault = (_name, ms) => {
     const span = this.#cut("both", ms, (off) => {
-      const others = this.fleet.names.filter((one) => this.fleet.isUsed(one) && !off.includes(one));
-      this.fleet.seed([...off, ...this.some(others, 3)].slice(0, 3));
-      this.later(ms * 0.2, () => this.#again(this.some(others, 2)));
+      const others = this.fleet.names.filter(
+        (machineName) => this.fleet.isUsed(machineName) && !off.includes(machineName),
+      );
+      this.fleet.setSeeds([...off, ...this.pickSome(others, 3)].slice(0, 3));
+      this.schedule(ms * 0.2, () => this.#restart(this.pickSome(others, 2)));
     });
     return span;
   };
 
-  /** Those that are cut off are started anew, and then the others that count. */
+  /** The isolated machine restarts, and later the other control and storage machines do. */
   readonly coreCutBoth: InjectFault = (_name, ms) =>
     this.#cut("both", ms, (off) => {
-      this.later(ms * 0.2, () => this.#again(off));
-      this.later(ms * 0.5, () => this.#again(this.counted.filter((one) => !off.includes(one))));
+      this.schedule(ms * 0.2, () => this.#restart(off));
+      this.schedule(ms * 0.5, () =>
+        this.#restart(this.durableMachines.filter((machineName) => !off.includes(machineName))),
+      );
     });
 
-  /** Nobody waits in vain: each try to reach the others that count is refused at once. */
+  /** Connections between one machine and the other control and storage machines are refused at once; no timeout. */
   readonly coreCutRefused: InjectFault = (_name, ms) => {
-    const { counted, fleet } = this;
-    const off = this.#oneOff();
-    for (const other of counted) if (other !== off) fleet.wires.refuse(fleet.addressOf(off), fleet.addressOf(other));
-    return this.later(ms, () => fleet.wires.heal());
+    const { durableMachines: counted, fleet } = this;
+    const isolated = this.#pickIsolated();
+    for (const other of counted)
+      if (other !== isolated) fleet.wires.refuse(fleet.addressOf(isolated), fleet.addressOf(other));
+    return this.schedule(ms, () => fleet.wires.heal());
   };
 
-  /** Edges are cut off from all that count. */
+  /** Some edges are cut off from all control and storage machines. */
   readonly edgeCut: InjectFault = (_name, ms) => {
-    for (const one of this.some(this.edges, Math.ceil(this.edges.length * 0.3)))
-      this.fleet.isolate(one, this.counted, "both");
-    return this.later(ms, () => this.fleet.wires.heal());
+    for (const machineName of this.pickSome(this.edges, Math.ceil(this.edges.length * 0.3)))
+      this.fleet.isolate(machineName, this.durableMachines, "both");
+    return this.schedule(ms, () => this.fleet.wires.heal());
   };
 
-  /** Half of a machine's connections are reset, with what is on its way. */
+  /** About half of a machine's connections are reset; frames in transit are lost. */
   readonly resets: InjectFault = (name) => {
     for (const other of this.fleet.names)
       if (other !== name && this.random.draw() < 0.5)
@@ -51,41 +56,42 @@
     return 0;
   };
 
-  /** All connections between machines that count are reset, again and again. */
+  /** All connections among control and storage machines are reset, four times. */
   readonly coreResets: InjectFault = () => {
-    const { counted, fleet } = this;
+    const { durableMachines: counted, fleet } = this;
     for (let i = 0; i < 4; i += 1)
-      this.later(i * 300, () => {
-        for (const [j, one] of counted.entries())
-          for (const other of counted.slice(j + 1)) fleet.wires.reset(fleet.addressOf(one), fleet.addressOf(other));
+      this.schedule(i * 300, () => {
+        for (const [j, machineName] of counted.entries())
+          for (const other of counted.slice(j + 1))
+            fleet.wires.reset(fleet.addressOf(machineName), fleet.addressOf(other));
       });
     return 1200;
   };
 
-  /** As many as may be lost, often the leader, from the others that count; edges still reach both sides. */
-  #cut(ways: "in" | "out" | "both", ms: number, more: (off: string[]) => void = () => undefined): number {
-    const { counted, fleet } = this;
-    const off = [this.#oneOff()];
-    for (const name of off)
+  /** Isolates one machine, often the leader, from the other control and storage machines; edges reach both sides. */
+  #cut(ways: "in" | "out" | "both", ms: number, onCut: (off: string[]) => void = () => undefined): number {
+    const { durableMachines: counted, fleet } = this;
+    const isolated = [this.#pickIsolated()];
+    for (const name of isolated)
       fleet.isolate(
         name,
-        counted.filter((other) => !off.includes(other)),
+        counted.filter((other) => !isolated.includes(other)),
         ways,
       );
-    more(off);
-    return this.later(ms, () => fleet.wires.heal());
+    onCut(isolated);
+    return this.schedule(ms, () => fleet.wires.heal());
   }
 
-  /** Often the leader. */
-  #oneOff(): string {
+  /** In half of the cases the leader, otherwise any control or storage machine. */
+  #pickIsolated(): string {
     const leader = this.random.draw() < 0.5 ? this.fleet.leader : undefined;
-    return leader ?? this.random.pick(this.counted);
+    return leader ?? this.random.pick(this.durableMachines);
   }
 
-  #again(names: readonly string[]): void {
-    for (const one of names) {
-      this.fleet.crash(one);
-      this.later(300, () => this.fleet.revive(one));
+  #restart(names: readonly string[]): void {
+    for (const machineName of names) {
+      this.fleet.crash(machineName);
+      this.schedule(300, () => this.fleet.revive(machineName));
     }
   }
 }
--- a/packages/testkit/src/sim/replicaSets.test.ts
+++ b/packages/testkit/src/sim/replicaSets.test.ts
@@ -40,8 +40,8 @@
 
 async function begin(fleet: SimFleet, later: readonly string[]): Promise<SimLoad> {
   const load = new SimLoad(fleet);
-  expect(await load.begin(8, 6, later)).toEqual(true);
-  load.play(20);
+  expect(await load.start(8, 6, later)).toEqual(true);
+  load.startPublishing(20);
   await fleet.run(2000);
   return load;
 }
@@ -98,7 +98,7 @@
       const fleet = new SimFleet(seed, withStorage(4), 12);
       const load = await begin(fleet, ["anvil-4"]);
       const lost = choose(fleet);
-      fleet.retire(lost);
+      fleet.removeForGood(lost);
       await fleet.run(1000);
       fleet.start("anvil-4");
       await fleet.run(syncMs);
@@ -118,7 +118,7 @@
     const load = await begin(fleet, ["lathe-4"]);
     for (const name of fleet.withRole("lathe")) fleet.configure(name, { mayFound: false });
     const lost = fleet.leader!;
-    fleet.retire(lost);
+    fleet.removeForGood(lost);
     await fleet.run(1000);
     fleet.start("lathe-4");
     await fleet.run(syncMs);
@@ -154,7 +154,7 @@
   await accept(fleet, load, { machines: 1 });
   fleet.start("lathe-4");
   await fleet.run(3000);
-  load.ask("PUT", "lathe-2");
+  load.requestEmptying("PUT", "lathe-2");
   const lost = new Set<number>();
   const isEmpty = (): boolean => {
     unkept(fleet).forEach((shard) => lost.add(shard));
@@ -162,7 +162,7 @@
   };
   expect(await fleet.until(isEmpty, 6000)).toEqual(true);
   expect([...lost]).toEqual([]);
-  load.ask("DELETE", "lathe-2");
+  load.requestEmptying("DELETE", "lathe-2");
   expect(await checkedAfterLoad(fleet, load)).toEqual([]);
 });
 
@@ -182,7 +182,7 @@
   await fleet.run(6000);
   expect(isAcrossZones()).toEqual(true);
   expect(setsOf(fleet).every((members) => members.some(({ name }) => name === "lathe-2"))).toEqual(true);
-  load.ask("DELETE", "lathe-2");
+  load.requestEmptying("DELETE", "lathe-2");
   expect(await checkedAfterLoad(fleet, load)).toEqual([]);
 });
 
@@ -231,7 +231,7 @@
   const lost = setsOf(fleet)[0]!
     .slice(0, 2)
     .map(({ name }) => name);
-  for (const name of lost) fleet.retire(name);
+  for (const name of lost) fleet.removeForGood(name);
   const isWhole = (): boolean =>
     setsOf(fleet).every((set) => set.length === 5 && set.every(({ name }) => !lost.includes(name)));
   expect(await fleet.until(isWhole, 20_000)).toEqual(true);
--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -1,7 +1,7 @@
 /**
- * The simulator's way in. A whole fleet runs in one process under virtual time: `SimWorld` orders events,
- * `SimTransport` carries frames, `SimDisk` loses what no sync covered, `SimPort` joins clients. `Faults` draws what
- * breaks. A seed that fails is run again by `cranetrack-lab sim --from SEED --seeds 1`.
+ * Entry point of the simulator. A whole fleet runs in one process under virtual time: `SimWorld` orders events,
+ * `SimWires` carries frames, `SimDisk` loses unsynced writes, `SimPort` connects clients, `Faults` draws faults.
+ * `cranetrack-lab sim --from SEED --seeds 1` reproduces a failed seed.
  */
 
 import { Checker, type Breach } from "../checker/checker.js";
@@ -14,17 +14,17 @@
 import { SimFleet } from "./simFleet.js";
 import { SimLoad } from "./simLoad.js";
 
-/** What came of one seed. Times are virtual milliseconds; `trace` is the digest of all events. */
+/** Result of one seed. Times are virtual milliseconds; `trace` is the digest of all events. */
 export interface ScenarioReport {
   seed: number;
   faults: string[];
   closing: string | undefined;
   breaches: Breach[];
-  /** Milliseconds from the machines' return until everybody's message had reached its readers. */
+  /** Milliseconds from the end of the faults until a message of every client had reached all its subscribers. */
   backMs: number;
   accepted: number;
   received: number;
-  /** Replies above 2 s by cause, and the worst of each. */
+  /** Deliveries that took more than 2 s, counted by the fault during which they came, and the slowest of each. */
   late: Array<{ cause: string; count: number; worst: number }>;
   events: number;
   trace: string;
@@ -33,31 +33,32 @@
 export interface ScenarioOptions {
   faults?: readonly FaultName[];
   faultMs?: number;
-  /** Each kind comes once before any comes again. */
+  /** Whether each kind of fault comes once before any is repeated. */
   isDealt?: boolean;
   clients?: number;
   machines?: readonly Machine[];
-  /** Machines that are not there at the beginning. */
-  later?: readonly string[];
+  /** Machines that are not started at the beginning. */
+  lateMachines?: readonly string[];
   prepare?: (fleet: SimFleet) => void;
-  /** The next disk may be lost so long after the last loss was over, mended or not. */
-  syncMs?: number;
+  /** Minimum time from the end of one loss to the next, repaired or not; without it, each loss is repaired first. */
+  minLossIntervalMs?: number;
 }
 
 /**
- * One seeded run: callers play, faults come and go, everything heals, service must be back, a while of fair
- * weather follows in which nothing may be late, and what callers saw is judged. Then a last fault, and the
- * configuration
- * is read back.
+ * One seeded run: clients publish while faults come and go; then all faults end, service must recover within a bound,
+ * and a period without faults follows in which no delivery may be late. The clients' history is checked. Finally a
+ * last fault is injected, and the configuration is read back.
  */
 export const Scenario = {
+  /** Time within which service must recover after the last fault. */
   backMs: 12_000,
-  fairMs: 4000,
+  /** Length of the period without faults that follows. */
+  faultFreeMs: 4000,
 
-  /** In the users' shortest time from a successor's start until the next loss may come. */
-  syncMs: 4000,
-  /** With which a repair is over by then. */
-  quickRepair: { replaceVoterMs: 1333, replaceReplicaMs: 3000, replaceByNewcomerMs: 800 },
+  /** Shortest supported time between a replacement's start and the next loss. */
+  minLossIntervalMs: 4000,
+  /** Settings with which a repair finishes within `minLossIntervalMs`. */
+  quickRepairSettings: { replaceVoterMs: 1333, replaceReplicaMs: 3000, replaceByNewcomerMs: 800 },
 
   machines(controlCount = 3, storageCount = 3, edgeCount = 3): Machine[] {
     const zones = ["north", "south", "west"];
@@ -67,21 +68,28 @@
   },
 
   /**
-   * Every third seed on a larger fleet, with machines to be added; every fourth with clocks that disagree; every
-   * second with losses as users count them, by the time since the last.
+   * Options by seed: every third seed has a larger fleet with machines to be added, every fourth has clocks that run at
+   * different rates, and every second spaces losses by time instead of waiting for the repair.
    */
-  shapeOf(seed: number): Omit<ScenarioOptions, "faults" | "faultMs" | "isDealt" | "clients"> {
+  optionsFor(seed: number): Omit<ScenarioOptions, "faults" | "faultMs" | "isDealt" | "clients"> {
     const isLarge = seed % 3 === 0;
-    const isQuick = seed % 2 === 0;
+    const hasTimedLosses = seed % 2 === 0;
     const prepare = (fleet: SimFleet): void => {
       if (seed % 4 !== 0) return;
       const random = fleet.world.random.fork();
       for (const name of fleet.names) fleet.setRate(name, random.between(0.97, 1.03));
     };
-    const plain = isLarge ? Scenario.machines(5, 4, 5) : Scenario.machines();
-    const machines = isQuick ? plain.map((one) => ({ ...one, settings: Scenario.quickRepair })) : plain;
+    const baseMachines = isLarge ? Scenario.machines(5, 4, 5) : Scenario.machines();
+    const machines = hasTimedLosses
+      ? baseMachines.map((one) => ({ ...one, settings: Scenario.quickRepairSettings }))
+      : baseMachines;
     const later = isLarge ? { later: ["anvil-4", "vise-5"] } : {};
-    return { machines, prepare, ...later, ...(isQuick ? { syncMs: Scenario.syncMs } : {}) };
+    return {
+      machines,
+      prepare,
+      ...later,
+      ...(hasTimedLosses ? { minLossIntervalMs: Scenario.minLossIntervalMs } : {}),
+    };
   },
 
   run(seed: number, options: ScenarioOptions = {}): Promise<ScenarioReport> {
@@ -89,7 +97,7 @@
   },
 };
 
-/** One run's fleet, clients, faults, and what was found broken. */
+/** One run: its fleet, clients, faults and the breaches found. */
 class ScenarioRun {
   readonly #seed: number;
   readonly #options: ScenarioOptions;
@@ -110,35 +118,36 @@
   async run(): Promise<ScenarioReport> {
     const options = this.#options;
     const [fleet, load, faults] = [this.#fleet, this.#load, this.#faults];
-    if (!(await load.begin(options.clients ?? 10, 6, options.later))) {
-      this.#breach("service-back", "the fleet never came to serve");
+    if (!(await load.start(options.clients ?? 10, 6, options.lateMachines))) {
+      this.#breach("service-back", "the fleet did not start serving");
       return this.#report(Infinity);
     }
-    if (options.syncMs !== undefined) fleet.budget = new LossBudget(fleet, options.syncMs);
+    if (options.minLossIntervalMs !== undefined) fleet.lossBudget = new LossBudget(fleet, options.minLossIntervalMs);
     const ephemeralClients = load.ephemeralClients();
     ephemeralClients.begin();
-    load.play(25);
+    load.startPublishing(25);
     await fleet.run(2000);
-    await faults.rage(options.faultMs ?? 25_000, options.isDealt);
+    await faults.injectFor(options.faultMs ?? 25_000, options.isDealt);
     await faults.heal();
     const healedAt = fleet.world.now;
-    const probe = await this.#untilBack();
+    const probe = await this.#waitUntilServed();
     await fleet.run(healedAt + Scenario.backMs - fleet.world.now);
-    await fleet.run(Scenario.fairMs);
+    await fleet.run(Scenario.faultFreeMs);
     ephemeralClients.end();
     this.#breaches.push(...ephemeralClients.check());
-    if (!(await load.finishPublishes())) this.#breach("service-back", `callers are not settled: ${load.unsettled}`);
+    if (!(await load.finishPublishes()))
+      this.#breach("service-back", `clients are not settled: ${load.unsettledClients}`);
     await this.#checkHistory();
     return this.#report((probe?.doneAt ?? Infinity) - healedAt);
   }
 
-  /** Waits until everybody's message reached its readers, or the time is over; returns the probe if one was sent. */
-  async #untilBack(): Promise<Probe | undefined> {
+  /** Waits until the probe messages reached all subscribers, or time is up; returns the probe if one was sent. */
+  async #waitUntilServed(): Promise<Probe | undefined> {
     const load = this.#load;
     let probe: Probe | undefined;
     let isRestored = false;
     void load.restore().then(() => (isRestored = true));
-    // A message is owed to whoever is confirmed when it is sent: the probe goes out once everybody is.
+    // Only subscribers confirmed before a message is sent are owed it, so the probe waits for all confirmations.
     const isBack = (): boolean => {
       if (isRestored && load.clients.every((client) => client.isFullySubscribed)) probe ??= load.probe();
       return probe?.isBack === true;
@@ -146,17 +155,17 @@
     if (!(await this.#fleet.until(isBack, Scenario.backMs)))
       this.#breach(
         "service-back",
-        `not everybody is served ${Scenario.backMs} ms after the return: ${probe?.missing ?? load.unsettled}`,
+        `not all clients are served ${Scenario.backMs} ms after the return: ${probe?.missing ?? load.unsettledClients}`,
       );
     return probe;
   }
 
-  /** What clients saw is checked; then, after a last fault, what operators are given back. */
+  /** Checks the clients' history; then injects a last fault and checks the configuration that operators read back. */
   async #checkHistory(): Promise<void> {
     const { history } = this.#load;
     this.#breaches.push(...Checker.check(history.seen, this.#fleet.world.now));
     const checkedCount = history.seen.length;
-    await this.#faults.finish();
+    await this.#faults.injectClosingFault();
     await this.#load.readConfiguration();
     const configurations = history.seen.filter(
       (one, i) => one.kind.startsWith("plan") && (i >= checkedCount || one.kind !== "planRead"),
@@ -175,11 +184,11 @@
     const { world } = this.#fleet;
     const causes = spans.map(({ what, from, to }) => ({ what, from, to: to + Scenario.backMs }));
     const late = [...Lateness.byCause(Lateness.deliveries(history.seen), causes)];
-    const unexcused = late.find(([cause]) => cause === "nothing")?.[1];
-    if (unexcused !== undefined)
+    const withoutFault = late.find(([cause]) => cause === "nothing")?.[1];
+    if (withoutFault !== undefined)
       this.#breach(
         "late",
-        `${unexcused.count} receipts above ${Lateness.maxMs} ms without a fault, up to ${unexcused.worst} ms`,
+        `${withoutFault.count} receipts above ${Lateness.maxMs} ms without a fault, up to ${withoutFault.worst} ms`,
       );
     return {
       seed: this.#seed,
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -22,8 +22,8 @@
 async function loaded(seed: number, machines: Machine[]): Promise<{ fleet: SimFleet; load: SimLoad }> {
   const fleet = new SimFleet(seed, machines);
   const load = new SimLoad(fleet);
-  expect(await load.begin(8)).toEqual(true);
-  load.play(20);
+  expect(await load.start(8)).toEqual(true);
+  load.startPublishing(20);
   await fleet.run(2000);
   return { fleet, load };
 }
@@ -236,15 +236,15 @@
   async () => {
     const fleet = new SimFleet(38, withSpares(4));
     const load = new SimLoad(fleet);
-    expect(await load.begin(8, 6, ["anvil-4", "vise-2"])).toEqual(true);
-    load.play(20);
+    expect(await load.start(8, 6, ["anvil-4", "vise-2"])).toEqual(true);
+    load.startPublishing(20);
     await fleet.run(2000);
     expect(setsOf(fleet).every((set) => !set.includes("anvil-4"))).toEqual(true);
     fleet.startAll();
     expect(await fleet.until(() => fleet.find("vise-2")!.edge!.isReady, 8000)).toEqual(true);
     expect((await call(fleet, "PUT", "/v1/machines/anvil-1/emptying")).status).toEqual(200);
     expect(await fleet.until(() => setsOf(fleet).every((set) => set.includes("anvil-4")), 40_000)).toEqual(true);
-    load.dropAll();
+    load.disconnectAll();
     expect(await fleet.until(() => fleet.find("vise-2")!.edge!.sessions.connections > 0, 8000)).toEqual(true);
     expect(await checkedAfterLoad(fleet, load)).toEqual([]);
   },
@@ -281,7 +281,7 @@
     const zone = fleet.zoneOf("anvil-1");
     const lost = what === "machine" ? ["anvil-1"] : fleet.names.filter((name) => fleet.zoneOf(name) === zone);
     const before = load.history.seen.filter((one) => one.kind === "accepted").length;
-    for (const name of lost) fleet.retire(name);
+    for (const name of lost) fleet.removeForGood(name);
     await fleet.run(6000);
     const after = load.history.seen.filter((one) => one.kind === "accepted").length;
     expect(after - before > 30).toEqual(true);
@@ -291,7 +291,7 @@
 
 test("a leader that comes back with a blank disk gives up at once what its earlier self held", async () => {
   const { fleet } = await startTestFleet(57);
-  const { leaderName } = fleet;
+  const { shardLeader: leaderName } = fleet;
   const routes = (): Array<[number, { leader: string; epoch: number }]> => fleet.find("vise-1")!.node.shards.all();
   const held = routes().flatMap(([shard, route]) =>
     route.leader === leaderName ? [{ shard, epoch: route.epoch }] : [],
--- a/packages/testkit/src/sim/simClock.ts
+++ b/packages/testkit/src/sim/simClock.ts
@@ -2,24 +2,25 @@
 import { processorCosts, type SimProcessor } from "./simProcessor.js";
 import type { SimWorld } from "./simWorld.js";
 
-/** What a machine's state does to whatever happens on it. */
-export interface SimBody {
+/** State of one simulated process: whether and how fast its timers, calls and frames are handled. */
+export interface SimProcessState {
   isDead: boolean;
+  /** Virtual time in ms until which the process is paused. */
   pausedUntil: number;
-  /** How fast its clock runs: 1.02 gains two hundredths. */
+  /** Clock rate relative to virtual time: 1.02 runs two percent fast. */
   rate?: number;
-  /** None given, its work takes no time. */
+  /** Without one, work takes no virtual time. */
   processor?: SimProcessor | undefined;
 }
 
-/** A process's view of virtual time: beats stop with it, and wait while it is paused. */
+/** A process's view of virtual time: its timers stop when it ends, and wait while it is paused. */
 export class SimClock implements Clock {
   readonly #world: SimWorld;
-  readonly #body: SimBody;
+  readonly #state: SimProcessState;
 
-  constructor(world: SimWorld, body: SimBody) {
+  constructor(world: SimWorld, body: SimProcessState) {
     this.#world = world;
-    this.#body = body;
+    this.#state = body;
   }
 
   now(): number {
@@ -27,35 +28,35 @@
   }
 
   once(ms: number, callback: () => void): TimerHandle {
-    const tick = { isOff: false };
-    this.#fire(this.#world.now + Math.max(0.01, ms) / this.#rate, tick, callback);
-    return { stop: () => void (tick.isOff = true) };
+    const timer = { isOff: false };
+    this.#schedule(this.#world.now + Math.max(0.01, ms) / this.#rate, timer, callback);
+    return { stop: () => void (timer.isOff = true) };
   }
 
   every(ms: number, callback: () => void): TimerHandle {
-    const tick = { isOff: false };
-    const again = (): void => {
-      this.#fire(this.#world.now + ms / this.#rate, tick, () => {
-        again();
+    const timer = { isOff: false };
+    const scheduleNext = (): void => {
+      this.#schedule(this.#world.now + ms / this.#rate, timer, () => {
+        scheduleNext();
         callback();
       });
     };
-    again();
-    return { stop: () => void (tick.isOff = true) };
+    scheduleNext();
+    return { stop: () => void (timer.isOff = true) };
   }
 
   get #rate(): number {
-    return this.#body.rate ?? 1;
+    return this.#state.rate ?? 1;
   }
 
-  #fire(at: number, tick: { isOff: boolean }, callback: () => void): void {
+  #schedule(at: number, timer: { isOff: boolean }, callback: () => void): void {
     this.#world.at(at, () => {
-      if (tick.isOff || this.#body.isDead) return;
-      if (this.#body.pausedUntil > this.#world.now) return this.#fire(this.#body.pausedUntil, tick, callback);
-      const { processor } = this.#body;
+      if (timer.isOff || this.#state.isDead) return;
+      if (this.#state.pausedUntil > this.#world.now) return this.#schedule(this.#state.pausedUntil, timer, callback);
+      const { processor } = this.#state;
       if (processor === undefined) return callback();
       processor.run(processorCosts.timer, () => {
-        if (!tick.isOff && !this.#body.isDead) callback();
+        if (!timer.isOff && !this.#state.isDead) callback();
       });
     });
   }
--- a/packages/testkit/src/sim/simConfigurations.ts
+++ b/packages/testkit/src/sim/simConfigurations.ts
@@ -6,13 +6,14 @@
 const spaceNames: readonly string[] = ["notes", "notices", "extra", "passing"];
 
 /**
- * The configurations of simulated operators: three spaces that keep messages, one that does not, and how they change.
+ * Configurations that simulated operators propose: three spaces that retain messages and one that does not, and
+ * variants of them.
  */
 export const SimConfigurations = {
-  all: spaceNames,
+  allSpaceNames: spaceNames,
   topics: { notes: 6, notices: 3, extra: 2, passing: 2 } as Record<string, number>,
 
-  /** The configuration with which all callers are served. */
+  /** The configuration with which all clients are served. */
   usual(): SimSpaces {
     return {
       notes: [{ when: {}, contract: { keep: 120, order: "sender", fault_budget: { machines: 1 } } }],
@@ -27,7 +28,7 @@
     };
   },
 
-  /** The usual spaces with a contract or two changed. */
+  /** The usual spaces with up to three contracts changed. */
   changed(random: SimRandom): SimSpaces {
     const spaces = SimConfigurations.usual();
     if (random.draw() < 0.4)
@@ -41,13 +42,14 @@
     return [...spaceNames, ...Array.from({ length: count }, (_, i) => `more-${i}`)];
   },
 
-  /** The usual spaces and many more that nobody uses. */
+  /** The usual spaces and `count` more that no client uses. */
   large(count: number): SimSpaces {
     const contract = { keep: 60, order: "sender", fault_budget: {} };
     const more = Array.from({ length: count }, (_, i) => [`more-${i}`, [{ when: {}, contract }]] as const);
     return { ...SimConfigurations.usual(), ...Object.fromEntries(more.map(([name, rules]) => [name, [...rules]])) };
   },
 
+  /** The named spaces, in the form of a configuration document. */
   write(
     version: number,
     spaces: SimSpaces,
--- a/packages/testkit/src/sim/simConnection.ts
+++ b/packages/testkit/src/sim/simConnection.ts
@@ -6,18 +6,18 @@
   /** The process that serves the connection. */
   simNode: SimNode;
   session: string;
-  /** Sessions whose clients don't read now. */
+  /** Sessions whose clients currently don't read. */
   stalled: ReadonlySet<string>;
   handlers: ConnectionHandlers;
-  /** Runs after the wire's delay, at the client. */
+  /** Runs a callback at the client after the network delay. */
   afterWire: (run: () => void) => void;
-  /** Runs after the wire's delay, on the node, once it is not paused. */
+  /** Runs a callback on the node after the network delay, once the node is not paused. */
   onNode: (run: () => void) => void;
 }
 
 /**
- * Both ends of a client's long connection in the simulator. The edge holds it as `ClientConnection`; the client's end
- * learns of lines and of the close a wire's delay later.
+ * Both ends of a client's streaming connection in the simulator. The edge uses it as a `ClientConnection`; the client
+ * receives lines and the close after the network delay.
  */
 export class SimConnection implements ClientConnection {
   readonly #parts: SimConnectionParts;
@@ -31,7 +31,7 @@
     this.#parts = parts;
   }
 
-  /** Bytes that were sent to a client that does not read. */
+  /** Bytes sent to a client that does not read. */
   get waitingBytes(): number {
     return this.#waitingBytes;
   }
@@ -42,7 +42,7 @@
 
   send(line: Parameters<ClientConnection["send"]>[0]): void {
     const { simNode, session, stalled, handlers, afterWire } = this.#parts;
-    if (this.#isServerGone || simNode.body.isDead) return;
+    if (this.#isServerGone || simNode.processState.isDead) return;
     const text = JSON.stringify(line);
     if (stalled.has(session)) return void (this.#waitingBytes += text.length);
     afterWire(() => {
@@ -50,10 +50,10 @@
     });
   }
 
-  /** The edge closes, or its process fell. */
+  /** Called when the edge closes the connection, or when its process ends. */
   close(): void {
     const { handlers, afterWire } = this.#parts;
-    this.forgetNode();
+    this.stopWatchingNode();
     if (this.#isClientGone) return;
     this.#isServerGone = true;
     afterWire(() => {
@@ -67,7 +67,7 @@
 
   closeByClient(): void {
     this.#isClientGone = true;
-    this.forgetNode();
+    this.stopWatchingNode();
     this.#parts.onNode(() => {
       if (this.#isServerGone) return;
       this.#isServerGone = true;
@@ -75,12 +75,12 @@
     });
   }
 
-  /** From now on the process's fall closes the connection, until `forgetNode`. */
+  /** Closes the connection when the process ends, until `stopWatchingNode`. */
   watchNode(): void {
-    this.#stopWatching = this.#parts.simNode.onFall(() => this.close());
+    this.#stopWatching = this.#parts.simNode.onEnd(() => this.close());
   }
 
-  forgetNode(): void {
+  stopWatchingNode(): void {
     this.#stopWatching();
   }
 }
--- a/packages/testkit/src/sim/simCrowd.ts
+++ b/packages/testkit/src/sim/simCrowd.ts
@@ -4,15 +4,15 @@
 import type { SimFleet } from "./simFleet.js";
 import { processorCosts } from "./simProcessor.js";
 
-/** Milliseconds that a client waits for its greeting before it comes again. */
-const patienceMs = 2000;
-/** Milliseconds that a client without a connection waits at least, and how many more are drawn. */
-const reconnectMs = { least: 50, spread: 250 } as const;
+/** Milliseconds after which a client that has not joined drops its connection and tries again. */
+const joinTimeoutMs = 2000;
+/** Minimum milliseconds before a client reconnects, and the upper bound of the random addition. */
+const reconnectDelayMs = { least: 50, spread: 250 } as const;
 const topicsPerClient = 3;
-/** Milliseconds within which a publish counts as served. */
-const servedMs = 1000;
+/** Milliseconds within which a publish must be accepted to count as served. */
+const publishDeadlineMs = 1000;
 
-/** The server's end of one connection of a crowd's client. */
+/** The server's end of one client's connection. */
 class CrowdConnection implements ClientConnection {
   readonly waitingBytes = 0;
   isClosed = false;
@@ -36,14 +36,14 @@
   }
 }
 
-/** One client: joins at its edge with a few topics, publishes, and comes back whenever its connection ends. */
+/** One client: joins at an edge with a few topics, publishes, and reconnects whenever its connection ends. */
 class CrowdClient {
   readonly #fleet: SimFleet;
   readonly #session: string;
   readonly #edges: readonly string[];
   readonly #topics: readonly string[];
   #attempts = 0;
-  #number = 0;
+  #lastNumber = 0;
   #connection: CrowdConnection | undefined;
   #joined: SessionEndpoint | undefined;
 
@@ -58,7 +58,7 @@
     return this.#joined !== undefined;
   }
 
-  /** Joins, and does so again until it has its topics. */
+  /** Connects and subscribes; retries until all topics are confirmed. */
   join(): void {
     const edgeName = this.#edges[(Number(this.#session.slice(7)) + this.#attempts) % this.#edges.length]!;
     this.#attempts += 1;
@@ -66,18 +66,18 @@
     if (running?.edge === undefined) return this.#joinLater();
     const connection = new CrowdConnection();
     this.#connection = connection;
-    const forget = running.onFall(() => connection.close());
+    const forget = running.onEnd(() => connection.close());
     connection.onServerClose = () => {
       forget();
       this.#onClosed(connection);
     };
     const { world } = this.#fleet;
-    world.at(world.now + patienceMs, () => {
+    world.at(world.now + joinTimeoutMs, () => {
       if (this.#connection === connection && !this.isJoined) connection.close();
     });
     const endpoint = new EdgeClientEndpoint(running.edge);
     const connect = (): void => void this.#connect(endpoint, connection, edgeName);
-    const { processor } = running.body;
+    const { processor } = running.processState;
     if (processor === undefined) connect();
     else processor.run(processorCosts.connection, connect);
   }
@@ -90,9 +90,9 @@
   /** Publishes one message; resolves whether it was accepted. */
   async publish(): Promise<boolean> {
     if (this.#joined === undefined) return false;
-    this.#number += 1;
+    this.#lastNumber += 1;
     this.#chargeLine();
-    const published = await this.#joined.publish(this.#topics[0]!, this.#number, "a body of a usual message");
+    const published = await this.#joined.publish(this.#topics[0]!, this.#lastNumber, "a body of a usual message");
     return published.outcome === "accepted";
   }
 
@@ -109,7 +109,7 @@
 
   #chargeLine(): void {
     const edgeName = this.#edges[(Number(this.#session.slice(7)) + this.#attempts - 1) % this.#edges.length]!;
-    this.#fleet.find(edgeName)?.body.processor?.charge(processorCosts.clientLine);
+    this.#fleet.find(edgeName)?.processState.processor?.charge(processorCosts.clientLine);
   }
 
   #onClosed(connection: CrowdConnection): void {
@@ -121,22 +121,22 @@
 
   #joinLater(): void {
     const { world } = this.#fleet;
-    const pauseMs = reconnectMs.least + world.random.draw() * reconnectMs.spread;
+    const pauseMs = reconnectDelayMs.least + world.random.draw() * reconnectDelayMs.spread;
     world.at(world.now + pauseMs, () => this.join());
   }
 }
 
-/** What was served of the publishes that were due in one second of virtual time. */
-interface Second {
+/** Publishes due in one second of virtual time, and how many of them were served. */
+interface SecondCounts {
   due: number;
   served: number;
 }
 
-/** Clients of a simulated fleet that all come at about the same time, and publish all along. */
+/** Many clients of a simulated fleet that join at about the same time and publish at a fixed rate. */
 export class SimCrowd {
   readonly #fleet: SimFleet;
   readonly #clients: CrowdClient[];
-  readonly #seconds: Second[] = [];
+  readonly #seconds: SecondCounts[] = [];
 
   constructor(fleet: SimFleet, clients: number, topics: readonly string[]) {
     this.#fleet = fleet;
@@ -148,7 +148,7 @@
     return this.#clients.filter((client) => client.isJoined).length;
   }
 
-  /** All clients join within so many milliseconds. */
+  /** Lets all clients join, evenly spread over `ms`. */
   arrive(ms: number): void {
     const { world } = this.#fleet;
     this.#clients.forEach((client, i) => {
@@ -156,12 +156,12 @@
     });
   }
 
-  /** Resets this share of the connections at one moment. */
+  /** Resets this share (0 to 1) of the connections at the same time. */
   reset(share: number): void {
     this.#clients.slice(0, Math.floor(this.#clients.length * share)).forEach((client) => client.reset());
   }
 
-  /** Publishes at a rate from now on, by all clients in turn. */
+  /** Publishes at this rate from now on, by changing clients. */
   publish(perSecond: number): void {
     const { world } = this.#fleet;
     const publishOne = (turn: number): void => {
@@ -171,10 +171,10 @@
     publishOne(0);
   }
 
-  /** Served publishes of those due between two times, as a share; 0 where none was due. */
+  /** Share (0 to 1) of the publishes due between two times that were served; 0 if none was due. */
   goodput(from: number, to: number): number {
     const seconds = this.#seconds.slice(Math.ceil(from / 1000), Math.floor(to / 1000));
-    const sum = (pick: (second: Second) => number): number =>
+    const sum = (pick: (second: SecondCounts) => number): number =>
       seconds.reduce((total, one) => total + (one === undefined ? 0 : pick(one)), 0);
     return sum(({ due }) => due) === 0 ? 0 : sum(({ served }) => served) / sum(({ due }) => due);
   }
@@ -184,6 +184,6 @@
     const dueAt = world.now;
     const second = (this.#seconds[Math.floor(dueAt / 1000)] ??= { due: 0, served: 0 });
     second.due += 1;
-    if ((await client.publish()) && world.now - dueAt <= servedMs) second.served += 1;
+    if ((await client.publish()) && world.now - dueAt <= publishDeadlineMs) second.served += 1;
   }
 }
--- a/packages/testkit/src/sim/simDisk.ts
+++ b/packages/testkit/src/sim/simDisk.ts
@@ -1,32 +1,33 @@
 import type { Disk, DiskChange } from "@cranetrack/core/storage/disk.js";
-import type { SimBody } from "./simClock.js";
+import type { SimProcessState } from "./simClock.js";
 import { processorCosts } from "./simProcessor.js";
 import type { SimWorld } from "./simWorld.js";
 
 /**
- * A disk that forgets what was not synced when its machine goes down.
- * Invariant: writes become durable in the order asked for; after a fall some prefix of the unsynced ones is there.
+ * A disk that loses unsynced writes when its machine loses power.
+ * Invariant: writes become durable in the order of the requests; after a loss of power a prefix of the unsynced writes
+ * is on the disk.
  */
 export class SimDisk {
   readonly #world: SimWorld;
   #durable = new Map<string, Uint8Array>();
-  #waiting: DiskChange[][] = [];
-  #readyAt = 0;
-  /** Multiplies how long a sync takes. */
-  slowness = 1;
-  /** Until then nothing is answered; what was written may be there all the same. */
+  #unsynced: DiskChange[][] = [];
+  #lastSyncAt = 0;
+  /** Factor by which a sync takes longer. */
+  syncTimeFactor = 1;
+  /** Virtual time until which no write completes; the data may still reach the disk. */
   #hungUntil = 0;
-  /** No room: what is written waits, and none of it is there after a fall. */
+  /** No room: writes wait, and none of them is on the disk after the process ends or power is lost. */
   #isFull = false;
-  /** Called instead of the next write, which is refused: no process goes on after that. */
+  /** Called when the next write fails; it must end the process, since none continues after a failed write. */
   onRefuse: (() => void) | undefined;
 
   constructor(world: SimWorld) {
     this.#world = world;
   }
 
-  /** The disk as one process's life sees it. */
-  mount(body: SimBody): Disk {
+  /** The disk as one process incarnation sees it. */
+  mount(process: SimProcessState): Disk {
     const live = new Map(this.#durable);
     return {
       read: (prefix) =>
@@ -37,77 +38,77 @@
       write: (changes) => {
         const refuse = this.onRefuse;
         this.onRefuse = undefined;
-        if (!body.isDead) refuse?.();
-        if (body.isDead) return new Promise(() => undefined);
-        body.processor?.charge(processorCosts.diskWrite);
+        if (!process.isDead) refuse?.();
+        if (process.isDead) return new Promise(() => undefined);
+        process.processor?.charge(processorCosts.diskWrite);
         SimDisk.#apply(live, changes);
-        this.#waiting.push(changes);
-        return this.#sync(body);
+        this.#unsynced.push(changes);
+        return this.#sync(process);
       },
     };
   }
 
-  /** Answers nothing for a while. */
+  /** Completes no write for `ms`. */
   hang(ms: number): void {
     this.#hungUntil = Math.max(this.#hungUntil, this.#world.now + ms);
   }
 
-  /** Takes no more until there is room again. */
-  fill(isFull: boolean): void {
+  /** Sets whether the disk is full; while it is, writes wait. */
+  setFull(isFull: boolean): void {
     this.#isFull = isFull;
   }
 
-  get isTroubled(): boolean {
-    return this.slowness > 1 || this.#isFull || this.#hungUntil > this.#world.now || this.onRefuse !== undefined;
+  get isFaulty(): boolean {
+    return this.syncTimeFactor > 1 || this.#isFull || this.#hungUntil > this.#world.now || this.onRefuse !== undefined;
   }
 
-  /** Takes and answers everything again. */
-  mend(): void {
-    this.slowness = 1;
+  /** Ends all faults of the disk. */
+  clearFaults(): void {
+    this.syncTimeFactor = 1;
     this.#isFull = false;
     this.#hungUntil = 0;
     this.onRefuse = undefined;
   }
 
-  /** The process ends and the machine goes on: all that was written is there. */
-  keep(): void {
-    if (this.#isFull) return this.fall();
-    for (const changes of this.#waiting) SimDisk.#apply(this.#durable, changes);
-    this.#waiting = [];
-    this.#readyAt = 0;
+  /** The process ends and the machine keeps running: unsynced writes are kept, except on a full disk. */
+  endProcess(): void {
+    if (this.#isFull) return this.losePower();
+    for (const changes of this.#unsynced) SimDisk.#apply(this.#durable, changes);
+    this.#unsynced = [];
+    this.#lastSyncAt = 0;
   }
 
-  /** Power is lost: any prefix of what was under way may have reached the disk. */
-  fall(): void {
-    const most = this.#isFull ? 0 : this.#waiting.length;
-    const reached = Math.floor(this.#world.random.draw() * (most + 1));
-    for (const changes of this.#waiting.slice(0, reached)) SimDisk.#apply(this.#durable, changes);
-    this.#waiting = [];
-    this.#readyAt = 0;
+  /** Power is lost: a random prefix of the unsynced writes has reached the disk. */
+  losePower(): void {
+    const maxReached = this.#isFull ? 0 : this.#unsynced.length;
+    const reached = Math.floor(this.#world.random.draw() * (maxReached + 1));
+    for (const changes of this.#unsynced.slice(0, reached)) SimDisk.#apply(this.#durable, changes);
+    this.#unsynced = [];
+    this.#lastSyncAt = 0;
   }
 
-  /** What is kept and survives a loss of power. */
+  /** Bytes of all values that would survive a loss of power. */
   get bytes(): number {
     return [...this.#durable.values()].reduce((sum, value) => sum + value.length, 0);
   }
 
   wipe(): void {
     this.#durable = new Map();
-    this.#waiting = [];
+    this.#unsynced = [];
   }
 
-  /** What would survive a loss of power just now. */
+  /** A copy of the data that would survive a loss of power now. */
   copy(): ReadonlyMap<string, Uint8Array> {
     return new Map(this.#durable);
   }
 
-  /** Puts a copy in place of all that it has; for a machine that is down. */
+  /** Replaces all data by a copy; only while the machine is down. */
   restore(copy: ReadonlyMap<string, Uint8Array>): void {
     this.#durable = new Map(copy);
-    this.#waiting = [];
+    this.#unsynced = [];
   }
 
-  /** Changes one byte of one kept value. */
+  /** Changes one byte of a durable value whose key has the prefix; false if there is none. */
   corrupt(prefix: string): boolean {
     const entry = [...this.#durable].find(([key, value]) => key.startsWith(prefix) && value.length > 0);
     if (entry === undefined) return false;
@@ -124,26 +125,29 @@
     }
   }
 
-  #sync(body: SimBody): Promise<void> {
-    const count = this.#waiting.length;
-    const last = this.#waiting[count - 1]!;
-    this.#readyAt = Math.max(this.#readyAt, this.#world.now + this.#world.random.between(0.3, 3) * this.slowness);
+  #sync(process: SimProcessState): Promise<void> {
+    const count = this.#unsynced.length;
+    const last = this.#unsynced[count - 1]!;
+    this.#lastSyncAt = Math.max(
+      this.#lastSyncAt,
+      this.#world.now + this.#world.random.between(0.3, 3) * this.syncTimeFactor,
+    );
     return new Promise((resolve) => {
       const finish = (): void => {
-        if (body.isDead) return;
+        if (process.isDead) return;
         if (this.#isFull) return void this.#world.at(this.#world.now + 100, finish);
         if (this.#hungUntil > this.#world.now) return void this.#world.at(this.#hungUntil, finish);
-        const place = this.#waiting.indexOf(last);
-        for (const changes of this.#waiting.splice(0, place + 1)) SimDisk.#apply(this.#durable, changes);
-        this.#wake(body, resolve);
+        const place = this.#unsynced.indexOf(last);
+        for (const changes of this.#unsynced.splice(0, place + 1)) SimDisk.#apply(this.#durable, changes);
+        this.#resolveWhenRunning(process, resolve);
       };
-      this.#world.at(this.#readyAt, finish);
+      this.#world.at(this.#lastSyncAt, finish);
     });
   }
 
-  #wake(body: SimBody, resolve: () => void): void {
-    if (body.isDead) return;
-    if (body.pausedUntil <= this.#world.now) return resolve();
-    this.#world.at(body.pausedUntil, () => this.#wake(body, resolve));
+  #resolveWhenRunning(process: SimProcessState, resolve: () => void): void {
+    if (process.isDead) return;
+    if (process.pausedUntil <= this.#world.now) return resolve();
+    this.#world.at(process.pausedUntil, () => this.#resolveWhenRunning(process, resolve));
   }
 }
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -8,55 +8,57 @@
 import { SimWires } from "./simTransport.js";
 import { SimWorld } from "./simWorld.js";
 
-interface Slot {
+/** A simulated machine: its disk, its settings, and the process that runs on it. */
+interface MachineSlot {
   machine: Machine;
   settings: Settings;
   disk: SimDisk;
-  running: SimNode | undefined;
+  process: SimNode | undefined;
   incarnations: number;
   rate: number;
-  /** Of a core; undefined where its work takes no time. */
+  /** Share of a processor core; undefined if work takes no virtual time. */
   processorShare: number | undefined;
-  /** How far its time of day is off; only the number of a process's life comes of it. */
-  wallMs: number;
-  /** Whether it was ever started; and whether it is gone for good. */
+  /** Offset of its wall clock in ms; only the incarnation number of its next process is derived from it. */
+  wallClockOffsetMs: number;
+  /** Whether it was ever started, and whether it was removed for good. */
   isUsed: boolean;
   isRetired: boolean;
 }
 
 /** A whole fleet in one process and one thread, under virtual time. */
 export class SimFleet {
+  /** Wall clock time at the start of a run, in ms. */
   static readonly epochMs = 1_000_000;
 
   readonly world: SimWorld;
   readonly wires: SimWires;
   readonly port: SimPort;
-  /** How losses are counted; none given, each is mended before the next. */
-  budget: LossBudget | undefined;
+  /** Spaces disk losses by time; without it, each loss must be repaired before the next. */
+  lossBudget: LossBudget | undefined;
   #reservedUntil = 0;
-  /** Invariants that processes which are gone counted as violated, as `name invariant count`. */
+  /** Invariant violations counted by processes that have ended, as `name invariant count`. */
   readonly #violations: string[] = [];
-  readonly #slots = new Map<string, Slot>();
-  readonly #shared: { seeds: Settings["seeds"]; shards: number; controlNodes: number };
+  readonly #slots = new Map<string, MachineSlot>();
+  readonly #sharedSettings: { seeds: Settings["seeds"]; shards: number; controlNodes: number };
 
   constructor(seed: number, machines: readonly Machine[], shards = 4) {
     this.world = new SimWorld(seed);
     this.wires = new SimWires(this.world);
     this.port = new SimPort(this);
     const seeds = machines.slice(0, 3).map((_, i) => `10.0.0.${i + 1}:1` as const);
-    this.#shared = { seeds, shards, controlNodes: machines.filter((one) => one.role === "lathe").length };
-    for (const machine of machines) this.enlist(machine);
+    this.#sharedSettings = { seeds, shards, controlNodes: machines.filter((one) => one.role === "lathe").length };
+    for (const machine of machines) this.addMachine(machine);
   }
 
-  /** A machine with an empty disk, at an address that nobody had before. */
-  enlist(machine: Machine): void {
+  /** Adds a machine with an empty disk, at an address never used before; does not start it. */
+  addMachine(machine: Machine): void {
     const { settings, ...own } = machine;
     const host = `10.0.0.${this.#slots.size + 1}`;
     const read = SettingsReader.check({
       ...own,
       address: `${host}:1`,
       http: `${host}:2`,
-      ...this.#shared,
+      ...this.#sharedSettings,
       ...(machine.role === "vise" ? {} : { data: "simulated" }),
       ...settings,
     });
@@ -65,11 +67,11 @@
       machine,
       settings: read.settings,
       disk: new SimDisk(this.world),
-      running: undefined,
+      process: undefined,
       incarnations: 0,
       rate: 1,
       processorShare: undefined,
-      wallMs: 0,
+      wallClockOffsetMs: 0,
       isUsed: false,
       isRetired: false,
     });
@@ -84,7 +86,7 @@
   }
 
   find(name: string): SimNode | undefined {
-    return this.#slots.get(name)?.running;
+    return this.#slots.get(name)?.process;
   }
 
   diskOf(name: string): SimDisk {
@@ -95,10 +97,10 @@
     return this.#slots.get(name)!.machine;
   }
 
-  /** Whom all machines are told to ask first, from their next start on. */
-  seed(names: readonly string[]): void {
+  /** Sets the seed nodes in all machines' settings, effective from their next start. */
+  setSeeds(names: readonly string[]): void {
     const seeds = names.map((name) => this.#slots.get(name)!.settings.address);
-    this.#shared.seeds = seeds;
+    this.#sharedSettings.seeds = seeds;
     for (const { settings } of this.#slots.values()) settings.seeds = seeds;
   }
 
@@ -116,22 +118,22 @@
 
   start(name: string): SimNode {
     const slot = this.#slots.get(name)!;
-    if (slot.running !== undefined) return slot.running;
+    if (slot.process !== undefined) return slot.process;
     slot.incarnations += 1;
     slot.isUsed = true;
-    const startedAt = SimFleet.epochMs + Math.floor(this.world.now + slot.wallMs) + slot.incarnations;
+    const startedAt = SimFleet.epochMs + Math.floor(this.world.now + slot.wallClockOffsetMs) + slot.incarnations;
     const { rate, processorShare } = slot;
     const machine = { rate, processorShare };
-    slot.running = new SimNode(this.world, this.wires, slot.disk, slot.settings, startedAt, machine);
-    return slot.running;
+    slot.process = new SimNode(this.world, this.wires, slot.disk, slot.settings, startedAt, machine);
+    return slot.process;
   }
 
-  /** Other settings, from its next start on. */
+  /** Changes settings of a machine, effective from its next start. */
   configure(name: string, settings: Partial<Settings>): void {
     Object.assign(this.#slots.get(name)!.settings, settings);
   }
 
-  /** Starts what was started before and is not gone for good. */
+  /** Starts a machine, unless it was never started before or was removed for good. */
   revive(name: string): void {
     const slot = this.#slots.get(name)!;
     if (slot.isUsed && !slot.isRetired) this.start(name);
@@ -142,48 +144,48 @@
     return isUsed && !isRetired;
   }
 
-  /** Gone for good, with its disk. */
-  retire(name: string): void {
+  /** Kills a machine for good and wipes its disk. */
+  removeForGood(name: string): void {
     this.wipe(name);
     this.#slots.get(name)!.isRetired = true;
   }
 
-  /** Asked politely to go for good: whatever ends it, it is not started again. */
-  dismiss(name: string): void {
+  /** Asks a process to stop; its machine is never started again. */
+  stopForGood(name: string): void {
     this.#slots.get(name)!.isRetired = true;
-    this.cycle(name);
+    this.stopGracefully(name);
   }
 
   isRetired(name: string): boolean {
     return this.#slots.get(name)!.isRetired;
   }
 
-  /** Its time of day jumps; clocks that only go on are not touched. */
-  stepWall(name: string, ms: number): void {
-    this.#slots.get(name)!.wallMs += ms;
+  /** Moves a machine's wall clock by `ms`; its monotonic clock is unaffected. */
+  stepWallClock(name: string, ms: number): void {
+    this.#slots.get(name)!.wallClockOffsetMs += ms;
   }
 
-  /** How fast a machine's clock runs, from its next start on. */
+  /** Sets the rate of a machine's clock, effective from its next start. */
   setRate(name: string, rate: number): void {
     this.#slots.get(name)!.rate = rate;
   }
 
-  /** Which share of a core a machine's process has, at once and from its next start on. */
+  /** Sets the share of a core that a machine's process has, effective at once and after restarts. */
   setProcessorShare(name: string, share: number): void {
     const slot = this.#slots.get(name)!;
     slot.processorShare = share;
-    if (slot.running !== undefined) slot.running.body.processor = new SimProcessor(this.world, share);
+    if (slot.process !== undefined) slot.process.processState.processor = new SimProcessor(this.world, share);
   }
 
-  /** The control node that proposes and knows that it does. */
+  /** The control node that is leader of the metadata store by its own state and is not paused. */
   get leader(): string | undefined {
     return this.withRole("lathe").find((name) => {
       const running = this.find(name);
-      return running?.control?.raft?.isLeader === true && running.body.pausedUntil <= this.world.now;
+      return running?.control?.raft?.isLeader === true && running.processState.pausedUntil <= this.world.now;
     });
   }
 
-  /** What all processes so far counted as violated, as `name invariant count`. */
+  /** Invariant violations counted by all processes so far, as `name invariant count`. */
   get violations(): string[] {
     const alive = this.names.flatMap((name) => {
       const running = this.find(name);
@@ -198,31 +200,31 @@
       .map(([invariant, count]) => `${name} ${invariant} ${count}`);
   }
 
-  /** Whoever holds some shard, as the leader sees it. */
-  get leaderName(): string | undefined {
+  /** The leader of the first shard that has one, as the store's leader sees it. */
+  get shardLeader(): string | undefined {
     const { leader } = this;
     const routes = leader === undefined ? [] : this.find(leader)!.node.shards.all();
     return routes.map(([, route]) => route.leader).find((leaderName) => leaderName !== "");
   }
 
-  /** Whether one more disk may be lost: by the time since the last loss, or else once all before are mended. */
-  get mayLose(): boolean {
-    return this.budget === undefined ? this.isWhole : this.budget.isFree;
+  /** Whether one more disk may be lost: by the loss budget, or without one, once all earlier losses are repaired. */
+  get mayLoseDisk(): boolean {
+    return this.lossBudget === undefined ? this.isFullyReplicated : this.lossBudget.allowsLoss;
   }
 
-  /** Says that one disk will be lost within a while, and no other before that; false where that may not be. */
+  /** Reserves the next disk loss for `ms`, in which no other may be reserved; false if no loss is allowed now. */
   reserveLoss(ms: number): boolean {
-    if (this.world.now < this.#reservedUntil || !this.mayLose) return false;
+    if (this.world.now < this.#reservedUntil || !this.mayLoseDisk) return false;
     this.#reservedUntil = this.world.now + ms;
     return true;
   }
 
-  /** Every disk that anything was promised on is there: no loss is still to be mended. */
-  get isWhole(): boolean {
+  /** Whether all replica sets and the voters are complete on running machines, so that no loss awaits repair. */
+  get isFullyReplicated(): boolean {
     const { leader } = this;
     if (leader === undefined) return false;
     const running = this.names.map((name) => this.find(name)).filter((running) => running !== undefined);
-    const shelves = new Set(running.flatMap(({ control, storage }) => (control?.storage ?? storage)?.diskId ?? []));
+    const diskIds = new Set(running.flatMap(({ control, storage }) => (control?.storage ?? storage)?.diskId ?? []));
     const controlNodes = new Set(running.flatMap(({ control }) => control?.founding.id ?? []));
     const { node, control } = this.find(leader)!;
     const sets = node.shards.all().map(([, route]) => route.set?.members ?? []);
@@ -230,41 +232,41 @@
     return (
       sets.every(
         (members) =>
-          members.length === node.parts.settings.replicas && members.every((member) => shelves.has(member.id)),
+          members.length === node.parts.settings.replicas && members.every((member) => diskIds.has(member.id)),
       ) &&
       voters.length === node.parts.settings.voters &&
       voters.every((id) => controlNodes.has(id))
     );
   }
 
-  /** The machine's power is gone at once. */
+  /** The machine loses power: unsynced writes may be lost. */
   kill(name: string): void {
-    this.#end(name, (disk) => disk.fall());
+    this.#endProcess(name, (disk) => disk.losePower());
   }
 
-  /** The process is gone at once, and its machine goes on. */
+  /** The process is killed and its machine keeps running: no write is lost. */
   crash(name: string): void {
-    this.#end(name, (disk) => disk.keep());
+    this.#endProcess(name, (disk) => disk.endProcess());
   }
 
-  #end(name: string, leave: (disk: SimDisk) => void): void {
+  #endProcess(name: string, onDisk: (disk: SimDisk) => void): void {
     const slot = this.#slots.get(name)!;
-    if (slot.running === undefined) return;
-    slot.running.fall();
-    this.#violations.push(...SimFleet.#violationsOf(name, slot.running));
-    slot.running = undefined;
-    leave(slot.disk);
+    if (slot.process === undefined) return;
+    slot.process.end();
+    this.#violations.push(...SimFleet.#violationsOf(name, slot.process));
+    slot.process = undefined;
+    onDisk(slot.disk);
     this.wires.detach(slot.settings.address);
   }
 
-  /** Loses the process and the disk of a machine. */
+  /** Kills a machine and erases its disk. */
   wipe(name: string): void {
     this.kill(name);
     this.diskOf(name).wipe();
   }
 
-  /** Asked politely, killed six seconds later. */
-  cycle(name: string): void {
+  /** Asks the process to stop, and kills it after six seconds. */
+  stopGracefully(name: string): void {
     const running = this.find(name);
     if (running === undefined) return;
     const end = (): void => {
@@ -274,27 +276,28 @@
     this.world.at(this.world.now + 6000, end);
   }
 
-  /** Freezes the process: nothing runs or arrives until it goes on. */
+  /** Pauses the process for `ms`: nothing runs or arrives on it meanwhile. */
   pause(name: string, ms: number): void {
     const running = this.find(name);
-    if (running !== undefined) running.body.pausedUntil = Math.max(running.body.pausedUntil, this.world.now + ms);
+    if (running !== undefined)
+      running.processState.pausedUntil = Math.max(running.processState.pausedUntil, this.world.now + ms);
   }
 
-  /** Cuts a node from others, one way or both. */
-  isolate(name: string, others: readonly string[], ways: "in" | "out" | "both"): void {
+  /** Cuts the links between a node and others, in one direction or both. */
+  isolate(name: string, others: readonly string[], direction: "in" | "out" | "both"): void {
     for (const other of others) {
       if (other === name) continue;
-      if (ways !== "in") this.wires.cut(this.addressOf(name), this.addressOf(other));
-      if (ways !== "out") this.wires.cut(this.addressOf(other), this.addressOf(name));
+      if (direction !== "in") this.wires.cut(this.addressOf(name), this.addressOf(other));
+      if (direction !== "out") this.wires.cut(this.addressOf(other), this.addressOf(name));
     }
   }
 
-  /** Lets virtual time pass. */
+  /** Advances virtual time by `ms`. */
   run(ms: number): Promise<void> {
     return this.world.run(this.world.now + ms);
   }
 
-  /** Runs until something holds, or a due passes; true where it held. */
+  /** Runs until a condition holds; false if it does not within `timeoutMs`. */
   async until(holds: () => boolean, timeoutMs: number): Promise<boolean> {
     const deadline = this.world.now + timeoutMs;
     while (!holds()) {
--- a/packages/testkit/src/sim/simLoad.ts
+++ b/packages/testkit/src/sim/simLoad.ts
@@ -11,7 +11,7 @@
 import { History } from "../checker/history.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
-/** Callers and operators against a simulated fleet. */
+/** Clients and operators that use a simulated fleet. */
 export class SimLoad {
   readonly history = new History();
   readonly clients: Client[] = [];
@@ -19,14 +19,14 @@
   readonly #random: SimRandom;
   readonly #clock: SimClock;
   readonly #zones = new Map<string, string>();
-  #isPlaying = false;
+  #isPublishing = false;
   #version = 0;
-  /** Edges that everybody comes to just now; empty for each caller's own choice. */
-  #crowded: readonly string[] = [];
-  /** Machines that were not there at the beginning. */
-  later: readonly string[] = [];
-  #topics = 6;
-  #haste = 1;
+  /** Edges that all clients must connect to; empty if each client chooses. */
+  #forcedEdges: readonly string[] = [];
+  /** Machines that are not started at the beginning. */
+  lateMachines: readonly string[] = [];
+  #noteTopics = 6;
+  #publishFactor = 1;
 
   constructor(fleet: SimFleet) {
     this.#fleet = fleet;
@@ -41,7 +41,7 @@
 
   static configuration(
     version: number,
-    spaces: readonly string[] = SimConfigurations.all,
+    spaces: readonly string[] = SimConfigurations.allSpaceNames,
   ): { version: number; spaces: object[] } {
     return SimConfigurations.write(version, SimConfigurations.usual(), spaces);
   }
@@ -50,7 +50,7 @@
     return (this.#version += 1);
   }
 
-  /** An operator's put, tried again until it has a final reply. */
+  /** An operator's PUT of a configuration, retried until it has a final reply; returns its status, or 0 without one. */
   async proposeConfiguration(configuration: { version: number; spaces?: unknown }, first?: string): Promise<number> {
     const text = documentTextOf(configuration);
     const { version } = configuration;
@@ -68,9 +68,9 @@
     return 0;
   }
 
-  async begin(clients: number, topics = 6, later: readonly string[] = []): Promise<boolean> {
-    this.later = later;
-    for (const name of this.#fleet.names) if (!later.includes(name)) this.#fleet.start(name);
+  async start(clients: number, topics = 6, lateMachines: readonly string[] = []): Promise<boolean> {
+    this.lateMachines = lateMachines;
+    for (const name of this.#fleet.names) if (!lateMachines.includes(name)) this.#fleet.start(name);
     let isAccepted = false;
     await this.#fleet.run(3000);
     void this.proposeConfiguration(SimLoad.configuration(this.nextVersion)).then(
@@ -87,7 +87,7 @@
         clock: this.#clock,
         draw: () => this.#random.draw(),
         history: this.history,
-        nodes: () => this.#nodes(session),
+        nodes: () => this.#edgesFor(session),
       });
       this.clients.push(client);
       const wanted = new Set([
@@ -97,12 +97,12 @@
       ]);
       client.start([...wanted]);
     }
-    this.#topics = topics;
-    if (clients > 0) this.#clock.every(200, () => void this.#lookAtVersion());
+    this.#noteTopics = topics;
+    if (clients > 0) this.#clock.every(200, () => void this.#recordShownVersion());
     return this.#fleet.until(() => this.clients.every((client) => client.isFullySubscribed), 25_000);
   }
 
-  /** Callers of the space that keeps nothing, with draws of their own. */
+  /** Clients of the space that retains nothing, with a random generator of their own. */
   ephemeralClients(): EphemeralClients {
     const fleet = this.#fleet;
     return new EphemeralClients({
@@ -117,18 +117,18 @@
     });
   }
 
-  /** Publishes at a rate until stopped. */
-  play(perSecond: number): void {
-    this.#isPlaying = true;
+  /** Publishes at this rate until `finishPublishes`. */
+  startPublishing(perSecond: number): void {
+    this.#isPublishing = true;
     const timer = this.#clock.every(1000 / perSecond, () => {
-      if (!this.#isPlaying) return timer.stop();
-      for (let i = 0; i < this.#haste; i += 1) this.#publishOne();
+      if (!this.#isPublishing) return timer.stop();
+      for (let i = 0; i < this.#publishFactor; i += 1) this.#publishOne();
     });
   }
 
-  /** So many times as many messages. */
-  hurry(times: number): void {
-    this.#haste = times;
+  /** Multiplies the publish rate. */
+  setPublishFactor(times: number): void {
+    this.#publishFactor = times;
   }
 
   #publishOne(): void {
@@ -139,7 +139,7 @@
     void client.publish(this.#topicOf(space), this.#random.identity());
   }
 
-  /** Every caller publishes once more, and every reader is to receive it. */
+  /** Every client publishes once more, and every subscriber must receive it. */
   probe(): Probe {
     return new Probe({
       history: this.history,
@@ -152,12 +152,12 @@
   }
 
   #topicOf(space: string): string {
-    const topics = space === "notes" ? this.#topics : SimConfigurations.topics[space]!;
+    const topics = space === "notes" ? this.#noteTopics : SimConfigurations.topics[space]!;
     return `${space}/t${Math.floor(this.#random.draw() * topics)}`;
   }
 
-  /** What some node shows as the configuration in force. */
-  async #lookAtVersion(): Promise<void> {
+  /** Records which configuration version a random node's status shows. */
+  async #recordShownVersion(): Promise<void> {
     const node = this.#random.pick(this.#fleet.names);
     const { status, body } = await this.#fleet.port.call(node, "GET", "/v1/status", undefined);
     const configuration = body["configuration"] as { version: number } | undefined;
@@ -165,13 +165,13 @@
       this.history.add({ kind: "marked", at: this.#clock.now(), node, version: configuration.version });
   }
 
-  /** All callers come to these edges until told otherwise. */
-  crowdAt(edges: readonly string[]): void {
-    this.#crowded = edges;
+  /** From now on clients connect only to these edges; an empty list restores their own choice. */
+  connectAllTo(edges: readonly string[]): void {
+    this.#forcedEdges = edges;
   }
 
-  /** An operator's wish to have a machine emptied, or that wish taken back. */
-  ask(method: "PUT" | "DELETE", machine: string): void {
+  /** An operator starts (PUT) or cancels (DELETE) the drain of a machine. */
+  requestEmptying(method: "PUT" | "DELETE", machine: string): void {
     const node = this.#random.pick(this.#fleet.names);
     void this.#fleet.port.call(node, method, `/v1/machines/${machine}/emptying`, undefined);
   }
@@ -183,9 +183,9 @@
     return status === 200 && body["isEmpty"] === true;
   }
 
-  /** The usual contracts in force again, whatever order the third space has now, and no machine to be emptied. */
+  /** Restores the usual contracts, except that space `extra` keeps its present order, and cancels all drains. */
   async restore(): Promise<void> {
-    for (const machine of this.#fleet.withRole("anvil")) this.ask("DELETE", machine);
+    for (const machine of this.#fleet.withRole("anvil")) this.requestEmptying("DELETE", machine);
     for (let tries = 0; tries < 20; tries += 1) {
       const spaces = SimConfigurations.usual();
       const order = Configurations.orderOf(await this.#configurationInForce(), "extra/");
@@ -207,12 +207,12 @@
     return undefined;
   }
 
-  dropAll(): void {
+  disconnectAll(): void {
     for (const client of this.clients) client.disconnectFor(this.#random.draw() * 300);
   }
 
-  /** A share of all callers comes to one zone. */
-  shift(share: number): void {
+  /** A share (0 to 1) of all clients moves to one zone. */
+  moveToOneZone(share: number): void {
     const zone = this.#random.pick([...this.#zones.values()]);
     for (const client of this.clients) {
       if (this.#random.draw() >= share) continue;
@@ -221,39 +221,39 @@
     }
   }
 
-  moveOne(): void {
+  moveOneClient(): void {
     const client = this.#random.pick(this.clients);
     this.#zones.set(client.session, this.#random.pick([...this.#zones.values()]));
     client.disconnectFor(this.#random.draw() * 2000);
   }
 
-  /** Stops sending; true where all callers are served again and all publishes settled by the due. */
+  /** Stops publishing; true if all clients are served and all publishes are settled within `timeoutMs`. */
   async finishPublishes(timeoutMs = 25_000): Promise<boolean> {
-    this.#isPlaying = false;
+    this.#isPublishing = false;
     let isRestored = false;
     void this.restore().then(() => (isRestored = true));
     await this.#fleet.until(() => isRestored, timeoutMs);
-    const isFinished = await this.#fleet.until(() => this.unsettled === "", timeoutMs);
+    const isFinished = await this.#fleet.until(() => this.unsettledClients === "", timeoutMs);
     await this.#fleet.run(3000);
     return isFinished;
   }
 
-  /** Callers without a connection, topics or replies, for people's eyes. */
-  get unsettled(): string {
+  /** Readable list of the clients that lack a connection, subscriptions or replies; empty if none does. */
+  get unsettledClients(): string {
     return this.clients
       .filter((client) => !client.isFullySubscribed || client.pendingPublishes > 0)
       .map((client) => `${client.session} (${client.isConnected ? "linked" : "away"}, ${client.pendingPublishes} open)`)
       .join(", ");
   }
 
-  /** Reads the configuration back through any node that runs. */
+  /** Reads the configuration back through any running node and records it in the history. */
   async readConfiguration(): Promise<void> {
     let isDone = false;
-    void this.#read().then(() => void (isDone = true));
+    void this.#recordConfigurationRead().then(() => void (isDone = true));
     await this.#fleet.until(() => isDone, 30_000);
   }
 
-  async #read(): Promise<void> {
+  async #recordConfigurationRead(): Promise<void> {
     for (let tries = 0; tries < 30; tries += 1) {
       const running = this.#fleet.names.filter((name) => this.#fleet.find(name) !== undefined);
       const reply = await this.#fleet.port.call(this.#random.pick(running), "GET", "/v1/plan", undefined);
@@ -265,10 +265,10 @@
     this.history.add({ kind: "planLost", at: this.#clock.now(), why: "the plan could not be read back" });
   }
 
-  #nodes(session: string): string[] {
-    if (this.#crowded.length > 0) return [...this.#crowded];
+  #edgesFor(session: string): string[] {
+    if (this.#forcedEdges.length > 0) return [...this.#forcedEdges];
     const edges = this.#fleet.withRole("vise").filter((name) => this.#fleet.find(name) !== undefined);
-    const near = edges.filter((name) => this.#fleet.zoneOf(name) === this.#zones.get(session));
-    return near.length > 0 && this.#random.draw() < 0.7 ? near : edges;
+    const sameZone = edges.filter((name) => this.#fleet.zoneOf(name) === this.#zones.get(session));
+    return sameZone.length > 0 && this.#random.draw() < 0.7 ? sameZone : edges;
   }
 }
--- a/packages/testkit/src/sim/simNode.ts
+++ b/packages/testkit/src/sim/simNode.ts
@@ -1,4 +1,4 @@
-// Loaded before the world runs: what a node loads late would take real time there.
+// Imported before the simulation runs: a lazy import by a node would take real time during it.
 import "@cranetrack/core/configuration/configurationSchema.js";
 import { StorageNode } from "@cranetrack/log-storage/storageNode.js";
 import { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
@@ -10,23 +10,23 @@
 import { ControlNode } from "@cranetrack/control/controlNode.js";
 import { EdgeNode } from "@cranetrack/edge/edgeNode.js";
 import { EdgeCalls } from "@cranetrack/edge/connections/edgeCalls.js";
-import { SimClock, type SimBody } from "./simClock.js";
+import { SimClock, type SimProcessState } from "./simClock.js";
 import { SimProcessor } from "./simProcessor.js";
 import type { SimDisk } from "./simDisk.js";
 import type { SimWires } from "./simTransport.js";
 import type { SimWorld } from "./simWorld.js";
 
-/** What a process runs on. */
-interface SimMachine {
-  /** How fast its clock runs. */
+/** How fast the machine of a process is. */
+interface SimMachineSpeed {
+  /** Clock rate relative to virtual time. */
   readonly rate: number;
-  /** Of a core; undefined where its work takes no time. */
+  /** Share of a processor core; undefined if work takes no virtual time. */
   readonly processorShare: number | undefined;
 }
 
-/** One process's life in the simulator: the production classes over simulated seams. */
+/** One process incarnation in the simulator: the production classes over a simulated clock, transport and disk. */
 export class SimNode {
-  readonly body: SimBody;
+  readonly processState: SimProcessState;
   readonly clock: SimClock;
   readonly node: ClusterNode;
   readonly router: Router;
@@ -35,9 +35,9 @@
   readonly storage: StorageNode | undefined;
   readonly edge: EdgeNode | undefined;
   readonly edgeCalls: EdgeCalls | undefined;
-  readonly #closings = new Set<() => void>();
-  /** Why it would not start, as a process would exit. */
-  readonly fault: string | undefined;
+  readonly #endListeners = new Set<() => void>();
+  /** Why the node did not start (a real process would exit); undefined if it runs. */
+  readonly startFailure: string | undefined;
 
   constructor(
     world: SimWorld,
@@ -45,16 +45,16 @@
     disk: SimDisk,
     settings: Settings,
     incarnation: number,
-    machine: SimMachine,
+    machine: SimMachineSpeed,
   ) {
     const { rate, processorShare } = machine;
     const processor = processorShare === undefined ? undefined : new SimProcessor(world, processorShare);
-    this.body = { isDead: false, pausedUntil: 0, rate, processor };
-    this.clock = new SimClock(world, this.body);
+    this.processState = { isDead: false, pausedUntil: 0, rate, processor };
+    this.clock = new SimClock(world, this.processState);
     this.log = new LogBuffer(settings.name, () => undefined);
     const random = world.random.fork();
-    const mounted = settings.role === "vise" ? undefined : new ChecksummedDisk(disk.mount(this.body));
-    const transport = wires.attach(settings.address, this.body);
+    const mounted = settings.role === "vise" ? undefined : new ChecksummedDisk(disk.mount(this.processState));
+    const transport = wires.attach(settings.address, this.processState);
     const prefixes = settings.role === "vise" ? ["plan", "shards/"] : ["plan", "shards/", "machines/"];
     this.node = new ClusterNode(
       { settings, clock: this.clock, transport, disk: mounted, random, log: this.log, incarnation },
@@ -66,11 +66,11 @@
       else if (settings.role === "anvil") this.storage = new StorageNode(this.node, mounted!, false);
       else this.edge = new EdgeNode(this.node, this.router);
       if (this.edge !== undefined) this.edgeCalls = new EdgeCalls(this.edge, this.router);
-      this.fault = this.control?.load() ?? this.storage?.load();
+      this.startFailure = this.control?.load() ?? this.storage?.load();
     } catch (cause) {
-      this.fault = (cause as Error).message;
+      this.startFailure = (cause as Error).message;
     }
-    if (this.fault !== undefined) return;
+    if (this.startFailure !== undefined) return;
     new NodeStatus(this.node, this.router, {
       garbled: () => 0,
       settingsFault: () => "",
@@ -83,15 +83,15 @@
     this.edge?.start();
   }
 
-  /** Called when the process falls, as its connections are then reset. */
-  onFall(close: () => void): () => void {
-    this.#closings.add(close);
-    return () => this.#closings.delete(close);
+  /** Registers a callback for the end of the process, when its connections are reset; returns its removal. */
+  onEnd(close: () => void): () => void {
+    this.#endListeners.add(close);
+    return () => this.#endListeners.delete(close);
   }
 
-  fall(): void {
-    this.body.isDead = true;
-    for (const close of this.#closings) close();
+  end(): void {
+    this.processState.isDead = true;
+    for (const close of this.#endListeners) close();
   }
 
   async stop(): Promise<void> {
--- a/packages/testkit/src/sim/simOperator.ts
+++ b/packages/testkit/src/sim/simOperator.ts
@@ -9,16 +9,18 @@
 import type { SimRandom } from "./simRandom.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
+/** One attempt of an operator, as the linearizability checker reads it. */
 export type OrderOperation = Operation<OrderInput, OrderOutput>;
 
-/** Writes down each try of each operator. */
+/** All attempts of all operators. */
 export class OrderHistory {
   readonly operations: OrderOperation[] = [];
 }
 
 /**
- * An operator: sends an order to one control node after the other until it has a clear answer, and loses answers.
- * Each try is an operation of the history: a try without a clear answer may take effect at any later moment.
+ * An operator: sends a request to one control node after the other until it has a definite answer; some answers are
+ * lost. Each attempt is one operation of the history, and one without a definite answer may take effect at any later
+ * time.
  */
 export class SimOperator {
   static readonly answerTimeoutMs = 1000;
@@ -29,36 +31,36 @@
   readonly #fleet: SimFleet;
   readonly #random: SimRandom;
   readonly #history: OrderHistory;
-  /** Of the answers that reach it, so many are lost. */
-  readonly #lossOfAnswers: number;
+  /** Share (0 to 1) of the answers that are lost. */
+  readonly #answerLoss: number;
 
   constructor(fleet: SimFleet, history: OrderHistory, lossOfAnswers: number) {
     this.#fleet = fleet;
     this.#random = fleet.world.random.fork();
     this.#history = history;
-    this.#lossOfAnswers = lossOfAnswers;
+    this.#answerLoss = lossOfAnswers;
   }
 
-  /** The last clear answer, or undefined where none came. */
+  /** Sends a request with retries; returns the definite answer, or undefined if none came. */
   async ask(input: OrderInput): Promise<OrderOutput | undefined> {
     let pauseMs = SimOperator.firstPauseMs;
     for (let tries = 0; tries < SimOperator.maxAttempts; tries += 1) {
       const output = await this.try(this.#random.pick(this.#fleet.withRole("lathe")), input);
       if (output !== undefined) return output;
-      await this.#pause(pauseMs);
+      await this.#wait(pauseMs);
       pauseMs = Math.min(SimOperator.maxPauseMs, 2 * pauseMs);
     }
     return undefined;
   }
 
-  /** One try at one node. */
+  /** One attempt at one node; undefined without a definite answer. */
   async try(name: string, input: OrderInput): Promise<OrderOutput | undefined> {
     const { world, port } = this.#fleet;
     const operation: OrderOperation = { calledAt: world.now, returnedAt: Infinity, input, output: undefined };
     this.#history.operations.push(operation);
-    const answered = port.run(name, ({ node }) => carryOut(node, input));
-    const reply = await Promise.race([answered, this.#pause(SimOperator.answerTimeoutMs)]);
-    const isLost = this.#random.draw() < this.#lossOfAnswers;
+    const answered = port.run(name, ({ node }) => execute(node, input));
+    const reply = await Promise.race([answered, this.#wait(SimOperator.answerTimeoutMs)]);
+    const isLost = this.#random.draw() < this.#answerLoss;
     const output = reply === undefined || isLost ? undefined : outputOf(input, reply);
     if (output === undefined) return undefined;
     operation.returnedAt = world.now;
@@ -66,14 +68,14 @@
     return output;
   }
 
-  #pause(ms: number): Promise<undefined> {
+  #wait(ms: number): Promise<undefined> {
     const { world } = this.#fleet;
     return new Promise((resolve) => void world.at(world.now + ms, () => resolve(undefined)));
   }
 }
 
-/** Nothing is kept, so that no order depends on what the fleet has. */
-function carryOut(node: ClusterNode, input: OrderInput): Promise<ApiReply> {
+/** Runs a request on a node. The space retains no messages, so that the reply does not depend on the fleet's size. */
+function execute(node: ClusterNode, input: OrderInput): Promise<ApiReply> {
   if (input.kind === "read") return readBack(node);
   const { version, content, isValid } = input;
   const contract = { keep: isValid ? 0 : -1, order: "sender", fault_budget: {} };
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -7,15 +7,15 @@
 
 const unreachable: PortReply = { status: 503, body: { error: { code: "unreachable" } }, retryAfterSeconds: 0.3 };
 
-/** The machines that callers reach. */
-interface ReachedNodes {
+/** Looks up the machines that clients reach. */
+interface NodeLookup {
   readonly world: SimWorld;
-  /** The process that runs under a name now. */
+  /** The process that currently runs under a name. */
   find(name: string): SimNode | undefined;
 }
 
-/** An answer as a node gave it, whether it arrives or not. */
-export interface GivenAnswer {
+/** An answer when a node gave it, whether or not it arrives. */
+export interface NodeAnswer {
   name: string;
   method: string;
   path: string;
@@ -23,20 +23,21 @@
   text: string;
 }
 
-/** Callers' wires in the simulator: latency both ways, resets when a node falls, silence while it is paused. */
+/** Clients' network in the simulator: latency both ways, resets when a node ends, no replies while it is paused. */
 export class SimPort implements ClientPort {
-  static readonly giveUpMs = 4000;
-  /** Silence after which an operator takes an answer for lost. */
+  /** Time after which a client gives up a call. */
+  static readonly callTimeoutMs = 4000;
+  /** Time after which an operator treats an answer as lost. */
   static readonly answerTimeoutMs = 1000;
-  readonly #nodes: ReachedNodes;
-  /** Sessions whose clients do not read: what is sent to them waits, in bytes. */
+  readonly #nodes: NodeLookup;
+  /** Sessions whose clients do not read; data sent to them counts as waiting bytes. */
   readonly stalled = new Set<string>();
-  /** Of the answers to operators' orders, this share is lost on its way. */
+  /** Share (0 to 1) of the answers to operators' changes that is lost in transit. */
   answerLoss = 0;
-  /** Told of each answer at the moment when a node gives it. */
-  readonly onAnswer = new Set<(answer: GivenAnswer) => void>();
+  /** Listeners called with each answer at the time when a node gives it. */
+  readonly onAnswer = new Set<(answer: NodeAnswer) => void>();
 
-  constructor(nodes: ReachedNodes) {
+  constructor(nodes: NodeLookup) {
     this.#nodes = nodes;
   }
 
@@ -47,7 +48,7 @@
     handlers: ConnectionHandlers,
   ): Promise<PortConnection | PortReply> {
     const simNode = this.#nodes.find(name);
-    if (simNode?.edge === undefined) return this.#later(unreachable);
+    if (simNode?.edge === undefined) return this.#resolveAfterWire(unreachable);
     const connection = new SimConnection({
       simNode,
       session,
@@ -57,7 +58,7 @@
       onNode: (run) => this.#onNode(simNode, run),
     });
     const close = (): void => connection.closeByClient();
-    return this.#ask<PortConnection | PortReply>(
+    return this.#exchange<PortConnection | PortReply>(
       simNode,
       (resolveCall) => {
         connection.watchNode();
@@ -68,8 +69,8 @@
           })
           .then((reply) => {
             if (reply === undefined) return;
-            connection.forgetNode();
-            resolveCall(SimPort.#read(reply));
+            connection.stopWatchingNode();
+            resolveCall(SimPort.#toPortReply(reply));
           });
       },
       () => {
@@ -79,11 +80,11 @@
     );
   }
 
-  /** One request and its reply; of operators' changes a share of replies is lost where a fault says so. */
+  /** One request and its reply; replies to operators' changes are lost by `answerLoss`. */
   call(name: string, method: string, path: string, body: string | undefined): Promise<PortReply> {
     const answered = this.run(name, async (simNode) => {
       const reply = await simNode.router.run(method, path, Buffer.from(body ?? ""));
-      if (!simNode.body.isDead)
+      if (!simNode.processState.isDead)
         for (const listener of this.onAnswer) listener({ name, method, path, status: reply.status, text: body ?? "" });
       return reply;
     });
@@ -91,26 +92,26 @@
     if (!isOrder || this.answerLoss === 0 || this.#nodes.world.random.draw() >= this.answerLoss) return answered;
     const { world } = this.#nodes;
     return new Promise(
-      (resolve) => void world.at(world.now + SimPort.answerTimeoutMs, () => resolve(SimPort.#broken())),
+      (resolve) => void world.at(world.now + SimPort.answerTimeoutMs, () => resolve(SimPort.#brokenReply())),
     );
   }
 
-  /** A call on what runs on a node, carried there and back as `call` is. */
+  /** Runs a function on a node's process, with the same network delays and failures as `call`. */
   run(name: string, run: (simNode: SimNode) => Promise<ApiReply>): Promise<PortReply> {
     const simNode = this.#nodes.find(name);
-    if (simNode === undefined) return this.#later(unreachable);
-    return this.#ask<PortReply>(
+    if (simNode === undefined) return this.#resolveAfterWire(unreachable);
+    return this.#exchange<PortReply>(
       simNode,
-      (resolveCall) => void run(simNode).then((reply) => resolveCall(SimPort.#read(reply))),
-      SimPort.#broken,
+      (resolveCall) => void run(simNode).then((reply) => resolveCall(SimPort.#toPortReply(reply))),
+      SimPort.#brokenReply,
     );
   }
 
-  static #broken(): PortReply {
+  static #brokenReply(): PortReply {
     return { status: 0, body: { error: { code: "broken" } }, retryAfterSeconds: 0.3 };
   }
 
-  static #read(reply: ApiReply): PortReply {
+  static #toPortReply(reply: ApiReply): PortReply {
     const raw = typeof reply.body === "string" ? reply.body : Buffer.from(Router.encode(reply.body)).toString();
     let body: Record<string, unknown> = {};
     try {
@@ -121,8 +122,8 @@
     return { status: reply.status, body: { ...body, raw }, retryAfterSeconds: reply.retryAfterSeconds };
   }
 
-  /** Carries a question over and its answer back; a fall or a long silence ends it without one. */
-  #ask<T>(simNode: SimNode, run: (resolveCall: (value: T) => void) => void, giveUp: () => T): Promise<T> {
+  /** Runs a request on a node and returns its reply, or the failure reply if the node ends or the call times out. */
+  #exchange<T>(simNode: SimNode, run: (resolveCall: (value: T) => void) => void, failureReply: () => T): Promise<T> {
     const { world } = this.#nodes;
     return new Promise((resolve) => {
       let isDone = false;
@@ -132,17 +133,17 @@
         forget();
         resolve(make());
       };
-      const forget = simNode.onFall(() => this.#afterWire(() => finish(giveUp)));
-      world.at(world.now + SimPort.giveUpMs, () => finish(giveUp));
+      const forget = simNode.onEnd(() => this.#afterWire(() => finish(failureReply)));
+      world.at(world.now + SimPort.callTimeoutMs, () => finish(failureReply));
       this.#onNode(simNode, () =>
         run((value) => {
-          if (!simNode.body.isDead) this.#afterWire(() => finish(() => value));
+          if (!simNode.processState.isDead) this.#afterWire(() => finish(() => value));
         }),
       );
     });
   }
 
-  #later<T>(value: T): Promise<T> {
+  #resolveAfterWire<T>(value: T): Promise<T> {
     return new Promise((resolve) => this.#afterWire(() => resolve(value)));
   }
 
@@ -151,12 +152,12 @@
     world.at(world.now + 1, run);
   }
 
-  /** Runs on the node after the wire, once it is not paused, unless it falls first. */
+  /** Runs a callback on the node after the network delay, once it is not paused, unless the process ends first. */
   #onNode(simNode: SimNode, run: () => void): void {
     const { world } = this.#nodes;
     const arrive = (): void => {
-      if (simNode.body.isDead) return;
-      if (simNode.body.pausedUntil > world.now) return void world.at(simNode.body.pausedUntil, arrive);
+      if (simNode.processState.isDead) return;
+      if (simNode.processState.pausedUntil > world.now) return void world.at(simNode.processState.pausedUntil, arrive);
       run();
     };
     world.at(world.now + 1, arrive);
--- a/packages/testkit/src/sim/simProcessor.ts
+++ b/packages/testkit/src/sim/simProcessor.ts
@@ -1,6 +1,6 @@
 import type { SimWorld } from "./simWorld.js";
 
-/** Processor milliseconds that a whole core of a simulated machine spends on each kind of work. */
+/** Milliseconds that a whole core of a simulated machine spends on each kind of work. */
 export const processorCosts = {
   frameReceived: 0.32,
   frameSent: 0.16,
@@ -17,18 +17,18 @@
 }
 
 /**
- * The processor of one simulated process, which has a share of a core. Tasks run one at a time, in the order in which
- * they came; each begins when the ones before it are paid for.
+ * The processor of one simulated process, which has a share of a core. Tasks run one at a time in order of arrival;
+ * each begins when the cost of those before it has elapsed.
  */
 export class SimProcessor {
   readonly #world: SimWorld;
   readonly #share: number;
   readonly #tasks: Task[] = [];
   #isDraining = false;
-  /** Virtual time from which on it is idle. */
+  /** Virtual time at which the work charged so far is done. */
   #busyUntil = 0;
 
-  /** `share`: of a core, above 0. */
+  /** `share` is the share of a core, above 0. */
   constructor(world: SimWorld, share: number) {
     this.#world = world;
     this.#share = share;
@@ -38,12 +38,12 @@
     return Math.max(this.#busyUntil, this.#world.now);
   }
 
-  /** Work that the running task does beside its own cost, in milliseconds of a whole core. */
+  /** Adds work of the running task to its own cost, in milliseconds of a whole core. */
   charge(costMs: number): void {
     this.#busyUntil = this.busyUntil + costMs / this.#share;
   }
 
-  /** Runs a task once all that came before is done. */
+  /** Queues a task; `costMs` is its cost in milliseconds of a whole core. */
   run(costMs: number, run: () => void): void {
     this.#tasks.push({ costMs, run });
     if (!this.#isDraining) this.#drain();
--- a/packages/testkit/src/sim/simRandom.ts
+++ b/packages/testkit/src/sim/simRandom.ts
@@ -1,6 +1,6 @@
 import type { RandomSource } from "@cranetrack/core/runtime/random.js";
 
-/** A seeded generator (a 32-bit mixing counter): the same seed, the same draws. */
+/** A seeded pseudo-random generator (32-bit mixed counter): equal seeds give equal sequences. */
 export class SimRandom implements RandomSource {
   #state: number;
 
@@ -28,7 +28,7 @@
     return Array.from({ length: 20 }, () => Math.floor(this.draw() * 16).toString(16)).join("");
   }
 
-  /** Another generator that goes its own way. */
+  /** A new generator, seeded by a draw from this one and independent afterwards. */
   fork(): SimRandom {
     return new SimRandom(Math.floor(this.draw() * 2 ** 31));
   }
--- a/packages/testkit/src/sim/simTransport.ts
+++ b/packages/testkit/src/sim/simTransport.ts
@@ -1,64 +1,73 @@
 import type { Frame } from "@cranetrack/core/gen/cranetrack_pb.js";
 import type { Transport } from "@cranetrack/core/transport/transport.js";
 import { Wire } from "@cranetrack/core/rpc/wire.js";
-import type { SimBody } from "./simClock.js";
+import type { SimProcessState } from "./simClock.js";
 import { processorCosts } from "./simProcessor.js";
 import type { SimWorld } from "./simWorld.js";
 
-interface Port {
+/** A process that is reachable at an address. */
+interface AttachedProcess {
   address: string;
-  body: SimBody;
-  take: (frame: Frame) => void;
-  lost: (address: string) => void;
+  processState: SimProcessState;
+  onFrame: (frame: Frame) => void;
+  onLost: (address: string) => void;
   unreachable: Set<string>;
 }
-/** What becomes of one frame: nothing special where undefined. */
-export type Mutate = (
+/** Decides what is delivered instead of one frame, each copy after a delay in ms; undefined delivers it as usual. */
+export type FrameMutator = (
   from: string,
   to: string,
   bytes: Uint8Array,
 ) => Array<{ bytes: Uint8Array; delay: number }> | undefined;
 
-/** The wires between all machines: latency, loss, one-way cuts, slowness, and mutated frames. */
+/** The network between all machines: latency, loss, one-way cuts, slow nodes, resets and mutated frames. */
 export class SimWires {
   readonly #world: SimWorld;
-  readonly #ports = new Map<string, Port>();
+  readonly #processes = new Map<string, AttachedProcess>();
   readonly #cuts = new Set<string>();
-  /** Ways on which whoever sends hears at once that nobody is there; each is cut as well. */
+  /** Directions in which connections are refused, so that the sender learns of it at once; each is also cut. */
   readonly #refusals = new Set<string>();
-  readonly #lastAt = new Map<string, number>();
-  /** How often the connection between two was reset. */
+  readonly #lastArrivalAt = new Map<string, number>();
+  /** How often each connection was reset, by direction. */
   readonly #resets = new Map<string, number>();
-  readonly slow = new Map<string, number>();
+  /** Upper bound of the additional random latency of an address, in ms. */
+  readonly extraLatencyMs = new Map<string, number>();
+  /** Share (0 to 1) of the frames that are lost. */
   loss = 0;
-  mutate: Mutate | undefined;
-  frames = 0;
+  mutate: FrameMutator | undefined;
+  sentFrames = 0;
 
   constructor(world: SimWorld) {
     this.#world = world;
   }
 
-  attach(address: string, body: SimBody): Transport {
-    const port: Port = { address, body, take: () => undefined, lost: () => undefined, unreachable: new Set() };
-    this.#ports.set(address, port);
+  attach(address: string, processState: SimProcessState): Transport {
+    const port: AttachedProcess = {
+      address,
+      processState: processState,
+      onFrame: () => undefined,
+      onLost: () => undefined,
+      unreachable: new Set(),
+    };
+    this.#processes.set(address, port);
     return {
       address,
       send: (to, bytes) => {
-        if (body.isDead) return;
-        body.processor?.charge(processorCosts.frameSent + (bytes.length / 1024) * processorCosts.kilobyte);
+        if (processState.isDead) return;
+        processState.processor?.charge(processorCosts.frameSent + (bytes.length / 1024) * processorCosts.kilobyte);
         this.#send(port, address, to, bytes);
       },
       isReachable: (to) => !port.unreachable.has(to),
-      onFrame: (take) => void (port.take = take),
-      onLost: (lost) => void (port.lost = lost),
+      onFrame: (take) => void (port.onFrame = take),
+      onLost: (lost) => void (port.onLost = lost),
       drop: () => undefined,
     };
   }
 
-  /** The process at an address is gone: whoever held a connection to it hears so. */
+  /** Removes the process at an address; all processes that are not cut off from it are notified. */
   detach(address: string): void {
-    this.#ports.delete(address);
-    for (const [other, port] of this.#ports)
+    this.#processes.delete(address);
+    for (const [other, port] of this.#processes)
       if (!this.#cuts.has(`${address}>${other}`))
         this.#world.at(this.#world.now + 1, () => this.#notifyLost(port, address));
   }
@@ -67,7 +76,7 @@
     this.#cuts.add(`${from}>${to}`);
   }
 
-  /** Cuts two off from one another by refusing their connections, those that are up as well. */
+  /** Cuts two addresses off from each other: resets their connection and refuses new ones. */
   refuse(one: string, other: string): void {
     this.reset(one, other);
     for (const way of [`${one}>${other}`, `${other}>${one}`]) {
@@ -79,12 +88,12 @@
   heal(): void {
     this.#cuts.clear();
     this.#refusals.clear();
-    this.slow.clear();
+    this.extraLatencyMs.clear();
     this.loss = 0;
     this.mutate = undefined;
   }
 
-  /** Resets the connection between two: what is on its way is lost, and both hear of it. */
+  /** Resets the connection between two addresses: frames in transit are lost, and both ends are notified. */
   reset(one: string, other: string): void {
     for (const [from, to] of [
       [one, other],
@@ -92,22 +101,22 @@
     ] as const) {
       const key = `${from}>${to}`;
       this.#resets.set(key, (this.#resets.get(key) ?? 0) + 1);
-      const port = this.#ports.get(from);
+      const port = this.#processes.get(from);
       if (port !== undefined) this.#world.at(this.#world.now + 1, () => this.#notifyReset(port, to));
     }
   }
 
-  #notifyReset(port: Port, address: string): void {
-    if (port.body.isDead) return;
-    if (port.body.pausedUntil <= this.#world.now) return port.lost(address);
-    this.#world.at(port.body.pausedUntil, () => this.#notifyReset(port, address));
+  #notifyReset(port: AttachedProcess, address: string): void {
+    if (port.processState.isDead) return;
+    if (port.processState.pausedUntil <= this.#world.now) return port.onLost(address);
+    this.#world.at(port.processState.pausedUntil, () => this.#notifyReset(port, address));
   }
 
-  get isTroubled(): boolean {
-    return this.#cuts.size > 0 || this.slow.size > 0 || this.loss > 0;
+  get isFaulty(): boolean {
+    return this.#cuts.size > 0 || this.extraLatencyMs.size > 0 || this.loss > 0;
   }
 
-  mend(from: string, to: string): void {
+  uncut(from: string, to: string): void {
     this.#cuts.delete(`${from}>${to}`);
   }
 
@@ -115,18 +124,18 @@
     return this.#cuts.has(`${from}>${to}`);
   }
 
-  #notifyLost(port: Port, address: string): void {
-    const isThere = this.#ports.has(address) && !this.#refusals.has(`${port.address}>${address}`);
-    if (port.body.isDead || isThere) return;
-    if (port.body.pausedUntil > this.#world.now)
-      return void this.#world.at(port.body.pausedUntil, () => this.#notifyLost(port, address));
+  #notifyLost(port: AttachedProcess, address: string): void {
+    const isThere = this.#processes.has(address) && !this.#refusals.has(`${port.address}>${address}`);
+    if (port.processState.isDead || isThere) return;
+    if (port.processState.pausedUntil > this.#world.now)
+      return void this.#world.at(port.processState.pausedUntil, () => this.#notifyLost(port, address));
     port.unreachable.add(address);
-    port.lost(address);
+    port.onLost(address);
   }
 
-  #send(port: Port, from: string, to: string, bytes: Uint8Array): void {
-    this.frames += 1;
-    if (!this.#ports.has(to)) {
+  #send(port: AttachedProcess, from: string, to: string, bytes: Uint8Array): void {
+    this.sentFrames += 1;
+    if (!this.#processes.has(to)) {
       if (!this.#cuts.has(`${to}>${from}`)) this.#world.at(this.#world.now + 1, () => this.#notifyLost(port, to));
       return;
     }
@@ -143,12 +152,12 @@
   }
 
   #carry(from: string, to: string, bytes: Uint8Array, delay: number): void {
-    const slowness = (this.slow.get(from) ?? 0) + (this.slow.get(to) ?? 0);
+    const slowness = (this.extraLatencyMs.get(from) ?? 0) + (this.extraLatencyMs.get(to) ?? 0);
     const key = `${from}>${to}`;
-    const leavesAt = this.#ports.get(from)?.body.processor?.busyUntil ?? this.#world.now;
+    const leavesAt = this.#processes.get(from)?.processState.processor?.busyUntil ?? this.#world.now;
     const wanted = leavesAt + delay + this.#world.random.between(0.2, 2) + slowness * this.#world.random.draw();
-    const at = delay > 0 ? wanted : Math.max(wanted, this.#lastAt.get(key) ?? 0);
-    if (delay === 0) this.#lastAt.set(key, at);
+    const at = delay > 0 ? wanted : Math.max(wanted, this.#lastArrivalAt.get(key) ?? 0);
+    if (delay === 0) this.#lastArrivalAt.set(key, at);
     const resets = this.#resets.get(key);
     this.#world.at(at, () => {
       if (this.#resets.get(key) === resets) this.#arrive(key, to, bytes);
@@ -156,19 +165,19 @@
   }
 
   #arrive(key: string, to: string, bytes: Uint8Array): void {
-    const port = this.#ports.get(to);
-    if (port === undefined || port.body.isDead || this.#cuts.has(key)) return;
-    if (port.body.pausedUntil > this.#world.now)
-      return void this.#world.at(port.body.pausedUntil, () => this.#arrive(key, to, bytes));
+    const port = this.#processes.get(to);
+    if (port === undefined || port.processState.isDead || this.#cuts.has(key)) return;
+    if (port.processState.pausedUntil > this.#world.now)
+      return void this.#world.at(port.processState.pausedUntil, () => this.#arrive(key, to, bytes));
     this.#world.digestEvent(`${this.#world.now} ${key} `);
     this.#world.digestEvent(bytes);
     const frame = Wire.decode(bytes);
     if (frame === undefined) return;
-    const { processor } = port.body;
-    if (processor === undefined) return port.take(frame);
+    const { processor } = port.processState;
+    if (processor === undefined) return port.onFrame(frame);
     const costMs = processorCosts.frameReceived + (bytes.length / 1024) * processorCosts.kilobyte;
     processor.run(costMs, () => {
-      if (!port.body.isDead) port.take(frame);
+      if (!port.processState.isDead) port.onFrame(frame);
     });
   }
 }
--- a/packages/testkit/src/sim/simWorld.ts
+++ b/packages/testkit/src/sim/simWorld.ts
@@ -1,25 +1,27 @@
 import { createHash } from "node:crypto";
 import { SimRandom } from "./simRandom.js";
 
-interface Event {
+interface ScheduledEvent {
   at: number;
-  order: number;
+  sequence: number;
   run: () => void;
-  isOff: boolean;
+  isCancelled: boolean;
 }
 
 /**
- * Virtual time and everything that is to happen in it.
- * Invariant: events run by (time, order of asking), one at a time, and all promises settle in between; so
- * a seed gives one trace, byte for byte.
+ * Virtual time and the queue of scheduled events.
+ * Invariant: events run one at a time, ordered by (time, order of scheduling), and all promises settle in between, so
+ * that equal seeds give equal traces, byte for byte.
  */
 export class SimWorld {
   readonly random: SimRandom;
   readonly #trace = createHash("sha1");
-  /** A binary heap: no event is before its parent. */
-  readonly #heap: Event[] = [];
-  #order = 0;
+  /** Binary heap: no event is due before its parent. */
+  readonly #heap: ScheduledEvent[] = [];
+  #lastSequence = 0;
+  /** Virtual time in ms. */
   now = 0;
+  /** Number of events run so far. */
   events = 0;
 
   readonly seed: number;
@@ -29,14 +31,19 @@
     this.random = new SimRandom(seed);
   }
 
-  /** Runs at that virtual time, or now where it is past. */
-  at(time: number, run: () => void): Event {
-    const event: Event = { at: Math.max(time, this.now), order: (this.#order += 1), run, isOff: false };
+  /** Schedules a callback at a virtual time in ms, or now if that is past. */
+  at(time: number, run: () => void): ScheduledEvent {
+    const event: ScheduledEvent = {
+      at: Math.max(time, this.now),
+      sequence: (this.#lastSequence += 1),
+      run,
+      isCancelled: false,
+    };
     this.#push(event);
     return event;
   }
 
-  /** Makes what happened part of the trace. */
+  /** Adds an event to the trace. */
   digestEvent(text: string | Uint8Array): void {
     this.#trace.update(text);
   }
@@ -46,10 +53,11 @@
     return this.#trace.copy().update(String(this.now)).digest("hex");
   }
 
+  /** Runs all events up to a virtual time in ms, and moves `now` there. */
   async run(until: number): Promise<void> {
     while (this.#heap.length > 0 && this.#heap[0]!.at <= until) {
       const event = this.#pop();
-      if (event.isOff) continue;
+      if (event.isCancelled) continue;
       this.now = event.at;
       this.events += 1;
       event.run();
@@ -58,11 +66,11 @@
     this.now = until;
   }
 
-  static #isBefore(a: Event, b: Event): boolean {
-    return a.at < b.at || (a.at === b.at && a.order < b.order);
+  static #isBefore(a: ScheduledEvent, b: ScheduledEvent): boolean {
+    return a.at < b.at || (a.at === b.at && a.sequence < b.sequence);
   }
 
-  #push(event: Event): void {
+  #push(event: ScheduledEvent): void {
     const heap = this.#heap;
     let i = heap.push(event) - 1;
     while (i > 0) {
@@ -74,7 +82,7 @@
     heap[i] = event;
   }
 
-  #pop(): Event {
+  #pop(): ScheduledEvent {
     const heap = this.#heap;
     const top = heap[0]!;
     const last = heap.pop()!;
--- a/packages/testkit/src/sim/staleNodes.ts
+++ b/packages/testkit/src/sim/staleNodes.ts
@@ -3,11 +3,11 @@
 import type { TestFleet } from "./testClient.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
-/** Within this long after an acknowledgement nobody in touch acts on what was in force before. */
-export const boundMs = 3000;
+/** Time in ms after an acknowledgement by which no node with a fresh feed acts on an older configuration. */
+export const staleActionBoundMs = 3000;
 
-/** The version under which an operator had the usual configuration accepted, asking one node until it was. */
-export async function accepted({ fleet, load, ask }: TestFleet, at: string): Promise<number> {
+/** Proposes the usual configuration at one node until it is accepted; returns its version, 0 after 20 attempts. */
+export async function proposeUntilAccepted({ fleet, load, ask }: TestFleet, at: string): Promise<number> {
   const version = load.nextVersion;
   const body = documentTextOf(SimLoad.configuration(version));
   for (let tries = 0; tries < 20; tries += 1) {
@@ -17,10 +17,10 @@
   return 0;
 }
 
-/** Nodes that take what they know for fresh and act on a lower version. */
-export const actingOnOld = (fleet: SimFleet, version: number): string[] =>
+/** Running nodes that consider their feed fresh and act on a configuration older than `version`. */
+export const nodesActingOnOlderVersion = (fleet: SimFleet, version: number): string[] =>
   fleet.names.filter((name) => {
     const running = fleet.find(name);
-    if (running === undefined || running.body.pausedUntil > fleet.world.now) return false;
+    if (running === undefined || running.processState.pausedUntil > fleet.world.now) return false;
     return running.node.feed.isFresh && running.node.configuration.version < version;
   });
--- a/packages/testkit/src/sim/store.test.ts
+++ b/packages/testkit/src/sim/store.test.ts
@@ -14,13 +14,14 @@
 const leader = (fleet: SimFleet): string | undefined =>
   controlNodes(fleet).find(
     (name) =>
-      fleet.find(name)?.control?.raft?.isLeader === true && fleet.find(name)!.body.pausedUntil <= fleet.world.now,
+      fleet.find(name)?.control?.raft?.isLeader === true &&
+      fleet.find(name)!.processState.pausedUntil <= fleet.world.now,
   );
 
 async function founded(seed: number, machines = Scenario.machines(5)): Promise<{ fleet: SimFleet; load: SimLoad }> {
   const fleet = new SimFleet(seed, machines);
   const load = new SimLoad(fleet);
-  expect(await load.begin(0)).toEqual(true);
+  expect(await load.start(0)).toEqual(true);
   return { fleet, load };
 }
 
@@ -211,7 +212,7 @@
   ] as const) {
     fleet.kill(name);
     expect(fleet.diskOf(name).corrupt(prefix)).toEqual(true);
-    expect(fleet.start(name).fault).toEqual(expect.includes("damaged at"));
+    expect(fleet.start(name).startFailure).toEqual(expect.includes("damaged at"));
     fleet.kill(name);
   }
   await fleet.run(4000);
@@ -221,7 +222,7 @@
 test("a first snapshot that takes longer than the looks at the feed still arrives", async () => {
   const { fleet } = await founded(29, Scenario.machines());
   fleet.kill("vise-1");
-  fleet.wires.slow.set(fleet.addressOf("vise-1"), 1500);
+  fleet.wires.extraLatencyMs.set(fleet.addressOf("vise-1"), 1500);
   await fleet.run(1000);
   const { feed } = fleet.start("vise-1").node;
   expect(await fleet.until(() => feed.revision > 0, 6000)).toEqual(true);
@@ -263,7 +264,7 @@
 
 for (const [what, fail] of [
   ["hears nobody any more", (fleet: SimFleet, name: string) => fleet.isolate(name, fleet.names, "in")],
-  ["turned slow", (fleet: SimFleet, name: string) => fleet.wires.slow.set(fleet.addressOf(name), 350)],
+  ["turned slow", (fleet: SimFleet, name: string) => fleet.wires.extraLatencyMs.set(fleet.addressOf(name), 350)],
 ] as const) {
   test(`a proposer that ${what} gives way, and nobody loses a lease over it`, async () => {
     const { fleet } = await founded(61);
