--- a/packages/testkit/src/sim/storeFaults.ts
+++ b/packages/testkit/src/sim/storeFaults.ts
@@ -1,38 +1,38 @@
 import fc from "fast-check";
 import type { SimFleet } from "./simFleet.js";
 
-/** What happens to control nodes, from the start of a play. */
+/** A fault of control nodes: its start, in ms from the start of a run, and its duration `ms`. */
 export interface StoreFault {
   at: number;
   ms: number;
   what: "cut" | "cut one way" | "kill" | "freeze" | "slow" | "loss";
-  /** Which control nodes, by number: 0 is the leader of that moment. */
+  /** Which control nodes, by number: 0 is the leader at that time. */
   who: number[];
 }
 
-/** In bursts: races and losses in mid-order take moments that lie close together. */
+/** Start times in bursts: races, and losses during a change, need events that lie close together. */
 const burst = fc
   .record({ burst: fc.integer({ min: 0, max: 5 }), offset: fc.integer({ min: 0, max: 30 }) })
   .map(({ burst, offset }) => 1000 + burst * 2000 + offset);
 
-function cause(fleet: SimFleet, { what, who, ms }: StoreFault): void {
+function injectFault(fleet: SimFleet, { what, who, ms }: StoreFault): void {
   const { world, wires } = fleet;
   const all = StoreFaults.leaderFirst(fleet);
-  const these = who.map((number) => all[number % all.length]!);
-  const others = all.filter((name) => !these.includes(name));
+  const targets = who.map((number) => all[number % all.length]!);
+  const others = all.filter((name) => !targets.includes(name));
   const later = (task: () => void): void => void world.at(world.now + ms, task);
   switch (what) {
     case "cut":
     case "cut one way":
-      for (const name of these) fleet.isolate(name, others, what === "cut" ? "both" : "in");
+      for (const name of targets) fleet.isolate(name, others, what === "cut" ? "both" : "in");
       return later(() => wires.heal());
     case "kill":
-      for (const name of these) fleet.kill(name);
-      return later(() => these.forEach((name) => fleet.start(name)));
+      for (const name of targets) fleet.kill(name);
+      return later(() => targets.forEach((name) => fleet.start(name)));
     case "freeze":
-      return these.forEach((name) => fleet.pause(name, ms));
+      return targets.forEach((name) => fleet.pause(name, ms));
     case "slow":
-      for (const name of these) wires.slow.set(fleet.addressOf(name), 400);
+      for (const name of targets) wires.extraLatencyMs.set(fleet.addressOf(name), 400);
       return later(() => wires.heal());
     case "loss":
       wires.loss = 0.2;
@@ -40,13 +40,13 @@
   }
 }
 
-/** Troubles of the metadata store, for plays that fast-check makes up and shrinks. */
+/** Faults of the metadata store, for runs that fast-check generates and shrinks. */
 export const StoreFaults = {
-  /** After a burst, while whoever led may not know that another does. */
+  /** A time after a burst, when the former leader may not know yet that another node leads. */
   afterBurst: fc.record({ at: burst, later: fc.integer({ min: 0, max: 1500 }) }).map(({ at, later }) => at + later),
 
-  /** All bursts lie within. */
-  lengthMs: 13_000,
+  /** All bursts lie within this time from the start of a run. */
+  maxBurstAtMs: 13_000,
   burst,
   arbitrary: fc.array(
     fc.record({
@@ -61,15 +61,15 @@
     { maxLength: 6 },
   ),
 
-  /** The control nodes, the leader of this moment at their head: where races and losses are to be met. */
+  /** The control nodes with the current leader first, since races and losses concern the leader most. */
   leaderFirst(fleet: SimFleet): string[] {
     const leader = fleet.leader;
     return fleet.withRole("lathe").toSorted((a, b) => Number(b === leader) - Number(a === leader));
   },
 
-  /** Asks for all of them from now on; each is over by itself. */
-  cause(fleet: SimFleet, faults: readonly StoreFault[]): void {
+  /** Schedules all faults relative to now; each ends by itself. */
+  schedule(fleet: SimFleet, faults: readonly StoreFault[]): void {
     const start = fleet.world.now;
-    for (const fault of faults) fleet.world.at(start + fault.at, () => cause(fleet, fault));
+    for (const fault of faults) fleet.world.at(start + fault.at, () => injectFault(fleet, fault));
   },
 };
--- a/packages/testkit/src/sim/storeHistories.test.ts
+++ b/packages/testkit/src/sim/storeHistories.test.ts
@@ -134,9 +134,9 @@
   expect(await fleet.until(() => fleet.leader !== undefined, 15_000)).toEqual(true);
   const history = new KeysHistory(fleet);
   const start = fleet.world.now;
-  StoreFaults.cause(fleet, faults);
+  StoreFaults.schedule(fleet, faults);
   for (const step of steps) fleet.world.at(start + step.at, () => void history.run(step));
-  await fleet.run(StoreFaults.lengthMs + calmMs);
+  await fleet.run(StoreFaults.maxBurstAtMs + calmMs);
   fleet.wires.heal();
   await fleet.run(calmMs);
   void history.run({ at: 0, client: 0, keys: ["test/x", "test/y", "test/z"], checked: 0, kind: "read" });
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -20,7 +20,8 @@
   topics: readonly string[],
 ): Promise<TestClient> {
   const client = new TestClient(fleet, node, session, { subscriptions: topics.map((topic) => ({ topic })) });
-  const isConnected = (): boolean => client.of("open").length > 0 && client.of("confirmed").length === topics.length;
+  const isConnected = (): boolean =>
+    client.linesOf("open").length > 0 && client.linesOf("confirmed").length === topics.length;
   expect(await fleet.until(isConnected, 5000)).toEqual(true);
   return client;
 }
@@ -28,12 +29,13 @@
 test("a space of one order has it over all its topics, whoever holds what, through a change of leader", async () => {
   const fleet = new SimFleet(51, Scenario.machines());
   const load = new SimLoad(fleet);
-  expect(await load.begin(12)).toEqual(true);
+  expect(await load.start(12)).toEqual(true);
   // Both senders at once, on different topics; what one edge hears of a machine comes later than elsewhere.
   for (let round = 0; round < 80; round += 1) {
-    if (round % 20 === 0) fleet.wires.slow.clear();
-    if (round % 20 === 0) fleet.wires.slow.set(fleet.addressOf(fleet.withRole("anvil")[(round / 20) % 3]!), 60);
-    if (round === 40) fleet.kill(fleet.leaderName!);
+    if (round % 20 === 0) fleet.wires.extraLatencyMs.clear();
+    if (round % 20 === 0)
+      fleet.wires.extraLatencyMs.set(fleet.addressOf(fleet.withRole("anvil")[(round / 20) % 3]!), 60);
+    if (round === 40) fleet.kill(fleet.shardLeader!);
     for (const [i, sender] of load.clients.slice(0, 2).entries())
       void sender.publish(`notices/t${(round + i) % 3}`, `round ${round} of ${sender.session}`);
     await fleet.run(40);
@@ -59,16 +61,16 @@
     await say(1, "notices/t0");
     await say(1, "notices/t1");
     await say(2, "notices/t0");
-    expect(await fleet.until(() => reader.got().length === 3, 3000)).toEqual(true);
+    expect(await fleet.until(() => reader.deliveries().length === 3, 3000)).toEqual(true);
     reader.close();
     await say(3, "notices/t0");
     await say(2, "notices/t1");
     await say(4, "notices/t0");
     const subscriptions = ["notices/t0", "notices/t1"].map((topic) => ({ topic, after: placeOf(reader, topic) }));
     const again = new TestClient(fleet, "vise-3", "desk", { subscriptions });
-    expect(await fleet.until(() => again.got().length === 3, 4000)).toEqual(true);
+    expect(await fleet.until(() => again.deliveries().length === 3, 4000)).toEqual(true);
     await fleet.run(1000);
-    expect(again.got()).toEqual(["notices/t0 3", "notices/t1 2", "notices/t0 4"]);
+    expect(again.deliveries()).toEqual(["notices/t0 3", "notices/t1 2", "notices/t0 4"]);
   },
 );
 
@@ -82,18 +84,18 @@
   await connectSession(all, "vise-2", "pen", []);
   expect((await publish("pen", 1, "vise-2", "extra/t0"))["receipt"]).toEqual("accepted");
   expect((await publish("pen", 1, "vise-2", "extra/t1"))["receipt"]).toEqual("accepted");
-  expect(await fleet.until(() => reader.got().length === 2, 3000)).toEqual(true);
+  expect(await fleet.until(() => reader.deliveries().length === 2, 3000)).toEqual(true);
   reader.close();
   const subscriptions = ["extra/t0", "extra/t1"].map((topic) => ({ topic, after: placeOf(reader, topic) }));
   for (let number = 2; number <= 5; number += 1) await publish("pen", number, "vise-2", "extra/t0");
   await fleet.run(70_000);
   const again = new TestClient(fleet, "vise-3", "desk", { subscriptions });
-  expect(await fleet.until(() => again.of("confirmed").length === 2, 5000)).toEqual(true);
-  expect(again.of("expired").map((line) => line["topic"])).toEqual(["extra/t0"]);
+  expect(await fleet.until(() => again.linesOf("confirmed").length === 2, 5000)).toEqual(true);
+  expect(again.linesOf("expired").map((line) => line["topic"])).toEqual(["extra/t0"]);
   await publish("pen", 6, "vise-2", "extra/t0");
   await publish("pen", 2, "vise-2", "extra/t1");
-  expect(await fleet.until(() => again.got().length === 2, 3000)).toEqual(true);
-  expect(again.got()).toEqual(["extra/t0 6", "extra/t1 2"]);
+  expect(await fleet.until(() => again.deliveries().length === 2, 3000)).toEqual(true);
+  expect(again.deliveries()).toEqual(["extra/t0 6", "extra/t1 2"]);
 });
 
 test("a place that is ahead of what an edge has heard is no unknown place: the leader is asked", async () => {
@@ -105,16 +107,20 @@
   const late = fleet.addressOf("vise-2");
   fleet.wires.mutate = (_from, to, bytes) => (to === late && isKind(bytes, "push", "followReply") ? [] : undefined);
   for (let number = 1; number <= 3; number += 1) expect((await publish("desk", number))["receipt"]).toEqual("accepted");
-  expect(await fleet.until(() => here.got().length === 3, 2000)).toEqual(true);
-  expect(there.got()).toEqual([]);
+  expect(await fleet.until(() => here.deliveries().length === 3, 2000)).toEqual(true);
+  expect(there.deliveries()).toEqual([]);
   const subscriptions = [{ topic: "notes/t1", after: placeOf(here, "notes/t1") }];
   const moved = new TestClient(fleet, "vise-2", "desk", { subscriptions });
-  expect(await fleet.until(() => moved.of("confirmed").length + moved.of("fault").length > 0, 3000)).toEqual(true);
-  expect(moved.of("fault")).toEqual([]);
+  expect(await fleet.until(() => moved.linesOf("confirmed").length + moved.linesOf("fault").length > 0, 3000)).toEqual(
+    true,
+  );
+  expect(moved.linesOf("fault")).toEqual([]);
   fleet.wires.heal();
   expect((await publish("desk", 4, "vise-2"))["receipt"]).toEqual("accepted");
-  expect(await fleet.until(() => moved.got().length === 1 && there.got().length === 4, 4000)).toEqual(true);
-  expect(moved.got("notes/t1")).toEqual([4]);
+  expect(await fleet.until(() => moved.deliveries().length === 1 && there.deliveries().length === 4, 4000)).toEqual(
+    true,
+  );
+  expect(moved.deliveries("notes/t1")).toEqual([4]);
 });
 
 // Guards against LOST and ORDER (issue 42): what was kept was dropped with the space, and numbers taken came again.
@@ -124,7 +130,7 @@
     const { fleet, publish } = all;
     const reader = await connectSession(all, "vise-1", "desk", ["notes/t1"]);
     expect((await publish("desk", 1))["receipt"]).toEqual("accepted");
-    expect(await fleet.until(() => reader.got().length === 1, 2000)).toEqual(true);
+    expect(await fleet.until(() => reader.deliveries().length === 1, 2000)).toEqual(true);
     const before = placeOf(reader, "notes/t1");
     expect((await publish("desk", 2))["receipt"]).toEqual("accepted");
     reader.close();
@@ -137,14 +143,14 @@
     for (const name of sleepers) fleet.revive(name);
     await fleet.run(6000);
     const again = new TestClient(fleet, "vise-2", "desk", { subscriptions: [{ topic: "notes/t1", after: before }] });
-    expect(await fleet.until(() => again.of("confirmed").length === 1, 5000)).toEqual(true);
-    expect(again.of("expired")).toEqual([]);
-    expect(await fleet.until(() => again.got().length === 1, 2000)).toEqual(true);
+    expect(await fleet.until(() => again.linesOf("confirmed").length === 1, 5000)).toEqual(true);
+    expect(again.linesOf("expired")).toEqual([]);
+    expect(await fleet.until(() => again.deliveries().length === 1, 2000)).toEqual(true);
     // A number that was taken is not taken a second time.
     expect((await publish("desk", 2, "vise-2"))["receipt"]).toEqual("accepted");
     expect((await publish("desk", 3, "vise-2"))["receipt"]).toEqual("accepted");
-    expect(await fleet.until(() => again.got().length >= 2, 2000)).toEqual(true);
-    expect(again.got("notes/t1")).toEqual([2, 3]);
+    expect(await fleet.until(() => again.deliveries().length >= 2, 2000)).toEqual(true);
+    expect(again.deliveries("notes/t1")).toEqual([2, 3]);
   });
 
 test("rules of a space with different orders, and a changed order of a living space, are 422 with paths", async () => {
@@ -225,7 +231,7 @@
   for (let number = 1; number <= 350; number += 1)
     expect((await publish("pen", number, "vise-2"))["receipt"]).toEqual("accepted");
   fleet.wires.heal();
-  expect(await fleet.until(() => reader.got().length === 350, 3000)).toEqual(true);
+  expect(await fleet.until(() => reader.deliveries().length === 350, 3000)).toEqual(true);
 });
 
 test("places of another space, stream or incarnation, or made up, get an answer for their topic alone", async () => {
@@ -243,21 +249,21 @@
     { topic: "extra/t0", after: placeOf(reader, "extra/t0") },
   ];
   const client = new TestClient(fleet, "vise-2", "desk", { subscriptions });
-  expect(await fleet.until(() => client.of("confirmed").length === 3 && client.of("fault").length === 2, 5000)).toEqual(
-    true,
-  );
-  expect(client.of("fault").map((line) => [line["topic"], line["code"]])).toLooseEqual([
+  expect(
+    await fleet.until(() => client.linesOf("confirmed").length === 3 && client.linesOf("fault").length === 2, 5000),
+  ).toEqual(true);
+  expect(client.linesOf("fault").map((line) => [line["topic"], line["code"]])).toLooseEqual([
     ["notices/t0", "malformed-place"],
     ["notes/t2", "unknown-place"],
   ]);
   expect(
     client
-      .of("expired")
+      .linesOf("expired")
       .map((line) => line["topic"])
       .sort(),
   ).toEqual(["notes/t1", "notes/t3"]);
   expect((await publish("desk", 1, "vise-2", "extra/t0"))["receipt"]).toEqual("accepted");
-  expect(await fleet.until(() => client.got("extra/t0").length === 1, 2000)).toEqual(true);
+  expect(await fleet.until(() => client.deliveries("extra/t0").length === 1, 2000)).toEqual(true);
 });
 
 test("a push that overtakes the reply which tells of its stream is not lost", async () => {
@@ -276,7 +282,7 @@
   const reader = await connectSession(all, "vise-1", "reader", [other]);
   await fleet.run(50);
   expect((await publish("pen", 1, "vise-2", other))["receipt"]).toEqual("accepted");
-  expect(await fleet.until(() => reader.got().length === 1, 2000)).toEqual(true);
+  expect(await fleet.until(() => reader.deliveries().length === 1, 2000)).toEqual(true);
 });
 
 test("an edge that slept through a space's removal and return is told to come back, never 404", async () => {
@@ -362,20 +368,20 @@
       expect((await publish("pen", (number += 1), "vise-2", topic))["receipt"]).toEqual("accepted");
       if (!isNested) kept.push(number);
     }
-    expect(await fleet.until(() => staying.got(topic).length === number, 3000)).toEqual(true);
-    expect(staying.got(topic)).toEqual(Array.from({ length: number }, (_, i) => i + 1));
-    expect([staying.of("ended"), staying.of("expired")]).toEqual([[], []]);
-    expect(await fleet.until(() => visitor.got(topic).length >= 3, 3000)).toEqual(true);
-    expect(visitor.got(topic)).toEqual([1, 2, 3].map((one) => from + one));
+    expect(await fleet.until(() => staying.deliveries(topic).length === number, 3000)).toEqual(true);
+    expect(staying.deliveries(topic)).toEqual(Array.from({ length: number }, (_, i) => i + 1));
+    expect([staying.linesOf("ended"), staying.linesOf("expired")]).toEqual([[], []]);
+    expect(await fleet.until(() => visitor.deliveries(topic).length >= 3, 3000)).toEqual(true);
+    expect(visitor.deliveries(topic)).toEqual([1, 2, 3].map((one) => from + one));
     visitor.close();
     if (isNested) continue;
     for (const place of places) {
       const subscriptions = [{ topic, after: place.after }];
       const again = new TestClient(fleet, "vise-3", `again-${number}-${place.from}`, { subscriptions });
       const owed = kept.filter((one) => one > place.from);
-      const given = (): unknown[] => again.got(topic).filter((one) => kept.some((number) => number === one));
+      const given = (): unknown[] => again.deliveries(topic).filter((one) => kept.some((number) => number === one));
       expect(await fleet.until(() => given().length >= owed.length, 5000)).toEqual(true);
-      expect([given(), again.of("expired")]).toEqual([owed, []]);
+      expect([given(), again.linesOf("expired")]).toEqual([owed, []]);
       again.close();
     }
   }
@@ -401,15 +407,15 @@
   for (const isNested of [false, true, false]) {
     await put(isNested);
     expect((await publish("pen", (number += 1), "vise-2", topic))["receipt"]).toEqual("accepted");
-    expect(await fleet.until(() => staying.got().length === number, 3000)).toEqual(true);
-    expect(staying.of("ended")).toEqual([]);
+    expect(await fleet.until(() => staying.deliveries().length === number, 3000)).toEqual(true);
+    expect(staying.linesOf("ended")).toEqual([]);
     const subscriptions = [{ topic, after: start }];
     const again = new TestClient(fleet, "vise-3", `again-${number}`, { subscriptions });
-    expect(await fleet.until(() => again.got().length === number, 5000)).toEqual(true);
-    expect(again.of("expired")).toEqual([]);
+    expect(await fleet.until(() => again.deliveries().length === number, 5000)).toEqual(true);
+    expect(again.linesOf("expired")).toEqual([]);
     again.close();
   }
-  expect(staying.got(topic)).toEqual([1, 2, 3]);
+  expect(staying.deliveries(topic)).toEqual([1, 2, 3]);
 });
 
 test("a topic whose space was of other storage while its leaders slept goes on with what was kept", async () => {
@@ -418,7 +424,7 @@
   const topic = "notes/deep/t1";
   const reader = await connectSession(all, "vise-1", "desk", [topic]);
   expect((await publish("desk", 1, "vise-1", topic))["receipt"]).toEqual("accepted");
-  expect(await fleet.until(() => reader.got().length === 1, 2000)).toEqual(true);
+  expect(await fleet.until(() => reader.deliveries().length === 1, 2000)).toEqual(true);
   const after = placeOf(reader, topic);
   expect((await publish("desk", 2, "vise-1", topic))["receipt"]).toEqual("accepted");
   reader.close();
@@ -435,12 +441,12 @@
   for (const name of fleet.withRole("anvil")) fleet.revive(name);
   await fleet.run(6000);
   const again = new TestClient(fleet, "vise-2", "desk", { subscriptions: [{ topic, after }] });
-  expect(await fleet.until(() => again.of("confirmed").length === 1, 5000)).toEqual(true);
-  expect(again.of("expired")).toEqual([]);
+  expect(await fleet.until(() => again.linesOf("confirmed").length === 1, 5000)).toEqual(true);
+  expect(again.linesOf("expired")).toEqual([]);
   expect((await publish("desk", 2, "vise-2", topic))["receipt"]).toEqual("accepted");
   expect((await publish("desk", 3, "vise-2", topic))["receipt"]).toEqual("accepted");
-  expect(await fleet.until(() => again.got().length >= 2, 2000)).toEqual(true);
-  expect(again.got(topic)).toEqual([2, 3]);
+  expect(await fleet.until(() => again.deliveries().length >= 2, 2000)).toEqual(true);
+  expect(again.deliveries(topic)).toEqual([2, 3]);
 });
 
 test("a space with an empty prefix has the topics that no other space has", async () => {
@@ -456,7 +462,7 @@
   await connectSession(at, "vise-1", "writer", []);
   expect((await publish("writer", 1, "vise-1", "anything"))["status"]).toEqual(200);
   expect((await publish("writer", 2, "vise-1", "notes/t1"))["status"]).toEqual(200);
-  expect(await fleet.until(() => reader.got().length === 2, 3000)).toEqual(true);
+  expect(await fleet.until(() => reader.deliveries().length === 2, 3000)).toEqual(true);
   expect((await put(spaces.slice(1)))["status"]).toEqual(200);
   await fleet.run(2000);
   expect((await publish("writer", 3, "vise-1", "anything"))["status"]).toEqual(404);
--- a/packages/testkit/src/sim/sweep.ts
+++ b/packages/testkit/src/sim/sweep.ts
@@ -4,7 +4,7 @@
 import { Scenario, type ScenarioReport } from "./scenario.js";
 import { Faults, type FaultName } from "./faults.js";
 
-/** Which seeds, with what faults; `ms` is virtual time under faults. */
+/** Range of seeds and kinds of faults; `ms` is virtual time under faults, `atOnce` the number of processes. */
 export interface SweepOptions {
   from: number;
   seeds: number;
@@ -13,12 +13,12 @@
   atOnce: number;
 }
 
-/** Many seeds, several at a time, and what came of them all. */
+/** Runs many seeds, several at a time, and sums up their reports. */
 export class Sweep {
   readonly #options: SweepOptions;
-  readonly #say: (report: ScenarioReport) => void;
-  readonly #caused = new Map<string, number>();
-  readonly #closed = new Map<string, number>();
+  readonly #onReport: (report: ScenarioReport) => void;
+  readonly #faultCounts = new Map<string, number>();
+  readonly #closingCounts = new Map<string, number>();
   readonly #late = new Map<string, { count: number; worst: number; seed: number }>();
   #worstBackMs = 0;
   #received = 0;
@@ -27,34 +27,39 @@
 
   constructor(options: SweepOptions, say: (report: ScenarioReport) => void) {
     this.#options = options;
-    this.#say = say;
+    this.#onReport = say;
   }
 
   static run(seed: number, ms: number, faults: readonly FaultName[] | undefined): Promise<ScenarioReport> {
-    return Scenario.run(seed, { ...Scenario.shapeOf(seed), faultMs: ms, ...(faults === undefined ? {} : { faults }) });
+    return Scenario.run(seed, {
+      ...Scenario.optionsFor(seed),
+      faultMs: ms,
+      ...(faults === undefined ? {} : { faults }),
+    });
   }
 
-  /** Each run is a process of its own, given one seed after the other. */
+  /** Runs all seeds in child processes, each with up to eight consecutive seeds. */
   async run(program: string): Promise<void> {
     const { from, seeds, atOnce } = this.#options;
     const queue = new PQueue({ concurrency: atOnce });
     const size = Math.max(1, Math.min(8, Math.ceil(seeds / atOnce)));
     for (let first = from; first < from + seeds; first += size) {
       const count = Math.min(size, from + seeds - first);
-      void queue.add(() => this.#part(program, first, count));
+      void queue.add(() => this.#runPart(program, first, count));
     }
     await queue.onIdle();
   }
 
-  /** Counts one seed's report, and hands it on. */
+  /** Adds one seed's report to the totals, and passes it on. */
   take(report: ScenarioReport): void {
     if (report.breaches.length === 0) this.passed += 1;
     else this.failed += 1;
     for (const fault of report.faults) {
       const what = fault.split(" ")[1]!;
-      this.#caused.set(what, (this.#caused.get(what) ?? 0) + 1);
+      this.#faultCounts.set(what, (this.#faultCounts.get(what) ?? 0) + 1);
     }
-    if (report.closing !== undefined) this.#closed.set(report.closing, (this.#closed.get(report.closing) ?? 0) + 1);
+    if (report.closing !== undefined)
+      this.#closingCounts.set(report.closing, (this.#closingCounts.get(report.closing) ?? 0) + 1);
     for (const { cause, count, worst } of report.late) {
       const known = this.#late.get(cause) ?? { count: 0, worst: 0, seed: 0 };
       const seed = worst > known.worst ? report.seed : known.seed;
@@ -62,41 +67,41 @@
     }
     this.#received += report.received;
     if (Number.isFinite(report.backMs)) this.#worstBackMs = Math.max(this.#worstBackMs, Math.round(report.backMs));
-    this.#say(report);
+    this.#onReport(report);
   }
 
-  /** For people's eyes. */
+  /** Readable summary of all reports. */
   get text(): string {
     const counts = (of: Map<string, number>): string =>
       [...of]
         .sort(([a], [b]) => (a < b ? -1 : 1))
         .map(([what, count]) => `${what} ${count}`)
         .join(", ");
-    const never = (this.#options.faults ?? Faults.all).filter((name) => !this.#caused.has(name));
+    const never = (this.#options.faults ?? Faults.all).filter((name) => !this.#faultCounts.has(name));
     const late = [...this.#late]
       .sort((a, b) => b[1].worst - a[1].worst)
       .slice(0, 12)
       .map(([cause, { count, worst, seed }]) => `  ${count} during ${cause}, up to ${worst} ms (seed ${seed})\n`);
     const all = [...this.#late.values()].reduce((sum, { count }) => sum + count, 0);
     return (
-      `faults caused: ${counts(this.#caused)}\n` +
+      `faults caused: ${counts(this.#faultCounts)}\n` +
       `faults that never came about: ${never.join(", ") || "none"}\n` +
-      `closings: ${counts(this.#closed)}\n` +
+      `closings: ${counts(this.#closingCounts)}\n` +
       `service back after ${this.#worstBackMs} ms at the latest; ${all} of ${this.#received} receipts above 2 s\n` +
       `${late.join("")}${this.passed} passed, ${this.failed} failed\n`
     );
   }
 
-  async #part(program: string, first: number, count: number): Promise<void> {
+  async #runPart(program: string, first: number, count: number): Promise<void> {
     const { ms, faults } = this.#options;
     const args = ["sim", "--json", "--from", String(first), "--seeds", String(count), "--ms", String(ms)];
     if (faults !== undefined) args.push("--faults", faults.join(","));
     const child = spawn(process.execPath, [program, ...args], { stdio: ["ignore", "pipe", "inherit"] });
-    let got = 0;
+    let reportCount = 0;
     for await (const line of createInterface({ input: child.stdout })) {
-      got += 1;
+      reportCount += 1;
       this.take(JSON.parse(line) as ScenarioReport);
     }
-    this.failed += count - got;
+    this.failed += count - reportCount;
   }
 }
--- a/packages/testkit/src/sim/testClient.ts
+++ b/packages/testkit/src/sim/testClient.ts
@@ -8,7 +8,7 @@
 /** A line of JSON as a client reads it. */
 export type Line = Record<string, unknown>;
 
-/** A client by hand: one connection and the lines it gave. */
+/** A client that a test drives by hand: one connection and the lines received on it. */
 export class TestClient {
   readonly lines: Line[] = [];
   isClosed = false;
@@ -23,13 +23,13 @@
     });
   }
 
-  of(kind: string): Line[] {
+  linesOf(kind: string): Line[] {
     return this.lines.filter((line) => line["kind"] === kind);
   }
 
-  /** What was delivered, as `topic number` or just the numbers of one topic. */
-  got(topic?: string): unknown[] {
-    const messages = this.of("message");
+  /** Messages delivered, as `topic number`, or only the numbers of one topic. */
+  deliveries(topic?: string): unknown[] {
+    const messages = this.linesOf("message");
     if (topic === undefined) return messages.map((line) => `${String(line["topic"])} ${String(line["number"])}`);
     return messages.filter((line) => line["topic"] === topic).map((line) => line["number"]);
   }
@@ -39,21 +39,21 @@
 export interface TestFleet {
   fleet: SimFleet;
   load: SimLoad;
-  /** Any call at any node; awaited under virtual time. */
+  /** Sends a request to a node and runs the fleet until the reply is there. */
   ask(node: string, method: string, path: string, body?: string): Promise<Line>;
   publish(session: string, number: number, node?: string, topic?: string): Promise<Line>;
-  /** Puts the usual configuration with these spaces and these changes of their contracts; returns the reply. */
+  /** Proposes the usual configuration with these spaces and changed contracts; returns the reply. */
   configuration(
     spaces: readonly string[],
     change?: (spaces: Record<string, Array<{ contract: Line }>>) => void,
   ): Promise<Line>;
 }
 
-/** A simulated fleet that serves, for tests that act by hand. */
+/** Starts a simulated fleet and runs it until it serves, for tests that drive it by hand. */
 export async function startTestFleet(seed: number, machines = Scenario.machines()): Promise<TestFleet> {
   const fleet = new SimFleet(seed, machines);
   const load = new SimLoad(fleet);
-  expect(await load.begin(0)).toEqual(true);
+  expect(await load.start(0)).toEqual(true);
   const { shards } = fleet.find("vise-1")!.node;
   const isHeld = (): boolean => shards.all().length === 4 && shards.all().every(([, route]) => route.leader !== "");
   expect(await fleet.until(isHeld, 10_000)).toEqual(true);
--- a/packages/testkit/src/sim/topicVersions.test.ts
+++ b/packages/testkit/src/sim/topicVersions.test.ts
@@ -3,7 +3,7 @@
 import type { SessionEndpoint } from "@cranetrack/edge/connections/clientEndpoint.js";
 import { expect } from "earl";
 import fc from "fast-check";
-import { open, resultOf, type EndpointConnection } from "./endpointConnection.js";
+import { connectSession, resultOf, type EndpointConnection } from "./endpointConnection.js";
 import { startTestFleet, type TestFleet } from "./testClient.js";
 
 type Kind = "kept" | "passing";
@@ -223,9 +223,9 @@
     return undefined;
   }
 
-  async #open(edge: string, session: string): ReturnType<typeof open> {
+  async #open(edge: string, session: string): ReturnType<typeof connectSession> {
     for (let i = 0; i < maxTries; i += 1) {
-      const opened = await open(this.#all.fleet, edge, session).catch(() => undefined);
+      const opened = await connectSession(this.#all.fleet, edge, session).catch(() => undefined);
       if (opened !== undefined) return opened;
       await this.#all.fleet.run(200);
     }
