--- a/packages/testkit/src/sim/callModel.ts
+++ b/packages/testkit/src/sim/callModel.ts
@@ -19,7 +19,7 @@
   relayed: number;
   restarts: number;
   /** Restarts while another process was paused, with calls of the restarted process still queued there. */
-  restartsBesideFrozen: number;
+  restartsWhilePeerPaused: number;
 }
 
 /**
@@ -53,7 +53,7 @@
     unknown: 0,
     relayed: 0,
     restarts: 0,
-    restartsBesideFrozen: 0,
+    restartsWhilePeerPaused: 0,
   };
 
   constructor(seed: number) {
@@ -73,9 +73,9 @@
   #start(name: string): void {
     const number = (this.#startCounts.get(name) ?? 0) + 1;
     this.#startCounts.set(name, number);
-    const body: SimProcessState = { isDead: false, pausedUntil: 0, rate: 1 };
-    const clock = new SimClock(this.world, body);
-    const transport = this.#wires.attach(`${name}:1`, body);
+    const processState: SimProcessState = { isDead: false, pausedUntil: 0, rate: 1 };
+    const clock = new SimClock(this.world, processState);
+    const transport = this.#wires.attach(`${name}:1`, processState);
     const endpoint = new RpcEndpoint(name, transport, clock, this.world.random.fork());
     endpoint.addressOf = (other) => `${other}:1`;
     endpoint.relaysFor = (other) => CallModel.names.filter((peer) => peer !== other && peer !== name);
@@ -85,7 +85,7 @@
       this.#recordExecution(path);
       return { case: "forwardReply", value: { body: Buffer.from(`${path} ${name}`) } };
     });
-    this.#incarnations.set(name, { processState: body, endpoint, number });
+    this.#incarnations.set(name, { processState, endpoint, number });
     clock.every(CallModel.callIntervalMs, () => void this.#call(name, number, endpoint));
   }
 
@@ -150,15 +150,15 @@
     incarnation.processState.isDead = true;
     this.#wires.detach(`${name}:1`);
     this.counts.restarts += 1;
-    const isFrozen = (peer: SimProcess): boolean => peer.processState.pausedUntil > this.world.now;
-    if ([...this.#incarnations.values()].some((peer) => peer !== incarnation && isFrozen(peer)))
-      this.counts.restartsBesideFrozen += 1;
+    const isPaused = (peer: SimProcess): boolean => peer.processState.pausedUntil > this.world.now;
+    if ([...this.#incarnations.values()].some((peer) => peer !== incarnation && isPaused(peer)))
+      this.counts.restartsWhilePeerPaused += 1;
     this.world.at(this.world.now + this.world.random.pick([0, 5, 200]), () => this.#start(name));
   }
 
   #addDropCounts(name: string): void {
-    const { endpoint, processState: body } = this.#incarnations.get(name)!;
-    if (body.isDead) return;
+    const { endpoint, processState } = this.#incarnations.get(name)!;
+    if (processState.isDead) return;
     for (const [reason, count] of Object.entries(endpoint.dropped) as Array<[keyof DroppedFrames, number]>)
       this.counts[reason] += count;
   }
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -16,7 +16,7 @@
   unknown: 500,
   relayed: 500,
   restarts: 200,
-  restartsBesideFrozen: 50,
+  restartsWhilePeerPaused: 50,
   unasked: 100,
   staleIncarnation: 20,
   repeated: 50,
--- a/packages/testkit/src/sim/changeFaultInjector.ts
+++ b/packages/testkit/src/sim/changeFaultInjector.ts
@@ -148,8 +148,8 @@
     return 4000;
   }
 
-  #endThenRevive(names: readonly string[], end: (name: string) => void): void {
-    for (const machineName of names) end(machineName);
+  #endThenRevive(names: readonly string[], endMachine: (name: string) => void): void {
+    for (const machineName of names) endMachine(machineName);
     this.schedule(this.random.between(500, 2000), () => this.reviveAll(names));
   }
 }
--- a/packages/testkit/src/sim/machineFaultInjector.ts
+++ b/packages/testkit/src/sim/machineFaultInjector.ts
@@ -148,9 +148,9 @@
     return 2000;
   };
 
-  #endAllThenRevive(end: (name: string) => void): number {
+  #endAllThenRevive(endMachine: (name: string) => void): number {
     const names = this.durableMachines;
-    for (const machineName of names) end(machineName);
+    for (const machineName of names) endMachine(machineName);
     return this.schedule(this.random.between(500, 2500), () => this.reviveAll(names));
   }
 
--- a/packages/testkit/src/sim/simCrowd.ts
+++ b/packages/testkit/src/sim/simCrowd.ts
@@ -66,9 +66,9 @@
     if (running?.edge === undefined) return this.#joinLater();
     const connection = new CrowdConnection();
     this.#connection = connection;
-    const forget = running.onEnd(() => connection.close());
+    const stopListening = running.onEnd(() => connection.close());
     connection.onServerClose = () => {
-      forget();
+      stopListening();
       this.#onClosed(connection);
     };
     const { world } = this.#fleet;
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -223,9 +223,9 @@
   get isFullyReplicated(): boolean {
     const { leader } = this;
     if (leader === undefined) return false;
-    const running = this.names.map((name) => this.find(name)).filter((running) => running !== undefined);
-    const diskIds = new Set(running.flatMap(({ control, storage }) => (control?.storage ?? storage)?.diskId ?? []));
-    const controlNodes = new Set(running.flatMap(({ control }) => control?.founding.id ?? []));
+    const processes = this.names.map((name) => this.find(name)).filter((running) => running !== undefined);
+    const diskIds = new Set(processes.flatMap(({ control, storage }) => (control?.storage ?? storage)?.diskId ?? []));
+    const controlNodes = new Set(processes.flatMap(({ control }) => control?.founding.id ?? []));
     const { node, control } = this.find(leader)!;
     const sets = node.shards.all().map(([, route]) => route.set?.members ?? []);
     const voters = control!.raft!.members.voters.map((one) => one.id);
@@ -244,7 +244,7 @@
     this.#endProcess(name, (disk) => disk.losePower());
   }
 
-  /** The process is killed and its machine keeps running: no write is lost. */
+  /** The process is killed and its machine keeps running: no write is lost, unless the disk is full. */
   crash(name: string): void {
     this.#endProcess(name, (disk) => disk.endProcess());
   }
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -130,10 +130,10 @@
       const finish = (make: () => T): void => {
         if (isDone) return;
         isDone = true;
-        forget();
+        stopListening();
         resolve(make());
       };
-      const forget = simNode.onEnd(() => this.#afterWire(() => finish(failureReply)));
+      const stopListening = simNode.onEnd(() => this.#afterWire(() => finish(failureReply)));
       world.at(world.now + SimPort.callTimeoutMs, () => finish(failureReply));
       this.#onNode(simNode, () =>
         run((value) => {
--- a/packages/testkit/src/sim/simTransport.ts
+++ b/packages/testkit/src/sim/simTransport.ts
@@ -44,7 +44,7 @@
   attach(address: string, processState: SimProcessState): Transport {
     const port: AttachedProcess = {
       address,
-      processState: processState,
+      processState,
       onFrame: () => undefined,
       onLost: () => undefined,
       unreachable: new Set(),
--- a/packages/testkit/src/sim/storeFaults.ts
+++ b/packages/testkit/src/sim/storeFaults.ts
@@ -7,7 +7,7 @@
   ms: number;
   what: "cut" | "cut one way" | "kill" | "freeze" | "slow" | "loss";
   /** Which control nodes, by number: 0 is the leader at that time. */
-  who: number[];
+  targetNumbers: number[];
 }
 
 /** Start times in bursts: races, and losses during a change, need events that lie close together. */
@@ -15,10 +15,10 @@
   .record({ burst: fc.integer({ min: 0, max: 5 }), offset: fc.integer({ min: 0, max: 30 }) })
   .map(({ burst, offset }) => 1000 + burst * 2000 + offset);
 
-function injectFault(fleet: SimFleet, { what, who, ms }: StoreFault): void {
+function injectFault(fleet: SimFleet, { what, targetNumbers, ms }: StoreFault): void {
   const { world, wires } = fleet;
   const all = StoreFaults.leaderFirst(fleet);
-  const targets = who.map((number) => all[number % all.length]!);
+  const targets = targetNumbers.map((number) => all[number % all.length]!);
   const others = all.filter((name) => !targets.includes(name));
   const later = (task: () => void): void => void world.at(world.now + ms, task);
   switch (what) {
@@ -53,7 +53,7 @@
       at: burst,
       ms: fc.oneof(fc.integer({ min: 100, max: 1200 }), fc.integer({ min: 1200, max: 5000 })),
       what: fc.constantFrom("cut", "cut", "cut one way", "kill", "freeze", "slow", "loss"),
-      who: fc.oneof(
+      targetNumbers: fc.oneof(
         fc.constant<number[]>([0]),
         fc.uniqueArray(fc.integer({ min: 0, max: 4 }), { minLength: 1, maxLength: 2 }),
       ),
