--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -83,11 +83,11 @@
     const machines = hasTimedLosses
       ? baseMachines.map((one) => ({ ...one, settings: Scenario.quickRepairSettings }))
       : baseMachines;
-    const later = isLarge ? { later: ["anvil-4", "vise-5"] } : {};
+    const late = isLarge ? { lateMachines: ["anvil-4", "vise-5"] } : {};
     return {
       machines,
       prepare,
-      ...later,
+      ...late,
       ...(hasTimedLosses ? { minLossIntervalMs: Scenario.minLossIntervalMs } : {}),
     };
   },
