--- a/packages/control/src/configuration/decideConfigurationChange.ts
+++ b/packages/control/src/configuration/decideConfigurationChange.ts
@@ -79,7 +79,7 @@
 
 /** The keys to read before a decision; if the version has no record, the document has to be read as well. */
 export function inputKeys(version: number): string[] {
-  return [ConfigurationKey.name, AcceptedChangeKey.of(version), AcceptedChangeKey.floor];
+  return [ConfigurationKey.name, AcceptedChangeKey.of(version), AcceptedChangeKey.floorKey];
 }
 
 /** The inputs of the decision, from the keys that were read. */
@@ -89,7 +89,7 @@
     configuration: find(ConfigurationKey.name),
     document: find(DocumentKey.name),
     record: find(AcceptedChangeKey.of(version)),
-    floor: AcceptedChangeKey.readFloor(find(AcceptedChangeKey.floor)?.value),
+    floor: AcceptedChangeKey.readFloor(find(AcceptedChangeKey.floorKey)?.value),
   };
 }
 
@@ -102,8 +102,8 @@
   return configuration.spaces.flatMap((space, i) => {
     const spaceInForce = spacesInForce.get(Configurations.prefixOf(space));
     const isOneStream = space.program[0]!.contract.order === "space";
-    if (spaceInForce === undefined || spaceInForce.isWhole === isOneStream) return [];
-    const order = spaceInForce.isWhole ? "space" : "sender or topic";
+    if (spaceInForce === undefined || spaceInForce.isSingleStream === isOneStream) return [];
+    const order = spaceInForce.isSingleStream ? "space" : "sender or topic";
     const problem = `space ${space.name} keeps order ${order} while it exists; remove the space and create it again`;
     return [{ path: `spaces.${i}.program.0.owe.order`, problem }];
   });
--- a/packages/control/src/configuration/proposeConfiguration.ts
+++ b/packages/control/src/configuration/proposeConfiguration.ts
@@ -70,7 +70,7 @@
   parsed: ConfigurationRead,
 ): Promise<ApiReply | "conflict"> {
   const { version, document } = change;
-  const { bound } = node.configurationVerifier;
+  const { minRevision: bound } = node.configurationVerifier;
   const inputs = await readInputs(node, change);
   if (inputs === undefined || !node.configurationVerifier.isCurrent(bound, inputs.configuration?.revision ?? 0))
     return noMajorityReply();
@@ -127,13 +127,13 @@
     checks: [{ key: ConfigurationKey.name, revision: inputs.configuration?.revision ?? 0 }],
     puts: [
       { key: ConfigurationKey.name, value: body },
-      { key: IncarnationsKey.name, value: IncarnationsKey.requested },
+      { key: IncarnationsKey.name, value: IncarnationsKey.placeholder },
       acceptanceRecord(change),
       ...(document === undefined ? [] : [{ key: DocumentKey.name, value: document }]),
     ],
     deletes: document === undefined ? [DocumentKey.name] : [],
   });
-  if (txnOutcome.outcome === "done") node.configurationVerifier.saw(txnOutcome.revision ?? 0);
+  if (txnOutcome.outcome === "done") node.configurationVerifier.recordSeen(txnOutcome.revision ?? 0);
   return replyToWrite(change, txnOutcome);
 }
 
--- a/packages/control/src/configuration/readDocument.ts
+++ b/packages/control/src/configuration/readDocument.ts
@@ -26,7 +26,7 @@
  * its revision is below one of the configuration that this process has already seen.
  */
 async function readConfirmed(node: ClusterNode, key: string): Promise<DocumentRead> {
-  const { bound: seenRevision } = node.configurationVerifier;
+  const { minRevision: seenRevision } = node.configurationVerifier;
   const readOutcome = await node.store.read([key]);
   if (readOutcome.outcome !== "done") return { outcome: "away" };
   const stored = readOutcome.kvs?.[0];
--- a/packages/control/src/consensus/applier.ts
+++ b/packages/control/src/consensus/applier.ts
@@ -3,7 +3,7 @@
 import { LogCompaction, type CompactionBounds } from "@cranetrack/core/replication/logCompaction.js";
 import type { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
-import { Metadata, type Applied } from "../store/metadata.js";
+import { Metadata, type ApplyResult } from "../store/metadata.js";
 import type { MemberLog } from "./memberLog.js";
 import { entryKind } from "./storeLog.js";
 
@@ -52,10 +52,10 @@
    * Applies committed entries until all are applied or `maxSliceMs` has passed, but at least one if there is one.
    * Returns whether all are applied; if not, the caller calls again later.
    */
-  applySlice(onApplied: (entry: Entry, applied: Applied) => void): boolean {
+  applySlice(onApplied: (entry: Entry, applied: ApplyResult) => void): boolean {
     const startedAt = this.#clock.now();
     while (this.#applied < this.#commit) {
-      const entry = this.#log.at(this.#applied + 1)!;
+      const entry = this.#log.entryAt(this.#applied + 1)!;
       onApplied(entry, this.#apply(entry));
       if (this.#clock.now() - startedAt >= Applier.maxSliceMs) break;
     }
@@ -75,9 +75,9 @@
     this.#commit = this.#applied = index;
   }
 
-  #apply(entry: Entry): Applied {
+  #apply(entry: Entry): ApplyResult {
     this.#applied += 1;
-    this.#compaction.applied(entry);
+    this.#compaction.recordApplied(entry);
     if (entry.kind === entryKind.command) return this.metadata.apply(entry.index, entry.data);
     this.metadata.revision = entry.index;
     return { outcome: "done", revision: entry.index, kvs: [], changes: [] };
--- a/packages/control/src/consensus/election.test.ts
+++ b/packages/control/src/consensus/election.test.ts
@@ -29,7 +29,7 @@
 async function logOfVoter(disk = memoryDisk()): Promise<ReplicaLog> {
   const log = new ReplicaLog(disk, "store");
   await log.append([1, 1, 2, 2].map((term, i) => create(EntrySchema, { index: i + 1, term })));
-  await log.promise(5, "x");
+  await log.saveTermAndVote(5, "x");
   return log;
 }
 
--- a/packages/control/src/consensus/founding.ts
+++ b/packages/control/src/consensus/founding.ts
@@ -75,18 +75,18 @@
   }
 
   /** Id of this disk; changes only if the disk is wiped. */
-  get id(): string {
+  get diskId(): string {
     return this.#identity.id;
   }
 
   /** Id of the founding of the store that this disk belongs to; empty until the store is founded or joined. */
-  get founding(): string {
+  get foundingId(): string {
     return this.#identity.founding;
   }
 
   get #isFounder(): boolean {
     const { address } = this.#node.parts.settings;
-    return this.founding === "" && this.#identity.mayFound && (this.#founders?.includes(address) ?? true);
+    return this.foundingId === "" && this.#identity.mayFound && (this.#founders?.includes(address) ?? true);
   }
 
   /** An error message if the disk belongs to another machine, whose place as a member it would take. */
@@ -108,7 +108,7 @@
     self.processIncarnation = String(incarnation);
     self.diskStarts = this.#identity.starts!;
     this.#hasStarted = true;
-    if (this.founding !== "") return void this.emit("founded");
+    if (this.foundingId !== "") return void this.emit("founded");
     this.#node.parts.clock.every(250, () => void this.#tick());
   }
 
@@ -120,7 +120,7 @@
   }
 
   async #tick(): Promise<void> {
-    if (this.founding !== "" || this.#isTicking || !this.#hasStarted) return;
+    if (this.foundingId !== "" || this.#isTicking || !this.#hasStarted) return;
     this.#isTicking = true;
     const controlNodes = this.#node.membership.alive(nodeRole.control).filter((member) => member.disk !== "");
     const founders = controlNodes.filter((member) => member.isFounder && this.#isFounderAddress(member.address));
@@ -158,7 +158,7 @@
   #mayAgreeWith(members: readonly StoreMember[]): boolean {
     if (this.#isFounder) return true;
     const founders = members.filter(({ name }) => this.#node.membership.find(name)?.isFounder === true);
-    return this.founding === "" && this.#isMajority(founders.length);
+    return this.foundingId === "" && this.#isMajority(founders.length);
   }
 
   #isFounderAddress(address: string | undefined): boolean {
@@ -167,7 +167,7 @@
 
   /** Whether this node proposes the founding: its disk has the lowest id of all. */
   #isProposer(controlNodes: readonly Member[]): boolean {
-    return controlNodes.every((member) => member.disk >= this.id);
+    return controlNodes.every((member) => member.disk >= this.diskId);
   }
 
   /**
@@ -185,7 +185,7 @@
       founding,
       members: members as StoreMember[],
     } as FoundingRequest);
-    const others = members.filter((member) => member.id !== this.id);
+    const others = members.filter((member) => member.id !== this.diskId);
     const replies = await Promise.all(others.map((member) => this.#node.rpc.call(member.name, request, 1000)));
     const withoutAgreement = others.filter(
       (_, i) => !(replies[i]?.case === "foundingReply" && replies[i].value.isAgreed),
@@ -202,12 +202,12 @@
 
   /** Agrees to a founding that fits the settings; the agreement is synced before the reply. */
   async #handleFoundingRequest(request: FoundingRequest): Promise<BodyInit> {
-    if (this.founding !== "") return { case: "foundingReply", value: { isAgreed: false, veto: this.founding } };
+    if (this.foundingId !== "") return { case: "foundingReply", value: { isAgreed: false, veto: this.foundingId } };
     const mayAgree =
       this.#hasStarted &&
       this.#mayAgreeWith(request.members) &&
       request.members.length === this.#founderCount &&
-      request.members.some((member) => member.id === this.id) &&
+      request.members.some((member) => member.id === this.diskId) &&
       request.members.every((member) => this.#isFounderAddress(this.#node.membership.find(member.name)?.address));
     if (!mayAgree) return { case: "foundingReply", value: { isAgreed: false, veto: "" } };
     const previouslyAgreed = this.#identity.agreed;
@@ -219,12 +219,12 @@
     if (previouslyAgreed !== request.founding) await this.#writeIdentity();
     return {
       case: "foundingReply",
-      value: { isAgreed: this.#identity.agreed === request.founding && this.founding === "", veto: "" },
+      value: { isAgreed: this.#identity.agreed === request.founding && this.foundingId === "", veto: "" },
     };
   }
 
   async #handleFounded(founded: Founded): Promise<undefined> {
-    if (this.founding === "" && this.#identity.agreed === founded.founding)
+    if (this.foundingId === "" && this.#identity.agreed === founded.founding)
       await this.#writeFirstEntry(founded.founding, founded.members);
     return undefined;
   }
@@ -240,7 +240,7 @@
   }
 
   async #completeFounding(founding: string): Promise<void> {
-    if (this.founding !== "") return;
+    if (this.foundingId !== "") return;
     this.#identity = { ...this.#identity, founding };
     await this.#writeIdentity();
     this.waitingFor = "";
@@ -258,7 +258,7 @@
       return this.#writeFirstEntry(foundedNode.founding, this.#identity.members);
     const { clock } = this.#node.parts;
     if (clock.now() < this.#nextJoinAt) return;
-    const outcome = await MembershipStatus.requestJoin(this.#node, foundedNode.name, this.id);
+    const outcome = await MembershipStatus.requestJoin(this.#node, foundedNode.name, this.diskId);
     if (outcome === "done") return this.#completeFounding(foundedNode.founding);
     this.isStandby = outcome === "standby" || (outcome === "away" && this.isStandby);
     if (!this.isStandby) return;
--- a/packages/control/src/consensus/leadership.ts
+++ b/packages/control/src/consensus/leadership.ts
@@ -21,7 +21,7 @@
 /** A member's replication progress, as known to the leader. */
 export interface MemberProgress {
   /** Index of the last entry that is known to be on the member's disk. */
-  readonly match: number;
+  readonly matchIndex: number;
   /** How many of the leader's entries the member lacks; `Infinity` if this node doesn't lead. */
   readonly entriesBehind: number;
   /** Milliseconds since the member's last answer; `Infinity` if this node doesn't lead. */
@@ -31,7 +31,7 @@
 /** One term of this member as leader, from its election until it steps down. */
 export class Leadership {
   /** The progress of every member as far as a node knows that doesn't lead. */
-  static readonly unknownProgress: MemberProgress = { match: 0, entriesBehind: Infinity, sinceHeardMs: Infinity };
+  static readonly unknownProgress: MemberProgress = { matchIndex: 0, entriesBehind: Infinity, sinceHeardMs: Infinity };
 
   /** Sends the log to the other members and determines what is committed. */
   readonly replicator: LogReplicator;
@@ -63,6 +63,10 @@
   /** A member's replication progress, by which the leader decides when to make it a voter. */
   progressOf(id: string): MemberProgress {
     const match = this.replicator.matchOf(id);
-    return { match, entriesBehind: this.#log.lastIndex - match, sinceHeardMs: this.replicator.sinceContactMs(id) };
+    return {
+      matchIndex: match,
+      entriesBehind: this.#log.lastIndex - match,
+      sinceHeardMs: this.replicator.sinceContactMs(id),
+    };
   }
 }
--- a/packages/control/src/consensus/memberLog.ts
+++ b/packages/control/src/consensus/memberLog.ts
@@ -76,7 +76,7 @@
   /** The last members entry with an index of at most `last` and above `after`. */
   #find(last: number, after = this.#log.baseIndex): { members: Members; index: number; term: number } | undefined {
     for (let i = last; i > after; i -= 1) {
-      const entry = this.#log.at(i);
+      const entry = this.#log.entryAt(i);
       if (entry?.kind !== entryKind.members) continue;
       return { members: fromBinary(MembersSchema, entry.data), index: i, term: entry.term };
     }
--- a/packages/control/src/consensus/proposals.test.ts
+++ b/packages/control/src/consensus/proposals.test.ts
@@ -5,10 +5,10 @@
 import type { DiskChange } from "@cranetrack/core/storage/disk.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { entryKind } from "./storeLog.js";
-import type { Applied } from "../store/metadata.js";
+import type { ApplyResult } from "../store/metadata.js";
 import { Proposals } from "./proposals.js";
 
-const applied: Applied = { outcome: "done", revision: 1, kvs: [], changes: [] };
+const applied: ApplyResult = { outcome: "done", revision: 1, kvs: [], changes: [] };
 const orPending = async <T>(answer: Promise<T>): Promise<T | "open"> =>
   Promise.race([answer, new Promise<"open">((resolve) => setImmediate(() => resolve("open")))]);
 
@@ -52,7 +52,7 @@
   // A heartbeat is answered without waiting for the disk.
   const toEach = (entries: number): typeof sent => ["b", "c"].map((id) => ({ id, entries, round: 1 }));
   expect(sent).toEqual([...toEach(0), ...toEach(50)]);
-  proposals.onApplied(log.at(7)!, applied);
+  proposals.onApplied(log.entryAt(7)!, applied);
   expect(await proposed[6]).toEqual(applied);
   expect(await orPending(proposed[7]!)).toEqual("open");
   expect(await orPending(confirmed[0]!)).toEqual("open");
@@ -62,7 +62,7 @@
   const { proposals, log, endTurn } = makeLeader();
   void proposals.propose(new Uint8Array([1]), entryKind.command);
   void proposals.propose(new Uint8Array([2]), entryKind.members);
-  expect([1, 2].map((index) => log.at(index)?.kind)).toEqual([entryKind.command, entryKind.members]);
+  expect([1, 2].map((index) => log.entryAt(index)?.kind)).toEqual([entryKind.command, entryKind.members]);
   endTurn();
   expect(log.lastIndex).toEqual(2);
 });
--- a/packages/control/src/consensus/proposals.ts
+++ b/packages/control/src/consensus/proposals.ts
@@ -4,9 +4,9 @@
 import type { LogReplicator } from "@cranetrack/core/replication/logReplicator.js";
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
 import { entryKind } from "./storeLog.js";
-import type { Applied } from "../store/metadata.js";
+import type { ApplyResult } from "../store/metadata.js";
 
-type ResolveProposal = (applied: Applied | undefined) => void;
+type ResolveProposal = (applied: ApplyResult | undefined) => void;
 
 /**
  * The leader's proposals that are not applied yet, and its reads that wait for confirmation (read index: Ongaro's
@@ -46,9 +46,11 @@
    * Proposes an entry; resolves with its result once it is applied. Resolves with undefined if this node doesn't lead
    * or stops leading meanwhile: the entry may still be committed or not.
    */
-  propose(data: Uint8Array, kind: number): Promise<Applied | undefined> {
+  propose(data: Uint8Array, kind: number): Promise<ApplyResult | undefined> {
     if (this.#replicator === undefined) return Promise.resolve(undefined);
-    const applied = new Promise<Applied | undefined>((resolve) => this.#queuedProposals.push({ data, kind, resolve }));
+    const applied = new Promise<ApplyResult | undefined>((resolve) =>
+      this.#queuedProposals.push({ data, kind, resolve }),
+    );
     if (kind === entryKind.command) this.#scheduleFlush();
     else this.#flush();
     return applied;
@@ -62,7 +64,7 @@
   }
 
   /** Resolves the proposal of an applied entry, with undefined if an entry of another term took its index. */
-  onApplied(entry: Entry, applied: Applied): void {
+  onApplied(entry: Entry, applied: ApplyResult): void {
     const pending = this.#pendingByIndex.get(entry.index);
     this.#pendingByIndex.delete(entry.index);
     pending?.resolve(pending.term === entry.term ? applied : undefined);
@@ -87,11 +89,11 @@
       this.#pendingByIndex.set(lastIndex + 1 + i, { term, resolve });
       return create(EntrySchema, { index: lastIndex + 1 + i, term, kind, data });
     });
-    if (entries.length > 0) void this.#log.append(entries).then(() => this.#replicator?.sendNew());
+    if (entries.length > 0) void this.#log.append(entries).then(() => this.#replicator?.sendNewEntries());
     if (confirmations.length > 0)
-      void replicator.confirm().then((isConfirmed) => {
+      void replicator.confirmLeadership().then((isConfirmed) => {
         for (const resolve of confirmations) resolve(isConfirmed);
       });
-    if (entries.length > 0) replicator.sendNew();
+    if (entries.length > 0) replicator.sendNewEntries();
   }
 }
--- a/packages/control/src/consensus/raftNode.ts
+++ b/packages/control/src/consensus/raftNode.ts
@@ -9,7 +9,7 @@
 import { FollowerLog } from "@cranetrack/core/replication/followerLog.js";
 import type { CompactionBounds } from "@cranetrack/core/replication/logCompaction.js";
 import type { ReplicaLog } from "@cranetrack/core/replication/replicaLog.js";
-import type { Group, LogGroups } from "@cranetrack/core/replication/logGroups.js";
+import type { LogMessageHandlers, LogGroups } from "@cranetrack/core/replication/logGroups.js";
 import type { InvariantMonitor } from "@cranetrack/core/runtime/invariantMonitor.js";
 import type { RandomSource } from "@cranetrack/core/runtime/random.js";
 import type { Clock } from "@cranetrack/core/runtime/clock.js";
@@ -17,7 +17,7 @@
 import { Rendezvous, RendezvousKeys } from "@cranetrack/core/membership/rendezvous.js";
 import type { LogBuffer } from "@cranetrack/core/runtime/logBuffer.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
-import { Metadata, type Applied } from "../store/metadata.js";
+import { Metadata, type ApplyResult } from "../store/metadata.js";
 import { Applier } from "./applier.js";
 import { Election, mayGrantVote } from "./election.js";
 import { LeaderContact } from "./leaderContact.js";
@@ -77,7 +77,7 @@
  * leading; `led` when it starts to follow another leader.
  */
 export class RaftNode extends EventEmitter<{
-  applied: [applied: Applied];
+  applied: [applied: ApplyResult];
   snapshotInstalled: [];
   elected: [];
   deposed: [];
@@ -91,9 +91,9 @@
   /** The state machine with all entries that this node has applied. */
   readonly metadata: Metadata;
   /** Id of this member's disk; it identifies the member in the Raft group. */
-  readonly id: string;
+  readonly diskId: string;
   /** Id of the store, drawn when it was founded. */
-  readonly founding: string;
+  readonly foundingId: string;
   readonly membershipChange: MembershipChange;
   readonly #log: ReplicaLog;
   readonly #rpc: RpcEndpoint;
@@ -117,8 +117,8 @@
   constructor(options: RaftNodeOptions) {
     super();
     this.setMaxListeners(0);
-    this.id = options.id;
-    this.founding = options.founding;
+    this.diskId = options.id;
+    this.foundingId = options.founding;
     this.#log = options.log;
     this.#rpc = options.rpc;
     this.#clock = options.clock;
@@ -134,7 +134,7 @@
     this.membershipChange = new MembershipChange(this.#memberLog, options.logBuffer, propose);
     this.#followerLog = new FollowerLog(
       this.#log,
-      this.id,
+      this.diskId,
       (index) => this.#advanceCommit(index),
       (index, state) => this.#installSnapshot(index, state),
       (state) => Metadata.isReadable(state),
@@ -174,7 +174,7 @@
   }
 
   /** Index of the last entry that is known to be committed. */
-  get commit(): number {
+  get commitIndex(): number {
     return this.#applier.commit;
   }
 
@@ -201,7 +201,7 @@
    * Proposes an entry; resolves with its result once it is applied. Resolves with undefined if this node doesn't lead
    * or stops leading meanwhile: the entry may still be committed or not.
    */
-  propose(data: Uint8Array, kind: number = entryKind.command): Promise<Applied | undefined> {
+  propose(data: Uint8Array, kind: number = entryKind.command): Promise<ApplyResult | undefined> {
     const applied = this.#proposals.propose(data, kind);
     if (kind === entryKind.members) this.#refreshMembers();
     return applied;
@@ -249,14 +249,16 @@
     );
     rpc.serve("voteReply", (reply) => (isTrusted(reply.voter) ? this.#handleVoteReply(reply) : undefined));
     rpc.serve("yield", (yielded) => this.#handleYield(yielded));
-    const group: Group = {
+    const group: LogMessageHandlers = {
       append: (append, from) =>
-        this.#handleLeaderMessage(append, from, () => this.#followerLog.take(append, this.#applier.commit)),
+        this.#handleLeaderMessage(append, from, () => this.#followerLog.handleAppend(append, this.#applier.commit)),
       snapshot: (snapshot, from) =>
-        this.#handleLeaderMessage(snapshot, from, () => this.#followerLog.takeSnapshot(snapshot, this.#applier.commit)),
+        this.#handleLeaderMessage(snapshot, from, () =>
+          this.#followerLog.handleSnapshotPiece(snapshot, this.#applier.commit),
+        ),
       onReply: (reply) => this.#leadership?.replicator.handleReply(reply),
     };
-    groups.enlist(this.#log.group, messagesForDisk(this.id, isTrusted, group));
+    groups.register(this.#log.group, messagesForDisk(this.diskId, isTrusted, group));
   }
 
   #tick(): void {
@@ -268,7 +270,7 @@
     // A voter that is being removed may campaign until its removal is committed (Ongaro's thesis, section 4.2.2).
     const isInElectorate = this.membershipChange
       .electorate(this.#applier.commit)
-      .some((member) => member.id === this.id);
+      .some((member) => member.id === this.diskId);
     if (isInElectorate && this.#election.isTimedOut(now)) this.#campaign(true);
     // If all members have just started, the first request may have reached no member.
     else if (this.#election.isCampaigning && this.#election.isPreVote) this.#requestVotes();
@@ -286,11 +288,11 @@
   #tickLeader({ replicator }: Leadership, now: number): void {
     const hasLostMajority = !this.#hasPaused && replicator.sinceMajorityContactMs() > this.#leaderContact.staleAfterMs;
     if (hasLostMajority) return this.#stepDown("no majority answers");
-    if (this.#slowMajority.shouldYield(now, replicator.answerMs)) {
+    if (this.#slowMajority.shouldYield(now, replicator.majorityReplyMs)) {
       this.#stepDown("a majority answers slowly", true);
       return this.#election.backOff(now);
     }
-    replicator.heartbeatWaiting();
+    replicator.sendHeartbeatsToSyncing();
     replicator.sendHeartbeats();
   }
 
@@ -300,27 +302,29 @@
     this.#election.startCampaign(term, isPreVote);
     if (isPreVote) return this.#requestVotes();
     // This member's own vote counts only once it is synced.
-    void this.#log.promise(term, this.id).then(() => void (this.#election.isCandidate(term) && this.#requestVotes()));
+    void this.#log
+      .saveTermAndVote(term, this.diskId)
+      .then(() => void (this.#election.isCandidate(term) && this.#requestVotes()));
   }
 
   #requestVotes(): void {
     const { lastIndex, lastTerm } = this.#log;
-    const vote = { term: this.#election.campaignTerm, candidate: this.id, lastIndex, lastTerm };
+    const vote = { term: this.#election.campaignTerm, candidate: this.diskId, lastIndex, lastTerm };
     this.#sendToVoters({
       case: "vote",
-      value: { ...vote, isPre: this.#election.isPreVote, founding: this.founding },
+      value: { ...vote, isPre: this.#election.isPreVote, founding: this.foundingId },
     });
     this.#countVotes();
   }
 
   async #handleVoteRequest(vote: Vote, from: string): Promise<undefined> {
-    if (vote.founding !== this.founding || !Number.isSafeInteger(vote.term)) return undefined;
+    if (vote.founding !== this.foundingId || !Number.isSafeInteger(vote.term)) return undefined;
     const { hasLeader } = this;
     const isGranted = mayGrantVote(vote, this.#log, hasLeader);
     if (!vote.isPre && !hasLeader && (vote.term > this.#log.term || isGranted)) {
       // This member's own campaign, if any, was for an earlier term.
       this.#election.endCampaign();
-      await this.#log.promise(vote.term, isGranted ? vote.candidate : "");
+      await this.#log.saveTermAndVote(vote.term, isGranted ? vote.candidate : "");
       this.#election.resetTimer();
     }
     // The vote is answered even if this log lacks the entry that makes the candidate a member: the candidate knows
@@ -328,7 +332,7 @@
     await this.#log.termSynced();
     this.#rpc.send(from, {
       case: "voteReply",
-      value: { term: isGranted ? vote.term : this.#log.term, isGranted, voter: this.id, isPre: vote.isPre },
+      value: { term: isGranted ? vote.term : this.#log.term, isGranted, voter: this.diskId, isPre: vote.isPre },
     });
     return undefined;
   }
@@ -336,7 +340,7 @@
   #handleVoteReply(reply: VoteReply): undefined {
     if (!Number.isSafeInteger(reply.term) || !VoterSets.isVoter(this.members, reply.voter)) return undefined;
     if (!reply.isGranted && reply.term > this.#log.term && this.#leadership === undefined) {
-      void this.#log.promise(reply.term, "");
+      void this.#log.saveTermAndVote(reply.term, "");
       // No voter grants a vote in a past term, so the campaign starts again in the next term at once.
       if (this.#election.isCampaigning) this.#campaign(true);
     }
@@ -347,14 +351,14 @@
   #countVotes(): void {
     if (!this.#election.hasMajority(this.members)) return;
     if (this.#election.isPreVote) return this.#campaign(false);
-    if (this.#log.term !== this.#election.campaignTerm || this.#log.vote !== this.id) return;
+    if (this.#log.term !== this.#election.campaignTerm || this.#log.vote !== this.diskId) return;
     this.#becomeLeader();
   }
 
   #becomeLeader(): void {
     this.#election.onElected();
     const leadership = new Leadership({
-      selfId: this.id,
+      selfId: this.diskId,
       log: this.#log,
       clock: this.#clock,
       rpc: this.#rpc,
@@ -368,7 +372,7 @@
     replicator.on("committed", (index) => this.#advanceCommit(index));
     replicator.on("deposed", (term) => {
       this.#stepDown("a higher term");
-      void this.#log.promise(term, "");
+      void this.#log.saveTermAndVote(term, "");
     });
     this.#logBuffer.note("proposes", { term: this.#log.term });
     leadership.setMembers(this.members);
@@ -378,7 +382,7 @@
 
   #stepDown(reason: StepDownReason, isSlow = false): void {
     if (this.#leadership === undefined) return;
-    this.#sendToVoters({ case: "yield", value: { term: this.#log.term, sender: this.id, isSlow } });
+    this.#sendToVoters({ case: "yield", value: { term: this.#log.term, sender: this.diskId, isSlow } });
     this.#logBuffer.note("no longer proposes", { why: reason, term: this.#log.term });
     this.#leadership.replicator.stop();
     this.#leadership = undefined;
@@ -398,7 +402,7 @@
     this.#election.onLeaderYielded(term);
     this.#sendToVoters({ case: "yield", value: { term, sender, isSlow } }, sender);
     const remainingIds = VoterSets.allVoterIds(this.members).filter((id) => id !== sender);
-    const rank = Rendezvous.rank(RendezvousKeys.electionAfter(term), remainingIds).indexOf(this.id);
+    const rank = Rendezvous.rank(RendezvousKeys.electionAfter(term), remainingIds).indexOf(this.diskId);
     this.#election.waitForTurn(rank);
     return undefined;
   }
@@ -445,7 +449,7 @@
     if (!wasLeader && this.isLeader) this.emit("elected");
     if (this.isLeader) this.membershipChange.leaveJoint(applier.commit);
     // Its removal is committed: it steps down so that the others elect a leader at once.
-    if (this.isLeader && this.hasStableMembers && !VoterSets.isVoter(this.members, this.id))
+    if (this.isLeader && this.hasStableMembers && !VoterSets.isVoter(this.members, this.diskId))
       this.#stepDown("it is no voter any more");
     applier.compactIfNeeded();
   }
@@ -470,7 +474,7 @@
 
   #sendToVoters(body: BodyInit, excludedId = ""): void {
     for (const { id, name } of VoterSets.allVoters(this.members))
-      if (id !== this.id && id !== excludedId) this.#rpc.send(name, body);
+      if (id !== this.diskId && id !== excludedId) this.#rpc.send(name, body);
   }
 }
 
@@ -478,7 +482,11 @@
  * Wraps a group so that it handles only messages addressed to this disk. Messages to another disk of this machine, such
  * as an earlier one, are dropped, and so are acknowledgements of an untrusted disk.
  */
-function messagesForDisk(id: string, isTrusted: (id: string) => boolean, group: Group): Group {
+function messagesForDisk(
+  id: string,
+  isTrusted: (id: string) => boolean,
+  group: LogMessageHandlers,
+): LogMessageHandlers {
   return {
     append: (append, from) => (append.receiver === id ? group.append(append, from) : undefined),
     snapshot: (snapshot, from) => (snapshot.receiver === id ? group.snapshot(snapshot, from) : undefined),
--- a/packages/control/src/controlNode.ts
+++ b/packages/control/src/controlNode.ts
@@ -44,8 +44,8 @@
       return ApiReplies.unavailable("no majority of the control nodes answers");
     });
     const drainPath = /^\/v1\/machines\/([^/]+)\/emptying$/;
-    router.on("PUT", drainPath, (call) => DrainMachine.ask(node, call.params[0]!));
-    router.on("DELETE", drainPath, (call) => DrainMachine.undo(node, call.params[0]!));
+    router.on("PUT", drainPath, (call) => DrainMachine.requestDrain(node, call.params[0]!));
+    router.on("DELETE", drainPath, (call) => DrainMachine.withdrawDrain(node, call.params[0]!));
     router.on("GET", drainPath, (call) => DrainMachine.progress(node, call.params[0]!));
     router.on("GET", /^\/v1\/plan\/rollout$/, () => getRollout(node));
   }
@@ -57,7 +57,9 @@
 
   /** Loads the data folder; returns an error message if the folder can't be used. */
   load(): string | undefined {
-    return new ReplicaLog(this.#disk, logGroupNames.store).fault() ?? this.founding.diskFault() ?? this.storage.load();
+    return (
+      new ReplicaLog(this.#disk, logGroupNames.store).findDamage() ?? this.founding.diskFault() ?? this.storage.load()
+    );
   }
 
   /** Starts the storage, then starts to found the store or join it. */
@@ -94,13 +96,13 @@
     const members = raft?.members;
     return {
       storeCalls: this.#storeService?.callTimes ?? {},
-      founding: { id: this.founding.id, founded: this.founding.founding, missing: this.founding.waitingFor },
+      founding: { id: this.founding.diskId, founded: this.founding.foundingId, missing: this.founding.waitingFor },
       raft:
         raft === undefined
           ? null
           : {
               term: raft.term,
-              commit: raft.commit,
+              commit: raft.commitIndex,
               isLeader: raft.isLeader,
               leader: raft.leaderName,
               isInTouch: raft.isInTouch,
@@ -112,7 +114,7 @@
   }
 
   #raftFields(): Record<string, string | number> {
-    const { term = 0, leaderName = "", commit = 0 } = this.#raft ?? {};
+    const { term = 0, leaderName = "", commitIndex: commit = 0 } = this.#raft ?? {};
     return { term, leader: leaderName, commit };
   }
 
@@ -120,8 +122,8 @@
     const { rpc, groups, membership, parts } = this.node;
     const log = new ReplicaLog(this.#disk, logGroupNames.store);
     this.#raft = new RaftNode({
-      id: this.founding.id,
-      founding: this.founding.founding,
+      id: this.founding.diskId,
+      founding: this.founding.foundingId,
       log,
       rpc,
       groups,
@@ -135,7 +137,7 @@
     this.#storeService = new StoreService(this.node, this.#raft);
     this.node.load.add("raft", () => ({ fields: this.#raftFields(), isNotable: false }));
     membership.self.isFounded = true;
-    membership.self.founding = this.founding.founding;
+    membership.self.founding = this.founding.foundingId;
     new MembershipStatus(this.node, this.#raft);
     membership.gossipNow();
   }
--- a/packages/control/src/drain/drainMachine.ts
+++ b/packages/control/src/drain/drainMachine.ts
@@ -31,7 +31,7 @@
    * Records the request, unless it would violate a fault budget, and replies with the progress.
    * `rampSeconds`: how long the drain may take; recorded with the request.
    */
-  async ask(node: ClusterNode, name: string, rampSeconds?: number): Promise<ApiReply> {
+  async requestDrain(node: ClusterNode, name: string, rampSeconds?: number): Promise<ApiReply> {
     for (let attempt = 0; attempt < DrainMachine.maxAttempts; attempt += 1) {
       const status = await readDrainStatus(node);
       if (status === undefined) return unavailableReply();
@@ -43,9 +43,9 @@
       // A node that is cut off or has just started knows too few machines to refuse a request.
       if (refusal !== undefined) return node.feed.isFresh ? refusal : unavailableReply();
       const { outcome } = await node.store.txn({
-        checks: [{ key: DrainKey.turn, revision: status.lastRequestRevision }],
+        checks: [{ key: DrainKey.requestsKey, revision: status.lastRequestRevision }],
         puts: [
-          { key: DrainKey.turn, value: Buffer.from(name) },
+          { key: DrainKey.requestsKey, value: Buffer.from(name) },
           { key: DrainKey.of(name), value: DrainKey.write(rampSeconds) },
         ],
         deletes: requestsToDrop(status, DrainMachine.maxRequests, (machine) => node.membership.isAlive(machine)),
@@ -58,7 +58,7 @@
   },
 
   /** Withdraws the request, if there is one, and replies with the progress. */
-  async undo(node: ClusterNode, name: string): Promise<ApiReply> {
+  async withdrawDrain(node: ClusterNode, name: string): Promise<ApiReply> {
     const txnOutcome = await node.store.txn({ deletes: [DrainKey.of(name)] });
     if (txnOutcome.outcome !== "done") return unknownOutcomeReply();
     return DrainMachine.progress(node, name);
--- a/packages/control/src/drain/drainStatus.ts
+++ b/packages/control/src/drain/drainStatus.ts
@@ -32,7 +32,7 @@
 
 /** The keys and prefixes to read for a status. */
 export const drainStatusKeys = {
-  keys: [MembersKey.name, DrainKey.turn],
+  keys: [MembersKey.name, DrainKey.requestsKey],
   prefixes: ["shards/", "machines/"],
 } as const;
 
@@ -50,7 +50,7 @@
     }));
   return {
     requests: kvs.filter((kv) => DrainKey.machineOf(kv.key) !== undefined),
-    lastRequestRevision: kvs.find((kv) => kv.key === DrainKey.turn)?.revision ?? 0,
+    lastRequestRevision: kvs.find((kv) => kv.key === DrainKey.requestsKey)?.revision ?? 0,
     replicaSets,
     leaders: new Set(leaders),
     voters: membersKv === undefined ? undefined : MembersKey.read(membersKv.value)?.voters,
--- a/packages/control/src/membership/memberChanges.ts
+++ b/packages/control/src/membership/memberChanges.ts
@@ -1,7 +1,7 @@
 import type { Join, StoreMember } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { DrainKey } from "@cranetrack/core/keys/drainKey.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { Outcome } from "@cranetrack/core/store/storeClient.js";
+import type { StoreOutcome } from "@cranetrack/core/store/storeClient.js";
 import type { RaftNode } from "../consensus/raftNode.js";
 import { VoterSets } from "../consensus/voterSets.js";
 import { chooseVoters, rankCandidates, unfitVoters, type VoterInputs } from "./voterChoice.js";
@@ -56,7 +56,7 @@
    * is remembered in case one is lost. `away`: it has to ask again. A node is only admitted while its own request is
    * handled, so that it is known to be listening before the leader sends to it.
    */
-  join({ id, name }: Join): Outcome {
+  join({ id, name }: Join): StoreOutcome {
     this.#joinRequests.set(name, { id, at: this.#now });
     this.#admit(id);
     const { learners } = this.#raft.members;
@@ -77,7 +77,7 @@
       voters,
       readyLearners: learners.filter((member) => this.#isReady(member)),
       wantedCount: this.#node.parts.settings.voters,
-      selfId: this.#raft.id,
+      selfId: this.#raft.diskId,
       isLost: (member) => this.#isLost(member) || this.#isOnBlankDisk(member),
       isLeaving: (member) => this.#isLeaving(member.name),
       zoneOf: (member) => this.#zoneOf(member.name),
@@ -119,7 +119,7 @@
     const { learners } = this.#raft.members;
     for (const id of this.#rounds.keys()) if (!learners.some((member) => member.id === id)) this.#rounds.delete(id);
     for (const { id } of learners) {
-      const { match, entriesBehind } = this.#raft.progressOf(id);
+      const { matchIndex: match, entriesBehind } = this.#raft.progressOf(id);
       const round = this.#roundOf(id);
       if (round !== undefined && match < round.targetIndex) continue;
       const isCaughtUp = round !== undefined && this.#now - round.startedAt <= MemberChanges.catchUpMs;
--- a/packages/control/src/membership/membershipStatus.ts
+++ b/packages/control/src/membership/membershipStatus.ts
@@ -49,7 +49,7 @@
       .find((member) => member.isInStore && member.name !== rpc.name && !rpc.isUnresponsive(member.name));
     if (otherMember === undefined) return;
     this.#isRequesting = true;
-    const outcome = await MembershipStatus.requestJoin(this.#node, otherMember.name, this.#raft.id);
+    const outcome = await MembershipStatus.requestJoin(this.#node, otherMember.name, this.#raft.diskId);
     this.#isRequesting = false;
     if (outcome !== "standby" || this.#raft.isInTouch) return;
     this.#raft.standBy();
--- a/packages/control/src/store/acceptedConfigurations.test.ts
+++ b/packages/control/src/store/acceptedConfigurations.test.ts
@@ -36,7 +36,7 @@
   }
 
   get floor(): number {
-    return AcceptedChangeKey.readFloor(this.metadata.get(AcceptedChangeKey.floor)?.value);
+    return AcceptedChangeKey.readFloor(this.metadata.get(AcceptedChangeKey.floorKey)?.value);
   }
 
   /** Continues from a snapshot, as a restarted or new member does. */
--- a/packages/control/src/store/acceptedConfigurations.ts
+++ b/packages/control/src/store/acceptedConfigurations.ts
@@ -23,7 +23,7 @@
    * a configuration without a record, as earlier releases wrote them. 0 if there is none.
    */
   floor(keys: KeyReader): number {
-    const recordedFloor = AcceptedChangeKey.readFloor(keys.get(AcceptedChangeKey.floor)?.value);
+    const recordedFloor = AcceptedChangeKey.readFloor(keys.get(AcceptedChangeKey.floorKey)?.value);
     return Math.max(recordedFloor, unrecordedVersion(keys));
   },
 
@@ -62,5 +62,5 @@
 }
 
 function floorKv(version: number): Kv {
-  return create(KvSchema, { key: AcceptedChangeKey.floor, value: AcceptedChangeKey.writeFloor(version) });
+  return create(KvSchema, { key: AcceptedChangeKey.floorKey, value: AcceptedChangeKey.writeFloor(version) });
 }
--- a/packages/control/src/store/leaderForwarding.ts
+++ b/packages/control/src/store/leaderForwarding.ts
@@ -1,7 +1,7 @@
 import type { StoreCall } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { mayRepeatStoreCall } from "@cranetrack/core/rpc/callKinds.js";
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
-import type { Outcome } from "@cranetrack/core/store/storeClient.js";
+import type { StoreOutcome } from "@cranetrack/core/store/storeClient.js";
 import type { RaftNode } from "../consensus/raftNode.js";
 
 /**
@@ -15,18 +15,18 @@
 
   readonly #node: ClusterNode;
   readonly #raft: RaftNode;
-  readonly #retry: (calls: StoreCall[]) => Promise<Outcome[]>;
+  readonly #retry: (calls: StoreCall[]) => Promise<StoreOutcome[]>;
 
   /** `retry` executes calls at the next leader, which may be this control node itself. */
-  constructor(node: ClusterNode, raft: RaftNode, retry: (calls: StoreCall[]) => Promise<Outcome[]>) {
+  constructor(node: ClusterNode, raft: RaftNode, retry: (calls: StoreCall[]) => Promise<StoreOutcome[]>) {
     this.#node = node;
     this.#raft = raft;
     this.#retry = retry;
   }
 
   /** The outcome of each call, in the order of the calls. */
-  async forward(calls: StoreCall[]): Promise<Outcome[]> {
-    const sameForAll = (outcome: Outcome): Outcome[] => calls.map(() => outcome);
+  async forward(calls: StoreCall[]): Promise<StoreOutcome[]> {
+    const sameForAll = (outcome: StoreOutcome): StoreOutcome[] => calls.map(() => outcome);
     const leader = this.#raft.leaderName;
     if (calls.some((call) => call.isForwarded) || leader === "" || leader === this.#node.rpc.name)
       return sameForAll({ outcome: "away", retryAfterSeconds: 1, reason: "no leader is known" });
--- a/packages/control/src/store/metadata.test.ts
+++ b/packages/control/src/store/metadata.test.ts
@@ -5,7 +5,7 @@
 import { IncarnationsKey } from "@cranetrack/core/keys/incarnationsKey.js";
 import { PackedValue, packing } from "@cranetrack/core/store/packedValue.js";
 import { expect } from "earl";
-import { Metadata, type Applied } from "./metadata.js";
+import { Metadata, type ApplyResult } from "./metadata.js";
 
 const configuration = (version: number, keep: number): Buffer =>
   Buffer.from(
@@ -18,7 +18,7 @@
     }),
   );
 
-function apply(state: Metadata, value: MessageInitShape<typeof TxnSchema>): Applied {
+function apply(state: Metadata, value: MessageInitShape<typeof TxnSchema>): ApplyResult {
   const command = create(StoreCommandSchema, { command: { case: "txn", value } });
   return state.apply(state.revision + 1, toBinary(StoreCommandSchema, command));
 }
@@ -69,7 +69,7 @@
 // treated as one that never had an owner.
 test("revoking a lease records ended owners in the same entry, but only if owner keys were under the lease", () => {
   const state = new Metadata();
-  const run = (command: MessageInitShape<typeof StoreCommandSchema>["command"]): Applied =>
+  const run = (command: MessageInitShape<typeof StoreCommandSchema>["command"]): ApplyResult =>
     state.apply(state.revision + 1, toBinary(StoreCommandSchema, create(StoreCommandSchema, { command })));
   const ended = (): number => state.get("owners-ended")?.revision ?? 0;
   for (const lease of ["edge/1", "disk/1"]) run({ case: "grant", value: { lease, length: 10_000 } });
@@ -101,7 +101,7 @@
       program: [{ owe: { keep: 60, order: "topic" } }],
     }));
     const value = Buffer.from(JSON.stringify({ mark: version, spaces }));
-    const requested = { key: IncarnationsKey.name, value: IncarnationsKey.requested };
+    const requested = { key: IncarnationsKey.name, value: IncarnationsKey.placeholder };
     return { puts: [{ key: "plan", value }, ...(isRequested ? [requested] : [])] };
   };
   const replayed = new Metadata();
@@ -127,9 +127,9 @@
 // Guards against deciding the claims of one entry together: a claim that came too late blocked all others.
 test("owner claims in one entry are granted independently, and none without the lease", () => {
   const state = new Metadata();
-  const run = (command: MessageInitShape<typeof StoreCommandSchema>["command"]): Applied =>
+  const run = (command: MessageInitShape<typeof StoreCommandSchema>["command"]): ApplyResult =>
     state.apply(state.revision + 1, toBinary(StoreCommandSchema, create(StoreCommandSchema, { command })));
-  const claim = (node: string, ...claims: Array<{ session: string; revision?: number }>): Applied =>
+  const claim = (node: string, ...claims: Array<{ session: string; revision?: number }>): ApplyResult =>
     run({ case: "claimOwners", value: { node, lease: `${node}/1`, claims } });
   const ownerOf = (session: string): string => {
     const kv = state.get(OwnerKey.of(session));
--- a/packages/control/src/store/metadata.ts
+++ b/packages/control/src/store/metadata.ts
@@ -22,7 +22,7 @@
 const BTree = BTreeModule.default;
 
 /** The result of applying one log entry. */
-export interface Applied {
+export interface ApplyResult {
   /**
    * Only `done` changes the state. `conflict`: a check failed, or the entry would record a configuration version whose
    * first content may be forgotten; `lost`: the lease does not exist; `rebase`: a difference was made from another
@@ -67,7 +67,7 @@
   }
 
   /** Applies the committed log entry with this index. */
-  apply(index: number, data: Uint8Array): Applied {
+  apply(index: number, data: Uint8Array): ApplyResult {
     const { command } = decodeMessage(StoreCommandSchema, data);
     const changes: Kv[] = [];
     this.revision = index;
@@ -127,7 +127,7 @@
     return decoded.members;
   }
 
-  #applyTxn(index: number, txn: Txn, changes: Kv[]): Applied {
+  #applyTxn(index: number, txn: Txn, changes: Kv[]): ApplyResult {
     const revisionOf = (key: string): number => this.#keys.get(key)?.revision ?? 0;
     const failedChecks = txn.checks.filter((check) => revisionOf(check.key) !== check.revision);
     if (failedChecks.length > 0) {
@@ -151,7 +151,7 @@
   }
 
   /** Each claim is granted or rejected independently, so a claim that comes too late does not block the others. */
-  #applyOwnerClaims(index: number, { node, lease, claims }: ClaimOwners, changes: Kv[]): Applied {
+  #applyOwnerClaims(index: number, { node, lease, claims }: ClaimOwners, changes: Kv[]): ApplyResult {
     if (!this.#leases.has(lease)) return { outcome: "lost", revision: index, kvs: [], changes };
     const value = OwnerKey.write({ node, lease });
     const granted = claims.filter((claim) => this.isGrantable(claim));
--- a/packages/control/src/store/ownerClaims.ts
+++ b/packages/control/src/store/ownerClaims.ts
@@ -10,14 +10,14 @@
 } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { EndedOwnersKey } from "@cranetrack/core/keys/endedOwnersKey.js";
 import { OwnerKey } from "@cranetrack/core/keys/ownerKey.js";
-import type { Outcome } from "@cranetrack/core/store/storeClient.js";
+import type { StoreOutcome } from "@cranetrack/core/store/storeClient.js";
 import type { RaftNode } from "../consensus/raftNode.js";
 import { encodeCommand } from "./encodeCommand.js";
 
 /** What a control node that is not the leader can answer of a call, and what it has to forward. */
 interface LocalAnswer {
   /** Outcome of the part that was answered here. */
-  outcome: Outcome;
+  outcome: StoreOutcome;
   /** The part for the leader; undefined if the whole call was answered here. */
   remainder: StoreCall | undefined;
 }
@@ -39,7 +39,7 @@
   }
 
   /** Executes claims at the leader. `unsure`: some of them may have been granted. */
-  async run({ node, lease, claims }: ClaimOwners): Promise<Outcome> {
+  async run({ node, lease, claims }: ClaimOwners): Promise<StoreOutcome> {
     const grantable = claims.filter((claim) => this.#raft.metadata.isGrantable(claim));
     if (grantable.length === 0) {
       const isConfirmed = !claims.some((claim) => claim.isConfirmed) || (await this.#raft.confirm());
@@ -73,14 +73,14 @@
   }
 
   /** The leader's outcome, with the keys that were answered here put before its own. */
-  static merge(leaderOutcome: Outcome, localOutcome: Outcome): Outcome {
+  static merge(leaderOutcome: StoreOutcome, localOutcome: StoreOutcome): StoreOutcome {
     return localOutcome.kvs === undefined
       ? leaderOutcome
       : { ...leaderOutcome, kvs: [...localOutcome.kvs, ...(leaderOutcome.kvs ?? [])] };
   }
 
   /** The present owner keys, and for sessions granted at this revision also their stored subscriptions. */
-  #claimsReply(claims: readonly OwnerClaim[], revision: number): Outcome {
+  #claimsReply(claims: readonly OwnerClaim[], revision: number): StoreOutcome {
     const { metadata } = this.#raft;
     const kvs = claims.flatMap(({ session }) => this.#sessionKeys(session, revision));
     const endedOwners = metadata.get(EndedOwnersKey.name);
--- a/packages/control/src/store/storeService.ts
+++ b/packages/control/src/store/storeService.ts
@@ -13,7 +13,7 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import { packing, PackedValue } from "@cranetrack/core/store/packedValue.js";
 import { StepTimes, type StepTime } from "@cranetrack/core/runtime/stepTimes.js";
-import type { Outcome } from "@cranetrack/core/store/storeClient.js";
+import type { StoreOutcome } from "@cranetrack/core/store/storeClient.js";
 import type { BodyInit } from "@cranetrack/core/rpc/wire.js";
 import { encodeCommand } from "./encodeCommand.js";
 import { Feeds } from "./feeds.js";
@@ -76,13 +76,13 @@
   }
 
   /** Executes one call, here or at the leader. */
-  async run(call: StoreCall): Promise<Outcome> {
+  async run(call: StoreCall): Promise<StoreOutcome> {
     if (call.call.case === "feeds") return { outcome: "done", feeds: this.#feeds.states() };
     if (!this.#raft.isLeader) return (await this.#answerOrForward([call]))[0]!;
     return this.#stepTimes.measure(call.call.case ?? "unknown", () => this.#runAsLeader(call));
   }
 
-  async #runAsLeader(call: StoreCall): Promise<Outcome> {
+  async #runAsLeader(call: StoreCall): Promise<StoreOutcome> {
     switch (call.call.case) {
       case "txn":
         if (!this.#tryRebase(call.call.value)) return { outcome: "rebase" };
@@ -113,7 +113,7 @@
   }
 
   /** Executes the calls of one batch; on another node than the leader they are forwarded in one frame. */
-  #runAll(calls: StoreCall[]): Promise<Outcome[]> {
+  #runAll(calls: StoreCall[]): Promise<StoreOutcome[]> {
     return this.#raft.isLeader ? Promise.all(calls.map((call) => this.run(call))) : this.#answerOrForward(calls);
   }
 
@@ -121,7 +121,7 @@
    * Forwards calls to the leader, except for first claims of sessions that already have an owner: these are answered
    * from the state applied here.
    */
-  async #answerOrForward(calls: StoreCall[]): Promise<Outcome[]> {
+  async #answerOrForward(calls: StoreCall[]): Promise<StoreOutcome[]> {
     const localAnswers = calls.map((call) => this.#ownerClaims.answerLocally(call));
     const remainders = localAnswers.flatMap(({ remainder }) => remainder ?? []);
     const outcomes = remainders.length === 0 ? [] : await this.#forwarding.forward(remainders);
@@ -161,7 +161,7 @@
     return kvs.map((kv) => this.#valueHistory.packForValueRevision(kv, revisionOf(kv.key)));
   }
 
-  async #read({ keys, prefixes, known }: Read): Promise<Outcome> {
+  async #read({ keys, prefixes, known }: Read): Promise<StoreOutcome> {
     if (!(await this.#raft.confirm())) return { outcome: "away", retryAfterSeconds: 1 };
     const { metadata } = this.#raft;
     const voterKeys = keys.includes(MembersKey.name) ? this.#votersAsKeys() : [];
@@ -181,7 +181,7 @@
 
   /** The voters as a read-only key; they are not stored as a key. */
   #votersAsKeys(): Kv[] {
-    const votingMembers = this.#raft.membershipChange.electorate(this.#raft.commit);
+    const votingMembers = this.#raft.membershipChange.electorate(this.#raft.commitIndex);
     const voters = [...new Set(votingMembers.map((member) => member.name))];
     return [create(KvSchema, { key: MembersKey.name, value: MembersKey.write({ voters }) })];
   }
--- a/packages/core/src/configuration/configurationVerifier.ts
+++ b/packages/core/src/configuration/configurationVerifier.ts
@@ -16,12 +16,12 @@
   }
 
   /** The least revision that a read that begins now must return. */
-  get bound(): number {
+  get minRevision(): number {
     return Math.max(this.#newestSeen, this.#revisionInForce());
   }
 
   /** Records a revision that this process has committed or read. */
-  saw(revision: number): void {
+  recordSeen(revision: number): void {
     this.#newestSeen = Math.max(this.#newestSeen, revision);
   }
 
@@ -31,7 +31,7 @@
       this.#invariants.violated("configurationRead", { bound, revision });
       return false;
     }
-    this.saw(revision);
+    this.recordSeen(revision);
     return true;
   }
 }
--- a/packages/core/src/feeds/feedFollower.ts
+++ b/packages/core/src/feeds/feedFollower.ts
@@ -138,7 +138,7 @@
       ({ name }) =>
         name !== this.#controlNode &&
         !this.#rpc.isUnresponsive(name) &&
-        this.#membership.ageOf(name) < FeedFollower.maxContactAgeMs,
+        this.#membership.sinceContactMs(name) < FeedFollower.maxContactAgeMs,
     );
     const { zone } = this.#membership.self;
     const ranked = Rendezvous.nearest(this.#rpc.name, zone, responsive.length > 0 ? responsive : controlNodes);
--- a/packages/core/src/feeds/shardsView.ts
+++ b/packages/core/src/feeds/shardsView.ts
@@ -39,7 +39,7 @@
   }
 
   /** Resolves when `leader` no longer leads the shard, or after `timeoutMs`. */
-  moved(shard: number, leader: string, clock: Clock, timeoutMs: number): Promise<undefined> {
+  leaderChanged(shard: number, leader: string, clock: Clock, timeoutMs: number): Promise<undefined> {
     return new Promise((resolve) => {
       const onChanged = (changedShard: number): void => {
         if (changedShard === shard && this.find(shard).leader !== leader) finish();
--- a/packages/core/src/keys/acceptedChangeKey.ts
+++ b/packages/core/src/keys/acceptedChangeKey.ts
@@ -7,7 +7,7 @@
 export const AcceptedChangeKey = {
   prefix: "documents/orders/",
   /** The key of the highest version whose record may have been dropped; no record is created up to that version. */
-  floor: "documents/orders-floor",
+  floorKey: "documents/orders-floor",
   /** How many records are kept, those of the highest versions: about 0.3 MB in a snapshot. */
   maxRecords: 2048,
 
@@ -23,12 +23,12 @@
     return Number.isSafeInteger(version) && version > 0 ? version : undefined;
   },
 
-  /** The stored value of the `floor` key. */
+  /** The stored value of `floorKey`. */
   writeFloor(version: number): Uint8Array {
     return JsonValue.write({ version });
   },
 
-  /** The version in the value of the `floor` key; 0 if there is none. */
+  /** The version in the value of `floorKey`; 0 if there is none. */
   readFloor(value: Uint8Array | undefined): number {
     const version = value === undefined ? undefined : JsonValue.read(value)?.["version"];
     return typeof version === "number" ? version : 0;
--- a/packages/core/src/keys/configurationKey.ts
+++ b/packages/core/src/keys/configurationKey.ts
@@ -5,7 +5,7 @@
 export interface SpaceOutline {
   prefix: string;
   /** Whether the whole space is one stream, rather than each of its topics. */
-  isWhole: boolean;
+  isSingleStream: boolean;
   /** Where messages are stored: in logs (`kept`), in the memory of shard leaders (`unkept`), or in both (`mixed`). */
   storage: "kept" | "unkept" | "mixed";
 }
@@ -44,7 +44,7 @@
         return isValid
           ? {
               prefix: Configurations.prefixOf(space),
-              isWhole: order === "space" || order === "one",
+              isSingleStream: order === "space" || order === "one",
               storage: storageOf(space.program ?? []),
             }
           : undefined;
--- a/packages/core/src/keys/drainKey.ts
+++ b/packages/core/src/keys/drainKey.ts
@@ -1,7 +1,7 @@
 /** The key of an operator's request to drain a machine. Stored names date from earlier releases and must stay. */
 export const DrainKey = {
   /** A key written with every request; if its revision changed, a decision based on earlier requests is stale. */
-  turn: "drains",
+  requestsKey: "drains",
 
   of(machine: string): string {
     return `machines/${machine}/emptying`;
--- a/packages/core/src/keys/earlierIncarnations.ts
+++ b/packages/core/src/keys/earlierIncarnations.ts
@@ -86,7 +86,7 @@
     for (const [prefix] of removed) {
       const enclosing = enclosingOf(index, prefix);
       // A space that is one stream starts a new incarnation when topics return to it.
-      if (enclosing?.isWhole === true) this.#incarnations.set(enclosing.prefix, version);
+      if (enclosing?.isSingleStream === true) this.#incarnations.set(enclosing.prefix, version);
     }
     for (const [prefix] of revertedSpaces) this.#ended.set(prefix, version);
   }
@@ -128,7 +128,7 @@
     [prefix, incarnation]: PrefixVersions[number],
     enclosing: SpaceOutline | undefined,
   ): boolean {
-    if (enclosing === undefined || enclosing.isWhole) return false;
+    if (enclosing === undefined || enclosing.isSingleStream) return false;
     const within = this.#incarnationWithin(enclosing.prefix, prefix);
     const isOtherStream = (this.#previousRoots.get(prefix) ?? prefix) !== this.#rootOf(enclosing.prefix);
     return isOtherStream ? this.#latestBelow(prefix, incarnation) >= within : incarnation > within;
@@ -182,7 +182,7 @@
 
 /** Whether both spaces have one stream per topic, in the same storage. */
 function hasSameStorage(one: SpaceOutline, other: SpaceOutline): boolean {
-  return !one.isWhole && !other.isWhole && one.storage === other.storage && one.storage !== "mixed";
+  return !one.isSingleStream && !other.isSingleStream && one.storage === other.storage && one.storage !== "mixed";
 }
 
 /**
@@ -196,6 +196,7 @@
   incarnations: ReadonlyMap<string, number>,
 ): boolean {
   const enclosing = enclosingOf(spaces, prefix);
-  if (enclosing === undefined || enclosing.isWhole || incarnations.get(enclosing.prefix)! >= version) return false;
+  if (enclosing === undefined || enclosing.isSingleStream || incarnations.get(enclosing.prefix)! >= version)
+    return false;
   return !later.hasLongerPrefixOf(prefix, enclosing.prefix.length);
 }
--- a/packages/core/src/keys/incarnationsKey.ts
+++ b/packages/core/src/keys/incarnationsKey.ts
@@ -33,7 +33,7 @@
    * The placeholder that a proposal of a configuration contains; the state machine replaces it by the record. Log
    * entries without it were proposed by earlier releases, see `EarlierIncarnations`.
    */
-  requested: Buffer.from("{}") as Uint8Array,
+  placeholder: Buffer.from("{}") as Uint8Array,
 
   /** The stored value of a record. */
   write(record: Pick<IncarnationsRecord, "version" | "spaces"> & Partial<IncarnationsRecord>): Uint8Array {
@@ -64,7 +64,7 @@
     );
     const enclosingSpaces = removed.map((prefix) => index.longest(prefix, prefix.length - 1));
     const extendedPrefixes = new Set(enclosingSpaces.map((space) => space?.prefix));
-    const singleStreamSpaces = spaces.filter(({ isWhole }) => isWhole);
+    const singleStreamSpaces = spaces.filter(({ isSingleStream: isWhole }) => isWhole);
     const versions = singleStreamSpaces.map(({ prefix }): [string, number] => {
       return [prefix, extendedPrefixes.has(prefix) ? version : (previousVersions.get(prefix) ?? version)];
     });
@@ -112,6 +112,6 @@
   if (singleStreamSpaces.length === 0) return [];
   const index = new PrefixIndex(singleStreamSpaces, ({ prefix }) => prefix);
   return spaces
-    .filter(({ prefix, isWhole }) => !isWhole && index.longest(prefix, prefix.length - 1) !== undefined)
+    .filter(({ prefix, isSingleStream: isWhole }) => !isWhole && index.longest(prefix, prefix.length - 1) !== undefined)
     .map(({ prefix }) => prefix);
 }
--- a/packages/core/src/membership/membership.ts
+++ b/packages/core/src/membership/membership.ts
@@ -25,13 +25,13 @@
   /** Silence after which a member is probed directly and through helpers. */
   static readonly probeAfterMs = 900;
   /** Silence after which a member is suspected. */
-  static readonly suspectMs = 1400;
+  static readonly suspectAfterMs = 1400;
   /** How long the record of a member that is not up is kept after it last changed. */
-  static readonly forgetMs = 60_000;
+  static readonly removeAfterMs = 60_000;
   /** Members that a node sends its heartbeats to. */
-  static readonly watchers = 3;
+  static readonly watcherCount = 3;
   /** Members that a node asks for an answer in turn, and sends changes to at once. */
-  static readonly partners = 8;
+  static readonly partnerCount = 8;
   /** Members that are asked to ping a silent member; also the number of partners that are sent a change. */
   static readonly helperCount = 3;
   static readonly pingTimeoutMs = 350;
@@ -81,8 +81,8 @@
       self: self.name,
       table: this.#table,
       random,
-      watcherCount: Membership.watchers,
-      partnerCount: Membership.partners,
+      watcherCount: Membership.watcherCount,
+      partnerCount: Membership.partnerCount,
       isUnresponsive: (name) => rpc.isUnresponsive(name),
     });
     this.#lastContactAt = this.#lastTickAt = clock.now();
@@ -107,14 +107,14 @@
   }
 
   /**
-   * Whether a member counts as alive: it is up, or was heard directly within `suspectMs`. A node that has heard from no
-   * member within that time counts none as alive.
+   * Whether a member counts as alive: it is up, or was heard directly within `suspectAfterMs`. A node that has heard
+   * from no member within that time counts none as alive.
    */
   isAlive(name: string): boolean {
     if (name === this.self.name) return true;
     const known = this.#table.find(name);
     if (known === undefined || known.member.state === "left") return false;
-    const isRecent = (at: number): boolean => this.#clock.now() - at < Membership.suspectMs;
+    const isRecent = (at: number): boolean => this.#clock.now() - at < Membership.suspectAfterMs;
     return isRecent(known.member.isSuspected ? known.lastContactAt : this.#lastContactAt);
   }
 
@@ -132,7 +132,7 @@
    * Silence of a member in milliseconds: since contact has been expected, 0 if none is; for a member that is not alive
    * since its last contact, and infinite for an unknown one.
    */
-  ageOf(name: string): number {
+  sinceContactMs(name: string): number {
     const known = this.#table.find(name);
     if (known === undefined) return Infinity;
     if (!this.isAlive(name)) return this.#clock.now() - known.lastContactAt;
@@ -143,7 +143,7 @@
   /** The nodes that a member sends its heartbeats to, according to this node's table. */
   watchersOf(name: string): string[] {
     const others = this.all().filter((member) => member.name !== name && MemberTable.isUp(member));
-    return Rendezvous.choose(name, others, Membership.watchers);
+    return Rendezvous.choose(name, others, Membership.watcherCount);
   }
 
   /** Announces that this node leaves, to its watchers and some other members, which pass it on. */
@@ -277,7 +277,7 @@
     const previous = this.#table.find(member.name)?.member;
     if (previous === undefined ? !MemberTable.isUp(member) : !MemberTable.supersedes(member, previous)) return false;
     this.#put(member);
-    if (previous !== undefined && previous.incarnation !== member.incarnation) this.#rpc.abandonCallsTo(member.name);
+    if (previous !== undefined && previous.incarnation !== member.incarnation) this.#rpc.failCallsTo(member.name);
     return true;
   }
 
@@ -340,12 +340,12 @@
   }
 
   #makeDetector(): FailureDetector {
-    const { probeAfterMs, suspectMs, pingTimeoutMs, helperTimeoutMs, helperCount } = Membership;
+    const { probeAfterMs, suspectAfterMs, pingTimeoutMs, helperTimeoutMs, helperCount } = Membership;
     return new FailureDetector({
       self: this.self.name,
       rpc: this.#rpc,
       clock: this.#clock,
-      settings: { probeAfterMs, suspectAfterMs: suspectMs, pingTimeoutMs, helperTimeoutMs, helperCount },
+      settings: { probeAfterMs, suspectAfterMs, pingTimeoutMs, helperTimeoutMs, helperCount },
       find: (name) => this.find(name),
       pickRandom: (count, except) => this.#peers.pickRandom(count, except),
       requestContact: ({ address, name }) => this.#sendGossip(address, name, { isAsking: true }),
@@ -360,7 +360,11 @@
 
   #removeExpired(): void {
     for (const [name, { member, changedAt }] of this.#table.entries())
-      if (!MemberTable.isUp(member) && name !== this.self.name && this.#clock.now() - changedAt > Membership.forgetMs) {
+      if (
+        !MemberTable.isUp(member) &&
+        name !== this.self.name &&
+        this.#clock.now() - changedAt > Membership.removeAfterMs
+      ) {
         this.#table.remove(name);
         this.#detector.forget(name);
         this.emit("changed");
--- a/packages/core/src/replication/followerLog.test.ts
+++ b/packages/core/src/replication/followerLog.test.ts
@@ -107,7 +107,7 @@
   const { disk, log, follower, diverged } = await followerHolding(entryRun(1, 6, 1));
   const takeAppend = async (prevIndex: number, prevTerm: number, entries: Entry[]): Promise<unknown> => {
     const answer = observeReply(
-      follower.take(append({ term: 3, prevIndex, prevTerm, commit: 0, round: 1, entries }), 4),
+      follower.handleAppend(append({ term: 3, prevIndex, prevTerm, commit: 0, round: 1, entries }), 4),
     );
     await disk.sync();
     return answer.got;
@@ -124,7 +124,7 @@
 
 test("a snapshot that ends before the last entry removes no entry that was synced and acknowledged", async () => {
   const { disk, log, follower, commits, installed } = await followerHolding(entryRun(1, 10, 1));
-  const answer = observeReply(follower.takeSnapshot(snapshot(2, 5, 1), 0));
+  const answer = observeReply(follower.handleSnapshotPiece(snapshot(2, 5, 1), 0));
   await disk.sync();
   expect(answer.got).toEqual([true, 5, 2]);
   expect([log.lastIndex, log.syncedIndex]).toEqual([10, 10]);
@@ -135,7 +135,7 @@
 test("a snapshot replaces a log that has another entry or none at its index", async () => {
   for (const entries of [entryRun(1, 10, 1), entryRun(1, 3, 1)]) {
     const { disk, log, follower, installed } = await followerHolding(entries);
-    const answer = observeReply(follower.takeSnapshot(snapshot(3, 5, 2), 0));
+    const answer = observeReply(follower.handleSnapshotPiece(snapshot(3, 5, 2), 0));
     await nextTurn();
     expect(answer.got).toEqual(undefined);
     await disk.sync();
@@ -147,7 +147,7 @@
 
 test("an unreadable snapshot is refused and replaces nothing", async () => {
   const { disk, log, follower, installed } = await followerHolding(entryRun(1, 3, 1), false);
-  const answer = observeReply(follower.takeSnapshot(snapshot(2, 5, 1), 0));
+  const answer = observeReply(follower.handleSnapshotPiece(snapshot(2, 5, 1), 0));
   await disk.sync();
   expect(answer.got).toEqual([false, 0, 2]);
   expect([log.lastIndex, installed]).toEqual([3, []]);
@@ -155,15 +155,15 @@
 
 test("a restarted follower hints at its last entry, not at its commit index", async () => {
   const { disk, follower } = await followerHolding(entryRun(1, 10, 1));
-  const answer = observeReply(follower.take(append({ term: 2, prevIndex: 20, prevTerm: 2 }), 0));
+  const answer = observeReply(follower.handleAppend(append({ term: 2, prevIndex: 20, prevTerm: 2 }), 0));
   await disk.sync();
   expect(answer.got).toEqual([false, 10, 2]);
 });
 
 test("the hint skips all entries of the conflicting term, but no committed ones", async () => {
   const { disk, follower } = await followerHolding([...entryRun(1, 3, 1), ...entryRun(4, 10, 2)]);
-  const early = observeReply(follower.take(append({ term: 3, prevIndex: 8, prevTerm: 3 }), 0));
-  const late = observeReply(follower.take(append({ term: 3, prevIndex: 8, prevTerm: 3 }), 5));
+  const early = observeReply(follower.handleAppend(append({ term: 3, prevIndex: 8, prevTerm: 3 }), 0));
+  const late = observeReply(follower.handleAppend(append({ term: 3, prevIndex: 8, prevTerm: 3 }), 5));
   await disk.sync();
   expect(early.got).toEqual([false, 3, 3]);
   expect(late.got).toEqual([false, 5, 3]);
@@ -172,7 +172,7 @@
 test("an append that would remove a committed entry is refused and removes nothing", async () => {
   const { disk, log, follower } = await followerHolding(entryRun(1, 5, 1));
   const answer = observeReply(
-    follower.take(append({ term: 2, prevIndex: 2, prevTerm: 1, entries: entryRun(3, 3, 2) }), 4),
+    follower.handleAppend(append({ term: 2, prevIndex: 2, prevTerm: 1, entries: entryRun(3, 3, 2) }), 4),
   );
   await disk.sync();
   expect((answer.got as unknown[])[0]).toEqual(false);
@@ -181,7 +181,7 @@
 
 test("no reply is sent before its term is synced: reply to a snapshot of committed entries", async () => {
   const { disk, follower } = await followerHolding(entryRun(1, 5, 1));
-  const answer = observeReply(follower.takeSnapshot(snapshot(4, 3, 1), 5));
+  const answer = observeReply(follower.handleSnapshotPiece(snapshot(4, 3, 1), 5));
   await nextTurn();
   expect(answer.got).toEqual(undefined);
   await disk.sync();
@@ -190,11 +190,11 @@
 
 test("no reply is sent before its term is synced: reply to a second append during the write of the term", async () => {
   const { disk, follower } = await followerHolding(entryRun(1, 5, 1));
-  void follower.take(append({ term: 4, prevIndex: 9, prevTerm: 3 }), 0);
+  void follower.handleAppend(append({ term: 4, prevIndex: 9, prevTerm: 3 }), 0);
   const answers = [
-    observeReply(follower.take(append({ term: 4, prevIndex: 9, prevTerm: 3 }), 0)),
-    observeReply(follower.take(append({ term: 4, prevIndex: 5, prevTerm: 1 }), 0)),
-    observeReply(follower.take(append({ term: 3, prevIndex: 5, prevTerm: 1 }), 0)),
+    observeReply(follower.handleAppend(append({ term: 4, prevIndex: 9, prevTerm: 3 }), 0)),
+    observeReply(follower.handleAppend(append({ term: 4, prevIndex: 5, prevTerm: 1 }), 0)),
+    observeReply(follower.handleAppend(append({ term: 3, prevIndex: 5, prevTerm: 1 }), 0)),
   ];
   await nextTurn();
   expect(answers.map(({ got }) => got)).toEqual([undefined, undefined, undefined]);
@@ -208,18 +208,18 @@
 
 test("a snapshot accepted in one term is not acknowledged if a later term began in the meantime", async () => {
   const { disk, log, follower } = await followerHolding(entryRun(1, 3, 1));
-  const answer = observeReply(follower.takeSnapshot(snapshot(2, 5, 1), 0));
-  void log.promise(3, "");
+  const answer = observeReply(follower.handleSnapshotPiece(snapshot(2, 5, 1), 0));
+  void log.saveTermAndVote(3, "");
   await disk.sync();
   expect(answer.got).toEqual([false, 5, 3]);
 });
 
 test("a snapshot does not acknowledge committed entries that are not synced yet", async () => {
   const { disk, log, follower } = await followerHolding([]);
-  void log.promise(2, "");
+  void log.saveTermAndVote(2, "");
   await disk.sync();
   void log.append(entryRun(1, 5, 1));
-  const answer = observeReply(follower.takeSnapshot(snapshot(2, 5, 1), 5));
+  const answer = observeReply(follower.handleSnapshotPiece(snapshot(2, 5, 1), 5));
   await nextTurn();
   expect(answer.got).toEqual(undefined);
   await disk.sync();
--- a/packages/core/src/replication/followerLog.ts
+++ b/packages/core/src/replication/followerLog.ts
@@ -44,7 +44,7 @@
    * Appends the leader's entries, replacing entries that conflict; `commit` is the index committed on this node. The
    * reply is a refusal with a hint if the logs differ at `prevIndex` or the append would remove a committed entry.
    */
-  async take(append: Append, commit: number): Promise<BodyInit> {
+  async handleAppend(append: Append, commit: number): Promise<BodyInit> {
     if (append.term < this.#log.term || !FollowerLog.#isWellFormed(append)) return this.#replyTo(append, false, 0);
     this.#adoptTerm(append.term);
     if (this.#isConflicting(append, commit))
@@ -52,7 +52,7 @@
     this.#assembly.reset();
     const match = append.prevIndex + append.entries.length;
     this.#recordMatch(append.term, match);
-    const entriesSynced = this.#log.agree(append.prevIndex, append.entries);
+    const entriesSynced = this.#log.reconcile(append.prevIndex, append.entries);
     this.#onCommit(Math.min(append.commit, match));
     await entriesSynced;
     return this.#replyTo(append, true, match);
@@ -63,7 +63,7 @@
    * snapshot covers, it contains all of them, and the entries after it are kept (Raft, section 7, rule 6). Otherwise
    * the snapshot replaces the whole log once all its pieces have arrived.
    */
-  async takeSnapshot(piece: Snapshot, commit: number): Promise<BodyInit> {
+  async handleSnapshotPiece(piece: Snapshot, commit: number): Promise<BodyInit> {
     const { term, index, indexTerm } = piece;
     const isWellFormed = [term, index, indexTerm].every(FollowerLog.#isNonNegativeInteger);
     if (term < this.#log.term || !isWellFormed) return this.#replyTo(piece, false, 0);
@@ -74,11 +74,11 @@
       await this.#log.syncedUpTo(index);
       return this.#replyTo(piece, true, index);
     }
-    const outcome = this.#assembly.take(piece);
+    const outcome = this.#assembly.addPiece(piece);
     if (outcome.kind !== "whole") return this.#replyTo(piece, false, 0, outcome.received);
     if (!this.#isReadable(outcome.state)) return this.#replyTo(piece, false, 0);
     this.#recordMatch(term, index);
-    const installed = this.#log.install(index, indexTerm, outcome.state);
+    const installed = this.#log.installSnapshot(index, indexTerm, outcome.state);
     this.#onSnapshot(index, outcome.state);
     await installed;
     return this.#replyTo(piece, true, index);
@@ -96,7 +96,7 @@
 
   /** Does not wait for the write: every reply waits in `#replyTo` until the term is synced. */
   #adoptTerm(term: number): void {
-    if (term > this.#log.term) void this.#log.promise(term, "");
+    if (term > this.#log.term) void this.#log.saveTermAndVote(term, "");
   }
 
   /** Whether the log differs from the leader's at prevIndex, or the append would remove a committed entry. */
--- a/packages/core/src/replication/logCompaction.test.ts
+++ b/packages/core/src/replication/logCompaction.test.ts
@@ -40,7 +40,7 @@
   for (let i = 0; i < count; i += 1) {
     const entry = entryOf(log.lastIndex + 1, bytes);
     await log.append([entry]);
-    compaction.applied(entry);
+    compaction.recordApplied(entry);
     if (compaction.shouldCompact) await compaction.compact(entry.index, new Uint8Array(1000));
   }
 }
@@ -68,11 +68,11 @@
   const log = new ReplicaLog(disk, "g");
   await applyAll(log, 12, 10_000);
   expect([log.baseIndex, log.snapshotIndex, log.lastIndex]).toEqual([7, 10, 12]);
-  expect(log.after(8).map(({ index }) => index)).toEqual([9, 10, 11, 12]);
+  expect(log.entriesAfter(8).map(({ index }) => index)).toEqual([9, 10, 11, 12]);
   const again = new ReplicaLog(disk, "g");
-  expect(again.fault()).toEqual(undefined);
+  expect(again.findDamage()).toEqual(undefined);
   expect([again.baseIndex, again.baseTerm, again.snapshotIndex, again.lastIndex]).toEqual([7, 1, 10, 12]);
-  expect(again.after(7).map(({ index }) => index)).toEqual([8, 9, 10, 11, 12]);
+  expect(again.entriesAfter(7).map(({ index }) => index)).toEqual([8, 9, 10, 11, 12]);
   // The next snapshot moves the tail and removes the stored base entry of the old one.
   await applyAll(again, 10, 10_000);
   const keys = [...disk.stored.keys()].filter((key) => key.includes("/e/")).sort();
@@ -83,10 +83,10 @@
   const disk = new MemoryDisk();
   const log = new ReplicaLog(disk, "g");
   await applyAll(log, 12, 10_000);
-  await log.install(30, 2, new Uint8Array(10));
+  await log.installSnapshot(30, 2, new Uint8Array(10));
   expect([...disk.stored.keys()]).toEqual(["g/p"]);
   const again = new ReplicaLog(disk, "g");
-  expect([again.baseIndex, again.baseTerm, again.lastIndex, again.fault()]).toEqual([30, 2, 30, undefined]);
+  expect([again.baseIndex, again.baseTerm, again.lastIndex, again.findDamage()]).toEqual([30, 2, 30, undefined]);
 });
 
 test("a data folder written before tails existed is loaded, a gap before the snapshot's end is reported", async () => {
@@ -97,10 +97,10 @@
   await disk.write([{ key: "g/p", value: toBinary(SnapshotSchema, stored) }]);
   await put(entryOf(6, 1, 3));
   const old = new ReplicaLog(disk, "g");
-  expect([old.baseIndex, old.baseTerm, old.lastIndex, old.fault()]).toEqual([5, 2, 6, undefined]);
+  expect([old.baseIndex, old.baseTerm, old.lastIndex, old.findDamage()]).toEqual([5, 2, 6, undefined]);
   await disk.write([{ key: "g/e/0000000000000006", isRemoved: true }]);
   await put(entryOf(3, 1, 2));
-  expect(new ReplicaLog(disk, "g").fault()).toEqual(expect.includes("misses entry 4"));
+  expect(new ReplicaLog(disk, "g").findDamage()).toEqual(expect.includes("misses entry 4"));
 });
 
 test("a snapshot larger than the byte bound is not rewritten each time the entries reach the bound", async () => {
@@ -110,7 +110,7 @@
   for (let i = 0; i < 200; i += 1) {
     const entry = entryOf(log.lastIndex + 1, 10_000);
     await log.append([entry]);
-    compaction.applied(entry);
+    compaction.recordApplied(entry);
     if (!compaction.shouldCompact) continue;
     snapshots += 1;
     await compaction.compact(entry.index, new Uint8Array(500_000));
--- a/packages/core/src/replication/logCompaction.ts
+++ b/packages/core/src/replication/logCompaction.ts
@@ -29,7 +29,7 @@
   }
 
   /** Counts an entry that was applied. */
-  applied(entry: Entry): void {
+  recordApplied(entry: Entry): void {
     if (this.#countedFrom !== this.#log.snapshotIndex) this.#restartCount();
     this.#appliedEntries += 1;
     this.#appliedBytes += entry.data.length;
--- a/packages/core/src/replication/logGroups.ts
+++ b/packages/core/src/replication/logGroups.ts
@@ -3,7 +3,7 @@
 import type { BodyInit } from "../rpc/wire.js";
 
 /** The handlers of one replicated log; a handler that returns undefined sends no reply. */
-export interface Group {
+export interface LogMessageHandlers {
   append(append: Append, from: string): Promise<BodyInit | undefined> | undefined;
   snapshot(snapshot: Snapshot, from: string): Promise<BodyInit | undefined> | undefined;
   onReply(reply: AppendReply, from: string): void;
@@ -25,7 +25,7 @@
 
 /** Routes RPC messages about replicated logs to the handlers of the log that they name. */
 export class LogGroups {
-  readonly #groups = new Map<string, Group>();
+  readonly #groups = new Map<string, LogMessageHandlers>();
 
   constructor(rpc: RpcEndpoint) {
     rpc.serve("append", (append, frame) => this.#groups.get(append.group)?.append(append, frame.from));
@@ -37,7 +37,7 @@
   }
 
   /** Registers the handlers of a log; messages about a log without handlers get no reply. */
-  enlist(name: string, group: Group): void {
+  register(name: string, group: LogMessageHandlers): void {
     this.#groups.set(name, group);
   }
 }
--- a/packages/core/src/replication/logReplicator.ts
+++ b/packages/core/src/replication/logReplicator.ts
@@ -45,7 +45,7 @@
   readonly #term: number;
   readonly #send: (id: string, body: BodyInit) => void;
   readonly #peers = new Map<string, ReplicaProgress>();
-  /** Calls of `confirm` that wait until a majority has answered their round. */
+  /** Calls of `confirmLeadership` that wait until a majority has answered their round. */
   readonly #pendingConfirmations: Array<{ round: number; resolve: (isConfirmed: boolean) => void }> = [];
   /** One voter set, or two during a change of members: then a majority of both is needed. */
   #voterSets: string[][] = [];
@@ -124,7 +124,7 @@
    * overdue reply. Appends with entries don't count: replicas answer them after a sync, and a slow disk of a replica
    * says nothing about the leader.
    */
-  get answerMs(): number {
+  get majorityReplyMs(): number {
     const now = this.#clock.now();
     const replyMsOf = (peer: ReplicaProgress): number => Math.max(peer.replyMs, now - (peer.heartbeatSentAt ?? now));
     const majorityMs = this.#voterSets.map((set) => {
@@ -136,7 +136,7 @@
   }
 
   /** To be called when this node has synced entries, or the log has new entries to send. */
-  sendNew(): void {
+  sendNewEntries(): void {
     this.#advanceCommit();
     for (const [id, peer] of this.#peers)
       if (!peer.isAwaitingReply && peer.nextIndex <= this.#log.lastIndex) this.#sendTo(id, peer);
@@ -157,7 +157,7 @@
   }
 
   /** Sends a heartbeat to each replica that is still syncing entries; the reply to it does not wait for the disk. */
-  heartbeatWaiting(): void {
+  sendHeartbeatsToSyncing(): void {
     this.#round += 1;
     for (const [id, peer] of this.#peers)
       if (peer.isAwaitingReply && peer.snapshotTransfer === undefined) this.#sendHeartbeat(id, peer);
@@ -180,7 +180,7 @@
    * Resolves to true once a majority has answered a message sent after this call, which proves that no other leader
    * had been elected at the time of the call; to false if this leader stops first.
    */
-  confirm(): Promise<boolean> {
+  confirmLeadership(): Promise<boolean> {
     if (this.#isStopped) return Promise.resolve(false);
     return new Promise((resolve) => {
       const isFirst =
@@ -240,7 +240,7 @@
     return false;
   }
 
-  /** Stops sending and committing; pending calls of `confirm` resolve to false. */
+  /** Stops sending and committing; pending calls of `confirmLeadership` resolve to false. */
   stop(): void {
     this.#isStopped = true;
     for (const { resolve } of this.#pendingConfirmations.splice(0)) resolve(false);
@@ -298,7 +298,7 @@
 
   #createAppend(id: string, peer: ReplicaProgress, prevTerm: number): BodyInit {
     peer.snapshotTransfer = undefined;
-    const entries = this.#log.after(peer.nextIndex - 1);
+    const entries = this.#log.entriesAfter(peer.nextIndex - 1);
     const append = { ...this.#appendHeader(id), prevIndex: peer.nextIndex - 1, prevTerm, entries };
     peer.nextIndex += entries.length;
     peer.awaitedMatch = peer.nextIndex - 1;
--- a/packages/core/src/replication/replicaLog.ts
+++ b/packages/core/src/replication/replicaLog.ts
@@ -18,8 +18,8 @@
  * `baseIndex + 1` on, some of which the snapshot may cover too. If it does, the entry at `baseIndex` stays on disk,
  * because it holds the term of the base.
  * Invariants: baseIndex <= snapshotIndex <= lastIndex; entries are contiguous from baseIndex + 1; entries up to
- * `syncedIndex` survive a power failure; `term` and `vote` are synced before the call of `promise` that sets them
- * resolves.
+ * `syncedIndex` survive a power failure; `term` and `vote` are synced before the call of `saveTermAndVote` that sets
+ * them resolves.
  */
 export class ReplicaLog {
   readonly group: string;
@@ -40,7 +40,7 @@
   /** The newest write of term and vote. */
   #termWrite: Promise<void> = Promise.resolve();
 
-  /** Loads the log from disk. Throws `DataFolderError` where a record cannot be read; gaps are left to `fault`. */
+  /** Loads the log from disk. Throws `DataFolderError` where a record cannot be read; gaps are left to `findDamage`. */
   constructor(disk: Disk, group: string) {
     this.group = group;
     this.#disk = disk;
@@ -63,21 +63,21 @@
   }
 
   /** The entry at an index; undefined if the log does not hold it. */
-  at(index: number): Entry | undefined {
+  entryAt(index: number): Entry | undefined {
     return this.#entries[index - this.baseIndex - 1];
   }
 
   /** The term of the entry at an index, the base included; undefined if the log does not know it. */
   termAt(index: number): number | undefined {
-    return index === this.baseIndex ? this.baseTerm : this.at(index)?.term;
+    return index === this.baseIndex ? this.baseTerm : this.entryAt(index)?.term;
   }
 
   /** The entries after an index, up to about `maxBytes`, so that they fit into one frame. */
-  after(index: number, maxBytes = 1024 * 1024): Entry[] {
+  entriesAfter(index: number, maxBytes = 1024 * 1024): Entry[] {
     const entries: Entry[] = [];
     let sizeBytes = 0;
     for (let i = index + 1; i <= this.lastIndex && sizeBytes < maxBytes; i += 1) {
-      const entry = this.at(i)!;
+      const entry = this.entryAt(i)!;
       sizeBytes += entry.data.length + 32;
       entries.push(entry);
     }
@@ -85,7 +85,7 @@
   }
 
   /** Stores a term and a vote; resolves once they are synced. No lower term may be accepted from then on. */
-  promise(term: number, vote: string): Promise<void> {
+  saveTermAndVote(term: number, vote: string): Promise<void> {
     this.term = term;
     this.vote = vote;
     this.#termWrite = this.#disk.write([this.#termAndVoteChange()]);
@@ -125,7 +125,7 @@
    * Makes the log match the leader's entries after prevIndex, truncating it at the first conflict; resolves once they
    * are synced. The caller has checked that the logs match at prevIndex.
    */
-  agree(prevIndex: number, entries: readonly Entry[]): Promise<void> {
+  reconcile(prevIndex: number, entries: readonly Entry[]): Promise<void> {
     const differing = entries.filter(
       (entry) => entry.index > this.baseIndex && this.termAt(entry.index) !== entry.term,
     );
@@ -138,7 +138,7 @@
   }
 
   /** Replaces the whole log by a snapshot received from the leader; resolves once it is synced. */
-  async install(index: number, term: number, snapshot: Uint8Array): Promise<void> {
+  async installSnapshot(index: number, term: number, snapshot: Uint8Array): Promise<void> {
     const changes = [...this.#removeStoredUpTo(this.baseIndex), ...this.#truncateAfter(this.baseIndex)];
     this.baseIndex = this.snapshotIndex = index;
     this.baseTerm = this.snapshotTerm = term;
@@ -182,7 +182,7 @@
     let base = index;
     let bytes = 0;
     while (base > this.baseIndex && index - base < kept.entries) {
-      bytes += this.at(base)!.data.length;
+      bytes += this.entryAt(base)!.data.length;
       if (bytes > kept.bytes) break;
       base -= 1;
     }
@@ -271,7 +271,7 @@
   }
 
   /** Describes a gap in the loaded log; undefined if there is none. */
-  fault(): string | undefined {
+  findDamage(): string | undefined {
     const gapPosition = this.#entries.findIndex((entry, i) => entry.index !== this.baseIndex + 1 + i);
     const isShort = this.lastIndex < this.snapshotIndex;
     if (gapPosition === -1 && !isShort) return undefined;
--- a/packages/core/src/replication/replication.test.ts
+++ b/packages/core/src/replication/replication.test.ts
@@ -59,7 +59,7 @@
   const log = new ReplicaLog(disk, "g");
   const replicator = replicatorOver(log, 2);
   replicator.setMembers([["a", "b", "c"]], []);
-  void log.append([entry(1, 2)]).then(() => replicator.sendNew());
+  void log.append([entry(1, 2)]).then(() => replicator.sendNewEntries());
   replicator.handleReply(reply("b", 1));
   expect(replicator.commit).toEqual(0);
   await disk.sync();
@@ -112,7 +112,10 @@
   );
   const append = (term: number, prevIndex: number, prevTerm: number, entries: Entry[]): Promise<unknown> =>
     follower
-      .take(create(AppendSchema, { group: "g", term, sender: "a", receiver: "b", prevIndex, prevTerm, entries }), 0)
+      .handleAppend(
+        create(AppendSchema, { group: "g", term, sender: "a", receiver: "b", prevIndex, prevTerm, entries }),
+        0,
+      )
       .then((body) => (body.case === "appendReply" ? [body.value.isAccepted, body.value.match, body.value.term] : []));
   let answered: unknown;
   void append(2, 0, 0, [entry(1, 1), entry(2, 1)]).then((got) => (answered = got));
@@ -155,7 +158,7 @@
       { commit: Infinity },
     ];
     for (const malformed of malformedAppends) {
-      const body = await follower.take(
+      const body = await follower.handleAppend(
         create(AppendSchema, { group: "g", term: 2, sender: "a", receiver: "b", ...malformed }),
         0,
       );
@@ -174,11 +177,11 @@
     () => undefined,
     () => undefined,
   );
-  void log.promise(2, "");
+  void log.saveTermAndVote(2, "");
   await disk.sync();
   let isAnswered = false;
   void follower
-    .take(create(AppendSchema, { group: "g", term: 2, sender: "a", receiver: "b", entries: [entry(1, 2)] }), 0)
+    .handleAppend(create(AppendSchema, { group: "g", term: 2, sender: "a", receiver: "b", entries: [entry(1, 2)] }), 0)
     .then(() => (isAnswered = true));
   await new Promise((resolve) => setImmediate(resolve));
   expect(isAnswered).toEqual(false);
@@ -207,7 +210,7 @@
     return sent.join();
   };
   replicator.setMembers([["a", "b", "c"]], []);
-  void log.append([entry(1, 2)]).then(() => replicator.sendNew());
+  void log.append([entry(1, 2)]).then(() => replicator.sendNewEntries());
   await disk.sync();
   expect(sent).toEqual(["b", "c"]);
   replicator.handleReply(reply("b", 1));
@@ -231,13 +234,13 @@
   replicator.setMembers([["a", "b", "c"]], []);
   replicator.sendHeartbeats();
   now = 400;
-  expect(replicator.answerMs).toEqual(400);
+  expect(replicator.majorityReplyMs).toEqual(400);
   replicator.handleReply(reply("b", 0));
   now = 500;
-  expect(replicator.answerMs).toEqual(400);
+  expect(replicator.majorityReplyMs).toEqual(400);
   replicator.sendHeartbeats();
   replicator.handleReply(reply("c", 0));
-  expect(replicator.answerMs).toEqual(400);
+  expect(replicator.majorityReplyMs).toEqual(400);
 });
 
 /** A leader whose entry 1 is synced on both other replicas, and the appends that it sends from then on. */
@@ -263,7 +266,7 @@
     send,
   });
   replicator.setMembers([["a", "b", "c"]], []);
-  void log.append([entry(1, 2)]).then(() => replicator.sendNew());
+  void log.append([entry(1, 2)]).then(() => replicator.sendNewEntries());
   await disk.sync();
   for (const id of ["b", "c"]) replicator.handleReply(reply(id, 1));
   sent.length = 0;
@@ -281,9 +284,9 @@
 test("a read is confirmed by the other replicas while they are still syncing entries", async () => {
   const { log, replicator, sent } = await leaderWithSyncedEntry();
   void log.append([entry(2, 2)]);
-  replicator.sendNew();
+  replicator.sendNewEntries();
   let isConfirmed = false;
-  void replicator.confirm().then((outcome) => (isConfirmed = outcome));
+  void replicator.confirmLeadership().then((outcome) => (isConfirmed = outcome));
   for (const answer of repliesOf(sent, 1)) replicator.handleReply(answer);
   await new Promise((resolve) => setImmediate(resolve));
   expect([isConfirmed, replicator.commit]).toEqual([true, 1]);
@@ -292,13 +295,13 @@
 test("a reply to a heartbeat does not acknowledge entries: nothing is sent again or committed", async () => {
   const { log, replicator, sent } = await leaderWithSyncedEntry();
   void log.append([entry(2, 2)]);
-  replicator.sendNew();
-  void replicator.confirm();
+  replicator.sendNewEntries();
+  void replicator.confirmLeadership();
   const before = sent.length;
   for (const answer of repliesOf(sent, 1)) replicator.handleReply(answer);
   expect([replicator.commit, sent.length]).toEqual([1, before]);
   void log.append([entry(3, 2)]);
-  replicator.sendNew();
+  replicator.sendNewEntries();
   expect(sent.length).toEqual(before);
   for (const answer of repliesOf(sent, 2)) replicator.handleReply(answer);
   expect(sent.slice(before).map(({ entries }) => entries.map(({ index }) => index))).toEqual([[3], [3]]);
@@ -307,21 +310,21 @@
 test("slow disks of the replicas do not raise the reply time, late replies to heartbeats do", async () => {
   const { log, replicator, sent, setTime } = await leaderWithSyncedEntry();
   void log.append([entry(2, 2)]);
-  replicator.sendNew();
+  replicator.sendNewEntries();
   for (let ms = 75; ms <= 750; ms += 75) {
     setTime(ms);
     sent.length = 0;
-    replicator.heartbeatWaiting();
+    replicator.sendHeartbeatsToSyncing();
     setTime(ms + 20);
     for (const answer of repliesOf(sent, 1)) replicator.handleReply(answer);
   }
-  expect(replicator.answerMs).toEqual(20);
+  expect(replicator.majorityReplyMs).toEqual(20);
   sent.length = 0;
-  replicator.heartbeatWaiting();
+  replicator.sendHeartbeatsToSyncing();
   setTime(1270);
-  expect(replicator.answerMs).toEqual(500);
+  expect(replicator.majorityReplyMs).toEqual(500);
   for (const answer of repliesOf(sent, 1)) replicator.handleReply(answer);
-  expect(replicator.answerMs).toEqual(500);
+  expect(replicator.majorityReplyMs).toEqual(500);
 });
 
 test("a commit notice commits only entries up to where this log matches the log of the term's leader", async () => {
@@ -334,7 +337,7 @@
     () => undefined,
   );
   const take = (term: number, entries: Entry[], prevIndex = 0, prevTerm = 0): void =>
-    void follower.take(
+    void follower.handleAppend(
       create(AppendSchema, { group: "g", term, sender: "a", receiver: "b", prevIndex, prevTerm, entries }),
       0,
     );
@@ -358,13 +361,13 @@
   const log = new ReplicaLog(disk, "g");
   const replicator = new LogReplicator({ log, clock, self: "a", term: 2, commit: 0, send: () => undefined });
   replicator.setMembers([["a", "b", "c"]], []);
-  void log.append([entry(1, 2)]).then(() => replicator.sendNew());
+  void log.append([entry(1, 2)]).then(() => replicator.sendNewEntries());
   await disk.sync();
   expect(replicator.takeUnnotified()).toEqual([]);
   replicator.handleReply(reply("b", 1));
   expect(replicator.takeUnnotified()).toEqual(["b", "c"]);
   expect(replicator.takeUnnotified()).toEqual([]);
-  void log.append([entry(2, 2)]).then(() => replicator.sendNew());
+  void log.append([entry(2, 2)]).then(() => replicator.sendNewEntries());
   await disk.sync();
   replicator.handleReply(reply("b", 2));
   replicator.sendHeartbeats();
--- a/packages/core/src/replication/snapshotAssembly.ts
+++ b/packages/core/src/replication/snapshotAssembly.ts
@@ -26,7 +26,7 @@
   }
 
   /** Adds the next piece. A first piece of another snapshot replaces the one in progress. */
-  take(piece: Snapshot): PieceOutcome {
+  addPiece(piece: Snapshot): PieceOutcome {
     if (!this.#isWellFormed(piece)) return { kind: "refused", received: 0 };
     if (!this.#isSameSnapshot(piece)) {
       if (piece.offset !== 0) return { kind: "refused", received: 0 };
--- a/packages/core/src/replication/snapshotPieces.test.ts
+++ b/packages/core/src/replication/snapshotPieces.test.ts
@@ -48,7 +48,7 @@
 
   static async withSnapshot(snapshot: Uint8Array): Promise<LeaderAndFollower> {
     const pair = new LeaderAndFollower();
-    await pair.log.install(100, 1, snapshot);
+    await pair.log.installSnapshot(100, 1, snapshot);
     await pair.append(5);
     pair.replicator.setMembers([["a"]], ["b"]);
     return pair;
@@ -95,9 +95,10 @@
   async #deliver(): Promise<void> {
     for (let body = this.#queue.shift(); body !== undefined; body = this.#queue.shift()) {
       let answer: BodyInit | undefined;
-      if (body.case === "append") answer = await this.follower.take(create(AppendSchema, body.value), this.commit);
+      if (body.case === "append")
+        answer = await this.follower.handleAppend(create(AppendSchema, body.value), this.commit);
       if (body.case === "snapshot")
-        answer = await this.follower.takeSnapshot(create(SnapshotSchema, body.value), this.commit);
+        answer = await this.follower.handleSnapshotPiece(create(SnapshotSchema, body.value), this.commit);
       if (answer?.case === "appendReply") this.replicator.handleReply(create(AppendReplySchema, answer.value));
       await nextTurn();
     }
@@ -136,7 +137,7 @@
   const pair = await LeaderAndFollower.withSnapshot(patternBytes(600 * kib));
   pair.isLost = (body) => body.case === "snapshot";
   await pair.run(heartbeatIntervalMs);
-  for (let i = 0; i < 50; i += 1) void pair.replicator.confirm();
+  for (let i = 0; i < 50; i += 1) void pair.replicator.confirmLeadership();
   expect(pair.pieces.length).toEqual(1);
 });
 
@@ -183,30 +184,30 @@
 
 test("a piece out of order is refused with the offset to continue from", () => {
   const assembly = new SnapshotAssembly();
-  expect(assembly.take(pieceAt(step))).toEqual({ kind: "refused", received: 0 });
-  expect(assembly.take(pieceAt(0))).toEqual({ kind: "taken", received: step });
-  expect(assembly.take(pieceAt(2 * step))).toEqual({ kind: "refused", received: step });
-  expect(assembly.take(pieceAt(0))).toEqual({ kind: "refused", received: step });
-  expect(assembly.take(pieceAt(step))).toEqual({ kind: "taken", received: 2 * step });
-  const last = assembly.take(pieceAt(2 * step));
+  expect(assembly.addPiece(pieceAt(step))).toEqual({ kind: "refused", received: 0 });
+  expect(assembly.addPiece(pieceAt(0))).toEqual({ kind: "taken", received: step });
+  expect(assembly.addPiece(pieceAt(2 * step))).toEqual({ kind: "refused", received: step });
+  expect(assembly.addPiece(pieceAt(0))).toEqual({ kind: "refused", received: step });
+  expect(assembly.addPiece(pieceAt(step))).toEqual({ kind: "taken", received: 2 * step });
+  const last = assembly.addPiece(pieceAt(2 * step));
   expect(last.kind === "whole" && Buffer.compare(last.state, whole)).toEqual(0);
 });
 
 test("a piece of another snapshot, term or sender is never mixed into the one in progress", () => {
   for (const change of [{ index: 8 }, { indexTerm: 2 }, { term: 3 }, { sender: "c" }, { checksum: 1 }]) {
     const assembly = new SnapshotAssembly();
-    assembly.take(pieceAt(0));
-    expect(assembly.take(pieceAt(step, change))).toEqual({ kind: "refused", received: 0 });
-    expect(assembly.take(pieceAt(step))).toEqual({ kind: "taken", received: 2 * step });
+    assembly.addPiece(pieceAt(0));
+    expect(assembly.addPiece(pieceAt(step, change))).toEqual({ kind: "refused", received: 0 });
+    expect(assembly.addPiece(pieceAt(step))).toEqual({ kind: "taken", received: 2 * step });
   }
 });
 
 test("a snapshot whose bytes were altered is refused", () => {
   const assembly = new SnapshotAssembly();
-  assembly.take(pieceAt(0));
-  assembly.take(pieceAt(step, { state: new Uint8Array(step) }));
-  expect(assembly.take(pieceAt(2 * step))).toEqual({ kind: "refused", received: 0 });
-  expect(assembly.take(pieceAt(0))).toEqual({ kind: "taken", received: step });
+  assembly.addPiece(pieceAt(0));
+  assembly.addPiece(pieceAt(step, { state: new Uint8Array(step) }));
+  expect(assembly.addPiece(pieceAt(2 * step))).toEqual({ kind: "refused", received: 0 });
+  expect(assembly.addPiece(pieceAt(0))).toEqual({ kind: "taken", received: step });
 });
 
 test("a snapshot that is too large, and a piece beyond its end or with invalid numbers, are refused", () => {
@@ -219,7 +220,7 @@
     { state: new Uint8Array() },
   ];
   for (const malformed of malformedPieces)
-    expect(assembly.take(pieceAt(0, malformed))).toEqual({ kind: "refused", received: 0 });
+    expect(assembly.addPiece(pieceAt(0, malformed))).toEqual({ kind: "refused", received: 0 });
 });
 
 test("a follower replaces its log only once it has all pieces, and never by an unreadable snapshot", async () => {
@@ -235,7 +236,7 @@
     );
     const answers: unknown[] = [];
     for (const offset of [0, step, 2 * step]) {
-      const body = await follower.takeSnapshot(pieceAt(offset), 0);
+      const body = await follower.handleSnapshotPiece(pieceAt(offset), 0);
       if (body.case === "appendReply")
         answers.push([body.value.isAccepted, body.value.match, body.value.received, log.lastIndex]);
     }
--- a/packages/core/src/rpc/rpcEndpoint.ts
+++ b/packages/core/src/rpc/rpcEndpoint.ts
@@ -169,7 +169,7 @@
   }
 
   /** Completes all pending calls to a node that is known to be gone with undefined, without waiting for timeouts. */
-  abandonCallsTo(name: string): void {
+  failCallsTo(name: string): void {
     this.#incarnations.delete(name);
     for (const pending of [...this.#pendingCalls.values()]) if (pending.to === name) this.#failCall(pending);
   }
--- a/packages/core/src/rpc/wire.test.ts
+++ b/packages/core/src/rpc/wire.test.ts
@@ -49,9 +49,10 @@
     );
   for (const message of [frames[1]!, frames[3]!]) {
     const bytes = Wire.encode(message);
-    const range = Wire.envelopeIn(bytes)!;
-    expect(Wire.decode(Wire.shorten(bytes, range))).toEqual(undefined);
-    expect(Wire.decode(Wire.shorten(bytes, range), Wire.decode(bytes))).toEqual(Wire.decode(bytes));
+    const range = Wire.envelopeRange(bytes)!;
+    expect(Wire.decode(Wire.stripEnvelope(bytes, range))).toEqual(undefined);
+    expect(Wire.decode(Wire.stripEnvelope(bytes, range), Wire.decode(bytes))).toEqual(Wire.decode(bytes));
   }
-  for (const forwarded of [frames[2]!, frames[4]!]) expect(Wire.envelopeIn(Wire.encode(forwarded))).toEqual(undefined);
+  for (const forwarded of [frames[2]!, frames[4]!])
+    expect(Wire.envelopeRange(Wire.encode(forwarded))).toEqual(undefined);
 });
--- a/packages/core/src/rpc/wire.ts
+++ b/packages/core/src/rpc/wire.ts
@@ -53,7 +53,7 @@
   },
 
   /** The byte range of the envelope in a frame; undefined if it is relayed, or the envelope missing or too long. */
-  envelopeIn(bytes: Uint8Array): [start: number, end: number] | undefined {
+  envelopeRange(bytes: Uint8Array): [start: number, end: number] | undefined {
     let position = 4;
     if (bytes[position] === fieldTags.id) position += 9;
     if (bytes[position] === fieldTags.isReply) position += 2;
@@ -70,7 +70,7 @@
   },
 
   /** Returns the bytes of a frame without the envelope. */
-  shorten(bytes: Uint8Array, [start, end]: [number, number]): Uint8Array {
+  stripEnvelope(bytes: Uint8Array, [start, end]: [number, number]): Uint8Array {
     return Checksum.prepend(bytes.subarray(4, start), bytes.subarray(end));
   },
 };
--- a/packages/core/src/runtime/invariantMonitor.test.ts
+++ b/packages/core/src/runtime/invariantMonitor.test.ts
@@ -35,14 +35,14 @@
   const { monitor } = monitored();
   let followed = 0;
   const verifier = new ConfigurationVerifier(monitor, () => followed);
-  expect(verifier.isCurrent(verifier.bound, 0)).toEqual(true);
-  const { bound } = verifier;
-  verifier.saw(12);
+  expect(verifier.isCurrent(verifier.minRevision, 0)).toEqual(true);
+  const { minRevision: bound } = verifier;
+  verifier.recordSeen(12);
   // The read began before revision 12 was seen, so its result may be older.
-  expect([verifier.isCurrent(bound, 9), verifier.bound]).toEqual([true, 12]);
-  expect(verifier.isCurrent(verifier.bound, 11)).toEqual(false);
+  expect([verifier.isCurrent(bound, 9), verifier.minRevision]).toEqual([true, 12]);
+  expect(verifier.isCurrent(verifier.minRevision, 11)).toEqual(false);
   followed = 20;
-  expect(verifier.isCurrent(verifier.bound, 19)).toEqual(false);
-  expect(verifier.isCurrent(verifier.bound, 20)).toEqual(true);
+  expect(verifier.isCurrent(verifier.minRevision, 19)).toEqual(false);
+  expect(verifier.isCurrent(verifier.minRevision, 20)).toEqual(true);
   expect(monitor.countOf("configurationRead")).toEqual(2);
 });
--- a/packages/core/src/runtime/program.ts
+++ b/packages/core/src/runtime/program.ts
@@ -1,14 +1,14 @@
 import { SettingsSignal } from "./settingsSignal.js";
 import { roleNameOf, type NodeRole } from "../membership/nodeRole.js";
-import { ProgramHost, type Built, type ProgramParts } from "./programHost.js";
+import { ProgramHost, type RoleService, type ProgramParts } from "./programHost.js";
 
 /** The command line of all three daemons: reads flags and the settings file, then starts the host. */
 export class Program {
   readonly #role: NodeRole;
   readonly #prefixes: string[];
-  readonly #build: (parts: ProgramParts) => Built;
+  readonly #build: (parts: ProgramParts) => RoleService;
 
-  constructor(role: NodeRole, prefixes: string[], build: (parts: ProgramParts) => Built) {
+  constructor(role: NodeRole, prefixes: string[], build: (parts: ProgramParts) => RoleService) {
     this.#role = role;
     this.#prefixes = prefixes;
     this.#build = build;
@@ -16,7 +16,7 @@
 
   /** Runs the daemon; sets the exit code if the settings are invalid. */
   async run(argv: string[]): Promise<void> {
-    SettingsSignal.hold();
+    SettingsSignal.preventExit();
     const { cac } = await import("cac");
     const { SettingsReader } = await import("./settings.js");
     const cli = cac(`cranetrack-${roleNameOf(this.#role)}`);
@@ -88,6 +88,6 @@
 
   static #reportProblems(problems: readonly string[]): void {
     process.stderr.write(problems.map((problem) => `${problem}\n`).join(""));
-    process.exitCode = ProgramHost.exits.settings;
+    process.exitCode = ProgramHost.exitCodes.settings;
   }
 }
--- a/packages/core/src/runtime/programHost.ts
+++ b/packages/core/src/runtime/programHost.ts
@@ -19,7 +19,7 @@
   close(): Promise<void>;
 }
 /** The role that a program runs on a node. */
-export interface Built {
+export interface RoleService {
   /** Loads the stored data; returns a text that says what is wrong with it, or undefined. */
   load(): string | undefined;
   start(): Promise<void> | void;
@@ -54,7 +54,7 @@
   readonly disk: OpenDisk | undefined;
   readonly node: ClusterNode;
   readonly router: Router;
-  readonly built: Built;
+  readonly built: RoleService;
 }
 type RunningNode = Pick<AssembledNode, "disk" | "node" | "built"> & {
   readonly transport: TcpTransport;
@@ -68,19 +68,19 @@
   /** Milliseconds between announcing to other nodes that this node leaves and closing its connections. */
   static readonly leaveNoticeMs = 50;
   /** Exit codes for invalid settings or addresses, for the data folder, and for an uncaught exception. */
-  static readonly exits = { settings: 2, data: 3, fault: 4 };
+  static readonly exitCodes = { settings: 2, data: 3, fault: 4 };
 
   readonly #prefixes: string[];
-  readonly #build: (parts: ProgramParts) => Built;
+  readonly #build: (parts: ProgramParts) => RoleService;
 
-  constructor(prefixes: string[], build: (parts: ProgramParts) => Built) {
+  constructor(prefixes: string[], build: (parts: ProgramParts) => RoleService) {
     this.#prefixes = prefixes;
     this.#build = build;
   }
 
   /**
    * Starts the program with validated settings. `watched` is the file that they came from; `notices` are warnings to
-   * log about them. Resolves once the program is running; if it can't start, the process exits with one of `exits`.
+   * log about them. Resolves once the program is running; if it can't start, the process exits with one of `exitCodes`.
    */
   async start(settings: Settings, watched?: WatchedSettings, notices: readonly string[] = []): Promise<void> {
     const log = LogBuffer.toFile(settings.name, settings.log);
@@ -103,7 +103,7 @@
       await transport.listen();
       for (const listener of listeners) await listener.listen();
     } catch (cause) {
-      return ProgramHost.#exit(log, ProgramHost.exits.settings, `cannot listen: ${(cause as Error).message}`);
+      return ProgramHost.#exit(log, ProgramHost.exitCodes.settings, `cannot listen: ${(cause as Error).message}`);
     }
     node.start();
     await built.start();
@@ -132,10 +132,10 @@
       const router = new Router(node);
       const built = this.#build({ node, disk: checksummed, router });
       const fault = built.load();
-      if (fault !== undefined) return ProgramHost.#exit(log, ProgramHost.exits.data, fault);
+      if (fault !== undefined) return ProgramHost.#exit(log, ProgramHost.exitCodes.data, fault);
       return { disk, node, router, built };
     } catch (cause) {
-      return ProgramHost.#exit(log, ProgramHost.exits.data, (cause as Error).message);
+      return ProgramHost.#exit(log, ProgramHost.exitCodes.data, (cause as Error).message);
     }
   }
 
@@ -154,7 +154,7 @@
   /** An uncaught exception leaves the program in an unknown state: the process must not continue. */
   static #exitOnUncaught(log: LogBuffer): void {
     const quit = (text: string): never =>
-      ProgramHost.#exit(log, ProgramHost.exits.fault, `a broken invariant: ${text}`);
+      ProgramHost.#exit(log, ProgramHost.exitCodes.fault, `a broken invariant: ${text}`);
     process.on("uncaughtException", (fault) => quit(fault.stack ?? fault.message));
     process.on("unhandledRejection", (fault) => quit(String((fault as Error)?.stack ?? fault)));
   }
@@ -165,7 +165,7 @@
     settings: Settings,
     clock: Clock,
     log: LogBuffer,
-    built: Built,
+    built: RoleService,
   ): SettingsWatch | undefined {
     const watch = watched === undefined ? undefined : new SettingsWatch(watched.path, watched.read, settings, clock);
     watch?.on("changed", (changed) => built.applySettings?.(changed));
@@ -206,7 +206,7 @@
     return new LmdbDisk(data);
   }
 
-  static async #httpListener(address: string, router: Router, built: Built): Promise<Listener> {
+  static async #httpListener(address: string, router: Router, built: RoleService): Promise<Listener> {
     const { HttpServer } = await import("../http/httpServer.js");
     const listener = new HttpServer(router, built.stream);
     return { listen: () => listener.listen(address), close: () => listener.close() };
--- a/packages/core/src/store/leaseKeepAlive.test.ts
+++ b/packages/core/src/store/leaseKeepAlive.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import { LeaseKeepAlive } from "./leaseKeepAlive.js";
-import type { Outcome } from "./storeClient.js";
+import type { StoreOutcome } from "./storeClient.js";
 
 interface PendingTimer {
   at: number;
@@ -50,7 +50,7 @@
   const clock = new ManualClock();
   let answer: (outcome: string) => void = () => undefined;
   const store = {
-    call: () => new Promise<Outcome>((resolve) => (answer = (outcome) => resolve({ outcome }))),
+    call: () => new Promise<StoreOutcome>((resolve) => (answer = (outcome) => resolve({ outcome }))),
   };
   const keepAlive = new LeaseKeepAlive("a", 4000, store, clock, { draw: () => 0, identity: () => "0123456789abcdef" });
   let lostAt = -1;
@@ -71,7 +71,7 @@
     const clock = new ManualClock();
     const answers: Array<(outcome: string) => void> = [];
     const store = {
-      call: () => new Promise<Outcome>((resolve) => answers.push((outcome) => resolve({ outcome }))),
+      call: () => new Promise<StoreOutcome>((resolve) => answers.push((outcome) => resolve({ outcome }))),
     };
     const keepAlive = new LeaseKeepAlive("a", 4000, store, clock, {
       draw: () => 0,
--- a/packages/core/src/store/leaseKeepAlive.ts
+++ b/packages/core/src/store/leaseKeepAlive.ts
@@ -1,7 +1,7 @@
 import { EventEmitter } from "node:events";
 import type { RandomSource } from "../runtime/random.js";
 import type { TimerHandle, Clock } from "../runtime/clock.js";
-import type { StoreChange, StoreClient } from "./storeClient.js";
+import type { StoreCallInit, StoreClient } from "./storeClient.js";
 
 /**
  * Holds one lease with the store. The holder counts the lease from when it SENT the renewal, and stops a tenth of the
@@ -67,7 +67,7 @@
     this.#isRequestPending = true;
     const sentAt = this.#clock.now();
     const lease = isGrant ? `${this.#name}/${this.#random.identity().slice(0, 12)}` : this.lease;
-    const call: StoreChange = isGrant
+    const call: StoreCallInit = isGrant
       ? { case: "grant", value: { lease, length: this.#leaseMs } }
       : { case: "renew", value: { lease } };
     const reply = await this.#store.call(call, Math.max(300, this.#leaseMs * 0.6));
--- a/packages/core/src/store/storeClient.test.ts
+++ b/packages/core/src/store/storeClient.test.ts
@@ -4,7 +4,7 @@
 import { GossipSchema, StoreBatchReplySchema, StoreReplySchema, type Frame } from "../gen/cranetrack_pb.js";
 import { RpcEndpoint } from "../rpc/rpcEndpoint.js";
 import { Membership } from "../membership/membership.js";
-import { StoreClient, type StoreChange } from "./storeClient.js";
+import { StoreClient, type StoreCallInit } from "./storeClient.js";
 import { Wire, type BodyInit } from "../rpc/wire.js";
 
 /**
@@ -87,7 +87,7 @@
 });
 
 /** How many control nodes a call is sent to if they give these replies in turn, and the outcome for the caller. */
-async function asked(call: StoreChange, replies: readonly string[]): Promise<{ asked: number; outcome: string }> {
+async function asked(call: StoreCallInit, replies: readonly string[]): Promise<{ asked: number; outcome: string }> {
   const { store, frames, turn, silence, answer } = client(["lathe-1", "lathe-2", "lathe-3"]);
   const storeCalls = (): Frame[] => frames.filter((frame) => frame.body.case === "storeCall");
   const settled = store.call(call);
@@ -102,7 +102,7 @@
   return { asked: new Set(storeCalls().map(({ to }) => to)).size, outcome };
 }
 
-const txn: StoreChange = { case: "txn", value: { puts: [{ key: "k" }] } };
+const txn: StoreCallInit = { case: "txn", value: { puts: [{ key: "k" }] } };
 const unrepeatableCases: ReadonlyArray<[says: string[], asked: number, outcome: string]> = [
   [["silent"], 1, "unsure"],
   [["unsure"], 1, "unsure"],
@@ -118,12 +118,12 @@
 });
 
 test("a call that may be repeated goes on after a timeout, and ends unsure if it may have been done", async () => {
-  const grant: StoreChange = { case: "grant", value: { lease: "a/1", length: 4000 } };
+  const grant: StoreCallInit = { case: "grant", value: { lease: "a/1", length: 4000 } };
   for (const call of [
     grant,
     { case: "renew", value: { lease: "a/1" } },
     { case: "read", value: {} },
-  ] as StoreChange[]) {
+  ] as StoreCallInit[]) {
     expect(await asked(call, ["silent", "unsure", "done"])).toEqual({ asked: 3, outcome: "done" });
     expect(await asked(call, ["silent", "away", "away"])).toEqual({ asked: 3, outcome: "unsure" });
     expect(await asked(call, ["away", "away", "away"])).toEqual({ asked: 3, outcome: "away" });
--- a/packages/core/src/store/storeClient.ts
+++ b/packages/core/src/store/storeClient.ts
@@ -10,15 +10,15 @@
 import { nodeRole } from "../membership/nodeRole.js";
 
 /** A call on the store: a read, a transaction or a lease operation. */
-export type StoreChange = NonNullable<MessageInitShape<typeof StoreCallSchema>["call"]>;
+export type StoreCallInit = NonNullable<MessageInitShape<typeof StoreCallSchema>["call"]>;
 /** The reply to a call; `call` says what the outcomes `unsure` and `away` mean. */
-export type Outcome = { outcome: string } & Partial<
+export type StoreOutcome = { outcome: string } & Partial<
   Pick<StoreReply, "revision" | "kvs" | "retryAfterSeconds" | "reason" | "feeds" | "leader">
 >;
 
 /** A call that waits for the batch that it is sent with. */
 interface PendingCall {
-  call: StoreChange;
+  call: StoreCallInit;
   resolve: (reply: StoreReply | undefined) => void;
 }
 
@@ -53,7 +53,7 @@
   }
 
   /** Sends large values as deltas. If the store lacks a base, it does nothing, and they are sent again whole. */
-  async txn(txn: MessageInitShape<typeof TxnSchema>, timeoutMs = 1200): Promise<Outcome> {
+  async txn(txn: MessageInitShape<typeof TxnSchema>, timeoutMs = 1200): Promise<StoreOutcome> {
     const deadline = this.#clock.now() + timeoutMs;
     let written = await this.call({ case: "txn", value: this.#values.pack(txn) }, timeoutMs);
     if (written.outcome === "rebase") {
@@ -65,9 +65,9 @@
   }
 
   /** The store omits large values that this client has, and sends changed ones as deltas. */
-  async read(keys: string[], prefixes: string[] = [], timeoutMs = 1200): Promise<Outcome> {
+  async read(keys: string[], prefixes: string[] = [], timeoutMs = 1200): Promise<StoreOutcome> {
     const deadline = this.#clock.now() + timeoutMs;
-    const request = (remainingMs: number): Promise<Outcome> =>
+    const request = (remainingMs: number): Promise<StoreOutcome> =>
       this.call({ case: "read", value: { keys, prefixes, known: this.#values.knownVersions(keys) } }, remainingMs);
     const read = await request(timeoutMs);
     if (this.#values.unpack(read.kvs ?? [])) return read;
@@ -81,7 +81,7 @@
    * never will be. After `away` the next control node is asked; after a timeout or `unsure` only if the call may be
    * repeated.
    */
-  async call(call: StoreChange, timeoutMs = 1200): Promise<Outcome> {
+  async call(call: StoreCallInit, timeoutMs = 1200): Promise<StoreOutcome> {
     const deadline = this.#clock.now() + timeoutMs;
     const maxAttemptMs = StoreClient.attemptMsByKind[call.case ?? "read"] ?? StoreClient.defaultAttemptMs;
     let isOutcomeUnknown = false;
@@ -102,7 +102,7 @@
     return { outcome: "away", retryAfterSeconds: 1, reason: "no majority of lathes answers" };
   }
 
-  async #trackedCall(name: string, call: StoreChange, timeoutMs: number): Promise<StoreReply | undefined> {
+  async #trackedCall(name: string, call: StoreCallInit, timeoutMs: number): Promise<StoreReply | undefined> {
     const id = ++this.#lastCallId;
     this.#openCalls.set(id, { name, at: this.#clock.now() });
     const reply = await this.#enqueueCall(name, call, timeoutMs);
@@ -110,7 +110,7 @@
     return reply;
   }
 
-  #enqueueCall(name: string, call: StoreChange, timeoutMs: number): Promise<StoreReply | undefined> {
+  #enqueueCall(name: string, call: StoreCallInit, timeoutMs: number): Promise<StoreReply | undefined> {
     const key = `${name} ${call.case} ${timeoutMs}`;
     const batch = this.#batches.get(key) ?? [];
     if (batch.length === 0)
--- a/packages/core/src/transport/tcpConnection.ts
+++ b/packages/core/src/transport/tcpConnection.ts
@@ -70,14 +70,14 @@
     // A frame longer than the limit is sent if the queue is empty.
     if (this.waitingBytes > 0 && this.waitingBytes + bytes.length > TcpConnection.maxWaitingBytes)
       return void (this.dropped += 1);
-    const range = Wire.envelopeIn(bytes);
+    const range = Wire.envelopeRange(bytes);
     const envelope = range === undefined ? undefined : bytes.subarray(...range);
     if (
       envelope !== undefined &&
       this.#sentEnvelope !== undefined &&
       Buffer.compare(this.#sentEnvelope, envelope) === 0
     )
-      this.#enqueue(Wire.shorten(bytes, range!), TcpConnection.#shortFlag);
+      this.#enqueue(Wire.stripEnvelope(bytes, range!), TcpConnection.#shortFlag);
     else {
       this.#sentEnvelope = envelope === undefined ? undefined : Buffer.from(envelope);
       this.#enqueue(bytes, 0);
--- a/packages/edge/src/connections/clientConnection.ts
+++ b/packages/edge/src/connections/clientConnection.ts
@@ -1,7 +1,7 @@
 /** A client's long-lived connection, independent of its protocol. */
 export interface ClientConnection {
   /** Bytes sent on the connection that the network has not accepted yet. */
-  readonly waitingBytes: number;
+  readonly bufferedBytes: number;
   /** True once either side has closed the connection. */
   readonly isClosed: boolean;
   /** Sends one event to the client; does nothing once the connection is closed. */
--- a/packages/edge/src/connections/edgeClientEndpoint.ts
+++ b/packages/edge/src/connections/edgeClientEndpoint.ts
@@ -2,7 +2,7 @@
 import type { ClientConnection } from "./clientConnection.js";
 import { countTopic } from "../subscriptions/countTopic.js";
 import { AdmitSession } from "../sessions/admitSession.js";
-import type { Connected, ClientEndpoint, Counted } from "./clientEndpoint.js";
+import type { ConnectResult, ClientEndpoint, CountResult } from "./clientEndpoint.js";
 import type { EdgeParts } from "../edgeParts.js";
 
 /** The edge's implementation of `ClientEndpoint`. */
@@ -20,7 +20,7 @@
   }
 
   /** Takes ownership of the session and attaches the connection to it, replacing an older connection. */
-  async connect(id: string, connection: ClientConnection): Promise<Connected> {
+  async connect(id: string, connection: ClientConnection): Promise<ConnectResult> {
     if (!AdmitSession.isName(id)) return { outcome: "malformed", reason: "a session's name is malformed" };
     const { clock } = this.#edge.node.parts;
     const startedAt = clock.now();
@@ -38,7 +38,7 @@
   }
 
   /** The number of present subscribers of a topic at all edges. */
-  count(topic: string): Promise<Counted> {
+  count(topic: string): Promise<CountResult> {
     return countTopic(this.#edge, topic);
   }
 }
--- a/packages/edge/src/connections/httpConnection.ts
+++ b/packages/edge/src/connections/httpConnection.ts
@@ -20,7 +20,7 @@
   }
 
   /** Bytes buffered in the response and its socket. */
-  get waitingBytes(): number {
+  get bufferedBytes(): number {
     return this.#response.writableLength + (this.#response.socket?.writableLength ?? 0);
   }
 
--- a/packages/edge/src/connections/sessionConnection.ts
+++ b/packages/edge/src/connections/sessionConnection.ts
@@ -2,7 +2,7 @@
 import type { ClientConnection } from "./clientConnection.js";
 import { Cursors, type Cursor } from "../subscriptions/cursor.js";
 import type { TopicFault } from "../subscriptions/topicFault.js";
-import type { SessionEndpoint, Subscribed } from "./clientEndpoint.js";
+import type { SessionEndpoint, SubscribeResult } from "./clientEndpoint.js";
 import type { Session } from "../sessions/session.js";
 import type { EdgeParts } from "../edgeParts.js";
 import { findStarts, type Start } from "../subscriptions/findStarts.js";
@@ -13,12 +13,12 @@
 interface SubscribeCall {
   topic: string;
   after: string | undefined;
-  resolve: (outcome: Subscribed) => void;
+  resolve: (outcome: SubscribeResult) => void;
 }
 /** A subscribe call in progress and its outcome. */
 interface PendingCall {
   readonly call: SubscribeCall;
-  readonly outcome: Promise<Subscribed>;
+  readonly outcome: Promise<SubscribeResult>;
 }
 /** Codes of faults that are returned as outcomes under the same name; every other code becomes `away`. */
 const faultOutcomes = ["unknown-topic", "malformed-place", "unknown-place", "away"] as const;
@@ -59,7 +59,7 @@
   }
 
   /** Subscribes to a topic. A repeated call returns the outcome of the pending one. */
-  subscribe(topic: string, after?: string): Promise<Subscribed> {
+  subscribe(topic: string, after?: string): Promise<SubscribeResult> {
     const refusal = this.#refusalOf(topic);
     if (refusal !== undefined) return Promise.resolve(refusal);
     const cursor = this.#session.subscriptions.get(topic);
@@ -105,7 +105,7 @@
   }
 
   /** Why a topic can't be subscribed at present; undefined if it can. */
-  #refusalOf(topic: string): Subscribed | undefined {
+  #refusalOf(topic: string): SubscribeResult | undefined {
     if (!this.#isCurrent) return { outcome: "moved", reason: "the session moved on meanwhile" };
     if (!Configurations.isTopic(topic)) return { outcome: "malformed", reason: "the topic is malformed" };
     if (!this.#edge.node.feed.isFresh)
@@ -119,9 +119,9 @@
   }
 
   /** Starts a pending call, which is looked up together with the others of this turn. */
-  #queueLookUp(topic: string, after: string | undefined): Promise<Subscribed> {
-    let resolveOutcome: (outcome: Subscribed) => void = () => undefined;
-    const outcome = new Promise<Subscribed>((resolve) => (resolveOutcome = resolve));
+  #queueLookUp(topic: string, after: string | undefined): Promise<SubscribeResult> {
+    let resolveOutcome: (outcome: SubscribeResult) => void = () => undefined;
+    const outcome = new Promise<SubscribeResult>((resolve) => (resolveOutcome = resolve));
     const call = { topic, after, resolve: resolveOutcome };
     this.#pending.set(topic, { call, outcome });
     this.#callsToLookUp.push(call);
@@ -146,7 +146,7 @@
     for (const { tail, expired } of starts) if (expired !== "") this.#edge.streams.release(tail);
   }
 
-  #outcomeOf(topic: string, starts: readonly Start[], faults: readonly TopicFault[]): Subscribed {
+  #outcomeOf(topic: string, starts: readonly Start[], faults: readonly TopicFault[]): SubscribeResult {
     if (!this.#isCurrent) return { outcome: "moved", reason: "the session moved on meanwhile" };
     const start = starts.find((candidate) => candidate.topic === topic);
     if (start !== undefined && start.expired !== "") return { outcome: "expired", reason: start.expired };
--- a/packages/edge/src/cranetrack-edge.ts
+++ b/packages/edge/src/cranetrack-edge.ts
@@ -14,7 +14,8 @@
     stop: () => edge.drain(),
     isReady: () => edge.isReady,
     status: () => edge.status(),
-    applySettings: ({ maxConnections, bufferBytes }) => Object.assign(edge.live, { maxConnections, bufferBytes }),
+    applySettings: ({ maxConnections, bufferBytes }) =>
+      Object.assign(edge.liveSettings, { maxConnections, bufferBytes }),
     stream: {
       pattern: EdgeCalls.connectionPath,
       open: (path, body, reply) =>
--- a/packages/edge/src/edgeNode.ts
+++ b/packages/edge/src/edgeNode.ts
@@ -37,7 +37,7 @@
   readonly heartbeatIntervalMs = 300;
   readonly publishTimeoutMs = 700;
   readonly sessionRetentionMs = 900_000;
-  readonly live: { maxConnections: number; bufferBytes: number };
+  readonly liveSettings: { maxConnections: number; bufferBytes: number };
   readonly storeContactDelay: SharedDelay;
   isDraining = false;
   admittingCount = 0;
@@ -46,7 +46,7 @@
     const { settings, clock, random } = node.parts;
     this.node = node;
     this.router = router;
-    this.live = { maxConnections: settings.maxConnections, bufferBytes: settings.bufferBytes };
+    this.liveSettings = { maxConnections: settings.maxConnections, bufferBytes: settings.bufferBytes };
     this.storeContactDelay = new SharedDelay(clock, EdgeNode.storeContactPollMs);
     this.lease = new LeaseKeepAlive(settings.name, settings.edgeLeaseMs, node.store, clock, random);
     this.joinings = new JoiningStats(clock);
@@ -68,9 +68,9 @@
   /** The edge's part of `GET /v1/status`. The field names are part of the API. */
   status(): object {
     return {
-      links: this.sessions.connections,
+      links: this.sessions.connectionCount,
       sessions: this.sessions.table.size,
-      keptPulls: this.sessions.keptPulls,
+      keptPulls: this.sessions.shippedStateCount,
       streams: this.streams.count,
       isDraining: this.isDraining,
       hasLease: this.lease.isHeld,
@@ -80,7 +80,7 @@
   }
 
   #loadFields(): Record<string, number> {
-    const { connections, table } = this.sessions;
+    const { connectionCount: connections, table } = this.sessions;
     return { connections, sessions: table.size, admitting: this.admittingCount, leasesLost: this.lease.losses };
   }
 
@@ -92,7 +92,7 @@
   /** Checked before each delivery. Disconnects a client that has left more than `bufferBytes` bytes unread. */
   maySend(session: Session, connection: ClientConnection): boolean {
     if (!this.lease.isHeld || session.isStopped || session.connection !== connection) return false;
-    if (connection.waitingBytes <= this.live.bufferBytes) return true;
+    if (connection.bufferedBytes <= this.liveSettings.bufferBytes) return true;
     session.disconnect("the reader is too slow", 0.5, this.node.parts.clock.now());
     return false;
   }
--- a/packages/edge/src/edgeParts.ts
+++ b/packages/edge/src/edgeParts.ts
@@ -31,7 +31,7 @@
   /** Connection requests in progress; each becomes a connection if it succeeds. */
   admittingCount: number;
   /** Settings that a reload of the settings file may change while the node runs. */
-  readonly live: { maxConnections: number; bufferBytes: number };
+  readonly liveSettings: { maxConnections: number; bufferBytes: number };
   /** False if this node may no longer send for the session, or if the client reads too slowly; that disconnects it. */
   maySend(session: Session, connection: ClientConnection): boolean;
 }
--- a/packages/edge/src/fanout/publisherOrder.test.ts
+++ b/packages/edge/src/fanout/publisherOrder.test.ts
@@ -42,11 +42,11 @@
   const tail = new StreamTail({ stream: "0:t", space: "", spaceIncarnation: 1 }, 0);
   const faults: OrderFault[] = [];
   tail.on("disorder", (fault) => faults.push(fault));
-  tail.onHead("1-aaaaaa", 0, 0);
+  tail.confirmHead("1-aaaaaa", 0, 0);
   tail.extend("1-aaaaaa", [message(1, 1), message(2, 2)]);
   tail.extend("1-aaaaaa", [message(2, 2), message(3, 2)]);
   expect(faults.map(({ message: { seq }, last }) => [seq, last])).toEqual([[3, 2]]);
-  tail.onHead("1-bbbbbb", 0, 0);
+  tail.confirmHead("1-bbbbbb", 0, 0);
   tail.extend("1-bbbbbb", [message(1, 1)]);
   expect(faults.length).toEqual(1);
 });
--- a/packages/edge/src/fanout/replicaFollow.ts
+++ b/packages/edge/src/fanout/replicaFollow.ts
@@ -120,7 +120,7 @@
       else {
         tail.replicaIncarnation = incarnation;
         // If this edge is far behind the replica, the replica pushes only from its own head on.
-        if (from > tail.head) tail.onHead(incarnation, from, 0);
+        if (from > tail.head) tail.confirmHead(incarnation, from, 0);
         this.#leaderFollow.onServedByReplica(tail);
       }
     }
--- a/packages/edge/src/fanout/shardFollow.ts
+++ b/packages/edge/src/fanout/shardFollow.ts
@@ -278,6 +278,6 @@
     if (tail === undefined) return;
     if (head.fault === "behind") return;
     if (head.fault !== "") tail.end(head.fault);
-    else tail.onHead(head.incarnation, head.from, head.low);
+    else tail.confirmHead(head.incarnation, head.from, head.low);
   }
 }
--- a/packages/edge/src/fanout/streamTail.test.ts
+++ b/packages/edge/src/fanout/streamTail.test.ts
@@ -19,10 +19,10 @@
 
 test("a tail that ended and is confirmed again in the same incarnation with a higher head has no gap", () => {
   const tail = tailOf();
-  tail.onHead(incarnation, 0, 0);
+  tail.confirmHead(incarnation, 0, 0);
   tail.extend(incarnation, [message(1), message(2)]);
   tail.end("topic-gone");
-  tail.onHead(incarnation, 7, 0);
+  tail.confirmHead(incarnation, 7, 0);
   checkContiguous(tail);
   expect([tail.head, tail.after(1), tail.after(2)]).toEqual([7, undefined, undefined]);
   tail.extend(incarnation, [message(8)]);
@@ -39,7 +39,7 @@
       const before = tail.head;
       const first = next(30) + 1;
       const action = next(5);
-      if (action === 0) tail.onHead(incarnation, next(900), 0);
+      if (action === 0) tail.confirmHead(incarnation, next(900), 0);
       else if (action === 1) tail.end("topic-gone");
       else
         tail.extend(
--- a/packages/edge/src/fanout/streamTail.ts
+++ b/packages/edge/src/fanout/streamTail.ts
@@ -70,7 +70,7 @@
   }
 
   /** The leader has confirmed the stream and pushes the messages after `from`. Readers fetch those before it. */
-  onHead(incarnation: string, from: number, low: number): void {
+  confirmHead(incarnation: string, from: number, low: number): void {
     if (incarnation !== this.incarnation) this.#startIncarnation(incarnation);
     this.low = Math.max(low, this.low);
     if (from > this.head) this.#skipTo(from);
--- a/packages/edge/src/publishing/configurationCheck.test.ts
+++ b/packages/edge/src/publishing/configurationCheck.test.ts
@@ -1,11 +1,11 @@
 import { test } from "node:test";
 import { create } from "@bufbuild/protobuf";
 import { KvSchema } from "@cranetrack/core/gen/cranetrack_pb.js";
-import type { Outcome } from "@cranetrack/core/store/storeClient.js";
+import type { StoreOutcome } from "@cranetrack/core/store/storeClient.js";
 import { expect } from "earl";
 import { ConfigurationCheck } from "./configurationCheck.js";
 
-const configurationOf = (revision: number, ...prefixes: string[]): Outcome => {
+const configurationOf = (revision: number, ...prefixes: string[]): StoreOutcome => {
   const value = Buffer.from(
     JSON.stringify({ mark: revision, spaces: prefixes.map((name) => ({ name, prefix: name })) }),
   );
@@ -13,7 +13,7 @@
 };
 
 test("whether a topic is unknown depends on the configuration in the store at the time of the question", async () => {
-  let read: Outcome = { outcome: "done", kvs: [] };
+  let read: StoreOutcome = { outcome: "done", kvs: [] };
   const check = new ConfigurationCheck({ read: () => Promise.resolve(read) });
   const codes = async (...topics: string[]): Promise<string[]> =>
     (await Promise.all(topics.map((topic) => check.faultOf(topic)))).map(({ code }) => code);
--- a/packages/edge/src/publishing/publishMessage.ts
+++ b/packages/edge/src/publishing/publishMessage.ts
@@ -32,7 +32,7 @@
   const now = node.parts.clock.now();
   const deadline = now + publishTimeoutMs(edge, topic);
   // If an earlier attempt may have sent this number, it can't be reported as not published.
-  const mayHaveBeenSent = !session.isComplete(now) || session.numbers.isOpen(topic, number);
+  const mayHaveBeenSent = !session.knowsAllNumbers(now) || session.numbers.isOpen(topic, number);
   const giveUp = (reason: string, retryAfterSeconds: number, code?: string): PublishOutcome =>
     mayHaveBeenSent
       ? { outcome: "unsure", reason, retryAfterSeconds }
@@ -78,7 +78,8 @@
 async function waitForLeader(edge: EdgeParts, shard: number, deadline: number): Promise<boolean> {
   const { shards, parts } = edge.node;
   const remainingMs = Math.max(0, deadline - parts.clock.now());
-  if (shards.find(shard).leader === "") await shards.moved(shard, "", parts.clock, Math.min(leaderWaitMs, remainingMs));
+  if (shards.find(shard).leader === "")
+    await shards.leaderChanged(shard, "", parts.clock, Math.min(leaderWaitMs, remainingMs));
   return shards.find(shard).leader !== "";
 }
 
@@ -102,7 +103,7 @@
     // A short space deadline must not count as a timeout of the leader, which may be slower than that and healthy.
     const body = await Promise.race([
       rpc.call(leader, call, edge.publishTimeoutMs),
-      shards.moved(shard, leader, parts.clock, remainingMs),
+      shards.leaderChanged(shard, leader, parts.clock, remainingMs),
     ]);
     const reply = body?.case === "publishReply" ? body.value : undefined;
     // After an unanswered attempt, only an answer that follows from the log is final for that attempt as well.
--- a/packages/edge/src/sessions/admitSession.ts
+++ b/packages/edge/src/sessions/admitSession.ts
@@ -27,7 +27,7 @@
       await edge.storeContactDelay.next();
     if (!lease.isHeld || !node.feed.isFresh)
       return { reason: "this node is out of touch with the store", retryAfterSeconds: 1, code: "unavailable" };
-    if (sessions.connections + edge.admittingCount >= edge.live.maxConnections) {
+    if (sessions.connectionCount + edge.admittingCount >= edge.liveSettings.maxConnections) {
       const retryAfterSeconds = 1 + node.parts.random.draw() * 2;
       return { reason: "this node has as many links as it takes", retryAfterSeconds, code: "full" };
     }
--- a/packages/edge/src/sessions/claimQueue.test.ts
+++ b/packages/edge/src/sessions/claimQueue.test.ts
@@ -3,20 +3,20 @@
 import { KvSchema, type Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { EndedOwnersKey } from "@cranetrack/core/keys/endedOwnersKey.js";
 import { OwnerKey } from "@cranetrack/core/keys/ownerKey.js";
-import type { Outcome, StoreChange } from "@cranetrack/core/store/storeClient.js";
+import type { StoreOutcome, StoreCallInit } from "@cranetrack/core/store/storeClient.js";
 import { expect } from "earl";
 import { ClaimQueue, type ClaimAnswer } from "./claimQueue.js";
 
 interface Call {
   sessions: string[];
   lease: string;
-  answer: (outcome: Outcome) => void;
+  answer: (outcome: StoreOutcome) => void;
 }
 
 /** A queue, and its calls to the store, which the test answers. */
 function start(): { claim: (session: string, lease?: string) => Promise<ClaimAnswer>; calls: Call[] } {
   const calls: Call[] = [];
-  const call = (change: StoreChange): Promise<Outcome> =>
+  const call = (change: StoreCallInit): Promise<StoreOutcome> =>
     new Promise((resolve) => {
       if (change.case !== "claimOwners") throw new Error(`a call ${change.case}`);
       const { lease = "", claims = [] } = change.value;
--- a/packages/edge/src/sessions/claimQueue.ts
+++ b/packages/edge/src/sessions/claimQueue.ts
@@ -1,7 +1,7 @@
 import type { Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { EndedOwnersKey } from "@cranetrack/core/keys/endedOwnersKey.js";
 import { OwnerKey } from "@cranetrack/core/keys/ownerKey.js";
-import type { Outcome, StoreClient } from "@cranetrack/core/store/storeClient.js";
+import type { StoreOutcome, StoreClient } from "@cranetrack/core/store/storeClient.js";
 import { ownerOf, type Owner } from "./readOwner.js";
 
 /** A claim to own a session under a lease, provided that its owner key has `revision`; 0 if it must not exist. */
@@ -102,7 +102,7 @@
   }
 
   /** `keys`: the reply's keys of the claim's session. */
-  static #answerOf({ session }: OwnerClaim, outcome: Outcome, keys: Kv[], ownersEndedAt: number): ClaimAnswer {
+  static #answerOf({ session }: OwnerClaim, outcome: StoreOutcome, keys: Kv[], ownersEndedAt: number): ClaimAnswer {
     const kv = keys.find(({ key }) => key === OwnerKey.of(session));
     const isGranted = outcome.outcome === "done" && kv !== undefined && kv.revision === outcome.revision;
     // A key of another owner is valid information even if the outcome of the call as a whole is unknown.
@@ -112,7 +112,7 @@
     return { outcome: "granted", revision: kv.revision, ownersEndedAt, kvs: keys.filter((key) => key !== kv) };
   }
 
-  static #failureOf({ outcome }: Outcome): "lost" | "unsure" | "away" {
+  static #failureOf({ outcome }: StoreOutcome): "lost" | "unsure" | "away" {
     return outcome === "lost" || outcome === "unsure" ? outcome : "away";
   }
 }
--- a/packages/edge/src/sessions/session.ts
+++ b/packages/edge/src/sessions/session.ts
@@ -32,8 +32,8 @@
   readonly #numbersCompleteAt: number;
 
   /**
-   * `numbersCompleteAt` is a time of the monotonic clock in milliseconds (see `isComplete`). It lies in the future if
-   * an earlier owner may have existed whose state was not received.
+   * `numbersCompleteAt` is a time of the monotonic clock in milliseconds (see `knowsAllNumbers`). It lies in the future
+   * if an earlier owner may have existed whose state was not received.
    */
   constructor(id: string, epoch: number, numbersCompleteAt = 0) {
     this.id = id;
@@ -45,7 +45,7 @@
    * Whether all publish numbers in use are known here: an earlier owner has sent no other number to a leader. Without
    * that owner's state this holds only once a client may no longer repeat what it sent to that owner.
    */
-  isComplete(now: number): boolean {
+  knowsAllNumbers(now: number): boolean {
     return now >= this.#numbersCompleteAt;
   }
 
--- a/packages/edge/src/sessions/sessions.ts
+++ b/packages/edge/src/sessions/sessions.ts
@@ -98,12 +98,12 @@
   }
 
   /** The number of sent states that are still kept for repeated requests. */
-  get keptPulls(): number {
+  get shippedStateCount(): number {
     return this.#shipped.size;
   }
 
   /** The number of sessions with a connection. */
-  get connections(): number {
+  get connectionCount(): number {
     let connections = 0;
     for (const session of this.#table.values()) if (session.connection !== undefined) connections += 1;
     return connections;
@@ -309,7 +309,7 @@
       cursor: seq,
     }));
     const numbers = session.numbers.records();
-    const isLost = !session.isComplete(this.#node.parts.clock.now());
+    const isLost = !session.knowsAllNumbers(this.#node.parts.clock.now());
     const body: BodyInit = { case: "pullReply", value: { outcome: "shipped", subscriptions, numbers, isLost } };
     this.#shipped.set(`${session.id}@${session.epoch}`, { body, at: this.#node.parts.clock.now() });
     return body;
--- a/packages/edge/src/subscriptions/askStarts.ts
+++ b/packages/edge/src/subscriptions/askStarts.ts
@@ -25,7 +25,7 @@
         { case: "startRequest", value: { shard, cursors } },
         Math.min(callTimeoutMs, remainingMs),
       );
-      const reply = await Promise.race([call, shards.moved(shard, leader, parts.clock, remainingMs)]);
+      const reply = await Promise.race([call, shards.leaderChanged(shard, leader, parts.clock, remainingMs)]);
       if (reply?.case === "startReply" && reply.value.outcome === "done")
         return new Map(reply.value.starts.map((start) => [start.topic, start]));
     }
--- a/packages/edge/src/subscriptions/countTopic.ts
+++ b/packages/edge/src/subscriptions/countTopic.ts
@@ -9,12 +9,12 @@
 /** Seconds after which a client may ask again if no leader answered. */
 const retryAfterSeconds = 0.5;
 
-/** The result of `countTopic`; the same as `Counted` of the client endpoint. */
-export type Count =
+/** The result of `countTopic`; the same as `CountResult` of the client endpoint. */
+export type TopicCountResult =
   { outcome: "counted"; count: number } | { outcome: "unknown-topic" } | { outcome: "away"; retryAfterSeconds: number };
 
 /** Asks the shard's leader for a topic's number of subscribers at all edges, and the next leader if it changes. */
-export async function countTopic(edge: EdgeParts, topic: string): Promise<Count> {
+export async function countTopic(edge: EdgeParts, topic: string): Promise<TopicCountResult> {
   const { rpc, shards, parts, configuration } = edge.node;
   const deadline = parts.clock.now() + totalTimeoutMs;
   for (let remainingMs = totalTimeoutMs; remainingMs > 0; remainingMs = deadline - parts.clock.now()) {
@@ -33,7 +33,7 @@
         { case: "countRequest", value: { shard, topics: [topic] } },
         Math.min(callTimeoutMs, remainingMs),
       );
-      const reply = await Promise.race([call, shards.moved(shard, leader, parts.clock, remainingMs)]);
+      const reply = await Promise.race([call, shards.leaderChanged(shard, leader, parts.clock, remainingMs)]);
       const found = reply?.case === "countReply" ? reply.value.counts[0] : undefined;
       // A leader that does not know the space has an older configuration, or this edge has: both soon have the newest.
       if (found?.fault === "") return { outcome: "counted", count: found.count };
--- a/packages/log-storage/src/follows/followerReads.ts
+++ b/packages/log-storage/src/follows/followerReads.ts
@@ -43,7 +43,7 @@
       shard: replica.shard,
       epoch: 0,
       pushBatcher,
-      find: (stream) => this.#findCurrentLog(stream),
+      findLog: (stream) => this.#findCurrentLog(stream),
       isInMemory: () => false,
     });
     replica.on("applied", ({ verdict }) => {
@@ -59,7 +59,7 @@
   }
 
   /** Whether this replica may serve reads now; see the invariants of the class. */
-  get isOpen(): boolean {
+  get mayServeReads(): boolean {
     const { leader, leaderId, epoch, set } = this.#node.shards.find(this.#replica.shard);
     const { id } = this.#replica;
     return (
@@ -83,10 +83,10 @@
    * Replies in the same event-loop turn, so that no push reaches the edge before the reply.
    */
   follow(follow: Follow, edge: string): BodyInit {
-    if (!this.isOpen) return { case: "followReply", value: { outcome: "away" } };
+    if (!this.mayServeReads) return { case: "followReply", value: { outcome: "away" } };
     if (this.#edgeFollowers.isStale(follow)) return { case: "followReply", value: { outcome: "resync" } };
     const servedStreams = follow.streams.filter((requested) => this.#isServedHere(requested));
-    const { heads, number } = this.#edgeFollowers.admit(follow, servedStreams, edge);
+    const { heads, number } = this.#edgeFollowers.add(follow, servedStreams, edge);
     const admittedStreams = new Set(heads.map((head) => head.stream));
     const missingHeads = follow.streams.flatMap(({ stream }) =>
       admittedStreams.has(stream) ? [] : [create(StreamHeadSchema, { stream, fault: "behind" })],
@@ -97,14 +97,14 @@
 
   /** Handles an edge's heartbeat for this shard; returns the outcome for the edge: `done`, `away` or `resync`. */
   onHeartbeat(follow: Follow): string {
-    if (!this.isOpen) return "away";
+    if (!this.mayServeReads) return "away";
     return this.#edgeFollowers.onHeartbeat(follow) ? "done" : "resync";
   }
 
   /** Returns messages after an offset, as far as they are committed and applied at this replica. */
   fetch(fetch: Fetch): BodyInit {
     const log = this.#findCurrentLog(fetch.stream);
-    if (!this.isOpen || log === undefined) return { case: "fetchReply", value: { outcome: "away" } };
+    if (!this.mayServeReads || log === undefined) return { case: "fetchReply", value: { outcome: "away" } };
     return fetchMessages(log, fetch);
   }
 
@@ -116,7 +116,7 @@
   }
 
   #endFollowsIfClosed(): void {
-    if (this.#edgeFollowers.count > 0 && !this.isOpen) this.#edgeFollowers.endAll();
+    if (this.#edgeFollowers.count > 0 && !this.mayServeReads) this.#edgeFollowers.endAll();
   }
 
   #findCurrentLog(stream: string): StreamLog | undefined {
@@ -143,7 +143,7 @@
     const streams = this.#anyStreamMayHaveChanged ? this.#edgeFollowers.streams() : [...this.#changedStreams];
     this.#changedStreams.clear();
     this.#isPushScheduled = this.#anyStreamMayHaveChanged = false;
-    if (!this.isOpen) return this.#endFollowsIfClosed();
+    if (!this.mayServeReads) return this.#endFollowsIfClosed();
     this.#edgeFollowers.requestRefollow(streams.filter((stream) => this.#edgeFollowers.isOtherIncarnation(stream)));
     this.#edgeFollowers.push(streams);
   }
--- a/packages/log-storage/src/follows/streamFollowers.test.ts
+++ b/packages/log-storage/src/follows/streamFollowers.test.ts
@@ -22,7 +22,7 @@
     shard: 0,
     epoch: 1,
     pushBatcher,
-    find: () => log,
+    findLog: () => log,
     isInMemory: () => false,
   });
   const appendAndPush = (): void => {
@@ -31,7 +31,7 @@
     followers.push([stream]);
   };
   const position = { stream, incarnation, after: 0, spaceIncarnation: 1 };
-  followers.admit(
+  followers.add(
     followOf({ isFull: true, serial: 1, streams: [position] }),
     followOf({ streams: [position] }).streams,
     "edge",
@@ -51,7 +51,7 @@
   expect(followers.onHeartbeat(followOf({ serial: 3, seen: 2, quiet: [{ stream, incarnation }] }))).toEqual(true);
   appendAndPush();
   expect(pushed.length).toEqual(2);
-  followers.admit(followOf({ serial: 4 }), followOf({ streams: [{ stream, incarnation, after: 2 }] }).streams, "edge");
+  followers.add(followOf({ serial: 4 }), followOf({ streams: [{ stream, incarnation, after: 2 }] }).streams, "edge");
   appendAndPush();
   expect(pushed[2]!.batches[0]!.messages.map(({ seq }) => seq)).toEqual([3, 4]);
 });
--- a/packages/log-storage/src/follows/streamFollowers.ts
+++ b/packages/log-storage/src/follows/streamFollowers.ts
@@ -43,7 +43,7 @@
   epoch: number;
   pushBatcher: PushBatcher;
   /** Finds the stream's current log, in the shard's log or in memory as its contract says. */
-  find: (stream: string) => StreamLog | undefined;
+  findLog: (stream: string) => StreamLog | undefined;
   /** Whether the stream is only in memory; an edge that knew an earlier incarnation is pushed all messages it has. */
   isInMemory: (stream: string) => boolean;
 }
@@ -95,14 +95,14 @@
 
   /** Whether any edge follows the stream in an incarnation other than the current one. */
   isOtherIncarnation(stream: string): boolean {
-    const incarnation = this.#parts.find(stream)?.incarnation;
+    const incarnation = this.#parts.findLog(stream)?.incarnation;
     return [...(this.#followersByStream.get(stream) ?? [])].some(
       (follower) => follower.streams.get(stream)?.incarnation !== incarnation,
     );
   }
 
   /** The number of subscribers of a topic at all edges that are alive. */
-  countOf(stream: string, topic: string): number {
+  subscriberCountOf(stream: string, topic: string): number {
     const { membership } = this.#parts.node;
     let subscribers = 0;
     for (const { edge, streams } of this.#followersByStream.get(stream) ?? []) {
@@ -135,7 +135,7 @@
    * Adds streams to an edge's follow (a full follow replaces the edge's earlier ones). Returns the heads of the streams
    * that exist and the number of the last push.
    */
-  admit(follow: Follow, requestedStreams: readonly StreamAt[], edge: string): { heads: StreamHead[]; number: number } {
+  add(follow: Follow, requestedStreams: readonly StreamAt[], edge: string): { heads: StreamHead[]; number: number } {
     let follower = this.#followers.get(follow.follow);
     if (follow.isFull || follower === undefined) {
       for (const existing of [...this.#followers.values()]) if (existing.edge === edge) this.#removeFollower(existing);
@@ -154,7 +154,7 @@
     const heads: StreamHead[] = [];
     for (const requested of requestedStreams) {
       const { stream } = requested;
-      const log = this.#parts.find(stream);
+      const log = this.#parts.findLog(stream);
       if (log === undefined) continue;
       const lastSentSeq = this.#startingSeqFor(log, requested);
       const isPushedByReplica =
@@ -193,7 +193,7 @@
   }
 
   /** Tells followers that no contract covers these streams any more, and ends the follows of them. */
-  end(streams: Iterable<string>): void {
+  endStreams(streams: Iterable<string>): void {
     this.#endStreams(streams, "topic-gone");
   }
 
@@ -241,7 +241,7 @@
 
   #nextBatch(follower: Follower, stream: string): StreamBatch | undefined {
     const followed = follower.streams.get(stream);
-    const log = this.#parts.find(stream);
+    const log = this.#parts.findLog(stream);
     if (
       followed === undefined ||
       followed.isPushedByReplica ||
--- a/packages/log-storage/src/repair/replicaChoice.ts
+++ b/packages/log-storage/src/repair/replicaChoice.ts
@@ -231,7 +231,7 @@
     const { membership } = this.#node;
     const sinceContactMs = this.#msSinceContact(member);
     if (membership.isAlive(member.name) || sinceContactMs < ReplicaChoice.minUnresponsiveMs) return sinceContactMs;
-    return Math.max(sinceContactMs, membership.ageOf(member.name));
+    return Math.max(sinceContactMs, membership.sinceContactMs(member.name));
   }
 
   /** Milliseconds since the member's last reply to this leader. */
--- a/packages/log-storage/src/replication/replica.test.ts
+++ b/packages/log-storage/src/replication/replica.test.ts
@@ -33,7 +33,7 @@
 /** A replica whose log begins with entries of these terms. */
 async function replicaWithTerms(...terms: number[]): Promise<Replica> {
   const replica = new Replica(0, "r", disk, node);
-  await replica.log.promise(9, "");
+  await replica.log.saveTermAndVote(9, "");
   await replica.log.append(terms.map((term, i) => noop(i + 1, term)));
   return replica;
 }
--- a/packages/log-storage/src/replication/replica.ts
+++ b/packages/log-storage/src/replication/replica.ts
@@ -86,17 +86,17 @@
       (divergedAt) => node.invariants?.violated("committedLog", { group: this.log.group, index: divergedAt }),
     );
     if (this.log.snapshotIndex > 0) this.#installState(this.log.snapshotIndex, this.log.snapshot);
-    node.groups.enlist(this.log.group, {
+    node.groups.register(this.log.group, {
       append: (append, from) =>
         append.receiver === this.id
           ? this.#handleLeaderMessage(append.term, append.commit, from, () =>
-              this.#followerLog.take(append, this.applied),
+              this.#followerLog.handleAppend(append, this.applied),
             )
           : undefined,
       snapshot: (snapshot, from) =>
         snapshot.receiver === this.id
           ? this.#handleLeaderMessage(snapshot.term, snapshot.index, from, () =>
-              this.#followerLog.takeSnapshot(snapshot, this.applied),
+              this.#followerLog.handleSnapshotPiece(snapshot, this.applied),
             )
           : undefined,
       onReply: (reply) => {
@@ -109,9 +109,9 @@
   advance(index: number): void {
     const end = Math.min(index, this.log.lastIndex);
     while (this.applied < end) {
-      const entry = this.log.at(this.applied + 1)!;
+      const entry = this.log.entryAt(this.applied + 1)!;
       this.applied += 1;
-      this.#compaction.applied(entry);
+      this.#compaction.recordApplied(entry);
       const verdict = entry.kind === 0 ? this.state.apply(entry.data) : undefined;
       this.emit("applied", { entry, verdict });
     }
@@ -145,7 +145,7 @@
     if (prepare.epoch < this.log.term || !Number.isSafeInteger(prepare.epoch))
       return { case: "prepareReply", value: { isPromised: false, epoch: this.log.term } };
     this.#reportHigherEpoch(prepare.epoch);
-    if (prepare.epoch > this.log.term) await this.log.promise(prepare.epoch, "");
+    if (prepare.epoch > this.log.term) await this.log.saveTermAndVote(prepare.epoch, "");
     else await this.log.append([]);
     return {
       case: "prepareReply",
@@ -169,7 +169,7 @@
     if (!isWhole)
       return {
         case: "shardPullReply",
-        value: { isWhole, entries: this.log.after(pull.after, Replica.maxPullReplyBytes) },
+        value: { isWhole, entries: this.log.entriesAfter(pull.after, Replica.maxPullReplyBytes) },
       };
     if (this.#pulledSnapshot?.snapshot !== snapshot) this.#pulledSnapshot = { snapshot, checksum: crc32(snapshot) };
     return {
@@ -187,7 +187,7 @@
 
   /** Replaces what this log has after its applied part by the entries of a more complete log. */
   async replaceWithPulled(entries: readonly Entry[]): Promise<void> {
-    if (entries[0] !== undefined) await this.log.agree(entries[0].index - 1, entries);
+    if (entries[0] !== undefined) await this.log.reconcile(entries[0].index - 1, entries);
   }
 
   /**
@@ -205,7 +205,7 @@
    */
   async installPulled(index: number, term: number, snapshot: Uint8Array): Promise<boolean> {
     if (!ShardState.isReadable(snapshot)) return false;
-    const installed = this.log.install(index, term, snapshot);
+    const installed = this.log.installSnapshot(index, term, snapshot);
     this.#installState(index, snapshot);
     await installed;
     return true;
--- a/packages/log-storage/src/shards/followHandler.ts
+++ b/packages/log-storage/src/shards/followHandler.ts
@@ -55,7 +55,7 @@
     const counts = topics.map((topic) => {
       const route = this.#node.configuration.route(topic);
       if (route === undefined) return create(TopicCountSchema, { topic, fault: "behind" });
-      return create(TopicCountSchema, { topic, count: this.#followers.countOf(route.stream, topic) });
+      return create(TopicCountSchema, { topic, count: this.#followers.subscriberCountOf(route.stream, topic) });
     });
     return { case: "countReply", value: { outcome: "done", counts } };
   }
@@ -75,7 +75,7 @@
     // While the lease is held no other node can have taken over, so these heads need no round of confirmation.
     if (!this.#authority.isAuthorized) return { case: "followReply", value: { outcome: "away" } };
     if (this.#followers.isStale(follow)) return { case: "followReply", value: { outcome: "resync" } };
-    const { heads, number } = this.#followers.admit(follow, followed, edge);
+    const { heads, number } = this.#followers.add(follow, followed, edge);
     const servedNames = new Set(heads.map((head) => head.stream));
     const unservedHeads = follow.streams.flatMap(({ stream }, i) =>
       servedNames.has(stream)
--- a/packages/log-storage/src/shards/logPull.ts
+++ b/packages/log-storage/src/shards/logPull.ts
@@ -67,7 +67,7 @@
   }: ShardPullReply): Promise<boolean> {
     if (this.#replica.hasSnapshot(index, indexTerm)) return this.#continueFrom(index);
     const piece = { term: this.#epoch, index, indexTerm, state: snapshot, offset: this.#offset, size, checksum };
-    const outcome = this.#assembly.take(create(SnapshotSchema, piece));
+    const outcome = this.#assembly.addPiece(create(SnapshotSchema, piece));
     if (outcome.kind === "whole")
       return (await this.#replica.installPulled(index, indexTerm, outcome.state)) && this.#continueFrom(index);
     this.#offset = outcome.received;
--- a/packages/log-storage/src/shards/memoryStreams.test.ts
+++ b/packages/log-storage/src/shards/memoryStreams.test.ts
@@ -48,7 +48,7 @@
   streams.expire(sessionRetentionMs, sessionRetentionMs, redeliveryMs, () => false);
   expect(publish(streams, 6, sessionRetentionMs)).toEqual("refused");
   streams.expire(2 * sessionRetentionMs + 1, sessionRetentionMs, redeliveryMs, () => true);
-  expect([streams.find(stream)?.knownCount, streams.count]).toEqual([0, 1]);
+  expect([streams.find(stream)?.sessionCount, streams.count]).toEqual([0, 1]);
   streams.expire(2 * sessionRetentionMs + 1, sessionRetentionMs, redeliveryMs, () => false);
   expect(streams.count).toEqual(0);
 });
@@ -105,7 +105,7 @@
   const first = streams.find(stream)!;
   streams.retire(stream, 1000);
   expect([streams.find(stream), streams.count, streams.all()]).toEqual([undefined, 0, []]);
-  const known = (number: number): unknown => streams.numbersOf(stream, 1)?.known(stream, "pen", number)?.kind;
+  const known = (number: number): unknown => streams.numbersOf(stream, 1)?.findVerdict(stream, "pen", number)?.kind;
   expect([known(7), streams.numbersOf(stream, 2)]).toEqual(["accepted", undefined]);
   streams.expire(1000 + redeliveryMs, sessionRetentionMs, redeliveryMs, () => false);
   expect(streams.findOrCreate(stream, 1, base, 2000)).toEqual(first);
@@ -115,7 +115,7 @@
     true,
     false,
   ]);
-  expect([later.head, later.messages.length, later.known(stream, "pen", 8)?.kind]).toEqual([0, 0, "accepted"]);
+  expect([later.head, later.messages.length, later.findVerdict(stream, "pen", 8)?.kind]).toEqual([0, 0, "accepted"]);
   streams.retire(stream, 5000);
   streams.expire(5001 + redeliveryMs, sessionRetentionMs, redeliveryMs, () => true);
   expect(known(8)).toEqual(undefined);
--- a/packages/log-storage/src/shards/memoryStreams.ts
+++ b/packages/log-storage/src/shards/memoryStreams.ts
@@ -30,7 +30,7 @@
   /** Milliseconds for which messages stay for edges that missed a push. */
   static readonly tailRetentionMs = 10_000;
   /** A publisher repeats a number for no more than this many milliseconds after it first sent it. */
-  static readonly repeatMs = 12_000;
+  static readonly maxRepeatMs = 12_000;
 
   readonly #randomIdentity: () => string;
   readonly #streams = new Map<string, MemoryStream>();
@@ -85,7 +85,7 @@
   }
 
   /** The stream's known numbers in this incarnation of its space, also if the stream is sequenced elsewhere by now. */
-  numbersOf(stream: string, spaceIncarnation: number): Pick<StreamLog, "known"> | undefined {
+  numbersOf(stream: string, spaceIncarnation: number): Pick<StreamLog, "findVerdict"> | undefined {
     const entry = this.#streams.get(stream);
     return entry?.spaceIncarnation === spaceIncarnation ? entry.log : undefined;
   }
@@ -96,7 +96,7 @@
    */
   mayHavePredecessor(stream: string, at: number): boolean {
     const entry = this.#streams.get(stream);
-    return entry !== undefined && at - entry.createdAt < MemoryStreams.repeatMs;
+    return entry !== undefined && at - entry.createdAt < MemoryStreams.maxRepeatMs;
   }
 
   /** Sequences a message, or repeats the verdict on its number. */
@@ -132,7 +132,7 @@
       MemoryStreams.#trimTail(log, now - MemoryStreams.tailRetentionMs);
       log.forgetNumbers(now - numberRetentionMs);
       if (log.hasSessionsBefore(now - sessionRetentionMs)) log.forgetSessions(now - sessionRetentionMs);
-      if (log.knownCount === 0 && now - usedAt > sessionRetentionMs && !isFollowed(stream))
+      if (log.sessionCount === 0 && now - usedAt > sessionRetentionMs && !isFollowed(stream))
         this.#streams.delete(stream);
     }
   }
--- a/packages/log-storage/src/shards/servedStreams.ts
+++ b/packages/log-storage/src/shards/servedStreams.ts
@@ -69,9 +69,9 @@
   knownVerdict({ stream, spaceIncarnation }: StreamRoute, { topic, session, number }: Publish): Verdict | undefined {
     const log = this.#replica.state.streams.get(stream);
     const isSameLog = spaceIncarnation === 0 || log?.spaceIncarnation === spaceIncarnation;
-    const inLog = (): Verdict | undefined => (isSameLog ? log?.known(topic, session, number) : undefined);
+    const inLog = (): Verdict | undefined => (isSameLog ? log?.findVerdict(topic, session, number) : undefined);
     const memory = this.memory.numbersOf(stream, spaceIncarnation);
-    const inMemory = (): Verdict | undefined => memory?.known(topic, session, number);
+    const inMemory = (): Verdict | undefined => memory?.findVerdict(topic, session, number);
     return this.statuses.isInMemory(stream) ? (inMemory() ?? inLog()) : (inLog() ?? inMemory());
   }
 
--- a/packages/log-storage/src/shards/shardLeader.ts
+++ b/packages/log-storage/src/shards/shardLeader.ts
@@ -99,7 +99,7 @@
     const replica = this.#replica;
     const otherMembers = this.#set.members.filter((member) => member.id !== replica.id);
     if (this.epoch < replica.log.term) return false;
-    const ownPromise = replica.log.promise(this.epoch, "");
+    const ownPromise = replica.log.saveTermAndVote(this.epoch, "");
     const requests = otherMembers.map(async (member) => {
       const body = await this.#node.rpc.call(
         member.name,
@@ -165,7 +165,7 @@
    * the call was made.
    */
   confirmLeadership(): Promise<boolean> {
-    return this.#replicator?.confirm() ?? Promise.resolve(false);
+    return this.#replicator?.confirmLeadership() ?? Promise.resolve(false);
   }
 
   /**
@@ -231,8 +231,8 @@
 
   #append(entry: ReturnType<typeof create<typeof EntrySchema>>): Promise<Verdict | undefined> {
     const verdict = new Promise<Verdict | undefined>((resolve) => this.#verdictResolvers.set(entry.index, resolve));
-    void this.#replica.log.append([entry]).then(() => this.#replicator?.sendNew());
-    this.#replicator?.sendNew();
+    void this.#replica.log.append([entry]).then(() => this.#replicator?.sendNewEntries());
+    this.#replicator?.sendNewEntries();
     return verdict;
   }
 
--- a/packages/log-storage/src/shards/shardService.ts
+++ b/packages/log-storage/src/shards/shardService.ts
@@ -42,7 +42,7 @@
       shard,
       epoch: leader.epoch,
       pushBatcher,
-      find: (stream) => streams.find(stream),
+      findLog: (stream) => streams.find(stream),
       isInMemory: (stream) => streams.statuses.isInMemory(stream),
     });
     const pusher = new StreamPusher(authority, streams, followers, pushBatcher);
@@ -68,7 +68,7 @@
   }
 
   /** See `LeaderAuthority.isAuthorized`. */
-  get isOpen(): boolean {
+  get isAuthorized(): boolean {
     return this.#authority.isAuthorized;
   }
 
@@ -99,7 +99,7 @@
 
   /** Replies with a stream's messages after an offset, for an edge that missed pushes or reads from further back. */
   fetch(fetch: Fetch): BodyInit {
-    if (!this.isOpen) return { case: "fetchReply", value: { outcome: "away" } };
+    if (!this.isAuthorized) return { case: "fetchReply", value: { outcome: "away" } };
     const { stream, incarnation } = fetch;
     const log = this.#streams.findByIncarnation(stream, incarnation) ?? this.#streams.find(stream);
     if (log === undefined || this.#streams.isEnded(stream))
@@ -113,7 +113,7 @@
    */
   applyConfiguration(): void {
     const followed = this.#followers.streams();
-    this.#followers.end(followed.filter((stream) => this.#streams.isEnded(stream)));
+    this.#followers.endStreams(followed.filter((stream) => this.#streams.isEnded(stream)));
     for (const { stream } of this.#streams.memory.all())
       if (!this.#streams.statuses.isInMemory(stream) || this.#streams.isEnded(stream))
         this.#streams.memory.retire(stream, this.#leader.shardTime);
--- a/packages/log-storage/src/shards/shardState.test.ts
+++ b/packages/log-storage/src/shards/shardState.test.ts
@@ -42,7 +42,7 @@
       [3, 3],
       [4, 4],
     ]);
-    const verdict = log.known(stream, "pen", 4);
+    const verdict = log.findVerdict(stream, "pen", 4);
     expect(verdict).toEqual({ kind: "accepted", stream, incarnation, seq: 4, isFresh: false });
     expect([restored.shardTime, restored.snapshot()]).toEqual([state.shardTime, state.snapshot()]);
   });
@@ -53,11 +53,11 @@
     const restored = new ShardState();
     restored.install(state.snapshot());
     for (const each of [state, restored]) {
-      expect(each.known(stream, stream, "pen", 1)?.kind).toEqual("accepted");
+      expect(each.findVerdict(stream, stream, "pen", 1)?.kind).toEqual("accepted");
       expect([each.hasNumbersBefore(6), each.hasNumbersBefore(7)]).toEqual([false, true]);
       const value = { at: 400, forgetNumbersBefore: 105 };
       each.apply(toBinary(ShardCommandSchema, create(ShardCommandSchema, { command: { case: "trim", value } })));
-      const kinds = [1, 99, 100, 300].map((number) => each.known(stream, stream, "pen", number)?.kind);
+      const kinds = [1, 99, 100, 300].map((number) => each.findVerdict(stream, stream, "pen", number)?.kind);
       expect(kinds).toEqual(["refused", "refused", "accepted", "accepted"]);
     }
     expect(restored.snapshot()).toEqual(state.snapshot());
--- a/packages/log-storage/src/shards/shardState.ts
+++ b/packages/log-storage/src/shards/shardState.ts
@@ -22,8 +22,8 @@
   shardTime = 0;
 
   /** The verdict on a number that the committed log has already seen; undefined for any other. */
-  known(stream: string, topic: string, session: string, number: number): Verdict | undefined {
-    return this.streams.get(stream)?.known(topic, session, number);
+  findVerdict(stream: string, topic: string, session: string, number: number): Verdict | undefined {
+    return this.streams.get(stream)?.findVerdict(topic, session, number);
   }
 
   /** Applies the next committed command; returns the verdict if it is an accept. */
--- a/packages/log-storage/src/shards/streamLog.ts
+++ b/packages/log-storage/src/shards/streamLog.ts
@@ -66,14 +66,14 @@
   }
 
   /** Number of sessions whose numbers are known, summed over all topics. */
-  get knownCount(): number {
+  get sessionCount(): number {
     let count = 0;
     for (const sessions of this.#sessionsByTopic.values()) count += sessions.size;
     return count;
   }
 
   /** The verdict on a number that was already seen; undefined for any other. */
-  known(topic: string, session: string, number: number): Verdict | undefined {
+  findVerdict(topic: string, session: string, number: number): Verdict | undefined {
     const record = this.#sessionsByTopic.get(topic)?.get(session);
     if (record === undefined || number > record.numbers.at(-1)!) return undefined;
     const seq = record.seqs[record.numbers.indexOf(number)];
@@ -88,7 +88,7 @@
   /** Sequences a message, or repeats the verdict on its number. A void accept only uses up its number. */
   accept(accept: Accept): Verdict {
     const { topic, session, number, payload, at } = accept;
-    const knownVerdict = this.known(topic, session, number);
+    const knownVerdict = this.findVerdict(topic, session, number);
     if (knownVerdict !== undefined) return knownVerdict;
     const record = this.#sessionsOf(topic).get(session) ?? { at: 0, ownerEpoch: 0, numbers: [], seqs: [], ats: [] };
     if (accept.ownerEpoch < record.ownerEpoch)
--- a/packages/log-storage/src/shards/streamReads.test.ts
+++ b/packages/log-storage/src/shards/streamReads.test.ts
@@ -71,5 +71,9 @@
   const log = logWithMessages(`1-${logId}`, 2);
   expect(log.keepMs).toEqual(60_000);
   const emptied = log.withoutMessages("1-9999999999");
-  expect([emptied.head, emptied.messages.length, emptied.known(topic, "pen", 2)?.kind]).toEqual([0, 0, "accepted"]);
+  expect([emptied.head, emptied.messages.length, emptied.findVerdict(topic, "pen", 2)?.kind]).toEqual([
+    0,
+    0,
+    "accepted",
+  ]);
 });
--- a/packages/log-storage/src/storageNode.ts
+++ b/packages/log-storage/src/storageNode.ts
@@ -87,7 +87,7 @@
       this.#replicas.push(new Replica(shard, this.#diskId, this.#disk, this.#node));
     for (const replica of this.#replicas)
       this.#followerReads.push(new FollowerReads(this.#node, replica, this.#pushBatcher));
-    return this.#replicas.map((replica) => replica.log.fault()).find((fault) => fault !== undefined);
+    return this.#replicas.map((replica) => replica.log.findDamage()).find((fault) => fault !== undefined);
   }
 
   /** After `load`: syncs the disk's identity, then starts serving requests and claiming shards. */
--- a/packages/testkit/src/checker/checker.test.ts
+++ b/packages/testkit/src/checker/checker.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import { Checker } from "./checker.js";
-import type { Seen } from "./history.js";
+import type { HistoryEvent } from "./history.js";
 import { Lateness } from "./lateness.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
@@ -14,18 +14,18 @@
       program: [{ when: {}, contract: { keep: 60, order: "one", fault_budget: {} } }],
     })),
   });
-const configuration = (at: number, version: number, spaces = ["notices"]): Seen => ({
+const configuration = (at: number, version: number, spaces = ["notices"]): HistoryEvent => ({
   kind: "planAccepted",
   at,
   version,
   text: configurationText(version, spaces),
 });
-const subscribes = (subscriber: string, at = 1): Seen[] => [
+const subscribes = (subscriber: string, at = 1): HistoryEvent[] => [
   { kind: "asked", at, subscriber, topic },
   { kind: "linked", at, subscriber, node: "n" },
   { kind: "confirmed", at, subscriber, topic },
 ];
-const tried = (at: number, number: number, sender = "s"): Seen => ({
+const tried = (at: number, number: number, sender = "s"): HistoryEvent => ({
   kind: "tried",
   at,
   sender,
@@ -33,7 +33,7 @@
   number,
   payload: `p${number}`,
 });
-const accepted = (at: number, number: number, sender = "s"): Seen => ({
+const accepted = (at: number, number: number, sender = "s"): HistoryEvent => ({
   kind: "accepted",
   at,
   sender,
@@ -41,7 +41,7 @@
   number,
   place: "x",
 });
-const refused = (at: number, number: number, code = "not-a-publisher"): Seen => ({
+const refused = (at: number, number: number, code = "not-a-publisher"): HistoryEvent => ({
   kind: "refused",
   at,
   sender: "s",
@@ -49,7 +49,13 @@
   number,
   code,
 });
-const received = (at: number, number: number, subscriber = "a", sender = "s", payload = `p${number}`): Seen => ({
+const received = (
+  at: number,
+  number: number,
+  subscriber = "a",
+  sender = "s",
+  payload = `p${number}`,
+): HistoryEvent => ({
   kind: "received",
   at,
   subscriber,
@@ -58,14 +64,14 @@
   number,
   payload,
 });
-const expired = (at: number): Seen => ({
+const expired = (at: number): HistoryEvent => ({
   kind: "expired",
   at,
   subscriber: "a",
   topic,
   reason: "older messages were trimmed",
 });
-const rulesOf = (...seen: Array<Seen | Seen[]>): string[] => [
+const rulesOf = (...seen: Array<HistoryEvent | HistoryEvent[]>): string[] => [
   ...new Set(Checker.check(seen.flat(), 200_000).map((breach) => breach.rule)),
 ];
 
@@ -88,7 +94,7 @@
   ).toEqual([]);
 });
 
-const violatingHistories: Array<[rule: string, ...seen: Array<Seen | Seen[]>]> = [
+const violatingHistories: Array<[rule: string, ...seen: Array<HistoryEvent | HistoryEvent[]>]> = [
   ["missing", subscribes("a"), tried(10, 1), accepted(12, 1)],
   ["skipped", subscribes("a"), tried(10, 1), accepted(12, 1), tried(20, 2), accepted(22, 2), received(23, 2)],
   ["twice", subscribes("a"), tried(10, 1), accepted(12, 1), received(13, 1), received(14, 1)],
@@ -139,9 +145,9 @@
   ["plan-lost", configuration(0, 1), { kind: "planLost", at: 100, why: "404" }],
 ];
 
-const onTopic = (other: string, seen: Seen[]): Seen[] =>
+const onTopic = (other: string, seen: HistoryEvent[]): HistoryEvent[] =>
   seen.map((one) => ("topic" in one ? { ...one, topic: other } : one));
-const contractEvents = (at: number, version: number, contract: object): Seen[] => {
+const contractEvents = (at: number, version: number, contract: object): HistoryEvent[] => {
   const rule = { when: {}, contract: { keep: 60, order: "sender", fault_budget: {}, ...contract } };
   const text = documentTextOf({ version, spaces: [{ name: "notices", program: [rule] }] });
   return [
@@ -149,7 +155,7 @@
     { kind: "planAccepted", at, version, text },
   ];
 };
-const faulted = (at: number): Seen => ({
+const faulted = (at: number): HistoryEvent => ({
   kind: "faulted",
   at,
   subscriber: "b",
@@ -157,7 +163,7 @@
   code: "unavailable",
 });
 /** Two topics of one space; subscriber "b" receives their messages in the opposite order to subscriber "a". */
-const crossedOrders = (between: Seen[]): Seen[] => [
+const crossedOrders = (between: HistoryEvent[]): HistoryEvent[] => [
   configuration(0, 1),
   ...["a", "b"].flatMap((name) => [...subscribes(name), ...onTopic("notices/t9", subscribes(name))]),
   ...between,
@@ -210,21 +216,21 @@
     ...onTopic("notices/t9", [{ kind: "confirmed", at: 20, subscriber: "b", topic }]),
   ]);
   expect(rulesOf(caughtUp, received(14, 1, "b"), onTopic("notices/t9", [received(21, 1, "b", "z")]))).toEqual([]);
-  const versions = [4, 0, 4, 5].map((version, at): Seen => ({ kind: "marked", at, node: "n", version }));
+  const versions = [4, 0, 4, 5].map((version, at): HistoryEvent => ({ kind: "marked", at, node: "n", version }));
   expect(rulesOf(versions)).toEqual([]);
 });
 
 test("a configuration whose put got no definite reply may be read back; a refused one may not", () => {
   const unknown = { kind: "planTried", at: 5, version: 2, text: configurationText(2, ["other"]) } as const;
-  const read: Seen = { kind: "planRead", at: 9, text: configurationText(2, ["other"]) };
+  const read: HistoryEvent = { kind: "planRead", at: 9, text: configurationText(2, ["other"]) };
   expect(rulesOf(configuration(0, 1), unknown, read)).toEqual([]);
   expect(rulesOf(configuration(0, 1), unknown, { ...unknown, kind: "planRefused" }, read)).toEqual(["plan-read-back"]);
 });
 
 test("a delivery is late if a confirmed subscriber waited over 2 s, unless it closed the connection itself", () => {
-  const closed = (isOwn: boolean): Seen => ({ kind: "closed", at: 30, subscriber: "a", isOwn });
-  const reconnected: Seen[] = [{ kind: "linked", at: 2900, subscriber: "a", node: "m" }];
-  const history = (isOwn: boolean): Seen[] => [
+  const closed = (isOwn: boolean): HistoryEvent => ({ kind: "closed", at: 30, subscriber: "a", isOwn });
+  const reconnected: HistoryEvent[] = [{ kind: "linked", at: 2900, subscriber: "a", node: "m" }];
+  const history = (isOwn: boolean): HistoryEvent[] => [
     ...subscribes("a"),
     tried(10, 1),
     closed(isOwn),
--- a/packages/testkit/src/checker/checker.ts
+++ b/packages/testkit/src/checker/checker.ts
@@ -6,7 +6,7 @@
  */
 
 import { Configurations, type TopicContract } from "@cranetrack/core/configuration/configuration.js";
-import type { Seen } from "./history.js";
+import type { HistoryEvent } from "./history.js";
 import { Readers, type Reader } from "./readers.js";
 import { keyOf, SentMessages, type SentMessage } from "./sentMessages.js";
 import { OrderGraph } from "./orderGraph.js";
@@ -33,7 +33,7 @@
   /** How far back configurations are looked up for the retention that they promised. */
   static readonly maxRetentionMs = 60_000;
 
-  readonly #events: readonly Seen[];
+  readonly #events: readonly HistoryEvent[];
   readonly #endAt: number;
   readonly #breaches: Breach[] = [];
   readonly #messages: SentMessages;
@@ -43,7 +43,7 @@
   readonly #ordersByStream = new Map<string, Map<string, string[]>>();
   readonly #newestVersionByNode = new Map<string, number>();
 
-  constructor(seen: readonly Seen[], endAt: number) {
+  constructor(seen: readonly HistoryEvent[], endAt: number) {
     this.#events = seen;
     this.#endAt = endAt;
     this.#messages = new SentMessages(seen);
@@ -51,7 +51,7 @@
   }
 
   /** All violations in a history that ended at `endAt`; empty if there are none. */
-  static check(seen: readonly Seen[], endAt: number): Breach[] {
+  static check(seen: readonly HistoryEvent[], endAt: number): Breach[] {
     return new Checker(seen, endAt).#check();
   }
 
@@ -66,7 +66,7 @@
     this.#breaches.push({ rule, at, text });
   }
 
-  #apply(event: Seen): void {
+  #apply(event: HistoryEvent): void {
     switch (event.kind) {
       case "asked":
         this.#readers.find(event.subscriber, event.topic).isSubscribed = true;
@@ -107,7 +107,7 @@
     }
   }
 
-  #checkReceived(event: Extract<Seen, { kind: "received" }>): void {
+  #checkReceived(event: Extract<HistoryEvent, { kind: "received" }>): void {
     const reader = this.#readers.find(event.subscriber, event.topic);
     const key = keyOf(event.sender, event.number);
     const description = `${event.subscriber} on ${event.topic}: ${key}`;
@@ -141,7 +141,11 @@
    * were sent while the topic was unavailable on an open connection are left out: they arrive later as catch-up and
    * have no place in that order.
    */
-  #recordOrder(event: Extract<Seen, { kind: "received" }>, message: SentMessage | undefined, reader: Reader): void {
+  #recordOrder(
+    event: Extract<HistoryEvent, { kind: "received" }>,
+    message: SentMessage | undefined,
+    reader: Reader,
+  ): void {
     const stream = this.#configurations.totalOrderStream(event.topic);
     if (stream === undefined || message === undefined || message.firstAt < reader.caughtUpAt) return;
     const streams = this.#ordersByStream.get(stream) ?? new Map<string, string[]>();
@@ -152,7 +156,7 @@
   }
 
   /** Reports messages sent and delivered over 3 s after their space was removed from the configuration. */
-  #checkRemovedSpace(event: Extract<Seen, { kind: "received" }>, message: SentMessage): void {
+  #checkRemovedSpace(event: Extract<HistoryEvent, { kind: "received" }>, message: SentMessage): void {
     const contracts = this.#configurations.possibleContracts(event.topic, message.firstAt, event.at);
     if (contracts === undefined || contracts.some((contract) => contract !== undefined)) return;
     const description = `${event.topic}: ${keyOf(event.sender, event.number)}`;
@@ -167,7 +171,7 @@
    * A configuration accepted more than 3 s ago must be in effect at every node: a message that all configurations
    * possibly in force allow must not be refused.
    */
-  #checkRefused(event: Extract<Seen, { kind: "refused" }>): void {
+  #checkRefused(event: Extract<HistoryEvent, { kind: "refused" }>): void {
     const message = this.#messages.find(event.topic, keyOf(event.sender, event.number));
     const contracts = this.#configurations.possibleContracts(
       event.topic,
@@ -191,7 +195,7 @@
   }
 
   /** Conversely, a message that none of the configurations possibly in force allows must not be accepted. */
-  #checkAccepted(event: Extract<Seen, { kind: "accepted" }>): void {
+  #checkAccepted(event: Extract<HistoryEvent, { kind: "accepted" }>): void {
     const message = this.#messages.find(event.topic, keyOf(event.sender, event.number));
     if (message === undefined) return;
     // An earlier attempt may have been accepted under an earlier configuration.
@@ -209,7 +213,7 @@
   }
 
   /** A node may lose its configuration in a restart (version 0), but must never return to an older one. */
-  #checkShownVersion({ node, version, at }: Extract<Seen, { kind: "marked" }>): void {
+  #checkShownVersion({ node, version, at }: Extract<HistoryEvent, { kind: "marked" }>): void {
     const before = this.#newestVersionByNode.get(node) ?? 0;
     if (version > 0 && version < before)
       this.#report("slipped-back", at, `${node} showed version ${version} after ${before}`);
@@ -220,7 +224,7 @@
    * A subscriber may be told that its position expired only if it missed an accepted message that is older than the
    * retention promised by all configurations possibly in force. 2 % of it are tolerated.
    */
-  #checkExpired(event: Extract<Seen, { kind: "expired" }>): void {
+  #checkExpired(event: Extract<HistoryEvent, { kind: "expired" }>): void {
     const reader = this.#readers.find(event.subscriber, event.topic);
     reader.expiredAt = event.at;
     const { lastSeenAt } = reader;
@@ -250,7 +254,7 @@
       );
   }
 
-  #checkConfigurationRead(event: Extract<Seen, { kind: "planRead" }>): void {
+  #checkConfigurationRead(event: Extract<HistoryEvent, { kind: "planRead" }>): void {
     const { newest } = this.#configurations;
     if (newest === undefined || newest.text === event.text || this.#configurations.mayHaveBeenAccepted(event.text))
       return;
--- a/packages/testkit/src/checker/configurationHistory.ts
+++ b/packages/testkit/src/checker/configurationHistory.ts
@@ -5,7 +5,7 @@
 } from "@cranetrack/core/configuration/configuration.js";
 import { ConfigurationSchema } from "@cranetrack/core/configuration/configurationSchema.js";
 import { Streams } from "@cranetrack/core/configuration/streams.js";
-import type { Seen } from "./history.js";
+import type { HistoryEvent } from "./history.js";
 
 /** A configuration as an operator sent it: its text, the parsed form, and the time of the event. */
 interface SentConfiguration {
@@ -25,7 +25,7 @@
   readonly #tried = new Map<string, SentConfiguration>();
   readonly #refused = new Set<string>();
 
-  constructor(seen: readonly Seen[]) {
+  constructor(seen: readonly HistoryEvent[]) {
     for (const event of seen) {
       if (event.kind === "planTried" && !this.#tried.has(event.text))
         this.#tried.set(event.text, ConfigurationHistory.#parse(event));
--- a/packages/testkit/src/checker/configurationReads.ts
+++ b/packages/testkit/src/checker/configurationReads.ts
@@ -18,7 +18,10 @@
  * Checks reads of the configuration at any nodes: no read may return an older version than one that was accepted, or
  * returned by another read, before the read started.
  */
-export function checkReads(accepted: readonly AcceptedChange[], reads: readonly ConfigurationRead[]): Breach[] {
+export function checkConfigurationReads(
+  accepted: readonly AcceptedChange[],
+  reads: readonly ConfigurationRead[],
+): Breach[] {
   const observations = [
     ...accepted.map(({ version, at }) => ({ version, at, how: "accepted" })),
     ...reads.map(({ version, answeredAt, node }) => ({ version, at: answeredAt, how: `read at ${node}` })),
--- a/packages/testkit/src/checker/ephemeralRules.ts
+++ b/packages/testkit/src/checker/ephemeralRules.ts
@@ -1,5 +1,5 @@
 import type { Breach } from "./checker.js";
-import type { Seen } from "./history.js";
+import type { HistoryEvent } from "./history.js";
 
 /** What happened to a message on the publisher's side: how often it was tried and refused. */
 interface SendOutcome {
@@ -8,14 +8,14 @@
   refusals: number;
 }
 
-type Received = Extract<Seen, { kind: "received" }>;
+type Received = Extract<HistoryEvent, { kind: "received" }>;
 
 /**
  * Checks a history of topics without retention. On one connection the numbers of each publisher must rise without
  * repetition; a message must have been sent with the same payload, and must not arrive if every attempt to send it was
  * refused.
  */
-export function checkEphemeralTopics(seen: readonly Seen[]): Breach[] {
+export function checkEphemeralTopics(seen: readonly HistoryEvent[]): Breach[] {
   const breaches: Breach[] = [];
   const outcomes = outcomesOf(seen);
   /** By subscriber, then by `TOPIC PUBLISHER`: the highest number received on the present connection. */
@@ -57,7 +57,7 @@
   return undefined;
 }
 
-function outcomesOf(seen: readonly Seen[]): Map<string, SendOutcome> {
+function outcomesOf(seen: readonly HistoryEvent[]): Map<string, SendOutcome> {
   const outcomes = new Map<string, SendOutcome>();
   for (const event of seen) {
     if (event.kind === "tried") {
--- a/packages/testkit/src/checker/history.ts
+++ b/packages/testkit/src/checker/history.ts
@@ -2,7 +2,7 @@
  * An event that a client or an operator observed during a run. `at` is in milliseconds of the run's clock; `sender` and
  * `number` identify a message within its topic, and `text` is the JSON text of a configuration ("plan").
  */
-export type Seen =
+export type HistoryEvent =
   /** The publisher starts an attempt to send a message; a repeated attempt has the same number. */
   | { kind: "tried"; at: number; sender: string; topic: string; number: number; payload: string }
   | { kind: "accepted"; at: number; sender: string; topic: string; number: number; place: string }
@@ -42,13 +42,13 @@
 
 /** The append-only list of events of one run. */
 export class History {
-  readonly #seen: Seen[] = [];
+  readonly #seen: HistoryEvent[] = [];
 
-  get seen(): readonly Seen[] {
+  get events(): readonly HistoryEvent[] {
     return this.#seen;
   }
 
-  add(seen: Seen): void {
+  add(seen: HistoryEvent): void {
     this.#seen.push(seen);
   }
 }
--- a/packages/testkit/src/checker/lateness.ts
+++ b/packages/testkit/src/checker/lateness.ts
@@ -1,4 +1,4 @@
-import type { Seen } from "./history.js";
+import type { HistoryEvent } from "./history.js";
 
 /** One message received by one subscriber. Times are those of the history; `delay` is in milliseconds. */
 export interface Delivery {
@@ -22,7 +22,7 @@
    * Deliveries to subscribers whose subscription was confirmed when the message was first tried and that have not
    * closed their connection themselves since. A broken connection or a silent node does not exempt a delivery.
    */
-  deliveries(seen: readonly Seen[]): Delivery[] {
+  deliveries(seen: readonly HistoryEvent[]): Delivery[] {
     const firstTriedAt = new Map<string, number>();
     const confirmedAt = new Map<string, Map<string, number>>();
     const deliveries: Delivery[] = [];
@@ -53,7 +53,13 @@
   },
 
   /** Count, percentiles and maximum of delays (milliseconds, rounded), and how many exceed `maxMs`. */
-  figures(delays: readonly number[]): { deliveries: number; p50: number; p99: number; max: number; above2000: number } {
+  summarize(delays: readonly number[]): {
+    deliveries: number;
+    p50: number;
+    p99: number;
+    max: number;
+    above2000: number;
+  } {
     const sorted = [...delays].sort((a, b) => a - b);
     const percentile = (share: number): number =>
       Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0);
--- a/packages/testkit/src/checker/linearizability.test.ts
+++ b/packages/testkit/src/checker/linearizability.test.ts
@@ -3,9 +3,9 @@
 import fc from "fast-check";
 import { checkedKeys, type KeysInput, type KeysOutput } from "./checkedKeys.js";
 import { checkLinearizability, type Operation, type SequentialModel } from "./linearizability.js";
-import { versionedRegister, type OrderInput, type OrderOutput } from "./versionedRegister.js";
+import { versionedRegister, type RegisterInput, type RegisterOutput } from "./versionedRegister.js";
 
-type OrderOperation = Operation<OrderInput, OrderOutput>;
+type OrderOperation = Operation<RegisterInput, RegisterOutput>;
 
 /** A put with its call and return times; without `kind` the outcome is unknown and it never returns. */
 function put(
@@ -16,7 +16,7 @@
   isValid = true,
 ): OrderOperation {
   const [version, content] = order;
-  const input: OrderInput = { kind: "put", version, content, isValid };
+  const input: RegisterInput = { kind: "put", version, content, isValid };
   return kind === undefined
     ? { calledAt, returnedAt: Infinity, input, output: undefined }
     : { calledAt, returnedAt, input, output: { kind } };
--- a/packages/testkit/src/checker/orderRules.test.ts
+++ b/packages/testkit/src/checker/orderRules.test.ts
@@ -1,11 +1,11 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import type { Seen } from "./history.js";
-import { checkOrders } from "./orderRules.js";
+import type { HistoryEvent } from "./history.js";
+import { checkAcknowledgements } from "./orderRules.js";
 
-const seen = (kind: "planTaken" | "planSuperseded" | "planRefused", version: number, text: string): Seen =>
-  ({ kind, at: version, version, text }) as Seen;
-const rules = (...history: Seen[]): string[] => checkOrders(history).map(({ rule }) => rule);
+const seen = (kind: "planTaken" | "planSuperseded" | "planRefused", version: number, text: string): HistoryEvent =>
+  ({ kind, at: version, version, text }) as HistoryEvent;
+const rules = (...history: HistoryEvent[]): string[] => checkAcknowledgements(history).map(({ rule }) => rule);
 
 test("an acknowledged change may be acknowledged again but never refused, even if the acknowledgement was lost", () => {
   const acknowledged = seen("planTaken", 1, "a");
--- a/packages/testkit/src/checker/orderRules.ts
+++ b/packages/testkit/src/checker/orderRules.ts
@@ -1,12 +1,12 @@
 import type { Breach } from "./checker.js";
-import type { Seen } from "./history.js";
+import type { HistoryEvent } from "./history.js";
 
 /**
  * Checks the answers to configuration changes ("orders"). A change that a node acknowledged must not be refused later,
  * whether or not the acknowledgement reached the operator; a repeated put is acknowledged again or gets no definite
  * answer. A version must not be acknowledged with two different contents.
  */
-export function checkOrders(seen: readonly Seen[]): Breach[] {
+export function checkAcknowledgements(seen: readonly HistoryEvent[]): Breach[] {
   const breaches: Breach[] = [];
   const acknowledged = new Set<string>();
   const contents = new Map<number, string>();
--- a/packages/testkit/src/checker/sentMessages.ts
+++ b/packages/testkit/src/checker/sentMessages.ts
@@ -1,4 +1,4 @@
-import type { Seen } from "./history.js";
+import type { HistoryEvent } from "./history.js";
 
 /** One message as its sender observed it: all attempts and their outcomes. Times are those of the history. */
 export interface SentMessage {
@@ -25,7 +25,7 @@
 export class SentMessages {
   readonly #byTopic = new Map<string, Map<string, SentMessage>>();
 
-  constructor(seen: readonly Seen[]) {
+  constructor(seen: readonly HistoryEvent[]) {
     for (const event of seen)
       if (event.kind === "tried" || event.kind === "accepted" || event.kind === "refused" || event.kind === "unsure")
         this.#record(event);
@@ -40,7 +40,7 @@
     return [...(this.#byTopic.get(topic)?.values() ?? [])];
   }
 
-  #record(event: Extract<Seen, { kind: "tried" | "accepted" | "refused" | "unsure" }>): void {
+  #record(event: Extract<HistoryEvent, { kind: "tried" | "accepted" | "refused" | "unsure" }>): void {
     let messages = this.#byTopic.get(event.topic);
     if (messages === undefined) this.#byTopic.set(event.topic, (messages = new Map()));
     const key = keyOf(event.sender, event.number);
--- a/packages/testkit/src/checker/soakRules.test.ts
+++ b/packages/testkit/src/checker/soakRules.test.ts
@@ -1,19 +1,26 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { checkReads } from "./configurationReads.js";
-import type { Seen } from "./history.js";
+import { checkConfigurationReads } from "./configurationReads.js";
+import type { HistoryEvent } from "./history.js";
 import { checkEphemeralTopics } from "./ephemeralRules.js";
 
-const tried = (number: number, at = 0): Seen => {
+const tried = (number: number, at = 0): HistoryEvent => {
   return { kind: "tried", at, sender: "pen", topic: "p/t", number, payload: `p${number}` };
 };
-const refused = (number: number): Seen => ({ kind: "refused", at: 0, sender: "pen", topic: "p/t", number, code: "x" });
-const unknown = (number: number): Seen => ({ kind: "unsure", at: 0, sender: "pen", topic: "p/t", number });
-const connected: Seen = { kind: "linked", at: 0, subscriber: "desk", node: "vise-1" };
-const got = (number: number, payload = `p${number}`): Seen => {
+const refused = (number: number): HistoryEvent => ({
+  kind: "refused",
+  at: 0,
+  sender: "pen",
+  topic: "p/t",
+  number,
+  code: "x",
+});
+const unknown = (number: number): HistoryEvent => ({ kind: "unsure", at: 0, sender: "pen", topic: "p/t", number });
+const connected: HistoryEvent = { kind: "linked", at: 0, subscriber: "desk", node: "vise-1" };
+const got = (number: number, payload = `p${number}`): HistoryEvent => {
   return { kind: "received", at: 1, subscriber: "desk", topic: "p/t", sender: "pen", number, payload };
 };
-const rulesOf = (...seen: Seen[]): string[] => checkEphemeralTopics(seen).map(({ rule }) => rule);
+const rulesOf = (...seen: HistoryEvent[]): string[] => checkEphemeralTopics(seen).map(({ rule }) => rule);
 
 test("on one connection numbers rise without repetition; a new connection starts over", () => {
   const sent = [tried(1), tried(2), tried(3), connected];
@@ -31,14 +38,20 @@
 });
 
 test("a read is at least as new as any version accepted, or read elsewhere, before it started", () => {
-  const read = (version: number, askedAt: number, answeredAt = askedAt + 10): Parameters<typeof checkReads>[1][0] => {
+  const read = (
+    version: number,
+    askedAt: number,
+    answeredAt = askedAt + 10,
+  ): Parameters<typeof checkConfigurationReads>[1][0] => {
     return { node: "lathe-1", askedAt, answeredAt, version };
   };
   const accepted = [
     { version: 3, at: 100 },
     { version: 5, at: 200 },
   ];
-  expect(checkReads(accepted, [read(3, 150), read(3, 199), read(5, 201), read(7, 210), read(7, 230)])).toEqual([]);
-  expect(checkReads(accepted, [read(3, 201)]).length).toEqual(1);
-  expect(checkReads(accepted, [read(7, 210), read(5, 230)]).length).toEqual(1);
+  expect(
+    checkConfigurationReads(accepted, [read(3, 150), read(3, 199), read(5, 201), read(7, 210), read(7, 230)]),
+  ).toEqual([]);
+  expect(checkConfigurationReads(accepted, [read(3, 201)]).length).toEqual(1);
+  expect(checkConfigurationReads(accepted, [read(7, 210), read(5, 230)]).length).toEqual(1);
 });
--- a/packages/testkit/src/checker/versionedRegister.ts
+++ b/packages/testkit/src/checker/versionedRegister.ts
@@ -1,10 +1,10 @@
 import type { SequentialModel } from "./linearizability.js";
 
 /** An operator's operation on the configuration: put one under a version, or read the one in force. */
-export type OrderInput = { kind: "put"; version: number; content: string; isValid: boolean } | { kind: "read" };
+export type RegisterInput = { kind: "put"; version: number; content: string; isValid: boolean } | { kind: "read" };
 
 /** The definite answer to an operation. */
-export type OrderOutput =
+export type RegisterOutput =
   | { kind: "acknowledged" }
   /** Refused because the version was already used for another content. */
   | { kind: "refused" }
@@ -27,7 +27,7 @@
  * may be acknowledged under it, any number of times; another content is refused, and so is invalid content. Nothing
  * else is refused.
  */
-export const versionedRegister: SequentialModel<RegisterState, OrderInput, OrderOutput> = {
+export const versionedRegister: SequentialModel<RegisterState, RegisterInput, RegisterOutput> = {
   initial: { version: 0, content: "", contents: new Map() },
 
   step(state, input, output) {
@@ -53,7 +53,7 @@
   },
 };
 
-function stepRead(state: RegisterState, output: OrderOutput | undefined): RegisterState | undefined {
+function stepRead(state: RegisterState, output: RegisterOutput | undefined): RegisterState | undefined {
   if (output === undefined) return state;
   const isInForce = output.kind === "content" && output.version === state.version && output.content === state.content;
   return isInForce ? state : undefined;
--- a/packages/testkit/src/clients/client.ts
+++ b/packages/testkit/src/clients/client.ts
@@ -176,15 +176,15 @@
     );
     this.#confirmed.clear();
     const isCurrent = (): boolean => attempt === this.#attempt && this.#isStarted;
-    const result = await this.#parts.port.connection(
+    const result = await this.#parts.port.openConnection(
       node,
       this.session,
       { subscriptions },
       {
-        line: (line) => {
+        onLine: (line) => {
           if (isCurrent()) this.#handleLine(line, node);
         },
-        closed: () => {
+        onClosed: () => {
           if (!isCurrent()) return;
           this.#disconnect();
           this.#reconnectAfter(50 + this.#parts.draw() * 250);
--- a/packages/testkit/src/clients/clientPort.ts
+++ b/packages/testkit/src/clients/clientPort.ts
@@ -12,14 +12,14 @@
 
 /** Callbacks for each line of a long connection and for its end. */
 export interface ConnectionHandlers {
-  line(line: Record<string, unknown>): void;
-  closed(): void;
+  onLine(line: Record<string, unknown>): void;
+  onClosed(): void;
 }
 
 /** How a client reaches nodes: over HTTP in a real fleet, over simulated connections in the simulator. */
 export interface ClientPort {
   /** Opens a long connection for a session; resolves with the reply if the node refused it. */
-  connection(
+  openConnection(
     node: string,
     session: string,
     body: object,
--- a/packages/testkit/src/clients/ephemeralClients.ts
+++ b/packages/testkit/src/clients/ephemeralClients.ts
@@ -51,11 +51,11 @@
 
   /** Number of deliveries to readers. */
   get received(): number {
-    return this.#history.seen.filter(({ kind }) => kind === "received").length;
+    return this.#history.events.filter(({ kind }) => kind === "received").length;
   }
 
   /** Connects all clients and starts publishes and disconnects. */
-  begin(): void {
+  start(): void {
     const { clock, random, perSecond, topics } = this.#parts;
     for (const reader of this.#readers) reader.start(topics);
     for (const sender of this.#senders) sender.start([]);
@@ -67,14 +67,14 @@
   }
 
   /** Stops everything. */
-  end(): void {
+  stop(): void {
     for (const stop of this.#stopActions.splice(0)) stop();
     for (const client of [...this.#readers, ...this.#senders]) client.stop();
   }
 
   /** Violations of the rules for topics without retention. */
   check(): Breach[] {
-    return checkEphemeralTopics(this.#history.seen);
+    return checkEphemeralTopics(this.#history.events);
   }
 
   #publish(): void {
--- a/packages/testkit/src/clients/httpPort.ts
+++ b/packages/testkit/src/clients/httpPort.ts
@@ -11,7 +11,7 @@
     this.#addressOf = addressOf;
   }
 
-  async connection(
+  async openConnection(
     node: string,
     session: string,
     body: object,
@@ -33,10 +33,10 @@
       answer.body.on("data", (chunk: string) => {
         const lines = (partialLine + chunk).split("\n");
         partialLine = lines.pop()!;
-        for (const line of lines) handlers.line(JSON.parse(line) as Record<string, unknown>);
+        for (const line of lines) handlers.onLine(JSON.parse(line) as Record<string, unknown>);
       });
       answer.body.on("error", () => undefined);
-      answer.body.on("close", () => handlers.closed());
+      answer.body.on("close", () => handlers.onClosed());
       return { close: () => abortController.abort() };
     } catch {
       return { status: 0, body: {}, retryAfterSeconds: 0.3 };
--- a/packages/testkit/src/commands/catchUpCommand.ts
+++ b/packages/testkit/src/commands/catchUpCommand.ts
@@ -1,5 +1,5 @@
 import type { CAC } from "cac";
-import { CatchUp, type Comeback } from "../sim/catchUp.js";
+import { CatchUp, type ReturnMode } from "../sim/catchUp.js";
 import { measureJournalGrowth } from "../sim/journalGrowth.js";
 
 /** `catch-up`: measures in the simulator how a member of the store catches up after many big changes. */
@@ -15,7 +15,7 @@
       const { changes, routes, seed, document: documentBytes } = options;
       const growth = await measureJournalGrowth(changes, 2 * documentBytes, 128_000_000);
       process.stdout.write(`${JSON.stringify(growth)}\n`);
-      for (const comeback of ["restarted", "blank", "new"] as Comeback[])
+      for (const comeback of ["restarted", "blank", "new"] as ReturnMode[])
         process.stdout.write(
           `${JSON.stringify(await CatchUp.run({ seed, comeback, changes, routes, documentBytes }))}\n`,
         );
--- a/packages/testkit/src/commands/drillCommand.ts
+++ b/packages/testkit/src/commands/drillCommand.ts
@@ -29,7 +29,7 @@
           process.stderr.write(`${what}: ready after ${readyMs}, service recovered after ${backMs} ms\n`),
         );
         await drill.run(names, targets);
-        const steps = drill.delays(load.history.seen);
+        const steps = drill.delays(load.history.events);
         for (const step of steps) process.stderr.write(`${JSON.stringify(step)}\n`);
         return { isGood: drill.steps.every((step) => step.backMs <= ChaosDrill.maxRecoveryMs), steps };
       });
