--- a/packages/testkit/src/commands/simCommand.ts
+++ b/packages/testkit/src/commands/simCommand.ts
@@ -40,7 +40,7 @@
         process.stdout.write(options.json === true ? `${JSON.stringify(report)}\n` : textOf(report)),
       );
       if (atOnce > 1) await sweep.run(programPath);
-      else for (let seed = from; seed < from + seeds; seed += 1) sweep.take(await Sweep.run(seed, ms, faults));
+      else for (let seed = from; seed < from + seeds; seed += 1) sweep.addReport(await Sweep.run(seed, ms, faults));
       if (options.json !== true) process.stdout.write(sweep.text);
       process.exitCode = sweep.failed > 0 ? 1 : 0;
     });
--- a/packages/testkit/src/explore/committedLog.ts
+++ b/packages/testkit/src/explore/committedLog.ts
@@ -33,7 +33,7 @@
   /** The newest membership in a log, committed or not; undefined if its entry was compacted. */
   static newestMembers(log: ReplicaLog): Members | undefined {
     for (let i = log.lastIndex; i > log.baseIndex; i -= 1) {
-      const entry = log.at(i)!;
+      const entry = log.entryAt(i)!;
       if (entry.kind === entryKind.members) return fromBinary(MembersSchema, entry.data);
     }
     return undefined;
--- a/packages/testkit/src/explore/contactWatch.ts
+++ b/packages/testkit/src/explore/contactWatch.ts
@@ -37,7 +37,7 @@
   check(): void {
     const { raft, clock, name } = this.#member;
     if (this.#member.isActingLeader) this.#trackAnsweringMembers();
-    if (this.#lastContact !== undefined && raft.commit >= this.#lastContact.commit)
+    if (this.#lastContact !== undefined && raft.commitIndex >= this.#lastContact.commit)
       this.#currentAt = this.#lastContact.at;
     this.#lastContact = undefined;
     if (!raft.isInTouch) return;
--- a/packages/testkit/src/explore/memberSteps.ts
+++ b/packages/testkit/src/explore/memberSteps.ts
@@ -34,7 +34,7 @@
       case "addLearner":
         return !isMember && learners.length === 0;
       case "promote":
-        return learners.some((member) => member.id === diskId) && raft.progressOf(diskId).match > 0;
+        return learners.some((member) => member.id === diskId) && raft.progressOf(diskId).matchIndex > 0;
       case "removeVoter": {
         const rest = voters.filter((member) => member.name !== other);
         const isRemovable = other !== name && rest.length > 1 && rest.length < voters.length;
@@ -109,7 +109,7 @@
     const leaving = voters.find((member) => this.#leaving.has(member.id));
     if (leaving === undefined || !raft.hasStableMembers) return undefined;
     const remaining = MemberSteps.#without(voters, leaving.id);
-    const ready = learners.find((member) => raft.progressOf(member.id).match > 0);
+    const ready = learners.find((member) => raft.progressOf(member.id).matchIndex > 0);
     const next = voters.length > this.#voterTarget || ready === undefined ? remaining : [...remaining, ready];
     if (next.length >= this.#voterTarget && MemberSteps.#hasMajorityOfDisks(this.#machines, next)) {
       return () => {
--- a/packages/testkit/src/explore/modelClients.ts
+++ b/packages/testkit/src/explore/modelClients.ts
@@ -1,6 +1,6 @@
 import { create, toBinary } from "@bufbuild/protobuf";
 import { StoreCommandSchema, type Kv } from "@cranetrack/core/gen/cranetrack_pb.js";
-import type { Applied } from "@cranetrack/control/store/metadata.js";
+import type { ApplyResult } from "@cranetrack/control/store/metadata.js";
 import type { Coverage } from "./coverage.js";
 import { modelBounds, type ModelMember } from "./modelMember.js";
 import type { Observer } from "./observer.js";
@@ -123,7 +123,7 @@
   #recordAnswer(
     { name }: ModelMember,
     data: Uint8Array,
-    { outcome, revision }: Applied,
+    { outcome, revision }: ApplyResult,
     token: string,
     replaced?: number,
   ): void {
--- a/packages/testkit/src/explore/observer.ts
+++ b/packages/testkit/src/explore/observer.ts
@@ -48,12 +48,12 @@
     raft.on("applied", ({ revision }) =>
       this.captureFault(() => {
         if (member.isActingLeader && revision > this.committed.lastIndex) this.#checkCommit(member, revision);
-        this.committed.recordApplied(name, log.at(revision)!, raft.metadata.snapshot(undefined));
+        this.committed.recordApplied(name, log.entryAt(revision)!, raft.metadata.snapshot(undefined));
       }),
     );
     raft.on("snapshotInstalled", () => {
       this.#coverage.count("event: snapshot installed");
-      installed(raft.commit);
+      installed(raft.commitIndex);
     });
   }
 
@@ -190,8 +190,8 @@
     this.#lastIndexes.set(log, log.lastIndex);
     if (before !== undefined && log.lastIndex < before) this.#coverage.count("event: log truncated");
     for (let i = log.baseIndex + 1; i <= log.lastIndex; i += 1)
-      this.committed.checkEntry(name, log.at(i)!, log.termAt(i - 1)!);
-    for (let i = Math.max(1, log.baseIndex); i <= raft.commit; i += 1)
+      this.committed.checkEntry(name, log.entryAt(i)!, log.termAt(i - 1)!);
+    for (let i = Math.max(1, log.baseIndex); i <= raft.commitIndex; i += 1)
       if (log.termAt(i) !== this.committed.entryAt(i)?.term)
         throw new Violation("commits stay", `${name} no longer has entry ${i} as it was committed`);
   }
@@ -230,11 +230,11 @@
     const lacking = this.#disksLacking(index, log.termAt(index)!);
     if (MemberSets.of(raft.members).some((voters) => Observer.#isMajority(voters, lacking)))
       throw new Violation("commits on enough disks", Observer.#missingText(index, lacking, raft.members));
-    const term = log.termAt(raft.commit);
+    const term = log.termAt(raft.commitIndex);
     if (term !== raft.term)
       throw new Violation(
         "commits of the leader's own term",
-        `${name} leads term ${raft.term} and commits up to entry ${raft.commit}, which is of term ${term}`,
+        `${name} leads term ${raft.term} and commits up to entry ${raft.commitIndex}, which is of term ${term}`,
       );
   }
 
--- a/packages/testkit/src/explore/recovery.ts
+++ b/packages/testkit/src/explore/recovery.ts
@@ -24,7 +24,9 @@
         if (at === round % world.machines.length || world.machines[at]!.member?.isActingLeader === true)
           await world.perform(step("tick", at));
     }
-    const states = world.machines.map(({ member }) => `${member?.name} ${member?.raft.term}/${member?.raft.commit}`);
+    const states = world.machines.map(
+      ({ member }) => `${member?.name} ${member?.raft.term}/${member?.raft.commitIndex}`,
+    );
     throw new Violation("all catch up", `not after ${Recovery.rounds} rounds without faults: ${states.join(", ")}`);
   },
 };
@@ -53,6 +55,7 @@
   const memberIds = [...raft.members.voters, ...raft.members.learners].map((member) => member.id);
   const running = world.machines.filter((machine) => memberIds.includes(machine.diskId));
   return running.every(
-    ({ member }) => member?.raft.commit === raft.commit && raft.commit === world.observer.committed.lastIndex,
+    ({ member }) =>
+      member?.raft.commitIndex === raft.commitIndex && raft.commitIndex === world.observer.committed.lastIndex,
   );
 }
--- a/packages/testkit/src/fleet/chaosDrill.ts
+++ b/packages/testkit/src/fleet/chaosDrill.ts
@@ -1,5 +1,5 @@
 import { Lateness } from "../checker/lateness.js";
-import type { Seen } from "../checker/history.js";
+import type { HistoryEvent } from "../checker/history.js";
 import type { Fleet } from "./fleet.js";
 import type { Load } from "./load.js";
 import type { Probe } from "./probe.js";
@@ -171,11 +171,11 @@
   }
 
   /** The delivery delays during each step, from the fault until service had recovered. */
-  delays(seen: readonly Seen[]): StepDelays[] {
+  delays(seen: readonly HistoryEvent[]): StepDelays[] {
     const deliveries = Lateness.deliveries(seen);
     return this.steps.map(({ what, from, to, backMs }) => {
       const delays = deliveries.filter(({ triedAt }) => triedAt >= from && triedAt <= to).map(({ delay }) => delay);
-      return { what, backMs, ...Lateness.figures(delays) };
+      return { what, backMs, ...Lateness.summarize(delays) };
     });
   }
 
@@ -208,7 +208,7 @@
     let probe: Probe | undefined;
     const isBack = (): boolean => {
       if (this.#load.clients.every((client) => client.isFullySubscribed)) probe ??= this.#load.probe();
-      return probe?.isBack === true;
+      return probe?.isRecovered === true;
     };
     const ready = this.#fleet.waitUntilReady().then((ms) => Math.round(ms));
     while (!isBack() && this.#load.now - returnedAt < 30_000) await this.#wait(20);
--- a/packages/testkit/src/fleet/fleet.test.ts
+++ b/packages/testkit/src/fleet/fleet.test.ts
@@ -93,18 +93,18 @@
   const lines: Array<Record<string, unknown>> = [];
   let isOpen = false;
   // On a busy machine an edge may lose its lease and close its connections; the guest then reconnects.
-  const connect = async (): ReturnType<typeof fleet.clientPort.connection> => {
+  const connect = async (): ReturnType<typeof fleet.clientPort.openConnection> => {
     let isClosed = false;
-    const opened = await fleet.clientPort.connection(
+    const opened = await fleet.clientPort.openConnection(
       edge,
       "guest",
       { subscriptions: [{ topic: "notes/t1" }] },
       {
-        line: (line) => {
+        onLine: (line) => {
           lines.push(line);
           isOpen ||= line["kind"] === "confirmed";
         },
-        closed: () => {
+        onClosed: () => {
           isClosed = true;
         },
       },
@@ -175,7 +175,12 @@
   while ((await faultOf()) !== "") await fleet.call("vise-1", "GET", "/healthz");
   const connections = await Promise.all(
     [1, 2].map((i) =>
-      fleet.clientPort.connection("vise-1", `crowd-${i}`, {}, { line: () => undefined, closed: () => undefined }),
+      fleet.clientPort.openConnection(
+        "vise-1",
+        `crowd-${i}`,
+        {},
+        { onLine: () => undefined, onClosed: () => undefined },
+      ),
     ),
   );
   const full = connections.find((connection) => !("close" in connection)) as PortReply;
--- a/packages/testkit/src/fleet/load.ts
+++ b/packages/testkit/src/fleet/load.ts
@@ -191,14 +191,14 @@
 
   /** Evaluates a history that ended at `endAt`. */
   static report(history: History, endAt: number, clients: readonly Client[]): LoadReport {
-    const { seen } = history;
+    const { events: seen } = history;
     const delays = Lateness.deliveries(seen).map(({ delay }) => delay);
     const sent = seen.flatMap((one) => (one.kind === "tried" ? [`${one.sender} ${one.topic} ${one.number}`] : []));
     return {
       sent: new Set(sent).size,
       accepted: seen.filter((one) => one.kind === "accepted").length,
       reconnects: clients.reduce((sum, client) => sum + client.reconnects, 0),
-      ...Lateness.figures(delays),
+      ...Lateness.summarize(delays),
       above333: delays.filter((delay) => delay > Lateness.aimMs).length,
       breaches: Checker.check(seen, endAt),
     };
--- a/packages/testkit/src/fleet/probe.ts
+++ b/packages/testkit/src/fleet/probe.ts
@@ -1,4 +1,4 @@
-import type { History, Seen } from "../checker/history.js";
+import type { History, HistoryEvent } from "../checker/history.js";
 import type { Client } from "../clients/client.js";
 
 /** What a probe needs from the run. */
@@ -26,13 +26,13 @@
   #readCount: number;
   readonly startedAt: number;
   /** When service had recovered; infinite before. */
-  doneAt = Infinity;
+  recoveredAt = Infinity;
 
   constructor({ history, clients, draw, now, publishableTopics }: ProbeParts) {
     this.#history = history;
     this.#now = now;
     this.startedAt = now();
-    this.#readCount = history.seen.length;
+    this.#readCount = history.events.length;
     for (const client of clients) {
       const topics = publishableTopics(client);
       const topic = topics[Math.floor(draw() * topics.length)];
@@ -53,11 +53,11 @@
   }
 
   /** Whether service has recovered, by the history up to now. */
-  get isBack(): boolean {
-    const { seen } = this.#history;
+  get isRecovered(): boolean {
+    const { events: seen } = this.#history;
     for (; this.#readCount < seen.length; this.#readCount += 1) this.#handleSeen(seen[this.#readCount]!);
     const isBack = this.#unacceptedPublishers.size === 0 && this.#missingReaders.size === 0;
-    if (isBack && this.doneAt === Infinity) this.doneAt = this.#now();
+    if (isBack && this.recoveredAt === Infinity) this.recoveredAt = this.#now();
     return isBack;
   }
 
@@ -67,7 +67,7 @@
     return [`replies to ${[...this.#unacceptedPublishers].join(" ") || "none"}`, ...waiting].slice(0, 8).join("; ");
   }
 
-  #handleSeen(event: Seen): void {
+  #handleSeen(event: HistoryEvent): void {
     if (event.kind !== "received") return;
     const readers = this.#missingReaders.get(event.payload);
     readers?.delete(event.subscriber);
--- a/packages/testkit/src/fleet/soak.ts
+++ b/packages/testkit/src/fleet/soak.ts
@@ -3,7 +3,7 @@
 import { Client } from "../clients/client.js";
 import { EphemeralClients } from "../clients/ephemeralClients.js";
 import type { Breach } from "../checker/checker.js";
-import { checkReads } from "../checker/configurationReads.js";
+import { checkConfigurationReads } from "../checker/configurationReads.js";
 import { SimRandom } from "../sim/simRandom.js";
 import type { Deployment } from "./deployments.js";
 import type { Fleet } from "./fleet.js";
@@ -69,7 +69,7 @@
     for (const name of this.#fleet.withRole("lathe")) this.#fleet.changeSettings(name, { mayFound: false });
     await this.#load.connectClients();
     const ephemeralClients = this.#ephemeralClients(this.#fleet.deployment);
-    ephemeralClients?.begin();
+    ephemeralClients?.start();
     this.#load.startTraffic();
     const operators = new SoakOperators(
       this.#fleet,
@@ -88,9 +88,9 @@
     await operating;
     await this.#checkConfigurationReadable(operators);
     prober.stop();
-    ephemeralClients?.end();
+    ephemeralClients?.stop();
     const report = await this.#load.finish();
-    this.#breaches.push(...report.breaches, ...checkReads(operators.acceptedChanges, operators.reads));
+    this.#breaches.push(...report.breaches, ...checkConfigurationReads(operators.acceptedChanges, operators.reads));
     this.#breaches.push(...(ephemeralClients?.check() ?? []));
     for (const text of operators.refusedChanges) this.#breach("change-refused", text);
     for (const text of this.#fleet.unexpectedExits) this.#breach("process-ended", text);
@@ -125,8 +125,8 @@
     const areAllSubscribed = (): boolean => this.#load.clients.every((client) => client.isFullySubscribed);
     while (!areAllSubscribed() && this.#clock.now() - recoveryStart < Soak.maxRecoveryMs) await this.#wait(20);
     const probe = this.#load.probe();
-    while (!probe.isBack && this.#clock.now() - recoveryStart < Soak.maxRecoveryMs) await this.#wait(20);
-    if (!probe.isBack)
+    while (!probe.isRecovered && this.#clock.now() - recoveryStart < Soak.maxRecoveryMs) await this.#wait(20);
+    if (!probe.isRecovered)
       this.#breach(
         "service-back",
         `not every client is served ${Soak.maxRecoveryMs} ms after the last fault: ${probe.missing}`,
--- a/packages/testkit/src/golden/adapter.ts
+++ b/packages/testkit/src/golden/adapter.ts
@@ -66,8 +66,8 @@
 
 /** The bytes without sender, receiver and sender's address, which the frames of a connection share. */
 export function withoutEnvelope(bytes: Uint8Array): Uint8Array | undefined {
-  const range = Wire.envelopeIn(bytes);
-  return range === undefined ? undefined : Wire.shorten(bytes, range);
+  const range = Wire.envelopeRange(bytes);
+  return range === undefined ? undefined : Wire.stripEnvelope(bytes, range);
 }
 
 /** Decodes what `withoutEnvelope` gave, with the envelope of an earlier frame of the connection. */
@@ -220,7 +220,10 @@
 /** What the store reads in a configuration whose contracts it need not know. */
 export function decodeConfigurationOutline(bytes: Uint8Array): unknown {
   const { version, spaces } = ConfigurationKey.outline(bytes)!;
-  return { version: version, spaces: spaces.map(({ prefix, isWhole }) => ({ prefix, isOneStream: isWhole })) };
+  return {
+    version: version,
+    spaces: spaces.map(({ prefix, isSingleStream: isWhole }) => ({ prefix, isOneStream: isWhole })),
+  };
 }
 
 /** The incarnations that follow on earlier ones when a configuration is put. */
@@ -241,8 +244,8 @@
   incarnations: IncarnationsKey.name,
   document: DocumentKey.name,
   acceptedPrefix: AcceptedChangeKey.prefix,
-  acceptedFloor: AcceptedChangeKey.floor,
-  drainTurn: DrainKey.turn,
+  acceptedFloor: AcceptedChangeKey.floorKey,
+  drainTurn: DrainKey.requestsKey,
   storeVoters: MembersKey.name,
   accepted: (version: number): string => AcceptedChangeKey.of(version),
   versionOfAccepted: (key: string): number | undefined => AcceptedChangeKey.versionOf(key),
--- a/packages/testkit/src/golden/diskAdapter.ts
+++ b/packages/testkit/src/golden/diskAdapter.ts
@@ -154,7 +154,7 @@
 /** Reads a replicated log from the records (without checksums) of a data folder. */
 export function readLog(records: readonly DiskRecord[], group: string): LogContent {
   const log = new ReplicaLog(memoryDisk(records), group);
-  const entries = log.after(log.baseIndex, Infinity);
+  const entries = log.entriesAfter(log.baseIndex, Infinity);
   return {
     term: log.term,
     vote: log.vote,
@@ -162,7 +162,7 @@
     snapshotTerm: log.snapshotTerm,
     lastIndex: log.lastIndex,
     entries: entries.map(({ index, term, kind, data }) => ({ index, term, kind, data })),
-    fault: log.fault(),
+    fault: log.findDamage(),
   };
 }
 
@@ -171,9 +171,9 @@
   const old = new ReplicaLog(memoryDisk(records), group);
   const written = new Map<string, Uint8Array>();
   const log = new ReplicaLog(memoryDisk([], written), group);
-  await log.promise(old.term, old.vote);
-  if (old.snapshotIndex > 0) await log.install(old.snapshotIndex, old.snapshotTerm, old.snapshot);
-  await log.append(old.after(old.snapshotIndex, Infinity));
+  await log.saveTermAndVote(old.term, old.vote);
+  if (old.snapshotIndex > 0) await log.installSnapshot(old.snapshotIndex, old.snapshotTerm, old.snapshot);
+  await log.append(old.entriesAfter(old.snapshotIndex, Infinity));
   return [...written].map(([key, value]) => ({ key, value }));
 }
 
--- a/packages/testkit/src/mutants/electionMutants.ts
+++ b/packages/testkit/src/mutants/electionMutants.ts
@@ -8,8 +8,8 @@
   {
     name: "who has voted goes on asking for votes itself",
     file,
-    find: "this.#election.endCampaign();\n            await this.#log.promise(",
-    put: "await this.#log.promise(",
+    find: "this.#election.endCampaign();\n            await this.#log.saveTermAndVote(",
+    put: "await this.#log.saveTermAndVote(",
     test,
   },
   {
--- a/packages/testkit/src/mutants/membershipMutants.ts
+++ b/packages/testkit/src/mutants/membershipMutants.ts
@@ -56,7 +56,7 @@
   {
     name: "drains are judged against the same machines",
     file: "control/dist/drain/drainMachine.js",
-    find: "checks: [{ key: DrainKey.turn, revision: status.lastRequestRevision }],",
+    find: "checks: [{ key: DrainKey.requestsKey, revision: status.lastRequestRevision }],",
     put: "",
     test: `${sim}/drains.test.js`,
   },
--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -120,7 +120,7 @@
   {
     name: "a slow reader's buffer has no bound",
     file: "edge/dist/edgeNode.js",
-    find: "connection.waitingBytes <= this.live.bufferBytes",
+    find: "connection.bufferedBytes <= this.liveSettings.bufferBytes",
     put: "true",
     test: `${sim}/sessions.test.js`,
   },
@@ -257,7 +257,7 @@
   {
     name: "a deaf proposer gives up without a word",
     file: "control/dist/consensus/raftNode.js",
-    find: '{ case: "yield", value: { term: this.#log.term, sender: this.id, isSlow } }',
+    find: '{ case: "yield", value: { term: this.#log.term, sender: this.diskId, isSlow } }',
     put: '{ case: "ping", value: {} }',
     test: `${sim}/store.test.js`,
   },
@@ -313,7 +313,7 @@
   {
     name: "a slow proposer stays",
     file: "control/dist/consensus/raftNode.js",
-    find: "if (this.#slowMajority.shouldYield(now, replicator.answerMs))",
+    find: "if (this.#slowMajority.shouldYield(now, replicator.majorityReplyMs))",
     put: "if (false)",
     test: `${sim}/store.test.js`,
   },
--- a/packages/testkit/src/sim/bounds.test.ts
+++ b/packages/testkit/src/sim/bounds.test.ts
@@ -18,9 +18,9 @@
     const accept = { topic: "notes/t1", session: `s${number % 3}`, number, ownerEpoch: 1, at: number };
     expect(log.accept(create(AcceptSchema, accept)).kind).toEqual("accepted");
   }
-  expect(log.knownCount).toEqual(3);
+  expect(log.sessionCount).toEqual(3);
   const count = (kind: string): number =>
-    Array.from({ length: 1000 }, (_, i) => log.known("notes/t1", `s${(i + 1) % 3}`, i + 1)?.kind).filter(
+    Array.from({ length: 1000 }, (_, i) => log.findVerdict("notes/t1", `s${(i + 1) % 3}`, i + 1)?.kind).filter(
       (one) => one === kind,
     ).length;
   expect([count("accepted"), log.hasNumbersBefore(401), log.hasNumbersBefore(1)]).toEqual([1000, true, false]);
@@ -32,12 +32,12 @@
   log.trim(990);
   expect([log.messages.length, log.low, log.trims.get("notes/t1")]).toEqual([10, 990, 990]);
   log.forgetSessions(1001);
-  expect(log.knownCount).toEqual(0);
+  expect(log.sessionCount).toEqual(0);
 });
 
 test("an edge's tail, a journal and a log ring keep their newest, and no more than they say", () => {
   const tail = new StreamTail({ stream: "6:notes/t1", space: "notes/", spaceIncarnation: 1 }, 0);
-  tail.onHead(incarnation, 0, 0);
+  tail.confirmHead(incarnation, 0, 0);
   const sizeOf = (): number => tail.messages.reduce((sum, one) => sum + one.payload.length, 0);
   for (let seq = 1; seq <= 3000; seq += 1) {
     const payload = new Uint8Array(seq > 2000 ? 60_000 : 10);
@@ -68,10 +68,10 @@
     true,
   );
   const [old, young] = ["vise-1", "vise-2"].map((name) => fleet.find(name)!.edge!.sessions);
-  expect([old!.table.size, old!.keptPulls, young!.table.size]).toEqual([0, 8, 8]);
+  expect([old!.table.size, old!.shippedStateCount, young!.table.size]).toEqual([0, 8, 8]);
   for (const client of moved) client.close();
   await fleet.run(Sessions.keepIdleMs + 2500);
-  expect([old!.keptPulls, young!.table.size]).toEqual([0, 0]);
+  expect([old!.shippedStateCount, young!.table.size]).toEqual([0, 0]);
   await fleet.run(Sessions.keepShippedMs + 2500);
   const owners = ["lathe-1", "lathe-2", "lathe-3"].flatMap((name) =>
     fleet
@@ -79,5 +79,5 @@
       .control!.raft!.metadata.range("sessions/")
       .filter(({ key }) => OwnerKey.sessionOf(key) !== undefined),
   );
-  expect([young!.keptPulls, owners.length]).toEqual([0, 0]);
+  expect([young!.shippedStateCount, owners.length]).toEqual([0, 0]);
 });
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { DrainKey } from "@cranetrack/core/keys/drainKey.js";
 import { Wire, type Body } from "@cranetrack/core/rpc/wire.js";
-import type { StoreChange } from "@cranetrack/core/store/storeClient.js";
+import type { StoreCallInit } from "@cranetrack/core/store/storeClient.js";
 import { Sessions } from "@cranetrack/edge/sessions/sessions.js";
 import { expect } from "earl";
 import { CallModel, type CallCounts } from "./callModel.js";
@@ -87,7 +87,7 @@
     const other = fleet.withRole("lathe").find((name) => name !== old)!;
     const { rpc } = fleet.find("vise-1")!.node;
     const outcomes: string[] = [];
-    const ask = (call: StoreChange): void => {
+    const ask = (call: StoreCallInit): void => {
       const onReply = (body: Body | undefined): void =>
         void outcomes.push(`${call.case} ${body?.case === "storeReply" ? body.value.outcome : "silent"}`);
       void rpc.call(other, { case: "storeCall", value: { call } }, 3000).then(onReply);
@@ -118,5 +118,5 @@
   const second = new TestClient(fleet, "vise-2", "desk", { subscriptions: [{ topic: "notes/t1" }] });
   expect(await fleet.until(() => second.linesOf("confirmed").length === 1, 5000)).toEqual(true);
   const { edge, node } = fleet.find("vise-2")!;
-  expect(edge!.sessions.table.get("desk")!.isComplete(node.parts.clock.now())).toEqual(false);
+  expect(edge!.sessions.table.get("desk")!.knowsAllNumbers(node.parts.clock.now())).toEqual(false);
 });
--- a/packages/testkit/src/sim/catchUp.test.ts
+++ b/packages/testkit/src/sim/catchUp.test.ts
@@ -2,14 +2,14 @@
 import { SnapshotSender } from "@cranetrack/core/replication/snapshotSender.js";
 import { storeCompaction } from "@cranetrack/control/consensus/storeLog.js";
 import { expect } from "earl";
-import { CatchUp, type Comeback } from "./catchUp.js";
+import { CatchUp, type ReturnMode } from "./catchUp.js";
 
 const mib = 1024 * 1024;
 const documentBytes = 256 * 1024;
 /** From the start of a successor on, a second loss is allowed after this time on the small deployments. */
 const syncMs = 4100;
 
-for (const comeback of ["restarted", "blank", "new"] as Comeback[])
+for (const comeback of ["restarted", "blank", "new"] as ReturnMode[])
   test(`a ${comeback} member is caught up in time after many big changes, which go on, within bounds`, async () => {
     const report = await CatchUp.run({ seed: 5, comeback, changes: 150, routes: 0, documentBytes });
     expect(report.caughtUpMs !== undefined && report.caughtUpMs <= syncMs).toEqual(true);
--- a/packages/testkit/src/sim/catchUp.ts
+++ b/packages/testkit/src/sim/catchUp.ts
@@ -9,11 +9,11 @@
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 /** How a member of the metadata store returns: with its disk, with an empty disk, or as a new machine. */
-export type Comeback = "restarted" | "blank" | "new";
+export type ReturnMode = "restarted" | "blank" | "new";
 
 export interface CatchUpOptions {
   readonly seed: number;
-  readonly comeback: Comeback;
+  readonly comeback: ReturnMode;
   /** Number of sequential configuration changes while the member is down. */
   readonly changes: number;
   /** Routes in each configuration, and size in bytes of the operators' document stored with it. */
@@ -22,7 +22,7 @@
 }
 
 export interface CatchUpReport {
-  readonly comeback: Comeback;
+  readonly comeback: ReturnMode;
   /** Virtual ms from its start until it had applied all that the leader had committed; undefined if it never did. */
   readonly caughtUpMs: number | undefined;
   /** Bytes sent to it meanwhile: in total, in frames with snapshot chunks, and in frames with log entries. */
@@ -101,7 +101,9 @@
     const { leader: leaderName } = this.#fleet;
     const leader = leaderName === undefined ? undefined : this.#raftOf(leaderName);
     const own = this.#raftOf(name);
-    return own !== undefined && leader !== undefined && own.commit > 0 && own.commit >= leader.commit - 1;
+    return (
+      own !== undefined && leader !== undefined && own.commitIndex > 0 && own.commitIndex >= leader.commitIndex - 1
+    );
   }
 
   /** Proposes one change after the other at the leader, until `#isChanging` is cleared. */
--- a/packages/testkit/src/sim/configurationCapacity.test.ts
+++ b/packages/testkit/src/sim/configurationCapacity.test.ts
@@ -45,7 +45,7 @@
     fleet[end]("lathe-1");
     await fleet.run(3000);
     expect(await put(fleet, load.nextVersion)).toEqual({ status: 200, paths: [] });
-    await fleet.run(Membership.forgetMs + 3000);
+    await fleet.run(Membership.removeAfterMs + 3000);
     expect(fleet.find("lathe-2")!.node.membership.find("lathe-1")).toEqual(undefined);
     expect(await put(fleet, load.nextVersion)).toEqual({ status: 200, paths: [] });
     const spaces = SimConfigurations.usual();
--- a/packages/testkit/src/sim/endpointConnection.ts
+++ b/packages/testkit/src/sim/endpointConnection.ts
@@ -12,7 +12,7 @@
 /** The client's end of an in-process connection: records the lines sent to it. */
 export class EndpointConnection implements ClientConnection {
   readonly lines: Line[] = [];
-  waitingBytes = 0;
+  bufferedBytes = 0;
   isClosed = false;
   #whenClosed: () => void = () => undefined;
 
--- a/packages/testkit/src/sim/followerReads.test.ts
+++ b/packages/testkit/src/sim/followerReads.test.ts
@@ -219,5 +219,5 @@
   fleet.wires.mutate = undefined;
   expectWhole(all);
   expect(follows <= 8).toEqual(true);
-  expect(fleet.find(replica)!.storage!.followerReads[shard]!.isOpen).toEqual(true);
+  expect(fleet.find(replica)!.storage!.followerReads[shard]!.mayServeReads).toEqual(true);
 });
--- a/packages/testkit/src/sim/founding.test.ts
+++ b/packages/testkit/src/sim/founding.test.ts
@@ -30,9 +30,9 @@
   fleet.start("lathe-3");
   expect(await fleet.until(() => voters(fleet).length >= 3, 4000)).toEqual(true);
   expect(voters(fleet)).toEqual(["lathe-1", "lathe-2", "lathe-3"]);
-  const founding = fleet.find("lathe-1")!.control!.founding.founding;
+  const founding = fleet.find("lathe-1")!.control!.founding.foundingId;
   await fleet.run(8000);
-  const others = fleet.withRole("lathe").map((name) => fleet.find(name)!.control!.founding.founding);
+  const others = fleet.withRole("lathe").map((name) => fleet.find(name)!.control!.founding.foundingId);
   expect(others.every((one) => one === founding || one === "")).toEqual(true);
 });
 
@@ -62,7 +62,7 @@
   other.configure("lathe-2", { mayFound: false });
   await other.run(1000);
   other.start("lathe-2");
-  const { id } = other.find("lathe-2")!.control!.founding;
+  const { diskId: id } = other.find("lathe-2")!.control!.founding;
   const isIn = (): boolean =>
     other.find(other.leader ?? "")?.control!.raft!.members.voters.some((one) => one.id === id) === true;
   expect(await other.until(isIn, 10_000)).toEqual(true);
--- a/packages/testkit/src/sim/hostile.test.ts
+++ b/packages/testkit/src/sim/hostile.test.ts
@@ -129,6 +129,6 @@
     }
     expect(await load.finishPublishes(12_000)).toEqual(true);
     await load.readConfiguration();
-    expect(Checker.check(load.history.seen, fleet.world.now)).toEqual([]);
+    expect(Checker.check(load.history.events, fleet.world.now)).toEqual([]);
   },
 );
--- a/packages/testkit/src/sim/journalGrowth.ts
+++ b/packages/testkit/src/sim/journalGrowth.ts
@@ -38,7 +38,7 @@
     for (let index = 1; index <= changes && !wasFull; index += 1) {
       const entry = create(EntrySchema, { index, term: 1, data: Buffer.alloc(changeBytes, index % 256) });
       await log.append([entry]);
-      compaction.applied(entry);
+      compaction.recordApplied(entry);
       if (compaction.shouldCompact) await compaction.compact(index, Buffer.alloc(changeBytes));
       maxJournalBytes = Math.max(maxJournalBytes, statSync(join(folder, "journal")).size);
       maxResidentBytes = Math.max(maxResidentBytes, process.memoryUsage().rss - initialResidentBytes);
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -1,5 +1,5 @@
 import { test } from "node:test";
-import type { SessionEndpoint, Published } from "@cranetrack/edge/connections/clientEndpoint.js";
+import type { SessionEndpoint, PublishResult } from "@cranetrack/edge/connections/clientEndpoint.js";
 import { EdgeClientEndpoint } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
 import { expect } from "earl";
 import { TestClient, startTestFleet, type TestFleet } from "./testClient.js";
@@ -15,7 +15,7 @@
 }
 
 async function open(fleet: SimFleet): Promise<SessionEndpoint> {
-  const connection = { waitingBytes: 0, isClosed: false, send: () => undefined, close: () => undefined };
+  const connection = { bufferedBytes: 0, isClosed: false, send: () => undefined, close: () => undefined };
   const connections = new EdgeClientEndpoint(fleet.find("vise-1")!.edge!);
   const answer = await resultOf(fleet, connections.connect("desk", { ...connection, onClose: () => undefined }));
   if (answer.outcome !== "open") throw new Error(`not connected: ${JSON.stringify(answer)}`);
@@ -74,7 +74,7 @@
   const place = await startTestFleet(96);
   await change(place, {}, { payloadBytes: 8 }, { maxBytes: 100 });
   const connection = await open(place.fleet);
-  const publish = (number: number, length: number): Promise<Published> =>
+  const publish = (number: number, length: number): Promise<PublishResult> =>
     resultOf(place.fleet, connection.publish("notes/t1", number, "x".repeat(length)));
   expect((await publish(1, 8)).outcome).toEqual("accepted");
   expect(await publish(2, 9)).toEqual(expect.subset({ outcome: "refused", code: "too-large" }));
--- a/packages/testkit/src/sim/lostOwner.test.ts
+++ b/packages/testkit/src/sim/lostOwner.test.ts
@@ -39,7 +39,7 @@
   const test = await startTestFleet(9105);
   const { fleet } = test;
   const isComplete = (edge: string): boolean =>
-    fleet.find(edge)!.edge!.sessions.table.get("desk")!.isComplete(fleet.find(edge)!.node.parts.clock.now());
+    fleet.find(edge)!.edge!.sessions.table.get("desk")!.knowsAllNumbers(fleet.find(edge)!.node.parts.clock.now());
   await connect(test, "vise-1");
   fleet.kill("vise-1");
   await fleet.run(afterLeaseMs);
--- a/packages/testkit/src/sim/memberChanges.test.ts
+++ b/packages/testkit/src/sim/memberChanges.test.ts
@@ -123,7 +123,7 @@
   fleet.wipe("lathe-2");
   await fleet.run(200);
   fleet.start("lathe-2");
-  const { id } = fleet.find("lathe-2")!.control!.founding;
+  const { diskId: id } = fleet.find("lathe-2")!.control!.founding;
   const isIn = (): boolean =>
     members(fleet)?.voters.some((one) => one.id === id) === true && isVoting(fleet, "lathe-1", "lathe-2", "lathe-3");
   expect(await fleet.until(isIn, 2000)).toEqual(true);
@@ -236,15 +236,15 @@
   await fleet.run(2000);
   const old = fleet.leader!;
   const raft = fleet.find(old)!.control!.raft!;
-  const before = raft.commit;
-  const self = raft.members.voters.find((one) => one.id === raft.id)!;
+  const before = raft.commitIndex;
+  const self = raft.members.voters.find((one) => one.id === raft.diskId)!;
   fleet.isolate(old, fleet.names, "both");
   // The new set is the cut-off leader alone: it could agree with itself.
   raft.changeMembers([self], []);
   for (let ms = 0; ms < 6000; ms += 20) {
     await fleet.run(20);
     const wasLeader = raft.isLeader && ms > 1000;
-    expect({ ms, wasLeader, commit: raft.commit }).toEqual({ ms, wasLeader: false, commit: before });
+    expect({ ms, wasLeader, commit: raft.commitIndex }).toEqual({ ms, wasLeader: false, commit: before });
   }
   expect(fleet.leader !== undefined && fleet.leader !== old).toEqual(true);
   fleet.wires.heal();
--- a/packages/testkit/src/sim/membership.test.ts
+++ b/packages/testkit/src/sim/membership.test.ts
@@ -41,7 +41,7 @@
     const expected = believers(fleet, "vise-6");
     fail(name);
     const at = fleet.world.now;
-    await fleet.run(Membership.suspectMs - 400);
+    await fleet.run(Membership.suspectAfterMs - 400);
     expect(believers(fleet, name).length).toEqual(running.length);
     expect(await fleet.until(() => believers(fleet, name).length === 0, 2500)).toEqual(true);
     expect(fleet.world.now - at < 2500).toEqual(true);
@@ -64,7 +64,7 @@
   fleet.kill(first!);
   expect(await fleet.until(() => !watchersOf(fleet, "vise-1").includes(first!), 2500)).toEqual(true);
   const watchers = watchersOf(fleet, "vise-1");
-  expect([watchers.length, rest.every((name) => watchers.includes(name))]).toEqual([Membership.watchers, true]);
+  expect([watchers.length, rest.every((name) => watchers.includes(name))]).toEqual([Membership.watcherCount, true]);
   for (const name of rest) fleet.kill(name);
   await fleet.run(3000);
   fleet.kill("vise-1");
@@ -129,7 +129,7 @@
   const fleet = await started(78);
   const part = fleet.withRole("vise");
   for (const name of part) fleet.isolate(name, others(fleet, ...part), "both");
-  await fleet.run(Membership.forgetMs + 15_000);
+  await fleet.run(Membership.removeAfterMs + 15_000);
   expect(fleet.find("vise-1")!.node.membership.find("anvil-1")).toEqual(undefined);
   fleet.wires.heal();
   const isWhole = (): boolean =>
@@ -170,5 +170,5 @@
     return undefined;
   };
   await fleet.run(30_000);
-  expect([asked.size <= Membership.partners, questions > 40]).toEqual([true, true]);
+  expect([asked.size <= Membership.partnerCount, questions > 40]).toEqual([true, true]);
 });
--- a/packages/testkit/src/sim/memory.test.ts
+++ b/packages/testkit/src/sim/memory.test.ts
@@ -4,7 +4,7 @@
 import type { ShardLeader } from "@cranetrack/log-storage/shards/shardLeader.js";
 import type { PublishReply } from "@cranetrack/core/gen/cranetrack_pb.js";
 import { Wire, type Body } from "@cranetrack/core/rpc/wire.js";
-import { countTopic, type Count } from "@cranetrack/edge/subscriptions/countTopic.js";
+import { countTopic, type TopicCountResult } from "@cranetrack/edge/subscriptions/countTopic.js";
 import { viewOf } from "@cranetrack/edge/fanout/viewOf.js";
 import { expect } from "earl";
 import { TestClient, startTestFleet, type TestFleet } from "./testClient.js";
@@ -45,8 +45,8 @@
   return { name, shard, leader, service };
 }
 
-async function counted({ fleet }: TestFleet, topic: string, node = "vise-2"): Promise<Count> {
-  let got: Count | undefined;
+async function counted({ fleet }: TestFleet, topic: string, node = "vise-2"): Promise<TopicCountResult> {
+  let got: TopicCountResult | undefined;
   void countTopic(fleet.find(node)!.edge!, topic).then((count) => (got = count));
   expect(await fleet.until(() => got !== undefined, 5000)).toEqual(true);
   return got!;
@@ -86,7 +86,7 @@
   expect((await publish("pen", 4, "vise-2"))["receipt"]).toEqual("accepted");
   // An earlier leader might have taken it, as long as anybody would still repeat it.
   expect((await publish("pen", 3, "vise-2"))["status"]).toEqual(504);
-  await fleet.run(MemoryStreams.repeatMs);
+  await fleet.run(MemoryStreams.maxRepeatMs);
   expect((await publish("pen", 4, "vise-2"))["receipt"]).toEqual("accepted");
   expect((await publish("pen", 3, "vise-2"))["status"]).toEqual(409);
   const large = JSON.stringify({ topic: "notes/t1", number: 5, payload: "x".repeat(70_000) });
@@ -233,7 +233,7 @@
   const next = (): ShardService | undefined => {
     const { leader: leaderName } = fleet.find("vise-2")!.node.shards.find(shard);
     const claim = fleet.find(leaderName)?.storage?.leadership?.find(shard);
-    return claim?.service.isOpen === true ? claim.service : undefined;
+    return claim?.service.isAuthorized === true ? claim.service : undefined;
   };
   const epoch = fleet.find(name)!.storage!.leadership!.find(shard)?.leader.epoch;
   expect(epoch).toEqual(undefined);
--- a/packages/testkit/src/sim/orderHistories.test.ts
+++ b/packages/testkit/src/sim/orderHistories.test.ts
@@ -2,7 +2,7 @@
 import { expect } from "earl";
 import fc from "fast-check";
 import { checkLinearizability } from "../checker/linearizability.js";
-import { versionedRegister, type OrderInput } from "../checker/versionedRegister.js";
+import { versionedRegister, type RegisterInput } from "../checker/versionedRegister.js";
 import { Scenario } from "./scenario.js";
 import { SimFleet } from "./simFleet.js";
 import { OrderHistory, SimOperator } from "./simOperator.js";
@@ -12,12 +12,12 @@
   seed: number;
   controlCount: 3 | 5;
   lossOfAnswers: number;
-  asked: Array<{ at: number; operator: number; input: OrderInput }>;
+  asked: Array<{ at: number; operator: number; input: RegisterInput }>;
   faults: StoreFault[];
 }
 const calmMs = 6000;
 
-const put: fc.Arbitrary<OrderInput> = fc.record({
+const put: fc.Arbitrary<RegisterInput> = fc.record({
   kind: fc.constant("put" as const),
   version: fc.integer({ min: 1, max: 8 }),
   content: fc.constantFrom("a", "b", "c"),
@@ -66,7 +66,7 @@
 }
 
 /** A content is valid or not for good. */
-function contentOf(order: OrderInput): OrderInput {
+function contentOf(order: RegisterInput): RegisterInput {
   return order.kind === "put" && !order.isValid ? { ...order, content: `bad ${order.content}` } : order;
 }
 
--- a/packages/testkit/src/sim/replicaSets.test.ts
+++ b/packages/testkit/src/sim/replicaSets.test.ts
@@ -59,7 +59,7 @@
 async function checkedAfterLoad(fleet: SimFleet, load: SimLoad): Promise<string[]> {
   expect(await load.finishPublishes(12_000)).toEqual(true);
   await load.readConfiguration();
-  return Checker.check(load.history.seen, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
+  return Checker.check(load.history.events, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
 }
 
 /**
--- a/packages/testkit/src/sim/scenario.ts
+++ b/packages/testkit/src/sim/scenario.ts
@@ -5,7 +5,7 @@
  */
 
 import { Checker, type Breach } from "../checker/checker.js";
-import { checkOrders } from "../checker/orderRules.js";
+import { checkAcknowledgements } from "../checker/orderRules.js";
 import type { Machine } from "../fleet/deployments.js";
 import { Lateness } from "../checker/lateness.js";
 import type { Probe } from "../fleet/probe.js";
@@ -124,7 +124,7 @@
     }
     if (options.minLossIntervalMs !== undefined) fleet.lossBudget = new LossBudget(fleet, options.minLossIntervalMs);
     const ephemeralClients = load.ephemeralClients();
-    ephemeralClients.begin();
+    ephemeralClients.start();
     load.startPublishing(25);
     await fleet.run(2000);
     await faults.injectFor(options.faultMs ?? 25_000, options.isDealt);
@@ -133,12 +133,12 @@
     const probe = await this.#waitUntilServed();
     await fleet.run(healedAt + Scenario.backMs - fleet.world.now);
     await fleet.run(Scenario.faultFreeMs);
-    ephemeralClients.end();
+    ephemeralClients.stop();
     this.#breaches.push(...ephemeralClients.check());
     if (!(await load.finishPublishes()))
       this.#breach("service-back", `clients are not settled: ${load.unsettledClients}`);
     await this.#checkHistory();
-    return this.#report((probe?.doneAt ?? Infinity) - healedAt);
+    return this.#report((probe?.recoveredAt ?? Infinity) - healedAt);
   }
 
   /** Waits until the probe messages reached all subscribers, or time is up; returns the probe if one was sent. */
@@ -150,7 +150,7 @@
     // Only subscribers confirmed before a message is sent are owed it, so the probe waits for all confirmations.
     const isBack = (): boolean => {
       if (isRestored && load.clients.every((client) => client.isFullySubscribed)) probe ??= load.probe();
-      return probe?.isBack === true;
+      return probe?.isRecovered === true;
     };
     if (!(await this.#fleet.until(isBack, Scenario.backMs)))
       this.#breach(
@@ -163,14 +163,17 @@
   /** Checks the clients' history; then injects a last fault and checks the configuration that operators read back. */
   async #checkHistory(): Promise<void> {
     const { history } = this.#load;
-    this.#breaches.push(...Checker.check(history.seen, this.#fleet.world.now));
-    const checkedCount = history.seen.length;
+    this.#breaches.push(...Checker.check(history.events, this.#fleet.world.now));
+    const checkedCount = history.events.length;
     await this.#faults.injectClosingFault();
     await this.#load.readConfiguration();
-    const configurations = history.seen.filter(
+    const configurations = history.events.filter(
       (one, i) => one.kind.startsWith("plan") && (i >= checkedCount || one.kind !== "planRead"),
     );
-    this.#breaches.push(...Checker.check(configurations, this.#fleet.world.now), ...checkOrders(history.seen));
+    this.#breaches.push(
+      ...Checker.check(configurations, this.#fleet.world.now),
+      ...checkAcknowledgements(history.events),
+    );
     for (const violation of this.#fleet.violations) this.#breach("invariant", violation);
   }
 
@@ -183,7 +186,7 @@
     const { spans, closing } = this.#faults;
     const { world } = this.#fleet;
     const causes = spans.map(({ what, from, to }) => ({ what, from, to: to + Scenario.backMs }));
-    const late = [...Lateness.byCause(Lateness.deliveries(history.seen), causes)];
+    const late = [...Lateness.byCause(Lateness.deliveries(history.events), causes)];
     const withoutFault = late.find(([cause]) => cause === "nothing")?.[1];
     if (withoutFault !== undefined)
       this.#breach(
@@ -199,8 +202,8 @@
       late: late.map(([cause, { count, worst }]) => ({ cause, count, worst })),
       events: world.events,
       trace: world.trace(),
-      accepted: history.seen.filter((one) => one.kind === "accepted").length,
-      received: history.seen.filter((one) => one.kind === "received").length,
+      accepted: history.events.filter((one) => one.kind === "accepted").length,
+      received: history.events.filter((one) => one.kind === "received").length,
     };
   }
 }
--- a/packages/testkit/src/sim/sessions.test.ts
+++ b/packages/testkit/src/sim/sessions.test.ts
@@ -231,7 +231,7 @@
     await publish("pen", 1, "vise-2");
     await fleet.until(() => reader.linesOf("message").length === 1, 3000);
     const after = String(reader.linesOf("message")[0]!["place"]);
-    const { live } = fleet.find("vise-1")!.edge!;
+    const { liveSettings: live } = fleet.find("vise-1")!.edge!;
     live.bufferBytes = 2000;
     fleet.port.stalled.add("slow");
     for (let number = 2; number <= 40; number += 1)
--- a/packages/testkit/src/sim/shards.test.ts
+++ b/packages/testkit/src/sim/shards.test.ts
@@ -42,7 +42,7 @@
 async function checkedAfterLoad(fleet: SimFleet, load: SimLoad): Promise<string[]> {
   expect(await load.finishPublishes(12_000)).toEqual(true);
   await load.readConfiguration();
-  return Checker.check(load.history.seen, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
+  return Checker.check(load.history.events, fleet.world.now).map((breach) => `${breach.rule}: ${breach.text}`);
 }
 
 const streamShard = (fleet: SimFleet, topic: string): number => {
@@ -65,10 +65,10 @@
 async function removeNotes(fleet: SimFleet, load: SimLoad): Promise<number> {
   const version = await acceptConfiguration(fleet, load, ["notices"]);
   await fleet.run(3000);
-  const before = load.history.seen.length;
+  const before = load.history.events.length;
   await fleet.run(3000);
   expect(
-    load.history.seen.slice(before).filter((one) => one.kind === "accepted" && one.topic.startsWith("notes/")),
+    load.history.events.slice(before).filter((one) => one.kind === "accepted" && one.topic.startsWith("notes/")),
   ).toEqual([]);
   return version;
 }
@@ -213,7 +213,7 @@
     await fleet.run(3000);
     await acceptConfiguration(fleet, load, ["notes", "notices"]);
     const places = (): string[] =>
-      load.history.seen.flatMap((one) => (one.kind === "accepted" && one.topic === "notes/t1" ? [one.place] : []));
+      load.history.events.flatMap((one) => (one.kind === "accepted" && one.topic === "notes/t1" ? [one.place] : []));
     const incarnations = (): Set<string | undefined> => new Set(places().map((place) => place.split(".")[0]));
     const before = places().length;
     // The load picks its topics at random.
@@ -245,7 +245,7 @@
     expect((await call(fleet, "PUT", "/v1/machines/anvil-1/emptying")).status).toEqual(200);
     expect(await fleet.until(() => setsOf(fleet).every((set) => set.includes("anvil-4")), 40_000)).toEqual(true);
     load.disconnectAll();
-    expect(await fleet.until(() => fleet.find("vise-2")!.edge!.sessions.connections > 0, 8000)).toEqual(true);
+    expect(await fleet.until(() => fleet.find("vise-2")!.edge!.sessions.connectionCount > 0, 8000)).toEqual(true);
     expect(await checkedAfterLoad(fleet, load)).toEqual([]);
   },
 );
@@ -280,10 +280,10 @@
     const { fleet, load } = await loaded(63, withSpares(3));
     const zone = fleet.zoneOf("anvil-1");
     const lost = what === "machine" ? ["anvil-1"] : fleet.names.filter((name) => fleet.zoneOf(name) === zone);
-    const before = load.history.seen.filter((one) => one.kind === "accepted").length;
+    const before = load.history.events.filter((one) => one.kind === "accepted").length;
     for (const name of lost) fleet.removeForGood(name);
     await fleet.run(6000);
-    const after = load.history.seen.filter((one) => one.kind === "accepted").length;
+    const after = load.history.events.filter((one) => one.kind === "accepted").length;
     expect(after - before > 30).toEqual(true);
     expect(await checkedAfterLoad(fleet, load)).toEqual([]);
   });
--- a/packages/testkit/src/sim/simConnection.ts
+++ b/packages/testkit/src/sim/simConnection.ts
@@ -32,7 +32,7 @@
   }
 
   /** Bytes sent to a client that does not read. */
-  get waitingBytes(): number {
+  get bufferedBytes(): number {
     return this.#waitingBytes;
   }
 
@@ -46,7 +46,7 @@
     const text = JSON.stringify(line);
     if (stalled.has(session)) return void (this.#waitingBytes += text.length);
     afterWire(() => {
-      if (!this.#isClientGone) handlers.line(JSON.parse(text) as Record<string, unknown>);
+      if (!this.#isClientGone) handlers.onLine(JSON.parse(text) as Record<string, unknown>);
     });
   }
 
@@ -57,7 +57,7 @@
     if (this.#isClientGone) return;
     this.#isServerGone = true;
     afterWire(() => {
-      if (!this.#isClientGone) handlers.closed();
+      if (!this.#isClientGone) handlers.onClosed();
     });
   }
 
--- a/packages/testkit/src/sim/simCrowd.ts
+++ b/packages/testkit/src/sim/simCrowd.ts
@@ -14,7 +14,7 @@
 
 /** The server's end of one client's connection. */
 class CrowdConnection implements ClientConnection {
-  readonly waitingBytes = 0;
+  readonly bufferedBytes = 0;
   isClosed = false;
   received = 0;
   onServerClose: () => void = () => undefined;
--- a/packages/testkit/src/sim/simFleet.ts
+++ b/packages/testkit/src/sim/simFleet.ts
@@ -225,7 +225,7 @@
     if (leader === undefined) return false;
     const processes = this.names.map((name) => this.find(name)).filter((running) => running !== undefined);
     const diskIds = new Set(processes.flatMap(({ control, storage }) => (control?.storage ?? storage)?.diskId ?? []));
-    const controlNodes = new Set(processes.flatMap(({ control }) => control?.founding.id ?? []));
+    const controlNodes = new Set(processes.flatMap(({ control }) => control?.founding.diskId ?? []));
     const { node, control } = this.find(leader)!;
     const sets = node.shards.all().map(([, route]) => route.set?.members ?? []);
     const voters = control!.raft!.members.voters.map((one) => one.id);
--- a/packages/testkit/src/sim/simOperator.ts
+++ b/packages/testkit/src/sim/simOperator.ts
@@ -4,13 +4,13 @@
 import type { ClusterNode } from "@cranetrack/core/runtime/clusterNode.js";
 import type { PortReply } from "../clients/clientPort.js";
 import type { Operation } from "../checker/linearizability.js";
-import type { OrderInput, OrderOutput } from "../checker/versionedRegister.js";
+import type { RegisterInput, RegisterOutput } from "../checker/versionedRegister.js";
 import type { SimFleet } from "./simFleet.js";
 import type { SimRandom } from "./simRandom.js";
 import { documentTextOf } from "@cranetrack/core/configuration/documentBuilder.js";
 
 /** One attempt of an operator, as the linearizability checker reads it. */
-export type OrderOperation = Operation<OrderInput, OrderOutput>;
+export type OrderOperation = Operation<RegisterInput, RegisterOutput>;
 
 /** All attempts of all operators. */
 export class OrderHistory {
@@ -42,7 +42,7 @@
   }
 
   /** Sends a request with retries; returns the definite answer, or undefined if none came. */
-  async ask(input: OrderInput): Promise<OrderOutput | undefined> {
+  async ask(input: RegisterInput): Promise<RegisterOutput | undefined> {
     let pauseMs = SimOperator.firstPauseMs;
     for (let tries = 0; tries < SimOperator.maxAttempts; tries += 1) {
       const output = await this.try(this.#random.pick(this.#fleet.withRole("lathe")), input);
@@ -54,7 +54,7 @@
   }
 
   /** One attempt at one node; undefined without a definite answer. */
-  async try(name: string, input: OrderInput): Promise<OrderOutput | undefined> {
+  async try(name: string, input: RegisterInput): Promise<RegisterOutput | undefined> {
     const { world, port } = this.#fleet;
     const operation: OrderOperation = { calledAt: world.now, returnedAt: Infinity, input, output: undefined };
     this.#history.operations.push(operation);
@@ -75,7 +75,7 @@
 }
 
 /** Runs a request on a node. The space retains no messages, so that the reply does not depend on the fleet's size. */
-function execute(node: ClusterNode, input: OrderInput): Promise<ApiReply> {
+function execute(node: ClusterNode, input: RegisterInput): Promise<ApiReply> {
   if (input.kind === "read") return readBack(node);
   const { version, content, isValid } = input;
   const contract = { keep: isValid ? 0 : -1, order: "sender", fault_budget: {} };
@@ -90,7 +90,7 @@
   return ApiReplies.done(read.outcome === "none" ? { version: 0, content: "" } : read.document);
 }
 
-function outputOf(input: OrderInput, { status, body }: PortReply): OrderOutput | undefined {
+function outputOf(input: RegisterInput, { status, body }: PortReply): RegisterOutput | undefined {
   if (status === 0 || status >= 500) return undefined;
   if (input.kind === "read")
     return { kind: "content", version: Number(body["version"]), content: String(body["content"]) };
--- a/packages/testkit/src/sim/simPort.ts
+++ b/packages/testkit/src/sim/simPort.ts
@@ -41,7 +41,7 @@
     this.#nodes = nodes;
   }
 
-  async connection(
+  async openConnection(
     name: string,
     session: string,
     body: object,
--- a/packages/testkit/src/sim/store.test.ts
+++ b/packages/testkit/src/sim/store.test.ts
@@ -42,7 +42,7 @@
     expect(fleet.find("lathe-1")!.control!.founding.waitingFor).toEqual(expect.includes("4 of 5 blank lathes"));
     fleet.start("lathe-4");
     expect(await fleet.until(() => leader(fleet) !== undefined, 8000)).toEqual(true);
-    expect(new Set(controlNodes(fleet).map((name) => fleet.find(name)!.control!.founding.founding)).size).toEqual(1);
+    expect(new Set(controlNodes(fleet).map((name) => fleet.find(name)!.control!.founding.foundingId)).size).toEqual(1);
   },
 );
 
@@ -53,14 +53,14 @@
     for (const name of ["lathe-1", "lathe-2"]) fleet.wipe(name);
     await fleet.run(1000);
     for (const name of ["lathe-1", "lathe-2"]) fleet.start(name);
-    const fresh = ["lathe-1", "lathe-2"].map((name) => fleet.find(name)!.control!.founding.id);
+    const fresh = ["lathe-1", "lathe-2"].map((name) => fleet.find(name)!.control!.founding.diskId);
     const voters = (): string[] =>
       leader(fleet) === undefined ? [] : fleet.find(leader(fleet)!)!.control!.raft!.members.voters.map((one) => one.id);
     expect(
       await fleet.until(() => voters().length === 5 && fresh.every((id) => voters().includes(id)), 20_000),
     ).toEqual(true);
     await load.readConfiguration();
-    expect(load.history.seen.at(-1)?.kind).toEqual("planRead");
+    expect(load.history.events.at(-1)?.kind).toEqual("planRead");
   },
 );
 
--- a/packages/testkit/src/sim/streams.test.ts
+++ b/packages/testkit/src/sim/streams.test.ts
@@ -43,9 +43,9 @@
   fleet.wires.heal();
   for (const name of fleet.names) fleet.revive(name);
   expect(await load.finishPublishes()).toEqual(true);
-  const got = load.history.seen.filter((one) => one.kind === "received" && one.topic.startsWith("notices/"));
+  const got = load.history.events.filter((one) => one.kind === "received" && one.topic.startsWith("notices/"));
   expect(got.length > 600).toEqual(true);
-  expect(Checker.check(load.history.seen, fleet.world.now).map((breach) => breach.rule)).toEqual([]);
+  expect(Checker.check(load.history.events, fleet.world.now).map((breach) => breach.rule)).toEqual([]);
 });
 
 test(
--- a/packages/testkit/src/sim/sweep.ts
+++ b/packages/testkit/src/sim/sweep.ts
@@ -51,7 +51,7 @@
   }
 
   /** Adds one seed's report to the totals, and passes it on. */
-  take(report: ScenarioReport): void {
+  addReport(report: ScenarioReport): void {
     if (report.breaches.length === 0) this.passed += 1;
     else this.failed += 1;
     for (const fault of report.faults) {
@@ -100,7 +100,7 @@
     let reportCount = 0;
     for await (const line of createInterface({ input: child.stdout })) {
       reportCount += 1;
-      this.take(JSON.parse(line) as ScenarioReport);
+      this.addReport(JSON.parse(line) as ScenarioReport);
     }
     this.failed += count - reportCount;
   }
--- a/packages/testkit/src/sim/testClient.ts
+++ b/packages/testkit/src/sim/testClient.ts
@@ -16,8 +16,11 @@
   close: () => void = () => undefined;
 
   constructor(fleet: SimFleet, node: string, session: string, body: object) {
-    const handlers = { line: (line: Line) => void this.lines.push(line), closed: () => void (this.isClosed = true) };
-    void fleet.port.connection(node, session, body, handlers).then((got) => {
+    const handlers = {
+      onLine: (line: Line) => void this.lines.push(line),
+      onClosed: () => void (this.isClosed = true),
+    };
+    void fleet.port.openConnection(node, session, body, handlers).then((got) => {
       if ("close" in got) this.close = () => got.close();
       else this.reply = { status: got.status, ...got.body, retryAfterSeconds: got.retryAfterSeconds };
     });
--- a/packages/testkit/src/slopes/edgeSlopes.ts
+++ b/packages/testkit/src/slopes/edgeSlopes.ts
@@ -20,7 +20,7 @@
 const tableOf = (): StreamTable =>
   ({ counts: new SubscriberCounts(() => undefined), leave: () => undefined }) as object as StreamTable;
 const silent: ClientConnection = {
-  waitingBytes: 0,
+  bufferedBytes: 0,
   isClosed: false,
   send: () => undefined,
   close: () => undefined,
@@ -29,7 +29,7 @@
 
 function tailOf(topic: string): StreamTail {
   const tail = new StreamTail({ stream: `6:${topic}`, space: "notes/", spaceIncarnation: 1 }, 0);
-  tail.onHead(incarnation, 0, 0);
+  tail.confirmHead(incarnation, 0, 0);
   return tail;
 }
 function subscribe(
