--- a/packages/testkit/src/commands/catchUpCommand.ts
+++ b/packages/testkit/src/commands/catchUpCommand.ts
@@ -1,11 +1,11 @@
 import type { CAC } from "cac";
-import { CatchUp, type Comeback } from "../sim/catchUp.js";
+import { CatchUp, type ReturnMode } from "../sim/catchUp.js";
 import { measureJournalGrowth } from "../sim/journalGrowth.js";
 
-/** `catch-up`: how a member of the store comes back after many big changes, in the simulator. */
+/** `catch-up`: measures in the simulator how a member of the store catches up after many big changes. */
 export function registerCatchUp(cli: CAC): void {
   cli
-    .command("catch-up", "Measure how members of the store catch up after many big changes, and what that costs")
+    .command("catch-up", "Measure how members of the store catch up after many big changes, and at what cost")
     .option("--changes <n>", "How many changes", { default: 500 })
     .option("--routes <n>", "Routes in each configuration", { default: 0 })
     .option("--document <bytes>", "Bytes of the operators' document", { default: 262_144 })
@@ -15,7 +15,7 @@
       const { changes, routes, seed, document: documentBytes } = options;
       const growth = await measureJournalGrowth(changes, 2 * documentBytes, 128_000_000);
       process.stdout.write(`${JSON.stringify(growth)}\n`);
-      for (const comeback of ["restarted", "blank", "new"] as Comeback[])
+      for (const comeback of ["restarted", "blank", "new"] as ReturnMode[])
         process.stdout.write(
           `${JSON.stringify(await CatchUp.run({ seed, comeback, changes, routes, documentBytes }))}\n`,
         );
--- a/packages/testkit/src/mutants/exploreMutants.ts
+++ b/packages/testkit/src/mutants/exploreMutants.ts
@@ -13,8 +13,8 @@
   {
     name: "explorer: a promise resolves before its sync",
     file: replicaLog,
-    find: "this.#promised = this.#disk.write([this.#meta()]);",
-    put: "void this.#disk.write([this.#meta()]);",
+    find: "this.#termWrite = this.#disk.write([this.#termAndVoteChange()]);",
+    put: "void this.#disk.write([this.#termAndVoteChange()]);",
     test,
   },
   {
@@ -34,15 +34,15 @@
   {
     name: "explorer: older terms commit by counting",
     file: logReplicator,
-    find: " || this.#log.termAt(agreed) !== this.#term",
+    find: " || this.#log.termAt(majorityIndex) !== this.#term",
     put: "",
     test: traces,
   },
   {
     name: "explorer: only the new set commits in an exchange",
     file: logReplicator,
-    find: "this.#sets = sets.map((set) => [...set]);",
-    put: "this.#sets = [[...sets.at(-1)]];",
+    find: "this.#voterSets = voterSets.map((set) => [...set]);",
+    put: "this.#voterSets = [[...voterSets.at(-1)]];",
     test,
   },
   {
@@ -90,7 +90,7 @@
   {
     name: "explorer: a follower answers before its disk",
     file: followerLog,
-    find: "await synced;",
+    find: "await entriesSynced;",
     put: "",
     test,
   },
@@ -111,15 +111,15 @@
   {
     name: "explorer: who lacks what its leader committed is in touch",
     file: raftNode,
-    find: "if (isLed && this.#applier.applied >= (message.commit ?? Infinity))",
-    put: "if (isLed)",
+    find: "if (isFromCurrentLeader && this.#applier.applied >= (message.commit ?? Infinity))",
+    put: "if (isFromCurrentLeader)",
     test,
   },
   {
     name: "explorer: who has heard of a leader is in touch for ever",
     file: "control/dist/consensus/leaderContact.js",
-    find: "return !this.hasJustResumed && this.#clock.now() - this.#currentAt < this.limitMs;",
-    put: "return !this.hasJustResumed && this.#currentAt > -Infinity;",
+    find: "return !this.hasJustResumed && this.#clock.now() - this.#lastCurrentAt < this.staleAfterMs;",
+    put: "return !this.hasJustResumed && this.#lastCurrentAt > -Infinity;",
     test,
   },
   {
@@ -132,8 +132,8 @@
   {
     name: "explorer: members are looked for only after the disk has them",
     file: raftNode,
-    find: "const reply = receive();",
-    put: "const reply = receive(); await reply;",
+    find: "const reply = writeToLog();",
+    put: "const reply = writeToLog(); await reply;",
     test: traces,
   },
   {
--- a/packages/testkit/src/mutants/membershipMutants.ts
+++ b/packages/testkit/src/mutants/membershipMutants.ts
@@ -28,8 +28,8 @@
   {
     name: "learners vote before they have caught up",
     file: "control/dist/membership/memberChanges.js",
-    find: "return isCaughtUp && heardAgo",
-    put: "return heardAgo",
+    find: "return isCaughtUp && sinceHeardMs",
+    put: "return sinceHeardMs",
     test: `${sim}/memberChanges.test.js`,
   },
   {
@@ -42,8 +42,8 @@
   {
     name: "a drain looks at replicas only",
     file: "control/dist/drain/drainStatus.js",
-    find: "left.length === 0 && !isLeader && !isVoter",
-    put: "left.length === 0",
+    find: "shardsLeft.length === 0 && !isLeader && !isVoter",
+    put: "shardsLeft.length === 0",
     test: `${sim}/drains.test.js`,
   },
   {
@@ -56,7 +56,7 @@
   {
     name: "drains are judged against the same machines",
     file: "control/dist/drain/drainMachine.js",
-    find: "checks: [{ key: DrainKey.turn, revision: status.turnRevision }],",
+    find: "checks: [{ key: DrainKey.requestsKey, revision: status.lastRequestRevision }],",
     put: "",
     test: `${sim}/drains.test.js`,
   },
@@ -112,7 +112,7 @@
   {
     name: "whoever is not trusted is counted",
     file: "control/dist/controlNode.js",
-    find: "isTrusted: (id) => this.#disks.isTrusted(id)",
+    find: "isTrusted: (id) => this.#diskWatch.isTrusted(id)",
     put: "isTrusted: () => true",
     test: `${sim}/disks.test.js`,
   },
--- a/packages/testkit/src/mutants/mutants.ts
+++ b/packages/testkit/src/mutants/mutants.ts
@@ -22,7 +22,7 @@
   {
     name: "a replica answers before its disk",
     file: "core/dist/replication/followerLog.js",
-    find: "await synced;",
+    find: "await entriesSynced;",
     put: "",
     test: "core/dist/replication/replication.test.js",
   },
@@ -43,15 +43,15 @@
   {
     name: "older terms commit by counting",
     file: "core/dist/replication/logReplicator.js",
-    find: " || this.#log.termAt(agreed) !== this.#term",
+    find: " || this.#log.termAt(majorityIndex) !== this.#term",
     put: "",
     test: "core/dist/replication/replication.test.js",
   },
   {
     name: "only the first set counts in a swap",
     file: "core/dist/replication/logReplicator.js",
-    find: "this.#sets = sets.map((set) => [...set]);",
-    put: "this.#sets = [[...sets[0]]];",
+    find: "this.#voterSets = voterSets.map((set) => [...set]);",
+    put: "this.#voterSets = [[...voterSets[0]]];",
     test: "core/dist/replication/replication.test.js",
   },
   {
@@ -71,14 +71,14 @@
   {
     name: "a lease counts from its answer",
     file: "core/dist/store/leaseKeepAlive.js",
-    find: "this.#until = Math.max(this.#until, sentAt +",
-    put: "this.#until = Math.max(this.#until, this.#clock.now() +",
+    find: "this.#heldUntil = Math.max(this.#heldUntil, sentAt +",
+    put: "this.#heldUntil = Math.max(this.#heldUntil, this.#clock.now() +",
     test: "core/dist/store/leaseKeepAlive.test.js",
   },
   {
     name: "a holder never looks at its lease",
     file: "core/dist/store/leaseKeepAlive.js",
-    find: "this.#clock.now() >= this.#until",
+    find: "this.#clock.now() >= this.#heldUntil",
     put: "false",
     test: "core/dist/store/leaseKeepAlive.test.js",
   },
@@ -120,7 +120,7 @@
   {
     name: "a slow reader's buffer has no bound",
     file: "edge/dist/edgeNode.js",
-    find: "connection.waitingBytes <= this.live.bufferBytes",
+    find: "connection.bufferedBytes <= this.liveSettings.bufferBytes",
     put: "true",
     test: `${sim}/sessions.test.js`,
   },
@@ -142,9 +142,9 @@
     name: "a founded lathe agrees again",
     file: "control/dist/consensus/founding.js",
     find:
-      "const founded = controlNodes.find((member) => member.isInStore) " +
+      "const foundedNode = controlNodes.find((member) => member.isInStore) " +
       "?? controlNodes.find((member) => member.isFounded);",
-    put: "const founded = undefined;",
+    put: "const foundedNode = undefined;",
     test: `${sim}/store.test.js`,
   },
   {
@@ -157,7 +157,7 @@
   {
     name: "a peer that is cut off is not reached through others",
     file: "core/dist/rpc/rpcEndpoint.js",
-    find: "if (isPing || !this.isUnresponsive(to))",
+    find: "if (isSentDirectly || !this.isUnresponsive(to))",
     put: "if (true)",
     test: `${sim}/sessions.test.js`,
   },
@@ -171,8 +171,8 @@
   {
     name: "a feed is asked for again before its snapshot can come",
     file: "core/dist/feeds/feedFollower.js",
-    find: "static openMs = 2500",
-    put: "static openMs = 0",
+    find: "static firstSnapshotTimeoutMs = 2500",
+    put: "static firstSnapshotTimeoutMs = 0",
     test: `${sim}/store.test.js`,
   },
   {
@@ -185,8 +185,8 @@
   {
     name: "a link reads every topic from its lowest place",
     file: "edge/dist/subscriptions/streamCursor.js",
-    find: "if (from === undefined || seq <= from || ",
-    put: "if (from === undefined || ",
+    find: "if (handledUpTo === undefined || seq <= handledUpTo || ",
+    put: "if (handledUpTo === undefined || ",
     test: `${sim}/streams.test.js`,
   },
   {
@@ -215,7 +215,7 @@
   {
     name: "topics that come back to a space that is one stream go on in it",
     file: "core/dist/keys/incarnationsKey.js",
-    find: "extended.has(prefix) ? version : ",
+    find: "extendedPrefixes.has(prefix) ? version : ",
     put: "",
     test: "core/dist/configuration/streams.test.js",
   },
@@ -257,7 +257,7 @@
   {
     name: "a deaf proposer gives up without a word",
     file: "control/dist/consensus/raftNode.js",
-    find: '{ case: "yield", value: { term: this.#log.term, sender: this.id, isSlow } }',
+    find: '{ case: "yield", value: { term: this.#log.term, sender: this.diskId, isSlow } }',
     put: '{ case: "ping", value: {} }',
     test: `${sim}/store.test.js`,
   },
@@ -271,7 +271,7 @@
   {
     name: "what a proposer sent before it gave up brings it back",
     file: "control/dist/consensus/raftNode.js",
-    find: " && !this.#election.hasYielded(message.term)",
+    find: " && !this.#election.isTermYielded(message.term)",
     put: "",
     test: `${sim}/store.test.js`,
   },
@@ -292,7 +292,7 @@
   {
     name: "an answer that is owed takes no time",
     file: "core/dist/replication/logReplicator.js",
-    find: "now - (peer.askedAt ?? now)",
+    find: "now - (peer.heartbeatSentAt ?? now)",
     put: "0",
     test: "core/dist/replication/replication.test.js",
   },
@@ -306,14 +306,14 @@
   {
     name: "a mute member is never asked for a sign of life",
     file: "core/dist/membership/membership.js",
-    find: "const drawn = partners[Math.floor(this.#random.draw() * partners.length)];",
-    put: 'const [drawn] = this.#peers.draw(1, "", partners);',
+    find: "const partner = partners[Math.floor(this.#random.draw() * partners.length)];",
+    put: 'const [partner] = this.#peers.pickRandom(1, "", partners);',
     test: `${sim}/membership.test.js`,
   },
   {
     name: "a slow proposer stays",
     file: "control/dist/consensus/raftNode.js",
-    find: "if (this.#slowMajority.isSlow(now, replicator.answerMs))",
+    find: "if (this.#slowMajority.shouldYield(now, replicator.majorityReplyMs))",
     put: "if (false)",
     test: `${sim}/store.test.js`,
   },
--- a/packages/testkit/src/mutants/streamMutants.ts
+++ b/packages/testkit/src/mutants/streamMutants.ts
@@ -33,7 +33,7 @@
   {
     name: "numbers that were taken in memory are forgotten with it",
     file: "log-storage/dist/shards/memoryStreams.js",
-    find: "kept.retiredAt ??= at;",
+    find: "entry.retiredAt ??= at;",
     put: "this.#streams.delete(stream);",
     test: "log-storage/dist/shards/memoryStreams.test.js",
   },
@@ -54,7 +54,7 @@
   {
     name: "an edge refuses what it has not heard of at once",
     file: "edge/dist/publishing/findRoute.js",
-    find: "await configuration.reached(unheardVersion, parts.clock, unheardMs);",
+    find: "await configuration.reached(versionWithSpace, parts.clock, configurationWaitMs);",
     put: "",
     test: "testkit/dist/sim/streams.test.js",
   },
--- a/packages/testkit/src/sim/calls.test.ts
+++ b/packages/testkit/src/sim/calls.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { DrainKey } from "@cranetrack/core/keys/drainKey.js";
 import { Wire, type Body } from "@cranetrack/core/rpc/wire.js";
-import type { StoreChange } from "@cranetrack/core/store/storeClient.js";
+import type { StoreCallInit } from "@cranetrack/core/store/storeClient.js";
 import { Sessions } from "@cranetrack/edge/sessions/sessions.js";
 import { expect } from "earl";
 import { CallModel, type CallCounts } from "./callModel.js";
@@ -14,9 +14,9 @@
 const wanted: Partial<CallCounts> = {
   answered: 10_000,
   unknown: 500,
-  carriedByOthers: 500,
+  relayed: 500,
   restarts: 200,
-  restartsBesideFrozen: 50,
+  restartsWhilePeerPaused: 50,
   unasked: 100,
   staleIncarnation: 20,
   repeated: 50,
@@ -87,7 +87,7 @@
     const other = fleet.withRole("lathe").find((name) => name !== old)!;
     const { rpc } = fleet.find("vise-1")!.node;
     const outcomes: string[] = [];
-    const ask = (call: StoreChange): void => {
+    const ask = (call: StoreCallInit): void => {
       const onReply = (body: Body | undefined): void =>
         void outcomes.push(`${call.case} ${body?.case === "storeReply" ? body.value.outcome : "silent"}`);
       void rpc.call(other, { case: "storeCall", value: { call } }, 3000).then(onReply);
@@ -108,7 +108,7 @@
 test("a session pulled again after its state was forgotten is not taken for complete", async () => {
   const { fleet, publish } = await startTestFleet(9103);
   const first = new TestClient(fleet, "vise-1", "desk", { subscriptions: [{ topic: "notes/t1" }] });
-  expect(await fleet.until(() => first.of("confirmed").length === 1, 5000)).toEqual(true);
+  expect(await fleet.until(() => first.linesOf("confirmed").length === 1, 5000)).toEqual(true);
   expect((await publish("desk", 1))["receipt"]).toEqual("accepted");
   // An asker that never hears the reply, nor writes the key.
   const { epoch } = fleet.find("vise-1")!.edge!.sessions.table.get("desk")!;
@@ -116,7 +116,7 @@
   void fleet.find("vise-3")!.node.rpc.call("vise-1", { case: "pull", value: pull }, 500);
   await fleet.run(Sessions.keepShippedMs + 2000);
   const second = new TestClient(fleet, "vise-2", "desk", { subscriptions: [{ topic: "notes/t1" }] });
-  expect(await fleet.until(() => second.of("confirmed").length === 1, 5000)).toEqual(true);
+  expect(await fleet.until(() => second.linesOf("confirmed").length === 1, 5000)).toEqual(true);
   const { edge, node } = fleet.find("vise-2")!;
-  expect(edge!.sessions.table.get("desk")!.isComplete(node.parts.clock.now())).toEqual(false);
+  expect(edge!.sessions.table.get("desk")!.knowsAllNumbers(node.parts.clock.now())).toEqual(false);
 });
--- a/packages/testkit/src/sim/limits.test.ts
+++ b/packages/testkit/src/sim/limits.test.ts
@@ -1,5 +1,5 @@
 import { test } from "node:test";
-import type { SessionEndpoint, Published } from "@cranetrack/edge/connections/clientEndpoint.js";
+import type { SessionEndpoint, PublishResult } from "@cranetrack/edge/connections/clientEndpoint.js";
 import { EdgeClientEndpoint } from "@cranetrack/edge/connections/edgeClientEndpoint.js";
 import { expect } from "earl";
 import { TestClient, startTestFleet, type TestFleet } from "./testClient.js";
@@ -15,7 +15,7 @@
 }
 
 async function open(fleet: SimFleet): Promise<SessionEndpoint> {
-  const connection = { waitingBytes: 0, isClosed: false, send: () => undefined, close: () => undefined };
+  const connection = { bufferedBytes: 0, isClosed: false, send: () => undefined, close: () => undefined };
   const connections = new EdgeClientEndpoint(fleet.find("vise-1")!.edge!);
   const answer = await resultOf(fleet, connections.connect("desk", { ...connection, onClose: () => undefined }));
   if (answer.outcome !== "open") throw new Error(`not connected: ${JSON.stringify(answer)}`);
@@ -60,8 +60,8 @@
     const topics = ["notes/t1", "notes/t2", "notes/t3"];
     const client = new TestClient(fleet, "vise-2", "other", { subscriptions: topics.map((topic) => ({ topic })) });
     await fleet.run(1500);
-    expect(client.of("confirmed").map(({ topic }) => topic)).toEqual(topics.slice(0, 2));
-    expect(client.of("fault").map(({ topic, code }) => [topic, code])).toEqual([["notes/t3", "too-many"]]);
+    expect(client.linesOf("confirmed").map(({ topic }) => topic)).toEqual(topics.slice(0, 2));
+    expect(client.linesOf("fault").map(({ topic, code }) => [topic, code])).toEqual([["notes/t3", "too-many"]]);
     const one = (): Promise<Record<string, unknown>> =>
       ask("vise-2", "POST", "/v1/sessions/other/subscriptions", JSON.stringify({ topic: "notes/t3" }));
     expect((await one())["status"]).toEqual(409);
@@ -74,7 +74,7 @@
   const place = await startTestFleet(96);
   await change(place, {}, { payloadBytes: 8 }, { maxBytes: 100 });
   const connection = await open(place.fleet);
-  const publish = (number: number, length: number): Promise<Published> =>
+  const publish = (number: number, length: number): Promise<PublishResult> =>
     resultOf(place.fleet, connection.publish("notes/t1", number, "x".repeat(length)));
   expect((await publish(1, 8)).outcome).toEqual("accepted");
   expect(await publish(2, 9)).toEqual(expect.subset({ outcome: "refused", code: "too-large" }));
